--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -160,10 +160,10 @@
 	})
 }
 
-// FirstToken tells that the request's answer has begun, so that the limit can
+// RecordFirstToken tells that the request's answer has begun, so that the limit can
 // follow how long that takes. It counts from when the request got its place: its
 // own wait in line must not make the line longer.
-func (p *Place) FirstToken(kind Kind) { p.controller.Observe(kind, clock.Since(p.started)) }
+func (p *Place) RecordFirstToken(kind Kind) { p.controller.Observe(kind, clock.Since(p.started)) }
 
 // Observe tells how long a first token took from when its request got a place.
 func (c *Controller) Observe(kind Kind, firstToken time.Duration) {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -103,7 +103,7 @@
 					place, err := c.Admit(ctx, admission.Ask{Workspace: "w", Share: 1000})
 					Expect(err).NotTo(HaveOccurred())
 					time.Sleep(20 * time.Millisecond)
-					place.FirstToken(kind)
+					place.RecordFirstToken(kind)
 					time.Sleep(20 * time.Millisecond)
 					place.Release()
 				})
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -179,7 +179,7 @@
 	record.Version = answer.decision.Candidate.Name
 	if ask.chat.Stream && answer.whole == nil {
 		// Of an answer in one piece the first token is not seen.
-		place.FirstToken(admission.KindOf(record.Version, len(in.Body)))
+		place.RecordFirstToken(admission.KindOf(record.Version, len(in.Body)))
 	}
 	_, err = stage(ctx, p, "relay", func(ctx context.Context, a answered) (struct{}, error) {
 		return struct{}{}, p.relay(ctx, a, sink)
