--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -64,8 +64,8 @@
 	return &Controller{line: NewLine(options), waiters: map[int64]chan struct{}{}, idle: make(chan struct{})}
 }
 
-// Place is a request's place; it must be released.
-type Place struct {
+// Permit is a request's place; it must be released.
+type Permit struct {
 	controller *Controller
 	ask        Ask
 	started    clock.Instant
@@ -73,7 +73,7 @@
 }
 
 // Admit returns a place, waits for one, or refuses.
-func (c *Controller) Admit(ctx context.Context, ask Ask) (*Place, error) {
+func (c *Controller) Admit(ctx context.Context, ask Ask) (*Permit, error) {
 	id, turn, err := c.offer(ask)
 	if err != nil {
 		return nil, err
@@ -84,8 +84,8 @@
 	return c.wait(ctx, ask, id, turn)
 }
 
-func (c *Controller) place(ask Ask) *Place {
-	return &Place{controller: c, ask: ask, started: clock.Now()}
+func (c *Controller) place(ask Ask) *Permit {
+	return &Permit{controller: c, ask: ask, started: clock.Now()}
 }
 
 // offer puts a request into the line; a nil channel means that it may start.
@@ -113,7 +113,7 @@
 }
 
 // wait blocks a request until its turn, its deadline or its caller's end.
-func (c *Controller) wait(ctx context.Context, ask Ask, id int64, turn chan struct{}) (*Place, error) {
+func (c *Controller) wait(ctx context.Context, ask Ask, id int64, turn chan struct{}) (*Permit, error) {
 	var late <-chan time.Time
 	if !ask.Deadline.IsZero() {
 		left := max(c.latest(ask.Deadline), time.Microsecond) // no timer is due at its making: see clock.Sleep
@@ -150,7 +150,7 @@
 }
 
 // Release gives the place back.
-func (p *Place) Release() {
+func (p *Permit) Release() {
 	p.once.Do(func() {
 		c := p.controller
 		c.mu.Lock()
@@ -163,7 +163,7 @@
 // RecordFirstToken tells that the request's answer has begun, so that the limit can
 // follow how long that takes. It counts from when the request got its place: its
 // own wait in line must not make the line longer.
-func (p *Place) RecordFirstToken(kind Kind) { p.controller.Observe(kind, clock.Since(p.started)) }
+func (p *Permit) RecordFirstToken(kind Kind) { p.controller.Observe(kind, clock.Since(p.started)) }
 
 // Observe tells how long a first token took from when its request got a place.
 func (c *Controller) Observe(kind Kind, firstToken time.Duration) {
--- a/internal/pipeline/ask.go
+++ b/internal/pipeline/ask.go
@@ -168,7 +168,7 @@
 }
 
 // admit waits for a place on this host.
-func (p *Pipeline) admit(ctx context.Context, a ask) (*admission.Place, error) {
+func (p *Pipeline) admit(ctx context.Context, a ask) (*admission.Permit, error) {
 	place, err := p.options.Admission.Admit(ctx, admission.Ask{
 		Workspace: a.workspace.Name, Share: a.workspace.Concurrency, Priority: a.priority, Deadline: a.deadline,
 	})
