--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -38,10 +38,10 @@
 
 // Ask is a request for a place.
 type Ask struct {
-	Workspace string
-	Share     int // the workspace's limit of requests in flight
-	Priority  declare.Priority
-	Deadline  clock.Instant // zero means none
+	Workspace      string
+	WorkspaceLimit int // the workspace's limit of requests in flight
+	Priority       declare.Priority
+	Deadline       clock.Instant // zero means none
 }
 
 // Options set up a Controller.
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -46,7 +46,7 @@
 	if err := l.refusal(ask, now); err != nil {
 		return VerdictRefuse, 0, err
 	}
-	if l.flying < l.limit.now() && l.shares[ask.Workspace] < ask.Share {
+	if l.flying < l.limit.now() && l.shares[ask.Workspace] < ask.WorkspaceLimit {
 		l.start(ask)
 		return VerdictStart, 0, nil
 	}
@@ -66,7 +66,7 @@
 	switch {
 	case len(l.queue) >= l.options.Queue:
 		return ErrQueue
-	case l.shares[ask.Workspace] >= ask.Share && mine >= ask.Share:
+	case l.shares[ask.Workspace] >= ask.WorkspaceLimit && mine >= ask.WorkspaceLimit:
 		return ErrShare
 	case !ask.Deadline.IsZero() && now.Add(l.expectedWait(ask)).After(ask.Deadline):
 		return ErrDeadline
@@ -177,7 +177,7 @@
 func (l *Line) queued() []Queued {
 	queue := make([]Queued, len(l.queue))
 	for i, w := range l.queue {
-		queue[i] = Queued{Priority: w.ask.Priority, Used: l.shares[w.ask.Workspace], Share: w.ask.Share}
+		queue[i] = Queued{Priority: w.ask.Priority, Used: l.shares[w.ask.Workspace], Share: w.ask.WorkspaceLimit}
 	}
 	return queue
 }
