--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -36,8 +36,8 @@
 	ErrDraining = errors.New("host is draining")
 )
 
-// Ask is a request for a place.
-type Ask struct {
+// Request is a request for a place.
+type Request struct {
 	Workspace      string
 	WorkspaceLimit int // the workspace's limit of requests in flight
 	Priority       declare.Priority
@@ -67,13 +67,13 @@
 // Permit is a request's place; it must be released.
 type Permit struct {
 	controller *Controller
-	ask        Ask
+	ask        Request
 	started    clock.Instant
 	once       sync.Once
 }
 
 // Admit returns a place, waits for one, or refuses.
-func (c *Controller) Admit(ctx context.Context, ask Ask) (*Permit, error) {
+func (c *Controller) Admit(ctx context.Context, ask Request) (*Permit, error) {
 	id, turn, err := c.offer(ask)
 	if err != nil {
 		return nil, err
@@ -84,12 +84,12 @@
 	return c.wait(ctx, ask, id, turn)
 }
 
-func (c *Controller) place(ask Ask) *Permit {
+func (c *Controller) place(ask Request) *Permit {
 	return &Permit{controller: c, ask: ask, started: clock.Now()}
 }
 
 // offer puts a request into the line; a nil channel means that it may start.
-func (c *Controller) offer(ask Ask) (int64, chan struct{}, error) {
+func (c *Controller) offer(ask Request) (int64, chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.draining {
@@ -113,7 +113,7 @@
 }
 
 // wait blocks a request until its turn, its deadline or its caller's end.
-func (c *Controller) wait(ctx context.Context, ask Ask, id int64, turn chan struct{}) (*Permit, error) {
+func (c *Controller) wait(ctx context.Context, ask Request, id int64, turn chan struct{}) (*Permit, error) {
 	var late <-chan time.Time
 	if !ask.Deadline.IsZero() {
 		left := max(c.latest(ask.Deadline), time.Microsecond) // no timer is due at its making: see clock.Sleep
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -41,7 +41,7 @@
 			begin := time.Now()
 			var wait sync.WaitGroup
 			request := func(workspace string) {
-				place, err := c.Admit(ctx, admission.Ask{Workspace: workspace, WorkspaceLimit: 100})
+				place, err := c.Admit(ctx, admission.Request{Workspace: workspace, WorkspaceLimit: 100})
 				Expect(err).NotTo(HaveOccurred())
 				mu.Lock()
 				started[workspace] = time.Since(begin)
@@ -64,7 +64,7 @@
 		suite.Paused(func() {
 			c := admission.NewController(admission.Options{Limit: 1, Queue: 100})
 			run := func() {
-				place, err := c.Admit(ctx, admission.Ask{Workspace: "w", WorkspaceLimit: 100})
+				place, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 100})
 				Expect(err).NotTo(HaveOccurred())
 				time.Sleep(10 * time.Second)
 				place.Release()
@@ -73,7 +73,7 @@
 			go run()
 			time.Sleep(time.Second)
 			asked := clock.Now()
-			_, err := c.Admit(ctx, admission.Ask{Workspace: "w", WorkspaceLimit: 100, Deadline: asked.Add(3 * time.Second)})
+			_, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 100, Deadline: asked.Add(3 * time.Second)})
 			Expect(err).To(MatchError(admission.ErrDeadline))
 			Expect(clock.Since(asked)).To(BeZero())
 			time.Sleep(10 * time.Second)
@@ -83,10 +83,10 @@
 	It("drains: nothing new, and done when the last is", func() {
 		suite.Paused(func() {
 			c := admission.NewController(admission.Options{Limit: 5, Queue: 5})
-			place, err := c.Admit(ctx, admission.Ask{Workspace: "w", WorkspaceLimit: 5})
+			place, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 5})
 			Expect(err).NotTo(HaveOccurred())
 			idle := c.Drain()
-			_, err = c.Admit(ctx, admission.Ask{Workspace: "w", WorkspaceLimit: 5})
+			_, err = c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 5})
 			Expect(err).To(MatchError(admission.ErrDraining))
 			Consistently(idle).WithTimeout(time.Second).ShouldNot(BeClosed())
 			place.Release()
@@ -100,7 +100,7 @@
 			var wait sync.WaitGroup
 			for range 400 {
 				wait.Go(func() {
-					place, err := c.Admit(ctx, admission.Ask{Workspace: "w", WorkspaceLimit: 1000})
+					place, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 1000})
 					Expect(err).NotTo(HaveOccurred())
 					time.Sleep(20 * time.Millisecond)
 					place.RecordFirstToken(kind)
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -21,7 +21,7 @@
 // waiting is a request in the line.
 type waiting struct {
 	id  int64
-	ask Ask
+	ask Request
 }
 
 // Line is the state of admission: who is in flight and who waits. It reads no
@@ -42,7 +42,7 @@
 }
 
 // Offer decides on a request. One that has to wait is named by the id.
-func (l *Line) Offer(ask Ask, now clock.Instant) (Verdict, int64, error) {
+func (l *Line) Offer(ask Request, now clock.Instant) (Verdict, int64, error) {
 	if err := l.refusal(ask, now); err != nil {
 		return VerdictRefuse, 0, err
 	}
@@ -56,7 +56,7 @@
 }
 
 // refusal tells why a request can't even wait.
-func (l *Line) refusal(ask Ask, now clock.Instant) error {
+func (l *Line) refusal(ask Request, now clock.Instant) error {
 	mine := 0
 	for _, w := range l.queue {
 		if w.ask.Workspace == ask.Workspace {
@@ -78,7 +78,7 @@
 // expectedWait estimates a newcomer's wait: its workspace gets one turn in as
 // many as there are active workspaces, and those of its own that are ahead of it
 // go first. A batch request goes behind all that are not.
-func (l *Line) expectedWait(ask Ask) time.Duration {
+func (l *Line) expectedWait(ask Request) time.Duration {
 	if l.flying < l.limit.now() {
 		return 0
 	}
@@ -101,7 +101,7 @@
 	return time.Duration(turns * l.mean * float64(time.Second))
 }
 
-func (l *Line) start(ask Ask) {
+func (l *Line) start(ask Request) {
 	l.flying++
 	l.shares[ask.Workspace]++
 }
@@ -111,7 +111,7 @@
 
 // Finish ends a request that held its place for a time, and returns the ids of
 // those whose turn it is.
-func (l *Line) Finish(ask Ask, held time.Duration) []int64 {
+func (l *Line) Finish(ask Request, held time.Duration) []int64 {
 	if l.mean == 0 {
 		l.mean = held.Seconds()
 	}
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -46,7 +46,7 @@
 
 // overloadAsk is one request of a caller.
 type overloadAsk struct {
-	ask     admission.Ask
+	ask     admission.Request
 	arrived time.Duration
 	first   time.Duration // when the caller first asked
 	tries   int
@@ -84,7 +84,7 @@
 
 func (o *overload) request() {
 	a := overloadAsk{arrived: o.clock.now, first: o.clock.now}
-	a.ask = admission.Ask{Workspace: "large", WorkspaceLimit: o.Share, Priority: declare.PriorityInteractive}
+	a.ask = admission.Request{Workspace: "large", WorkspaceLimit: o.Share, Priority: declare.PriorityInteractive}
 	if o.random.Float64() < o.Small {
 		a.ask.Workspace = "small"
 		o.smallAll++
