--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -53,7 +53,7 @@
 // Controller hands out places to requests at once.
 type Controller struct {
 	mu       sync.Mutex // guards all below
-	line     *Line
+	line     *Scheduler
 	waiters  map[int64]chan struct{} // closed when their turn comes
 	draining bool
 	idle     chan struct{} // closed when draining and nobody is left
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -24,9 +24,9 @@
 	ask Request
 }
 
-// Line is the state of admission: who is in flight and who waits. It reads no
+// Scheduler is the state of admission: who is in flight and who waits. It reads no
 // clock and takes no locks; Controller makes it safe for use at once.
-type Line struct {
+type Scheduler struct {
 	options Options
 	limit   limiter
 	flying  int
@@ -37,12 +37,12 @@
 }
 
 // NewLine returns a line with nobody in it.
-func NewLine(options Options) *Line {
-	return &Line{options: options, limit: newLimiter(options.Limit), shares: map[string]int{}}
+func NewLine(options Options) *Scheduler {
+	return &Scheduler{options: options, limit: newLimiter(options.Limit), shares: map[string]int{}}
 }
 
 // Offer decides on a request. One that has to wait is named by the id.
-func (l *Line) Offer(ask Request, now clock.Instant) (Verdict, int64, error) {
+func (l *Scheduler) Offer(ask Request, now clock.Instant) (Verdict, int64, error) {
 	if err := l.refusal(ask, now); err != nil {
 		return VerdictRefuse, 0, err
 	}
@@ -56,7 +56,7 @@
 }
 
 // refusal tells why a request can't even wait.
-func (l *Line) refusal(ask Request, now clock.Instant) error {
+func (l *Scheduler) refusal(ask Request, now clock.Instant) error {
 	mine := 0
 	for _, w := range l.queue {
 		if w.ask.Workspace == ask.Workspace {
@@ -78,7 +78,7 @@
 // expectedWait estimates a newcomer's wait: its workspace gets one turn in as
 // many as there are active workspaces, and those of its own that are ahead of it
 // go first. A batch request goes behind all that are not.
-func (l *Line) expectedWait(ask Request) time.Duration {
+func (l *Scheduler) expectedWait(ask Request) time.Duration {
 	if l.flying < l.limit.now() {
 		return 0
 	}
@@ -101,7 +101,7 @@
 	return time.Duration(turns * l.mean * float64(time.Second))
 }
 
-func (l *Line) start(ask Request) {
+func (l *Scheduler) start(ask Request) {
 	l.flying++
 	l.shares[ask.Workspace]++
 }
@@ -111,7 +111,7 @@
 
 // Finish ends a request that held its place for a time, and returns the ids of
 // those whose turn it is.
-func (l *Line) Finish(ask Request, held time.Duration) []int64 {
+func (l *Scheduler) Finish(ask Request, held time.Duration) []int64 {
 	if l.mean == 0 {
 		l.mean = held.Seconds()
 	}
@@ -126,12 +126,12 @@
 
 // Margin is how long before its deadline a request has to start: as long as first
 // tokens take now, but no more than half of the time it has.
-func (l *Line) Margin(left time.Duration) time.Duration {
+func (l *Scheduler) Margin(left time.Duration) time.Duration {
 	return min(time.Duration(l.limit.seconds*float64(time.Second)), left/2)
 }
 
 // Leave takes a request out that waits no longer; false if it does not wait.
-func (l *Line) Leave(id int64) bool {
+func (l *Scheduler) Leave(id int64) bool {
 	for i, w := range l.queue {
 		if w.id == id {
 			l.queue = append(l.queue[:i:i], l.queue[i+1:]...)
@@ -143,13 +143,13 @@
 
 // Observe tells how long a first token took; the limit follows. It returns the
 // ids of those whose turn it is.
-func (l *Line) Observe(kind Kind, firstToken time.Duration) []int64 {
+func (l *Scheduler) Observe(kind Kind, firstToken time.Duration) []int64 {
 	l.limit.observe(kind, firstToken, l.flying)
 	return l.advance()
 }
 
 // advance starts waiting requests while there is room.
-func (l *Line) advance() []int64 {
+func (l *Scheduler) advance() []int64 {
 	var started []int64
 	for l.flying < l.limit.now() {
 		i := Next(l.queued())
@@ -165,7 +165,7 @@
 }
 
 // InFlight counts requests with a place and requests that wait.
-func (l *Line) InFlight() (flying, waiting int) { return l.flying, len(l.queue) }
+func (l *Scheduler) InFlight() (flying, waiting int) { return l.flying, len(l.queue) }
 
 // Queued is a waiting request as the decision sees it.
 type Queued struct {
@@ -174,7 +174,7 @@
 	Share    int
 }
 
-func (l *Line) queued() []Queued {
+func (l *Scheduler) queued() []Queued {
 	queue := make([]Queued, len(l.queue))
 	for i, w := range l.queue {
 		queue[i] = Queued{Priority: w.ask.Priority, Used: l.shares[w.ask.Workspace], Share: w.ask.WorkspaceLimit}
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -31,7 +31,7 @@
 	OverloadScenario
 	clock   *clockwork
 	random  *rand.Rand
-	line    *admission.Line // nil: no admission
+	line    *admission.Scheduler // nil: no admission
 	waiting map[int64]func()
 
 	running int
