--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -61,7 +61,7 @@
 
 // NewController returns a controller with nothing in flight.
 func NewController(options Options) *Controller {
-	return &Controller{line: NewLine(options), waiters: map[int64]chan struct{}{}, idle: make(chan struct{})}
+	return &Controller{line: NewScheduler(options), waiters: map[int64]chan struct{}{}, idle: make(chan struct{})}
 }
 
 // Permit is a request's place; it must be released.
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -36,8 +36,8 @@
 	mean    float64 // smoothed seconds that a request holds its place
 }
 
-// NewLine returns a line with nobody in it.
-func NewLine(options Options) *Scheduler {
+// NewScheduler returns a line with nobody in it.
+func NewScheduler(options Options) *Scheduler {
 	return &Scheduler{options: options, limit: newLimiter(options.Limit), shares: map[string]int{}}
 }
 
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -61,7 +61,7 @@
 func (s OverloadScenario) play(seed int, admitted bool) *overload {
 	o := &overload{OverloadScenario: s, clock: &clockwork{}, random: source(seed, 4), waiting: map[int64]func(){}}
 	if admitted {
-		o.line = admission.NewLine(admission.Options{Limit: s.Limit, Queue: s.Queue})
+		o.line = admission.NewScheduler(admission.Options{Limit: s.Limit, Queue: s.Queue})
 	}
 	total := 2*quiet + seconds(s.Length)
 	o.good, o.offered = make([]int, int(total.Seconds())+1), make([]int, int(total.Seconds())+1)
