--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -33,10 +33,10 @@
 		admission.Outlook{Served: 0.9, Queue: time.Second, Turn: 3 * time.Second, Left: 4 * time.Second}, admission.Refuse{},
 	},
 	"it was let wait, whatever is expected now": {
-		admission.Outlook{Served: 0.05, Queue: 5 * time.Second, Turn: 3 * time.Second, Left: 4 * time.Second, Waits: true}, admission.Wait{For: 500 * time.Millisecond},
+		admission.Outlook{Served: 0.05, Queue: 5 * time.Second, Turn: 3 * time.Second, Left: 4 * time.Second, Waiting: true}, admission.Wait{For: 500 * time.Millisecond},
 	},
 	"it was let wait, and little is left": {
-		admission.Outlook{Served: 0.05, Queue: 5 * time.Second, Head: time.Second, Left: time.Second, Waits: true}, admission.Send{},
+		admission.Outlook{Served: 0.05, Queue: 5 * time.Second, Head: time.Second, Left: time.Second, Waiting: true}, admission.Send{},
 	},
 }
 
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -52,7 +52,7 @@
 		}
 		return p
 	}
-	o := admission.Outlook{InTime: p.expected.InTime(ask.Slack), Head: p.expected.Head, Waits: ask.Turn != 0, Left: ask.Left}
+	o := admission.Outlook{InTime: p.expected.InTime(ask.Slack), Head: p.expected.Head, Waiting: ask.Turn != 0, Left: ask.Left}
 	if _, ok := admission.Order(o).(admission.Send); ok {
 		if ask.Turn != 0 {
 			f.turnsOf(ask.Service).Leave(ask.Turn)
