--- a/internal/admission/order.go
+++ b/internal/admission/order.go
@@ -37,9 +37,9 @@
 	return time.Duration((returnPart + (1-returnPart)*chance) * float64(most))
 }
 
-// Outlook is what is expected of a request to engines that is sent now. An immutable
+// Forecast is what is expected of a request to engines that is sent now. An immutable
 // value.
-type Outlook struct {
+type Forecast struct {
 	InTime  float64       // chance that its answer begins in time, at its own urgency
 	Head    time.Duration // until it would begin there
 	Waiting bool          // it was let wait for its turn
@@ -78,7 +78,7 @@
 func (Refuse) decision() {}
 
 // Order decides on a request. It is pure: who asks gives a Wait its turn.
-func Order(o Outlook) Decision {
+func Order(o Forecast) Decision {
 	switch {
 	case o.InTime >= likelyInTime:
 		return Send{}
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -52,7 +52,7 @@
 		}
 		return p
 	}
-	o := admission.Outlook{InTime: p.expected.InTime(ask.Slack), Head: p.expected.Head, Waiting: ask.Turn != 0, Left: ask.Left}
+	o := admission.Forecast{InTime: p.expected.InTime(ask.Slack), Head: p.expected.Head, Waiting: ask.Turn != 0, Left: ask.Left}
 	if _, ok := admission.Order(o).(admission.Send); ok {
 		if ask.Turn != 0 {
 			f.turnsOf(ask.Service).Leave(ask.Turn)
@@ -70,7 +70,7 @@
 }
 
 // order decides on a request that is not likely in time.
-func (f *Fleet) order(p placement, o admission.Outlook) admission.Decision {
+func (f *Fleet) order(p placement, o admission.Forecast) admission.Decision {
 	turns := f.turnsOf(p.ask.Service)
 	asked, urgency := p.now.Add(-p.ask.Waited), rank(p.urgency)
 	o.Served, o.Queue, o.Room = p.expected.InTime(o.Left), p.expected.Queue, p.room
