--- a/internal/admission/order.go
+++ b/internal/admission/order.go
@@ -77,8 +77,8 @@
 func (Wait) decision()   {}
 func (Refuse) decision() {}
 
-// Order decides on a request. It is pure: who asks gives a Wait its turn.
-func Order(o Forecast) Decision {
+// Decide decides on a request. It is pure: who asks gives a Wait its turn.
+func Decide(o Forecast) Decision {
 	switch {
 	case o.InTime >= likelyInTime:
 		return Send{}
--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -42,7 +42,7 @@
 
 var _ = Describe("the order among requests to engines", func() {
 	for name, o := range outlooks {
-		It("decides on one that is: "+name, func() { Expect(admission.Order(o.outlook)).To(Equal(o.want)) })
+		It("decides on one that is: "+name, func() { Expect(admission.Decide(o.outlook)).To(Equal(o.want)) })
 	}
 
 	It("has refused callers come back as late as they heed, and not together", func() {
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -53,7 +53,7 @@
 		return p
 	}
 	o := admission.Forecast{InTime: p.expected.InTime(ask.Slack), Head: p.expected.Head, Waiting: ask.Turn != 0, Left: ask.Left}
-	if _, ok := admission.Order(o).(admission.Send); ok {
+	if _, ok := admission.Decide(o).(admission.Send); ok {
 		if ask.Turn != 0 {
 			f.turnsOf(ask.Service).Leave(ask.Turn)
 		}
@@ -75,7 +75,7 @@
 	asked, urgency := p.now.Add(-p.ask.Waited), rank(p.urgency)
 	o.Served, o.Queue, o.Room = p.expected.InTime(o.Left), p.expected.Queue, p.room
 	o.Ahead, o.Turn = turns.Ahead(p.ask.Turn, urgency, asked, p.now)
-	switch d := admission.Order(o).(type) {
+	switch d := admission.Decide(o).(type) {
 	case admission.Wait:
 		d.Turn = turns.Wait(p.ask.Turn, urgency, asked, p.now, d.For)
 		if d.Turn == 0 {
