--- a/internal/admission/order.go
+++ b/internal/admission/order.go
@@ -30,9 +30,9 @@
 	returnMost = 8 * time.Second
 )
 
-// ComeBack is when a caller that has so much time left should come back after a refusal;
+// RetryDelay is when a caller that has so much time left should come back after a refusal;
 // chance is a number from 0 to 1.
-func ComeBack(left time.Duration, chance float64) time.Duration {
+func RetryDelay(left time.Duration, chance float64) time.Duration {
 	most := min(time.Duration(heedPart*float64(left)), returnMost)
 	return time.Duration((returnPart + (1-returnPart)*chance) * float64(most))
 }
--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -46,9 +46,9 @@
 	}
 
 	It("has refused callers come back as late as they heed, and not together", func() {
-		Expect(admission.ComeBack(18*time.Second, 0)).To(BeNumerically("~", 4200*time.Millisecond, time.Millisecond))
-		Expect(admission.ComeBack(18*time.Second, 1)).To(BeNumerically("~", 6*time.Second, time.Millisecond))
-		Expect(admission.ComeBack(time.Hour, 1)).To(Equal(8 * time.Second))
+		Expect(admission.RetryDelay(18*time.Second, 0)).To(BeNumerically("~", 4200*time.Millisecond, time.Millisecond))
+		Expect(admission.RetryDelay(18*time.Second, 1)).To(BeNumerically("~", 6*time.Second, time.Millisecond))
+		Expect(admission.RetryDelay(time.Hour, 1)).To(Equal(8 * time.Second))
 	})
 })
 
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -217,7 +217,7 @@
 	}
 	full := errors.Is(reason, errRefused) || errors.Is(reason, errRejected)
 	if full && x.affinity(x.model) != 0 && !x.g.draining.Load() {
-		return admission.ComeBack(x.left(), rand.Float64())
+		return admission.RetryDelay(x.left(), rand.Float64())
 	}
 	return comeBack
 }
