--- a/internal/admission/ration.go
+++ b/internal/admission/ration.go
@@ -14,8 +14,8 @@
 	return Wait{For: min(max(turn/2, rationLeast), askMost)}
 }
 
-// ComeBackAfter is when a caller that has so much time left should come back after a refusal, where
+// RetryDelayUntilRoom is when a caller that has so much time left should come back after a refusal, where
 // there should be room after a time; chance is a number from 0 to 1.
-func ComeBackAfter(room, left time.Duration, chance float64) time.Duration {
+func RetryDelayUntilRoom(room, left time.Duration, chance float64) time.Duration {
 	return min(time.Duration((1+chance/2)*float64(room)), RetryDelay(left, chance))
 }
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -213,7 +213,7 @@
 	case errors.Is(reason, errQuarantined):
 		return 0
 	case errors.Is(reason, errLimited):
-		return admission.ComeBackAfter(x.room, x.left(), rand.Float64())
+		return admission.RetryDelayUntilRoom(x.room, x.left(), rand.Float64())
 	}
 	full := errors.Is(reason, errRefused) || errors.Is(reason, errRejected)
 	if full && x.affinity(x.model) != 0 && !x.g.draining.Load() {
