--- a/internal/admission/ration.go
+++ b/internal/admission/ration.go
@@ -5,9 +5,9 @@
 // rationLeast bounds the time until a request that waits for its part of a limit asks again.
 const rationLeast = 25 * time.Millisecond
 
-// Ration decides on a request to endpoints of which all are at the limits that they name: its turn
+// DecideRateLimited decides on a request to endpoints of which all are at the limits that they name: its turn
 // comes after a time, and it may wait for another; waits tells that it does already. It is pure.
-func Ration(turn, within time.Duration, waits bool) Decision {
+func DecideRateLimited(turn, within time.Duration, waits bool) Decision {
 	if max(turn, rationLeast) > within || (!waits && turn > within/2) {
 		return Refuse{After: max(turn, rationLeast)}
 	}
--- a/internal/fleet/ration.go
+++ b/internal/fleet/ration.go
@@ -70,7 +70,7 @@
 		return p
 	}
 	turn := max(by, p.limits.next.Sub(p.now))
-	switch d := admission.Ration(turn, p.ask.Within, p.ask.Turn != 0).(type) {
+	switch d := admission.DecideRateLimited(turn, p.ask.Within, p.ask.Turn != 0).(type) {
 	case admission.Wait:
 		d.Turn = turns.Wait(p.ask.Turn, urgency, asked, p.now, d.For)
 		p.decision = d
