--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -54,13 +54,13 @@
 
 var _ = Describe("turns of requests that wait", func() {
 	now := clock.Now()
-	ahead := func(t *admission.Turns, id int64, urgency int, asked, at clock.Instant) int {
+	ahead := func(t *admission.WaitingList, id int64, urgency int, asked, at clock.Instant) int {
 		n, _ := t.Ahead(id, urgency, asked, at)
 		return n
 	}
 
 	It("go by urgency, and then by who asked first, whenever they come", func() {
-		t := &admission.Turns{}
+		t := &admission.WaitingList{}
 		late := t.Wait(0, 1, now, now, time.Second)
 		early := t.Wait(0, 1, now.Add(-time.Second), now, time.Second)
 		urgent := t.Wait(0, 0, now, now, time.Second)
@@ -73,14 +73,14 @@
 	})
 
 	It("lapse when nobody asks again", func() {
-		t := &admission.Turns{}
+		t := &admission.WaitingList{}
 		t.Wait(0, 0, now, now, 50*time.Millisecond)
 		Expect(ahead(t, 0, 1, now, now.Add(300*time.Millisecond))).To(Equal(1))
 		Expect(ahead(t, 0, 1, now, now.Add(400*time.Millisecond))).To(Equal(0))
 	})
 
 	It("come as fast as those before have lately gone", func() {
-		t := &admission.Turns{}
+		t := &admission.WaitingList{}
 		for range 10 {
 			t.Wait(0, 0, now, now, time.Minute)
 		}
@@ -96,12 +96,12 @@
 	})
 
 	It("of another host mean nothing", func() {
-		a, b := &admission.Turns{}, &admission.Turns{}
+		a, b := &admission.WaitingList{}, &admission.WaitingList{}
 		Expect(a.Wait(0, 0, now, now, time.Second)).NotTo(Equal(b.Wait(0, 0, now, now, time.Second)))
 	})
 
 	It("are bounded in number", func() {
-		t := &admission.Turns{}
+		t := &admission.WaitingList{}
 		refused := 0
 		for range 1000 {
 			if t.Wait(0, 0, now, now, time.Second) == 0 {
--- a/internal/admission/turns.go
+++ b/internal/admission/turns.go
@@ -33,16 +33,16 @@
 	lapses  clock.Instant
 }
 
-// Turns are the requests that wait for engines, the most urgent first and among them
+// WaitingList are the requests that wait for engines, the most urgent first and among them
 // those whose callers asked first. They read no clock and take no locks.
-type Turns struct {
+type WaitingList struct {
 	waiting []turn
 	serial  int64           // of the last one; it begins by chance, so that turns of another host mean nothing here
 	grants  []clock.Instant // the latest ones, oldest first
 }
 
 // Ahead counts the requests that go before one, and how long that takes as they go now.
-func (t *Turns) Ahead(id int64, urgency int, asked, now clock.Instant) (int, time.Duration) {
+func (t *WaitingList) Ahead(id int64, urgency int, asked, now clock.Instant) (int, time.Duration) {
 	t.sweep(now)
 	if id == 0 {
 		id = math.MaxInt64 // among those that asked together, the last one
@@ -53,7 +53,7 @@
 
 // Wait notes a request that waits, and returns its id: the one that it has, if any.
 // Without room for it the id is 0.
-func (t *Turns) Wait(id int64, urgency int, asked, now clock.Instant, d time.Duration) int64 {
+func (t *WaitingList) Wait(id int64, urgency int, asked, now clock.Instant, d time.Duration) int64 {
 	t.drop(id)
 	if len(t.waiting) >= turnsMost {
 		return 0
@@ -70,7 +70,7 @@
 // serialsFrom bounds the first id; it leaves as many again to be given out.
 const serialsFrom = math.MaxInt64 / 2
 
-func (t *Turns) next() int64 {
+func (t *WaitingList) next() int64 {
 	if t.serial == 0 {
 		t.serial = rand.Int64N(serialsFrom)
 	}
@@ -79,27 +79,27 @@
 }
 
 // Granted notes that a request which is not likely in time was sent.
-func (t *Turns) Granted(id int64, now clock.Instant) {
+func (t *WaitingList) Granted(id int64, now clock.Instant) {
 	t.drop(id)
 	t.grants = append(t.grants, now)
 }
 
 // Leave takes out a request that waits no more.
-func (t *Turns) Leave(id int64) { t.drop(id) }
+func (t *WaitingList) Leave(id int64) { t.drop(id) }
 
-func (t *Turns) drop(id int64) {
+func (t *WaitingList) drop(id int64) {
 	t.waiting = slices.DeleteFunc(t.waiting, func(w turn) bool { return w.id == id })
 }
 
 // place is where a request stands among those that wait.
-func (t *Turns) place(w turn) (int, bool) {
+func (t *WaitingList) place(w turn) (int, bool) {
 	return slices.BinarySearchFunc(t.waiting, w, func(a, b turn) int {
 		return cmp.Or(cmp.Compare(a.urgency, b.urgency), a.asked.Compare(b.asked), cmp.Compare(a.id, b.id))
 	})
 }
 
 // sweep drops requests that have not asked again, and old grants.
-func (t *Turns) sweep(now clock.Instant) {
+func (t *WaitingList) sweep(now clock.Instant) {
 	t.waiting = slices.DeleteFunc(t.waiting, func(w turn) bool { return now.After(w.lapses) })
 	for len(t.grants) > 0 && now.Sub(t.grants[0]) > grantWindow {
 		t.grants = t.grants[1:]
@@ -107,6 +107,6 @@
 }
 
 // rate is how many requests that wait go in a second.
-func (t *Turns) rate() float64 {
+func (t *WaitingList) rate() float64 {
 	return (float64(len(t.grants)) + grantPrior) / grantWindow.Seconds()
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -66,11 +66,11 @@
 	byService map[string]*pool
 	ejected   map[string]*member // by ID, those that were lately; others may be among them
 	readings  map[serves]*reading
-	prices    map[string]price            // of an engine's second, by service
-	crowds    map[string]*crowd           // by service
-	overruns  map[string]Overrun          // by service
-	turns     map[string]*admission.Turns // requests that wait, by service
-	stays     map[string]time.Duration    // how long an answer holds a slot from its head on, by service
+	prices    map[string]price                  // of an engine's second, by service
+	crowds    map[string]*crowd                 // by service
+	overruns  map[string]Overrun                // by service
+	turns     map[string]*admission.WaitingList // requests that wait, by service
+	stays     map[string]time.Duration          // how long an answer holds a slot from its head on, by service
 	memory    memory
 	advises   tenure             // with prompts of which other hosts' choices are known
 	limits    map[string]*member // by ID, those that name a limit or lately did
@@ -123,7 +123,7 @@
 	}
 	return &Fleet{
 		options: options, known: make(chan struct{}), members: map[string]*member{}, instances: map[string]*member{}, words: map[string]string{}, evacuated: map[string]clock.Instant{}, limits: map[string]*member{}, wanting: map[string]*member{}, news: map[string]*member{}, byService: map[string]*pool{}, ejected: map[string]*member{}, readings: map[serves]*reading{},
-		prices: map[string]price{}, overruns: map[string]Overrun{}, crowds: map[string]*crowd{}, stays: map[string]time.Duration{}, turns: map[string]*admission.Turns{}, memory: memory{holders: map[uint64][]*member{}}, tickets: rand.Int64N(ticketsFrom),
+		prices: map[string]price{}, overruns: map[string]Overrun{}, crowds: map[string]*crowd{}, stays: map[string]time.Duration{}, turns: map[string]*admission.WaitingList{}, memory: memory{holders: map[uint64][]*member{}}, tickets: rand.Int64N(ticketsFrom),
 	}
 }
 
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -92,10 +92,10 @@
 }
 
 // turnsOf returns the requests that wait for a service.
-func (f *Fleet) turnsOf(service string) *admission.Turns {
+func (f *Fleet) turnsOf(service string) *admission.WaitingList {
 	t, ok := f.turns[service]
 	if !ok {
-		t = &admission.Turns{}
+		t = &admission.WaitingList{}
 		f.turns[service] = t
 	}
 	return t
