--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -68,7 +68,7 @@
 		Expect(ahead(t, early, 1, now.Add(-time.Second), now)).To(Equal(1))
 		Expect(ahead(t, late, 1, now, now)).To(Equal(2))
 		t.Granted(urgent, now)
-		t.Leave(early)
+		t.Remove(early)
 		Expect(ahead(t, late, 1, now, now)).To(Equal(0))
 	})
 
--- a/internal/admission/turns.go
+++ b/internal/admission/turns.go
@@ -84,8 +84,8 @@
 	t.grants = append(t.grants, now)
 }
 
-// Leave takes out a request that waits no more.
-func (t *WaitingList) Leave(id int64) { t.drop(id) }
+// Remove takes out a request that waits no more.
+func (t *WaitingList) Remove(id int64) { t.drop(id) }
 
 func (t *WaitingList) drop(id int64) {
 	t.waiting = slices.DeleteFunc(t.waiting, func(w turn) bool { return w.id == id })
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -48,14 +48,14 @@
 	p.expected = f.expect(p.choice, ask)
 	if ask.Left == 0 {
 		if ask.Turn != 0 {
-			f.turnsOf(ask.Service).Leave(ask.Turn)
+			f.turnsOf(ask.Service).Remove(ask.Turn)
 		}
 		return p
 	}
 	o := admission.Forecast{InTime: p.expected.InTime(ask.Slack), Head: p.expected.Head, Waiting: ask.Turn != 0, Left: ask.Left}
 	if _, ok := admission.Decide(o).(admission.Send); ok {
 		if ask.Turn != 0 {
-			f.turnsOf(ask.Service).Leave(ask.Turn)
+			f.turnsOf(ask.Service).Remove(ask.Turn)
 		}
 		return p
 	}
@@ -86,7 +86,7 @@
 		turns.Granted(p.ask.Turn, p.now)
 		return d
 	default:
-		turns.Leave(p.ask.Turn)
+		turns.Remove(p.ask.Turn)
 		return d
 	}
 }
--- a/internal/fleet/ration.go
+++ b/internal/fleet/ration.go
@@ -78,7 +78,7 @@
 			p.decision = admission.Refuse{After: turn}
 		}
 	default:
-		turns.Leave(p.ask.Turn)
+		turns.Remove(p.ask.Turn)
 		p.decision = d
 	}
 	return p
