--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -56,9 +56,9 @@
 	Fleet *fleet.Fleet
 	// Allowed returns which versions of a service a request with a key may run on.
 	Allowed func(service string, versionKey uint64) func(version string) bool
-	// Before returns the addresses of the data hall's hosts that come before this
+	// Predecessors returns the addresses of the data hall's hosts that come before this
 	// one, in an order that all of them agree on while they know the same list.
-	Before func() []string
+	Predecessors func() []string
 	// Leads reports whether this host is known to be the first of them; nil for yes where
 	// none comes before it.
 	Leads func() bool
@@ -163,7 +163,7 @@
 // Leads reports whether this host advises the others, and so knows of all that is sent.
 func (a *Advisor) Leads() bool {
 	if a.options.Leads == nil {
-		return len(a.options.Before()) == 0
+		return len(a.options.Predecessors()) == 0
 	}
 	return a.options.Leads()
 }
@@ -228,7 +228,7 @@
 // first returns the host to ask; false if this one is the first of those that
 // answer.
 func (a *Advisor) first() (string, bool) {
-	before := a.options.Before()
+	before := a.options.Predecessors()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := clock.Now()
@@ -243,7 +243,7 @@
 // Place counts the hosts before this one that answer, as far as it knows; false while it does not
 // know the list of hosts.
 func (a *Advisor) Place() (place int, known bool) {
-	before := a.options.Before()
+	before := a.options.Predecessors()
 	if len(before) == 0 && !a.Leads() {
 		return 0, false
 	}
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -49,9 +49,9 @@
 		Allowed: func(string, uint64) func(string) bool { return func(v string) bool { return v == "v1" } },
 		Conn:    func(address string) (grpc.ClientConnInterface, error) { return p.conn(address), nil },
 	}
-	options.Before = func() []string { return nil }
+	options.Predecessors = func() []string { return nil }
 	p.first = advice.New(options)
-	options.Fleet, options.Before = p.other, func() []string { return p.before }
+	options.Fleet, options.Predecessors = p.other, func() []string { return p.before }
 	p.next = advice.New(options)
 	p.server = grpc.NewServer()
 	p.first.Register(p.server)
