--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -240,9 +240,9 @@
 	return "", false
 }
 
-// Place counts the hosts before this one that answer, as far as it knows; false while it does not
+// Rank counts the hosts before this one that answer, as far as it knows; false while it does not
 // know the list of hosts.
-func (a *Advisor) Place() (place int, known bool) {
+func (a *Advisor) Rank() (place int, known bool) {
 	before := a.options.Predecessors()
 	if len(before) == 0 && !a.Leads() {
 		return 0, false
