--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -44,8 +44,8 @@
 	return s.Prices[hall]
 }
 
-// Stock is how many endpoints of a service serve in a data hall.
-type Stock struct {
+// EndpointCounts is how many endpoints of a service serve in a data hall.
+type EndpointCounts struct {
 	Ordinary, Spot int
 	Newer          int // ordinary ones that an upgrade brings in
 }
@@ -53,10 +53,10 @@
 // State is what is known of a service as it is planned for.
 type State struct {
 	Scaling Scaling
-	Slots   int              // requests that an endpoint runs at once
-	Running float64          // requests at endpoints or on their way there, over all hosts
-	Stocks  map[string]Stock // by data hall, for all that the service runs in
-	Away    []string         // data halls that get nothing for now
+	Slots   int                       // requests that an endpoint runs at once
+	Running float64                   // requests at endpoints or on their way there, over all hosts
+	Stocks  map[string]EndpointCounts // by data hall, for all that the service runs in
+	Away    []string                  // data halls that get nothing for now
 	// Upgrading tells that an upgrade is under way: the endpoints that it brings in are counted
 	// among the ordinary ones of an order.
 	Upgrading bool
@@ -137,7 +137,7 @@
 		clear(p.old)
 		return s
 	}
-	stocks := map[string]Stock{}
+	stocks := map[string]EndpointCounts{}
 	for hall, stock := range s.Stocks {
 		p.old[hall] = max(p.old[hall], stock.Ordinary)
 		stock.Ordinary = p.old[hall]
@@ -263,7 +263,7 @@
 }
 
 // of is how many of a lot serve.
-func (s Stock) of(l Lot) int {
+func (s EndpointCounts) of(l Lot) int {
 	if l.Spot {
 		return s.Spot
 	}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -27,8 +27,8 @@
 func lot(hall string, spot bool) capacity.Lot { return capacity.Lot{Hall: hall, Spot: spot} }
 
 // each is the same stock in all data halls.
-func each(s capacity.Stock) map[string]capacity.Stock {
-	return map[string]capacity.Stock{"a": s, "b": s, "c": s}
+func each(s capacity.EndpointCounts) map[string]capacity.EndpointCounts {
+	return map[string]capacity.EndpointCounts{"a": s, "b": s, "c": s}
 }
 
 // played is a service whose orders are followed: endpoints serve a time after they were ordered.
@@ -36,7 +36,7 @@
 	scaling capacity.Scaling
 	planner *capacity.Planner
 	now     clock.Instant
-	stocks  map[string]capacity.Stock
+	stocks  map[string]capacity.EndpointCounts
 	booting []booting
 	dry     map[string]bool // data halls in which no spot endpoints are to be had
 	cost    float64         // ordinary endpoints' seconds
@@ -49,7 +49,7 @@
 	at    clock.Instant
 }
 
-func newPlayed(s capacity.Scaling, stocks map[string]capacity.Stock) *played {
+func newPlayed(s capacity.Scaling, stocks map[string]capacity.EndpointCounts) *played {
 	return &played{scaling: s, planner: capacity.NewPlanner(), now: dawn, stocks: stocks, dry: map[string]bool{}}
 }
 
@@ -112,7 +112,7 @@
 
 var _ = Describe("orders of endpoints", func() {
 	It("come down to what the work needs, most of it spot endpoints", func() {
-		p := newPlayed(scaling, each(capacity.Stock{Ordinary: 30}))
+		p := newPlayed(scaling, each(capacity.EndpointCounts{Ordinary: 30}))
 		for range 60 {
 			p.second(280)
 		}
@@ -124,7 +124,7 @@
 	})
 
 	It("let no endpoint go before others serve in its place", func() {
-		p := newPlayed(scaling, each(capacity.Stock{Ordinary: 30}))
+		p := newPlayed(scaling, each(capacity.EndpointCounts{Ordinary: 30}))
 		for range 60 {
 			p.second(280)
 			all, _ := p.serving()
@@ -133,7 +133,7 @@
 	})
 
 	It("bear the loss of all spot endpoints of a data hall, and of all", func() {
-		p := newPlayed(scaling, each(capacity.Stock{Ordinary: 30}))
+		p := newPlayed(scaling, each(capacity.EndpointCounts{Ordinary: 30}))
 		for range 60 {
 			p.second(280)
 		}
@@ -154,7 +154,7 @@
 	// A data hall was lost, came back cold, and the traffic jumped, while nobody ordered: the others had
 	// 35 of 64 slots in use, and a third of the requests were late.
 	It("bear the loss of a data hall in a burst while nobody orders", func() {
-		p := newPlayed(scaling, each(capacity.Stock{Ordinary: 30}))
+		p := newPlayed(scaling, each(capacity.EndpointCounts{Ordinary: 30}))
 		for range 60 {
 			p.second(320)
 		}
@@ -164,7 +164,7 @@
 	})
 
 	It("follow a burst up, and come down long after it", func() {
-		p := newPlayed(scaling, each(capacity.Stock{Ordinary: 30}))
+		p := newPlayed(scaling, each(capacity.EndpointCounts{Ordinary: 30}))
 		for range 60 {
 			p.second(280)
 		}
@@ -185,7 +185,7 @@
 	})
 
 	It("do not flap where the work comes in waves", func() {
-		p := newPlayed(scaling, each(capacity.Stock{Ordinary: 30}))
+		p := newPlayed(scaling, each(capacity.EndpointCounts{Ordinary: 30}))
 		orders := 0
 		for i := range 180 {
 			running := 280.0
@@ -201,26 +201,26 @@
 	})
 
 	It("are of ordinary endpoints where there are no others, within what is declared", func() {
-		p := newPlayed(ordinaryOnly, each(capacity.Stock{Ordinary: 30}))
+		p := newPlayed(ordinaryOnly, each(capacity.EndpointCounts{Ordinary: 30}))
 		for range 60 {
 			p.second(280)
 		}
-		Expect(p.stocks["a"]).To(Equal(capacity.Stock{Ordinary: 11}))
+		Expect(p.stocks["a"]).To(Equal(capacity.EndpointCounts{Ordinary: 11}))
 		for range 20 {
 			p.second(100_000)
 		}
-		Expect(p.stocks["a"]).To(Equal(capacity.Stock{Ordinary: 60}))
+		Expect(p.stocks["a"]).To(Equal(capacity.EndpointCounts{Ordinary: 60}))
 		for range 900 {
 			p.second(1)
 		}
-		Expect(p.stocks["a"]).To(Equal(capacity.Stock{Ordinary: 1}))
+		Expect(p.stocks["a"]).To(Equal(capacity.EndpointCounts{Ordinary: 1}))
 	})
 
 	It("keep the version in force whole while an upgrade is under way", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: each(capacity.Stock{Ordinary: 30}), Upgrading: true}
+		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: each(capacity.EndpointCounts{Ordinary: 30}), Upgrading: true}
 		Expect(planner.Orders(dawn, s)).To(BeEmpty())
-		s.Stocks = each(capacity.Stock{Ordinary: 30, Newer: 30})
+		s.Stocks = each(capacity.EndpointCounts{Ordinary: 30, Newer: 30})
 		Expect(planner.Orders(dawn.Add(time.Second), s)).To(BeEmpty())
 		lowered := planner.Orders(dawn.Add(9*time.Second), s)
 		Expect(lowered).To(HaveLen(3))
@@ -229,20 +229,20 @@
 			planner.Ordered(o)
 		}
 		// The upgrade is completed: the old endpoints are gone at once, and not ordered again.
-		s.Upgrading, s.Stocks = false, each(capacity.Stock{Ordinary: 11})
+		s.Upgrading, s.Stocks = false, each(capacity.EndpointCounts{Ordinary: 11})
 		orders := planner.Orders(dawn.Add(10*time.Second), s)
 		Expect(orders).To(ContainElement(capacity.Order{Lot: lot("a", false), Count: 15})) // until spot endpoints serve
 	})
 
 	It("keep the new version where endpoints of the one in force are down for a moment", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: each(capacity.Stock{Ordinary: 30, Newer: 30}), Upgrading: true}
+		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: each(capacity.EndpointCounts{Ordinary: 30, Newer: 30}), Upgrading: true}
 		for at := range 10 {
 			for _, o := range planner.Orders(dawn.Add(time.Duration(at)*time.Second), s) {
 				planner.Ordered(o)
 			}
 		}
-		s.Stocks = each(capacity.Stock{Ordinary: 20, Newer: 11})
+		s.Stocks = each(capacity.EndpointCounts{Ordinary: 20, Newer: 11})
 		for at := range 10 {
 			Expect(planner.Orders(dawn.Add(time.Duration(10+at)*time.Second), s)).To(BeEmpty())
 		}
@@ -250,22 +250,22 @@
 
 	It("follow the work up while an upgrade is under way", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: each(capacity.Stock{Ordinary: 4}), Upgrading: true}
+		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: each(capacity.EndpointCounts{Ordinary: 4}), Upgrading: true}
 		Expect(planner.Orders(dawn, s)).To(ContainElement(capacity.Order{Lot: lot("a", false), Count: 11}))
-		s.Stocks = each(capacity.Stock{Ordinary: 4, Newer: 4})
+		s.Stocks = each(capacity.EndpointCounts{Ordinary: 4, Newer: 4})
 		Expect(planner.Orders(dawn.Add(time.Second), s)).To(ContainElement(capacity.Order{Lot: lot("a", false), Count: 15}))
 	})
 
 	It("leave evacuated data halls alone and have the others bear their work", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Stocks: each(capacity.Stock{Ordinary: 11}), Away: []string{"c"}}
+		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Stocks: each(capacity.EndpointCounts{Ordinary: 11}), Away: []string{"c"}}
 		orders := planner.Orders(dawn, s)
 		Expect(orders).To(Equal([]capacity.Order{{Lot: lot("a", false), Count: 22}, {Lot: lot("b", false), Count: 22}}))
 	})
 
 	It("let nothing go while little of the work was seen, as after all hosts were killed", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: scaling, Slots: 64, Stocks: each(capacity.Stock{Ordinary: 4, Spot: 8})}
+		s := capacity.State{Scaling: scaling, Slots: 64, Stocks: each(capacity.EndpointCounts{Ordinary: 4, Spot: 8})}
 		for at := range 8 {
 			s.Running = float64(20 * at)
 			for _, o := range planner.Orders(dawn.Add(time.Duration(at)*time.Second), s) {
@@ -275,13 +275,13 @@
 	})
 
 	It("are not made while nothing is known of the work", func() {
-		s := capacity.State{Scaling: scaling, Slots: 64, Stocks: each(capacity.Stock{Ordinary: 30})}
+		s := capacity.State{Scaling: scaling, Slots: 64, Stocks: each(capacity.EndpointCounts{Ordinary: 30})}
 		Expect(capacity.NewPlanner().Orders(dawn, s)).To(BeEmpty())
 	})
 
 	It("are not made again at once where none were to be had", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Stocks: map[string]capacity.Stock{"a": {}}}
+		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Stocks: map[string]capacity.EndpointCounts{"a": {}}}
 		orders := planner.Orders(dawn, s)
 		Expect(orders).To(HaveLen(1))
 		planner.Refused(orders[0], dawn)
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -89,7 +89,7 @@
 	Running  func() map[string]int // requests in hand, by service
 	Services func() []Service
 	// Stocks counts what serves, by data hall, and tells whether an upgrade is under way.
-	Stocks func(service string) (stocks map[string]capacity.Stock, upgrading bool)
+	Stocks func(service string) (stocks map[string]capacity.EndpointCounts, upgrading bool)
 	Away   func() []string // data halls that get nothing
 	Logger *log.Logger
 }
@@ -289,10 +289,10 @@
 }
 
 // withHalls adds the data halls in which a service may run and has nothing.
-func withHalls(stocks map[string]capacity.Stock, s capacity.Scaling) map[string]capacity.Stock {
-	all := map[string]capacity.Stock{}
+func withHalls(stocks map[string]capacity.EndpointCounts, s capacity.Scaling) map[string]capacity.EndpointCounts {
+	all := map[string]capacity.EndpointCounts{}
 	for hall := range s.Prices {
-		all[hall] = capacity.Stock{}
+		all[hall] = capacity.EndpointCounts{}
 	}
 	maps.Copy(all, stocks)
 	return all
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -192,7 +192,7 @@
 		suite.Paused(func() {
 			r := newRig(2, 1)
 			defer r.close()
-			r.serves(map[string]capacity.Stock{"ikeja": {Ordinary: 4}, "lekki": {Ordinary: 4}, "yaba": {Ordinary: 4}})
+			r.serves(map[string]capacity.EndpointCounts{"ikeja": {Ordinary: 4}, "lekki": {Ordinary: 4}, "yaba": {Ordinary: 4}})
 			r.calls.AnswerOrders(http.StatusConflict)
 			time.Sleep(4 * time.Second)
 			refused := len(r.calls.Calls())
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -48,7 +48,7 @@
 	mu     sync.Mutex // guards all below, and random
 	hosts  map[string]*node
 	began  map[int64]map[string]int64 // what truly began, by window and workspace
-	stocks map[string]capacity.Stock
+	stocks map[string]capacity.EndpointCounts
 }
 
 // node is a life of a host.
@@ -70,7 +70,7 @@
 func newRig(hosts int, seed uint64) *rig {
 	r := &rig{
 		rows: table.New(table.Options{}), calls: standin.NewDuties(turns), net: memnet.New(), random: rand.New(rand.NewPCG(seed, 7)),
-		hosts: map[string]*node{}, began: map[int64]map[string]int64{}, stocks: map[string]capacity.Stock{},
+		hosts: map[string]*node{}, began: map[int64]map[string]int64{}, stocks: map[string]capacity.EndpointCounts{},
 	}
 	r.server = &http.Server{Handler: r.calls}
 	l := r.net.Listen(callsAddress)
@@ -95,7 +95,7 @@
 		Services: func() []duty.Service {
 			return []duty.Service{{Name: "model", Slots: 8, Scaling: capacity.Scaling{Least: 1, Most: 60, SpotPrice: 0.2, Prices: map[string]float64{"ikeja": 1, "lekki": 1, "yaba": 1}}}}
 		},
-		Stocks: func(string) (map[string]capacity.Stock, bool) {
+		Stocks: func(string) (map[string]capacity.EndpointCounts, bool) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			return maps.Clone(r.stocks), false
@@ -132,7 +132,7 @@
 }
 
 // serves sets what serves in the data halls.
-func (r *rig) serves(stocks map[string]capacity.Stock) {
+func (r *rig) serves(stocks map[string]capacity.EndpointCounts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stocks = stocks
--- a/internal/fleet/stock.go
+++ b/internal/fleet/stock.go
@@ -9,10 +9,10 @@
 
 // Stocks counts the endpoints of a service that take requests, by data hall; those of another
 // version than the one in force apart, unless that is empty.
-func (f *Fleet) Stocks(service, inForce string) map[string]capacity.Stock {
+func (f *Fleet) Stocks(service, inForce string) map[string]capacity.EndpointCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	stocks := map[string]capacity.Stock{}
+	stocks := map[string]capacity.EndpointCounts{}
 	for _, m := range f.endpointsOf(service) {
 		s := stocks[m.Hall]
 		switch {
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -58,8 +58,8 @@
 }
 
 // stocksOf counts the endpoints of services, those that an upgrade brings in apart.
-func stocksOf(f *fleet.Fleet, u *upgrade.Tracker) func(service string) (map[string]capacity.Stock, bool) {
-	return func(service string) (map[string]capacity.Stock, bool) {
+func stocksOf(f *fleet.Fleet, u *upgrade.Tracker) func(service string) (map[string]capacity.EndpointCounts, bool) {
+	return func(service string) (map[string]capacity.EndpointCounts, bool) {
 		from, upgrading := u.UnderWay(service)
 		return f.Stocks(service, from), upgrading
 	}
