--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -55,7 +55,7 @@
 	Scaling Scaling
 	Slots   int                       // requests that an endpoint runs at once
 	Running float64                   // requests at endpoints or on their way there, over all hosts
-	Stocks  map[string]EndpointCounts // by data hall, for all that the service runs in
+	Serving map[string]EndpointCounts // by data hall, for all that the service runs in
 	Away    []string                  // data halls that get nothing for now
 	// Upgrading tells that an upgrade is under way: the endpoints that it brings in are counted
 	// among the ordinary ones of an order.
@@ -122,7 +122,7 @@
 	want := p.whole(s).want(p.peak)
 	var orders []Order
 	for _, l := range slices.SortedFunc(maps.Keys(want), Lot.compare) {
-		if count, due := p.due(now, l, want[l], s.Stocks[l.Hall].of(l)); due {
+		if count, due := p.due(now, l, want[l], s.Serving[l.Hall].of(l)); due {
 			orders = append(orders, Order{Lot: l, Count: count})
 		}
 	}
@@ -138,12 +138,12 @@
 		return s
 	}
 	stocks := map[string]EndpointCounts{}
-	for hall, stock := range s.Stocks {
+	for hall, stock := range s.Serving {
 		p.old[hall] = max(p.old[hall], stock.Ordinary)
 		stock.Ordinary = p.old[hall]
 		stocks[hall] = stock
 	}
-	s.Stocks = stocks
+	s.Serving = stocks
 	return s
 }
 
@@ -227,7 +227,7 @@
 func (s State) mixed(want map[Lot]int, hall string, needed, all float64) {
 	halls := float64(len(s.halls()))
 	floor, serving := math.Ceil(floorPart*needed/halls), 0
-	for _, stock := range s.Stocks {
+	for _, stock := range s.Serving {
 		serving += stock.Spot
 	}
 	// Until enough spot endpoints serve, ordinary ones do.
@@ -242,7 +242,7 @@
 // the new ones as many as the work needs once it is moved to them. Before any of them serve,
 // orders are not lowered.
 func (s State) beside(want map[Lot]int, hall string, each int) {
-	stock := s.Stocks[hall]
+	stock := s.Serving[hall]
 	if stock.Newer > 0 || each > stock.Ordinary {
 		want[Lot{Hall: hall}] = min(max(stock.Ordinary, each)+min(stock.Newer, each), s.Scaling.Most)
 	}
@@ -254,7 +254,7 @@
 // halls are the data halls that may take requests, in order.
 func (s State) halls() []string {
 	var halls []string
-	for _, h := range slices.Sorted(maps.Keys(s.Stocks)) {
+	for _, h := range slices.Sorted(maps.Keys(s.Serving)) {
 		if !slices.Contains(s.Away, h) {
 			halls = append(halls, h)
 		}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -73,7 +73,7 @@
 		p.set(b.lot, b.count)
 	}
 	p.booting = later
-	for _, o := range p.planner.Orders(p.now, capacity.State{Scaling: p.scaling, Slots: 64, Running: running, Stocks: p.stocks}) {
+	for _, o := range p.planner.Orders(p.now, capacity.State{Scaling: p.scaling, Slots: 64, Running: running, Serving: p.stocks}) {
 		if o.Spot && p.dry[o.Hall] {
 			p.planner.Refused(o, p.now)
 			continue
@@ -176,7 +176,7 @@
 		Expect(all).To(BeNumerically(">", 2*before))
 		orders := 0
 		for range 120 {
-			orders += len(p.planner.Orders(p.now.Add(time.Second), capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: p.stocks}))
+			orders += len(p.planner.Orders(p.now.Add(time.Second), capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: p.stocks}))
 			p.second(280)
 		}
 		all, _ = p.serving()
@@ -193,7 +193,7 @@
 				running = 180
 			}
 			if i > 60 {
-				orders += len(p.planner.Orders(p.now.Add(time.Second), capacity.State{Scaling: scaling, Slots: 64, Running: running, Stocks: p.stocks}))
+				orders += len(p.planner.Orders(p.now.Add(time.Second), capacity.State{Scaling: scaling, Slots: 64, Running: running, Serving: p.stocks}))
 			}
 			p.second(running)
 		}
@@ -218,9 +218,9 @@
 
 	It("keep the version in force whole while an upgrade is under way", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: each(capacity.EndpointCounts{Ordinary: 30}), Upgrading: true}
+		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: each(capacity.EndpointCounts{Ordinary: 30}), Upgrading: true}
 		Expect(planner.Orders(dawn, s)).To(BeEmpty())
-		s.Stocks = each(capacity.EndpointCounts{Ordinary: 30, Newer: 30})
+		s.Serving = each(capacity.EndpointCounts{Ordinary: 30, Newer: 30})
 		Expect(planner.Orders(dawn.Add(time.Second), s)).To(BeEmpty())
 		lowered := planner.Orders(dawn.Add(9*time.Second), s)
 		Expect(lowered).To(HaveLen(3))
@@ -229,20 +229,20 @@
 			planner.Ordered(o)
 		}
 		// The upgrade is completed: the old endpoints are gone at once, and not ordered again.
-		s.Upgrading, s.Stocks = false, each(capacity.EndpointCounts{Ordinary: 11})
+		s.Upgrading, s.Serving = false, each(capacity.EndpointCounts{Ordinary: 11})
 		orders := planner.Orders(dawn.Add(10*time.Second), s)
 		Expect(orders).To(ContainElement(capacity.Order{Lot: lot("a", false), Count: 15})) // until spot endpoints serve
 	})
 
 	It("keep the new version where endpoints of the one in force are down for a moment", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: each(capacity.EndpointCounts{Ordinary: 30, Newer: 30}), Upgrading: true}
+		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: each(capacity.EndpointCounts{Ordinary: 30, Newer: 30}), Upgrading: true}
 		for at := range 10 {
 			for _, o := range planner.Orders(dawn.Add(time.Duration(at)*time.Second), s) {
 				planner.Ordered(o)
 			}
 		}
-		s.Stocks = each(capacity.EndpointCounts{Ordinary: 20, Newer: 11})
+		s.Serving = each(capacity.EndpointCounts{Ordinary: 20, Newer: 11})
 		for at := range 10 {
 			Expect(planner.Orders(dawn.Add(time.Duration(10+at)*time.Second), s)).To(BeEmpty())
 		}
@@ -250,22 +250,22 @@
 
 	It("follow the work up while an upgrade is under way", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: each(capacity.EndpointCounts{Ordinary: 4}), Upgrading: true}
+		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: each(capacity.EndpointCounts{Ordinary: 4}), Upgrading: true}
 		Expect(planner.Orders(dawn, s)).To(ContainElement(capacity.Order{Lot: lot("a", false), Count: 11}))
-		s.Stocks = each(capacity.EndpointCounts{Ordinary: 4, Newer: 4})
+		s.Serving = each(capacity.EndpointCounts{Ordinary: 4, Newer: 4})
 		Expect(planner.Orders(dawn.Add(time.Second), s)).To(ContainElement(capacity.Order{Lot: lot("a", false), Count: 15}))
 	})
 
 	It("leave evacuated data halls alone and have the others bear their work", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Stocks: each(capacity.EndpointCounts{Ordinary: 11}), Away: []string{"c"}}
+		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Serving: each(capacity.EndpointCounts{Ordinary: 11}), Away: []string{"c"}}
 		orders := planner.Orders(dawn, s)
 		Expect(orders).To(Equal([]capacity.Order{{Lot: lot("a", false), Count: 22}, {Lot: lot("b", false), Count: 22}}))
 	})
 
 	It("let nothing go while little of the work was seen, as after all hosts were killed", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: scaling, Slots: 64, Stocks: each(capacity.EndpointCounts{Ordinary: 4, Spot: 8})}
+		s := capacity.State{Scaling: scaling, Slots: 64, Serving: each(capacity.EndpointCounts{Ordinary: 4, Spot: 8})}
 		for at := range 8 {
 			s.Running = float64(20 * at)
 			for _, o := range planner.Orders(dawn.Add(time.Duration(at)*time.Second), s) {
@@ -275,13 +275,13 @@
 	})
 
 	It("are not made while nothing is known of the work", func() {
-		s := capacity.State{Scaling: scaling, Slots: 64, Stocks: each(capacity.EndpointCounts{Ordinary: 30})}
+		s := capacity.State{Scaling: scaling, Slots: 64, Serving: each(capacity.EndpointCounts{Ordinary: 30})}
 		Expect(capacity.NewPlanner().Orders(dawn, s)).To(BeEmpty())
 	})
 
 	It("are not made again at once where none were to be had", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Stocks: map[string]capacity.EndpointCounts{"a": {}}}
+		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Serving: map[string]capacity.EndpointCounts{"a": {}}}
 		orders := planner.Orders(dawn, s)
 		Expect(orders).To(HaveLen(1))
 		planner.Refused(orders[0], dawn)
