--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -52,11 +52,11 @@
 
 // State is what is known of a service as it is planned for.
 type State struct {
-	Scaling Scaling
-	Slots   int                       // requests that an endpoint runs at once
-	Running float64                   // requests at endpoints or on their way there, over all hosts
-	Serving map[string]EndpointCounts // by data hall, for all that the service runs in
-	Away    []string                  // data halls that get nothing for now
+	Scaling       Scaling
+	Slots         int                       // requests that an endpoint runs at once
+	Running       float64                   // requests at endpoints or on their way there, over all hosts
+	Serving       map[string]EndpointCounts // by data hall, for all that the service runs in
+	ExcludedHalls []string                  // data halls that get nothing for now
 	// Upgrading tells that an upgrade is under way: the endpoints that it brings in are counted
 	// among the ordinary ones of an order.
 	Upgrading bool
@@ -255,7 +255,7 @@
 func (s State) halls() []string {
 	var halls []string
 	for _, h := range slices.Sorted(maps.Keys(s.Serving)) {
-		if !slices.Contains(s.Away, h) {
+		if !slices.Contains(s.ExcludedHalls, h) {
 			halls = append(halls, h)
 		}
 	}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -258,7 +258,7 @@
 
 	It("leave evacuated data halls alone and have the others bear their work", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Serving: each(capacity.EndpointCounts{Ordinary: 11}), Away: []string{"c"}}
+		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Serving: each(capacity.EndpointCounts{Ordinary: 11}), ExcludedHalls: []string{"c"}}
 		orders := planner.Orders(dawn, s)
 		Expect(orders).To(Equal([]capacity.Order{{Lot: lot("a", false), Count: 22}, {Lot: lot("b", false), Count: 22}}))
 	})
