--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -62,15 +62,15 @@
 	Upgrading bool
 }
 
-// Lot is the endpoints of one kind in a data hall, which are ordered together.
-type Lot struct {
+// Pool is the endpoints of one kind in a data hall, which are ordered together.
+type Pool struct {
 	Hall string
 	Spot bool
 }
 
 // Order says how many endpoints there are to be in a lot.
 type Order struct {
-	Lot
+	Pool
 	Count int
 }
 
@@ -105,15 +105,15 @@
 	began   clock.Instant // when it first saw work
 	peak    float64
 	peakAt  clock.Instant
-	ordered map[Lot]int
-	lower   map[Lot]clock.Instant // since when fewer are enough
-	dry     map[Lot]clock.Instant // until when no more are to be had
-	old     map[string]int        // ordinary endpoints of the version in force, by data hall, during an upgrade
+	ordered map[Pool]int
+	lower   map[Pool]clock.Instant // since when fewer are enough
+	dry     map[Pool]clock.Instant // until when no more are to be had
+	old     map[string]int         // ordinary endpoints of the version in force, by data hall, during an upgrade
 }
 
 // NewPlanner returns a planner that has ordered nothing.
 func NewPlanner() *Planner {
-	return &Planner{ordered: map[Lot]int{}, lower: map[Lot]clock.Instant{}, dry: map[Lot]clock.Instant{}, old: map[string]int{}}
+	return &Planner{ordered: map[Pool]int{}, lower: map[Pool]clock.Instant{}, dry: map[Pool]clock.Instant{}, old: map[string]int{}}
 }
 
 // Orders lists what is to be ordered now.
@@ -121,9 +121,9 @@
 	p.remember(now, s.Running)
 	want := p.whole(s).want(p.peak)
 	var orders []Order
-	for _, l := range slices.SortedFunc(maps.Keys(want), Lot.compare) {
+	for _, l := range slices.SortedFunc(maps.Keys(want), Pool.compare) {
 		if count, due := p.due(now, l, want[l], s.Serving[l.Hall].of(l)); due {
-			orders = append(orders, Order{Lot: l, Count: count})
+			orders = append(orders, Order{Pool: l, Count: count})
 		}
 	}
 	return orders
@@ -149,12 +149,12 @@
 
 // Ordered takes in that the platform has taken an order.
 func (p *Planner) Ordered(o Order) {
-	p.ordered[o.Lot] = o.Count
-	delete(p.lower, o.Lot)
+	p.ordered[o.Pool] = o.Count
+	delete(p.lower, o.Pool)
 }
 
 // Refused takes in that there are no more of a lot to be had.
-func (p *Planner) Refused(o Order, now clock.Instant) { p.dry[o.Lot] = now.Add(dryFor) }
+func (p *Planner) Refused(o Order, now clock.Instant) { p.dry[o.Pool] = now.Add(dryFor) }
 
 // Peak is the most that ran at once, as it is remembered.
 func (p *Planner) Peak() float64 { return p.peak }
@@ -172,7 +172,7 @@
 // due returns what is to be ordered of a lot, if anything: at once if more are wanted, and after a
 // while if far fewer are. What was ordered and does not serve, as after an upgrade whose old
 // endpoints have gone, is not wanted any more at once: nothing is let go by that.
-func (p *Planner) due(now clock.Instant, l Lot, want, serving int) (count int, due bool) {
+func (p *Planner) due(now clock.Instant, l Pool, want, serving int) (count int, due bool) {
 	have, known := p.ordered[l]
 	if !known {
 		have = serving
@@ -197,9 +197,9 @@
 }
 
 // want is how many endpoints there are to be in each lot if so many requests run at once.
-func (s State) want(running float64) map[Lot]int {
+func (s State) want(running float64) map[Pool]int {
 	halls := s.halls()
-	want := map[Lot]int{}
+	want := map[Pool]int{}
 	if len(halls) == 0 || running <= 0 || s.Slots <= 0 {
 		return want
 	}
@@ -211,7 +211,7 @@
 		case s.Scaling.hasSpot():
 			s.mixed(want, h, needed, math.Ceil(running/(spotFill*float64(s.Slots))))
 		default:
-			want[Lot{Hall: h}] = min(max(s.each(needed), s.Scaling.Least), s.Scaling.Most)
+			want[Pool{Hall: h}] = min(max(s.each(needed), s.Scaling.Least), s.Scaling.Most)
 		}
 	}
 	return want
@@ -224,7 +224,7 @@
 
 // mixed plans for a data hall with a floor of ordinary endpoints, for what is needed of these, and spot
 // ones beside them, for all that is needed where they do the work.
-func (s State) mixed(want map[Lot]int, hall string, needed, all float64) {
+func (s State) mixed(want map[Pool]int, hall string, needed, all float64) {
 	halls := float64(len(s.halls()))
 	floor, serving := math.Ceil(floorPart*needed/halls), 0
 	for _, stock := range s.Serving {
@@ -233,18 +233,18 @@
 	// Until enough spot endpoints serve, ordinary ones do.
 	missing := max(0, all-float64(serving)-floor*halls)
 	ordinary := min(max(int(floor+math.Ceil(missing/halls)), s.Scaling.Least), s.Scaling.Most)
-	want[Lot{Hall: hall}] = ordinary
-	want[Lot{Hall: hall, Spot: true}] = min(max(0, s.each(all)-int(floor)), s.Scaling.Most-ordinary)
+	want[Pool{Hall: hall}] = ordinary
+	want[Pool{Hall: hall, Spot: true}] = min(max(0, s.each(all)-int(floor)), s.Scaling.Most-ordinary)
 }
 
 // beside plans for a data hall in which an upgrade is under way. What an order is lowered by is
 // taken from the endpoints that came last, so those of the version in force are all kept, and of
 // the new ones as many as the work needs once it is moved to them. Before any of them serve,
 // orders are not lowered.
-func (s State) beside(want map[Lot]int, hall string, each int) {
+func (s State) beside(want map[Pool]int, hall string, each int) {
 	stock := s.Serving[hall]
 	if stock.Newer > 0 || each > stock.Ordinary {
-		want[Lot{Hall: hall}] = min(max(stock.Ordinary, each)+min(stock.Newer, each), s.Scaling.Most)
+		want[Pool{Hall: hall}] = min(max(stock.Ordinary, each)+min(stock.Newer, each), s.Scaling.Most)
 	}
 }
 
@@ -263,7 +263,7 @@
 }
 
 // of is how many of a lot serve.
-func (s EndpointCounts) of(l Lot) int {
+func (s EndpointCounts) of(l Pool) int {
 	if l.Spot {
 		return s.Spot
 	}
@@ -271,7 +271,7 @@
 }
 
 // compare orders lots: more spot endpoints are asked for first.
-func (l Lot) compare(o Lot) int {
+func (l Pool) compare(o Pool) int {
 	switch {
 	case l.Spot != o.Spot && l.Spot:
 		return -1
@@ -287,4 +287,4 @@
 }
 
 // InForce is what was ordered, by lot.
-func (p *Planner) InForce() map[Lot]int { return maps.Clone(p.ordered) }
+func (p *Planner) InForce() map[Pool]int { return maps.Clone(p.ordered) }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -24,7 +24,7 @@
 var ordinaryOnly = capacity.Scaling{Least: 1, Most: 60, Boot: 4 * time.Second, Prices: scaling.Prices}
 
 // lot names a lot.
-func lot(hall string, spot bool) capacity.Lot { return capacity.Lot{Hall: hall, Spot: spot} }
+func lot(hall string, spot bool) capacity.Pool { return capacity.Pool{Hall: hall, Spot: spot} }
 
 // each is the same stock in all data halls.
 func each(s capacity.EndpointCounts) map[string]capacity.EndpointCounts {
@@ -44,7 +44,7 @@
 
 // booting are endpoints that do not serve yet.
 type booting struct {
-	lot   capacity.Lot
+	lot   capacity.Pool
 	count int
 	at    clock.Instant
 }
@@ -79,21 +79,21 @@
 			continue
 		}
 		p.planner.Ordered(o)
-		p.set(o.Lot, min(o.Count, p.of(o.Lot)))
-		p.booting = append(p.booting, booting{o.Lot, o.Count, p.now.Add(p.scaling.Boot)})
+		p.set(o.Pool, min(o.Count, p.of(o.Pool)))
+		p.booting = append(p.booting, booting{o.Pool, o.Count, p.now.Add(p.scaling.Boot)})
 	}
 	all, spot := p.serving()
 	p.cost += float64(all-spot) + p.scaling.SpotPrice*float64(spot)
 }
 
-func (p *played) of(l capacity.Lot) int {
+func (p *played) of(l capacity.Pool) int {
 	if l.Spot {
 		return p.stocks[l.Hall].Spot
 	}
 	return p.stocks[l.Hall].Ordinary
 }
 
-func (p *played) set(l capacity.Lot, count int) {
+func (p *played) set(l capacity.Pool, count int) {
 	s := p.stocks[l.Hall]
 	if l.Spot {
 		s.Spot = count
@@ -231,7 +231,7 @@
 		// The upgrade is completed: the old endpoints are gone at once, and not ordered again.
 		s.Upgrading, s.Serving = false, each(capacity.EndpointCounts{Ordinary: 11})
 		orders := planner.Orders(dawn.Add(10*time.Second), s)
-		Expect(orders).To(ContainElement(capacity.Order{Lot: lot("a", false), Count: 15})) // until spot endpoints serve
+		Expect(orders).To(ContainElement(capacity.Order{Pool: lot("a", false), Count: 15})) // until spot endpoints serve
 	})
 
 	It("keep the new version where endpoints of the one in force are down for a moment", func() {
@@ -251,16 +251,16 @@
 	It("follow the work up while an upgrade is under way", func() {
 		planner := capacity.NewPlanner()
 		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: each(capacity.EndpointCounts{Ordinary: 4}), Upgrading: true}
-		Expect(planner.Orders(dawn, s)).To(ContainElement(capacity.Order{Lot: lot("a", false), Count: 11}))
+		Expect(planner.Orders(dawn, s)).To(ContainElement(capacity.Order{Pool: lot("a", false), Count: 11}))
 		s.Serving = each(capacity.EndpointCounts{Ordinary: 4, Newer: 4})
-		Expect(planner.Orders(dawn.Add(time.Second), s)).To(ContainElement(capacity.Order{Lot: lot("a", false), Count: 15}))
+		Expect(planner.Orders(dawn.Add(time.Second), s)).To(ContainElement(capacity.Order{Pool: lot("a", false), Count: 15}))
 	})
 
 	It("leave evacuated data halls alone and have the others bear their work", func() {
 		planner := capacity.NewPlanner()
 		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Serving: each(capacity.EndpointCounts{Ordinary: 11}), ExcludedHalls: []string{"c"}}
 		orders := planner.Orders(dawn, s)
-		Expect(orders).To(Equal([]capacity.Order{{Lot: lot("a", false), Count: 22}, {Lot: lot("b", false), Count: 22}}))
+		Expect(orders).To(Equal([]capacity.Order{{Pool: lot("a", false), Count: 22}, {Pool: lot("b", false), Count: 22}}))
 	})
 
 	It("let nothing go while little of the work was seen, as after all hosts were killed", func() {
