--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -33,8 +33,8 @@
 	Prices    map[string]float64 // of a second of an endpoint, by data hall
 }
 
-// Ordered reports whether operators let endpoints be ordered.
-func (s Scaling) Ordered() bool { return s.Most > 0 }
+// Enabled reports whether operators let endpoints be ordered.
+func (s Scaling) Enabled() bool { return s.Most > 0 }
 
 // Cost is what a second of an endpoint costs.
 func (s Scaling) Cost(hall string, spot bool) float64 {
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -81,7 +81,7 @@
 	}
 	var list []duty.Service
 	for _, s := range t.Services() {
-		if s.Scaling.Ordered() {
+		if s.Scaling.Enabled() {
 			list = append(list, duty.Service{Name: s.Name, Scaling: s.Scaling, Slots: s.Slots})
 		}
 	}
