--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -147,8 +147,8 @@
 	return s
 }
 
-// Ordered takes in that the platform has taken an order.
-func (p *Planner) Ordered(o Order) {
+// RecordAccepted takes in that the platform has taken an order.
+func (p *Planner) RecordAccepted(o Order) {
 	p.ordered[o.Pool] = o.Count
 	delete(p.lower, o.Pool)
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -78,7 +78,7 @@
 			p.planner.Refused(o, p.now)
 			continue
 		}
-		p.planner.Ordered(o)
+		p.planner.RecordAccepted(o)
 		p.set(o.Pool, min(o.Count, p.of(o.Pool)))
 		p.booting = append(p.booting, booting{o.Pool, o.Count, p.now.Add(p.scaling.Boot)})
 	}
@@ -226,7 +226,7 @@
 		Expect(lowered).To(HaveLen(3))
 		for _, o := range lowered {
 			Expect(o.Count).To(Equal(41))
-			planner.Ordered(o)
+			planner.RecordAccepted(o)
 		}
 		// The upgrade is completed: the old endpoints are gone at once, and not ordered again.
 		s.Upgrading, s.Serving = false, each(capacity.EndpointCounts{Ordinary: 11})
@@ -239,7 +239,7 @@
 		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: each(capacity.EndpointCounts{Ordinary: 30, Newer: 30}), Upgrading: true}
 		for at := range 10 {
 			for _, o := range planner.Orders(dawn.Add(time.Duration(at)*time.Second), s) {
-				planner.Ordered(o)
+				planner.RecordAccepted(o)
 			}
 		}
 		s.Serving = each(capacity.EndpointCounts{Ordinary: 20, Newer: 11})
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -312,7 +312,7 @@
 	}
 	switch {
 	case err == nil:
-		p.Ordered(order)
+		p.RecordAccepted(order)
 		t.keeper.options.Logger.Info("endpoints ordered", fields...)
 	case errors.Is(err, ErrNone):
 		p.Refused(order, clock.Now())
