--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -153,8 +153,8 @@
 	delete(p.lower, o.Pool)
 }
 
-// Refused takes in that there are no more of a lot to be had.
-func (p *Planner) Refused(o Order, now clock.Instant) { p.dry[o.Pool] = now.Add(dryFor) }
+// RecordUnavailable takes in that there are no more of a lot to be had.
+func (p *Planner) RecordUnavailable(o Order, now clock.Instant) { p.dry[o.Pool] = now.Add(dryFor) }
 
 // Peak is the most that ran at once, as it is remembered.
 func (p *Planner) Peak() float64 { return p.peak }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -75,7 +75,7 @@
 	p.booting = later
 	for _, o := range p.planner.Orders(p.now, capacity.State{Scaling: p.scaling, Slots: 64, Running: running, Serving: p.stocks}) {
 		if o.Spot && p.dry[o.Hall] {
-			p.planner.Refused(o, p.now)
+			p.planner.RecordUnavailable(o, p.now)
 			continue
 		}
 		p.planner.RecordAccepted(o)
@@ -284,7 +284,7 @@
 		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Serving: map[string]capacity.EndpointCounts{"a": {}}}
 		orders := planner.Orders(dawn, s)
 		Expect(orders).To(HaveLen(1))
-		planner.Refused(orders[0], dawn)
+		planner.RecordUnavailable(orders[0], dawn)
 		Expect(planner.Orders(dawn.Add(time.Second), s)).To(BeEmpty())
 		Expect(planner.Orders(dawn.Add(6*time.Second), s)).To(HaveLen(1))
 	})
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -315,7 +315,7 @@
 		p.RecordAccepted(order)
 		t.keeper.options.Logger.Info("endpoints ordered", fields...)
 	case errors.Is(err, ErrNone):
-		p.Refused(order, clock.Now())
+		p.RecordUnavailable(order, clock.Now())
 		t.keeper.options.Logger.Info("endpoints not to be had", fields...)
 	default:
 		t.keeper.options.Logger.Warn("endpoints not ordered", append(fields, "error", err)...)
