--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -286,5 +286,5 @@
 	}
 }
 
-// InForce is what was ordered, by lot.
-func (p *Planner) InForce() map[Pool]int { return maps.Clone(p.ordered) }
+// AcceptedOrders is what was ordered, by lot.
+func (p *Planner) AcceptedOrders() map[Pool]int { return maps.Clone(p.ordered) }
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -279,7 +279,7 @@
 		for _, order := range p.Orders(clock.Now(), state) {
 			t.send(ctx, s.Name, p, order, state)
 		}
-		for lot, count := range p.InForce() {
+		for lot, count := range p.AcceptedOrders() {
 			standing = append(standing, Standing{Service: s.Name, Hall: lot.Hall, Spot: lot.Spot, Count: count, Peak: int(p.Peak())})
 		}
 	}
