--- a/internal/choose/choose_test.go
+++ b/internal/choose/choose_test.go
@@ -29,7 +29,7 @@
 	for model, mean := range means {
 		entries = append(entries, estimate.Entry{
 			Workspace: "w", Class: "c", Version: declare.Ref{Model: model, Version: "1"},
-			Score: estimate.Score{Count: 5000, Mean: mean, Spread: 5000 * mean * (1 - mean)},
+			Score: estimate.Score{Count: 5000, Mean: mean, SquaredDeviations: 5000 * mean * (1 - mean)},
 		})
 	}
 	return estimate.NewTable(entries)
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -28,8 +28,8 @@
 type Score struct {
 	Count float64 `json:"count"`
 	Mean  float64 `json:"mean"`
-	// Spread is the sum of squared differences from the mean.
-	Spread float64 `json:"spread"`
+	// SquaredDeviations is the sum of squared differences from the mean.
+	SquaredDeviations float64 `json:"spread"`
 }
 
 // With returns the score with one more rating, 0 to 1.
@@ -37,7 +37,7 @@
 	s.Count++
 	delta := rating - s.Mean
 	s.Mean += delta / s.Count
-	s.Spread += delta * (rating - s.Mean)
+	s.SquaredDeviations += delta * (rating - s.Mean)
 	return s
 }
 
@@ -57,7 +57,7 @@
 	}
 	count := s.Count + priorWeight
 	mean = (s.Mean*s.Count + prior*priorWeight) / count
-	variance := (s.Spread + priorWeight*prior*(1-prior)) / count
+	variance := (s.SquaredDeviations + priorWeight*prior*(1-prior)) / count
 	deviation := math.Max(math.Sqrt(variance), leastSpread)
 	return mean, width * deviation / math.Sqrt(count)
 }
--- a/internal/measure/capacity.go
+++ b/internal/measure/capacity.go
@@ -209,7 +209,7 @@
 			for v := range 13 {
 				entries = append(entries, estimate.Entry{
 					Workspace: fmt.Sprintf("workspace-%03d", w), Class: "questions", Version: declare.Ref{Model: "support", Version: fmt.Sprint(v)},
-					Score: estimate.Score{Count: float64(100 + w*13 + v), Mean: 1 / (1.1 + float64(w*13+v)/1300), Spread: 1 / (0.1 + float64(v*100+w)/1300)},
+					Score: estimate.Score{Count: float64(100 + w*13 + v), Mean: 1 / (1.1 + float64(w*13+v)/1300), SquaredDeviations: 1 / (0.1 + float64(v*100+w)/1300)},
 				})
 			}
 		}
