--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -68,7 +68,7 @@
 	Keyrings   *keyrings
 	Credits    *rollout.Credits
 	Rollout    *rollout.Controller
-	Estimates  *estimate.Keeper
+	Estimates  *estimate.Aggregator
 	Orders     *order.Reconciler
 	Jobs       *job.Queue
 	Worker     *job.Worker
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -247,7 +247,7 @@
 }
 
 func newPipeline(s settings.Settings, h *config.Holder, a *admission.Controller, k *keyrings, n *session.Names, f *fleet.Fleet,
-	d *dispatch.Dispatcher, q *quarantine.Book, l *billing.Ledger, g *once.Guard, c *rollout.Credits, e *estimate.Keeper,
+	d *dispatch.Dispatcher, q *quarantine.Book, l *billing.Ledger, g *once.Guard, c *rollout.Credits, e *estimate.Aggregator,
 	tel *telemetry.Telemetry, tr *traffic.Log, deadlines *clock.Deadlines,
 ) *pipeline.Pipeline {
 	return pipeline.New(pipeline.Options{
--- a/internal/estimate/keeper.go
+++ b/internal/estimate/keeper.go
@@ -38,25 +38,25 @@
 	Entries []Entry `json:"entries"`
 }
 
-// Keeper sums up ratings on one host at a time and reads the sum on all.
-type Keeper struct {
+// Aggregator sums up ratings on one host at a time and reads the sum on all.
+type Aggregator struct {
 	tables  store.Tables
 	ratings store.Ratings
 	current atomic.Pointer[Table]
 }
 
 // NewKeeper returns a keeper that knows nothing yet.
-func NewKeeper(tables store.Tables, ratings store.Ratings) *Keeper {
-	k := &Keeper{tables: tables, ratings: ratings}
+func NewKeeper(tables store.Tables, ratings store.Ratings) *Aggregator {
+	k := &Aggregator{tables: tables, ratings: ratings}
 	k.current.Store(&Table{})
 	return k
 }
 
 // Current returns the estimates as last read.
-func (k *Keeper) Current() Table { return *k.current.Load() }
+func (k *Aggregator) Current() Table { return *k.current.Load() }
 
 // Run reads the sum until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Aggregator) Run(ctx context.Context) {
 	for {
 		wait := readEvery
 		if s, row, err := k.read(ctx); err == nil {
@@ -71,7 +71,7 @@
 }
 
 // Sum takes in new ratings while the lease is held.
-func (k *Keeper) Sum(ctx context.Context, l *lease.Lease) {
+func (k *Aggregator) Sum(ctx context.Context, l *lease.Lease) {
 	for l.Valid() && ctx.Err() == nil {
 		if err := k.SumOnce(ctx, l); errors.Is(err, store.ErrConflict) {
 			return
@@ -81,7 +81,7 @@
 }
 
 // SumOnce takes in one batch of ratings.
-func (k *Keeper) SumOnce(ctx context.Context, l *lease.Lease) error {
+func (k *Aggregator) SumOnce(ctx context.Context, l *lease.Lease) error {
 	s, row, err := k.read(ctx)
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (k *Keeper) read(ctx context.Context) (stored, store.Row, error) {
+func (k *Aggregator) read(ctx context.Context) (stored, store.Row, error) {
 	row, err := k.tables.Get(ctx, tableEstimates, keySum)
 	if errors.Is(err, store.ErrNotFound) {
 		return stored{}, store.Row{Key: keySum}, nil
