--- a/internal/estimate/keeper.go
+++ b/internal/estimate/keeper.go
@@ -45,8 +45,8 @@
 	current atomic.Pointer[Table]
 }
 
-// NewKeeper returns a keeper that knows nothing yet.
-func NewKeeper(tables store.Tables, ratings store.Ratings) *Aggregator {
+// NewAggregator returns a keeper that knows nothing yet.
+func NewAggregator(tables store.Tables, ratings store.Ratings) *Aggregator {
 	k := &Aggregator{tables: tables, ratings: ratings}
 	k.current.Store(&Table{})
 	return k
