--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -156,7 +156,7 @@
 func (h *Host) work() []func(context.Context) {
 	return []func(context.Context){
 		h.Membership.Run, h.Spreader.Run, h.Watch.Run, h.Ledger.Run, h.Guard.Run, h.Estimates.Run, h.Rollout.Run,
-		func(ctx context.Context) { h.Leases.Run(ctx, estimate.Duty, h.Estimates.Sum) },
+		func(ctx context.Context) { h.Leases.Run(ctx, estimate.LeaseName, h.Estimates.Sum) },
 		func(ctx context.Context) { h.Leases.Run(ctx, dutySweep, h.sweep) },
 		h.ordersOfHalls, h.housekeeping, h.sweepConns, h.Quarantine.Run,
 		func(ctx context.Context) { telemetry.WatchSuspensions(ctx, h.Deadlines, h.Telemetry, h.Logger) },
--- a/internal/estimate/keeper.go
+++ b/internal/estimate/keeper.go
@@ -21,8 +21,8 @@
 	keySum         = "sum"
 )
 
-// Duty is the name of the lease under which ratings are summed up.
-const Duty = "estimates"
+// LeaseName is the name of the lease under which ratings are summed up.
+const LeaseName = "estimates"
 
 // Times and bounds of keeping estimates.
 const (
--- a/internal/measure/failover.go
+++ b/internal/measure/failover.go
@@ -78,7 +78,7 @@
 	defer cancel()
 	for clock.Sleep(ctx, failoverCheck) {
 		for _, row := range c.Store.Rows("lease") {
-			if row.Key != estimate.Duty {
+			if row.Key != estimate.LeaseName {
 				continue
 			}
 			for _, h := range c.Hosts {
