--- a/internal/admission/order.go
+++ b/internal/admission/order.go
@@ -40,15 +40,15 @@
 // Forecast is what is expected of a request to engines that is sent now. An immutable
 // value.
 type Forecast struct {
-	InTime  float64       // chance that its answer begins in time, at its own urgency
-	Head    time.Duration // until it would begin there
-	Waiting bool          // it was let wait for its turn
-	Served  float64       // chance that it begins before its caller leaves, behind all others
-	Queue   time.Duration // that it would find there
-	Room    int           // slots that are free
-	Ahead   int           // requests that wait and go before it
-	Turn    time.Duration // until those have gone, as requests that wait go now
-	Left    time.Duration // in which its caller can use the beginning of an answer
+	InTime       float64       // chance that its answer begins in time, at its own urgency
+	Head         time.Duration // until it would begin there
+	Waiting      bool          // it was let wait for its turn
+	ServedBehind float64       // chance that it begins before its caller leaves, behind all others
+	Queue        time.Duration // that it would find there
+	Room         int           // slots that are free
+	Ahead        int           // requests that wait and go before it
+	Turn         time.Duration // until those have gone, as requests that wait go now
+	Left         time.Duration // in which its caller can use the beginning of an answer
 }
 
 // Decision is what becomes of a request to engines: Send, Behind, Wait or Refuse.
@@ -86,7 +86,7 @@
 		return Send{}
 	case o.Queue <= roomWait && o.Ahead < max(o.Room, 1):
 		return Behind{}
-	case !o.Waiting && (o.Served < hopeless || o.Turn > o.Left/2):
+	case !o.Waiting && (o.ServedBehind < hopeless || o.Turn > o.Left/2):
 		return Refuse{}
 	default:
 		return Wait{For: min(max(o.Turn/2, askLeast), askMost)}
