--- a/internal/admission/order.go
+++ b/internal/admission/order.go
@@ -45,7 +45,7 @@
 	Waiting      bool          // it was let wait for its turn
 	ServedBehind float64       // chance that it begins before its caller leaves, behind all others
 	QueueWait    time.Duration // that it would find there
-	Room         int           // slots that are free
+	FreeSlots    int           // slots that are free
 	Ahead        int           // requests that wait and go before it
 	Turn         time.Duration // until those have gone, as requests that wait go now
 	Left         time.Duration // in which its caller can use the beginning of an answer
@@ -84,7 +84,7 @@
 		return Send{}
 	case o.Waiting && o.Left <= time.Duration(lastCall*float64(o.Head)):
 		return Send{}
-	case o.QueueWait <= roomWait && o.Ahead < max(o.Room, 1):
+	case o.QueueWait <= roomWait && o.Ahead < max(o.FreeSlots, 1):
 		return Behind{}
 	case !o.Waiting && (o.ServedBehind < hopeless || o.Turn > o.Left/2):
 		return Refuse{}
--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -17,10 +17,10 @@
 }{
 	"likely in time": {admission.Forecast{InTime: 0.6, ServedBehind: 0}, admission.Send{}},
 	"late, with idle slots": {
-		admission.Forecast{InTime: 0.1, ServedBehind: 1, QueueWait: 100 * time.Millisecond, Room: 1, Left: time.Second}, admission.Behind{},
+		admission.Forecast{InTime: 0.1, ServedBehind: 1, QueueWait: 100 * time.Millisecond, FreeSlots: 1, Left: time.Second}, admission.Behind{},
 	},
 	"late, with idle slots for fewer than go before it": {
-		admission.Forecast{InTime: 0.1, ServedBehind: 1, Room: 3, Ahead: 3, Turn: time.Second, Left: 4 * time.Second}, admission.Wait{For: 500 * time.Millisecond},
+		admission.Forecast{InTime: 0.1, ServedBehind: 1, FreeSlots: 3, Ahead: 3, Turn: time.Second, Left: 4 * time.Second}, admission.Wait{For: 500 * time.Millisecond},
 	},
 	"late, and engines are full": {
 		admission.Forecast{InTime: 0.1, ServedBehind: 0.9, QueueWait: time.Second, Turn: 200 * time.Millisecond, Left: 4 * time.Second}, admission.Wait{For: 100 * time.Millisecond},
