--- a/internal/admission/order.go
+++ b/internal/admission/order.go
@@ -47,7 +47,7 @@
 	QueueWait    time.Duration // that it would find there
 	FreeSlots    int           // slots that are free
 	Ahead        int           // requests that wait and go before it
-	Turn         time.Duration // until those have gone, as requests that wait go now
+	TurnWait     time.Duration // until those have gone, as requests that wait go now
 	Left         time.Duration // in which its caller can use the beginning of an answer
 }
 
@@ -86,9 +86,9 @@
 		return Send{}
 	case o.QueueWait <= roomWait && o.Ahead < max(o.FreeSlots, 1):
 		return Behind{}
-	case !o.Waiting && (o.ServedBehind < hopeless || o.Turn > o.Left/2):
+	case !o.Waiting && (o.ServedBehind < hopeless || o.TurnWait > o.Left/2):
 		return Refuse{}
 	default:
-		return Wait{For: min(max(o.Turn/2, askLeast), askMost)}
+		return Wait{For: min(max(o.TurnWait/2, askLeast), askMost)}
 	}
 }
--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -20,20 +20,20 @@
 		admission.Forecast{InTime: 0.1, ServedBehind: 1, QueueWait: 100 * time.Millisecond, FreeSlots: 1, Left: time.Second}, admission.Behind{},
 	},
 	"late, with idle slots for fewer than go before it": {
-		admission.Forecast{InTime: 0.1, ServedBehind: 1, FreeSlots: 3, Ahead: 3, Turn: time.Second, Left: 4 * time.Second}, admission.Wait{For: 500 * time.Millisecond},
+		admission.Forecast{InTime: 0.1, ServedBehind: 1, FreeSlots: 3, Ahead: 3, TurnWait: time.Second, Left: 4 * time.Second}, admission.Wait{For: 500 * time.Millisecond},
 	},
 	"late, and engines are full": {
-		admission.Forecast{InTime: 0.1, ServedBehind: 0.9, QueueWait: time.Second, Turn: 200 * time.Millisecond, Left: 4 * time.Second}, admission.Wait{For: 100 * time.Millisecond},
+		admission.Forecast{InTime: 0.1, ServedBehind: 0.9, QueueWait: time.Second, TurnWait: 200 * time.Millisecond, Left: 4 * time.Second}, admission.Wait{For: 100 * time.Millisecond},
 	},
 	"next, and engines are full": {
 		admission.Forecast{InTime: 0.1, ServedBehind: 0.9, QueueWait: time.Second, Left: 4 * time.Second}, admission.Wait{For: 50 * time.Millisecond},
 	},
 	"its caller leaves before an answer begins": {admission.Forecast{ServedBehind: 0.05, QueueWait: 5 * time.Second, Left: time.Second}, admission.Refuse{}},
 	"its caller leaves before its turn": {
-		admission.Forecast{ServedBehind: 0.9, QueueWait: time.Second, Turn: 3 * time.Second, Left: 4 * time.Second}, admission.Refuse{},
+		admission.Forecast{ServedBehind: 0.9, QueueWait: time.Second, TurnWait: 3 * time.Second, Left: 4 * time.Second}, admission.Refuse{},
 	},
 	"it was let wait, whatever is expected now": {
-		admission.Forecast{ServedBehind: 0.05, QueueWait: 5 * time.Second, Turn: 3 * time.Second, Left: 4 * time.Second, Waiting: true}, admission.Wait{For: 500 * time.Millisecond},
+		admission.Forecast{ServedBehind: 0.05, QueueWait: 5 * time.Second, TurnWait: 3 * time.Second, Left: 4 * time.Second, Waiting: true}, admission.Wait{For: 500 * time.Millisecond},
 	},
 	"it was let wait, and little is left": {
 		admission.Forecast{ServedBehind: 0.05, QueueWait: 5 * time.Second, Head: time.Second, Left: time.Second, Waiting: true}, admission.Send{},
