--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -23,11 +23,11 @@
 		want  int
 	}{
 		"interactive before batch": {[]admission.Queued{
-			{Priority: declare.PriorityBatch, Share: 10}, {Priority: declare.PriorityInteractive, Used: 9, Share: 10},
+			{Priority: declare.PriorityBatch, Share: 10}, {Priority: declare.PriorityInteractive, InFlight: 9, Share: 10},
 		}, 1},
-		"the workspace that uses the least of its share": {[]admission.Queued{{Used: 5, Share: 10}, {Used: 1, Share: 4}}, 1},
+		"the workspace that uses the least of its share": {[]admission.Queued{{InFlight: 5, Share: 10}, {InFlight: 1, Share: 4}}, 1},
 		"the first come among equals":                    {[]admission.Queued{{Share: 5}, {Share: 5}}, 0},
-		"none that is at its share":                      {[]admission.Queued{{Used: 5, Share: 5}}, -1},
+		"none that is at its share":                      {[]admission.Queued{{InFlight: 5, Share: 5}}, -1},
 	}
 	for name, n := range next {
 		It("starts "+name, func() { Expect(admission.Next(n.queue)).To(Equal(n.want)) })
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -170,14 +170,14 @@
 // Queued is a waiting request as the decision sees it.
 type Queued struct {
 	Priority declare.Priority
-	Used     int // its workspace's requests in flight
+	InFlight int // its workspace's requests in flight
 	Share    int
 }
 
 func (l *Scheduler) queued() []Queued {
 	queue := make([]Queued, len(l.queue))
 	for i, w := range l.queue {
-		queue[i] = Queued{Priority: w.ask.Priority, Used: l.shares[w.ask.Workspace], Share: w.ask.WorkspaceLimit}
+		queue[i] = Queued{Priority: w.ask.Priority, InFlight: l.shares[w.ask.Workspace], Share: w.ask.WorkspaceLimit}
 	}
 	return queue
 }
@@ -192,10 +192,10 @@
 func Next(queue []Queued) int {
 	best, bestRank := -1, math.Inf(1)
 	for i, q := range queue {
-		if q.Used >= q.Share {
+		if q.InFlight >= q.Share {
 			continue
 		}
-		rank := float64(q.Used) / float64(q.Share)
+		rank := float64(q.InFlight) / float64(q.Share)
 		if q.Priority == declare.PriorityBatch {
 			rank += batchPenalty
 		}
