--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -52,100 +52,100 @@
 
 // Controller hands out places to requests at once.
 type Controller struct {
-	mu       sync.Mutex // guards all below
-	line     *Scheduler
-	waiters  map[int64]chan struct{} // closed when their turn comes
-	draining bool
-	idle     chan struct{} // closed when draining and nobody is left
+	mu        sync.Mutex // guards all below
+	scheduler *Scheduler
+	turns     map[int64]chan struct{} // closed when their turn comes
+	draining  bool
+	idle      chan struct{} // closed when draining and nobody is left
 }
 
 // NewController returns a controller with nothing in flight.
 func NewController(options Options) *Controller {
-	return &Controller{line: NewScheduler(options), waiters: map[int64]chan struct{}{}, idle: make(chan struct{})}
+	return &Controller{scheduler: NewScheduler(options), turns: map[int64]chan struct{}{}, idle: make(chan struct{})}
 }
 
 // Permit is a request's place; it must be released.
 type Permit struct {
 	controller *Controller
-	ask        Request
+	request    Request
 	started    clock.Instant
 	once       sync.Once
 }
 
 // Admit returns a place, waits for one, or refuses.
-func (c *Controller) Admit(ctx context.Context, ask Request) (*Permit, error) {
-	id, turn, err := c.offer(ask)
+func (c *Controller) Admit(ctx context.Context, request Request) (*Permit, error) {
+	id, turn, err := c.submit(request)
 	if err != nil {
 		return nil, err
 	}
 	if turn == nil {
-		return c.place(ask), nil
+		return c.newPermit(request), nil
 	}
-	return c.wait(ctx, ask, id, turn)
+	return c.wait(ctx, request, id, turn)
 }
 
-func (c *Controller) place(ask Request) *Permit {
-	return &Permit{controller: c, ask: ask, started: clock.Now()}
+func (c *Controller) newPermit(request Request) *Permit {
+	return &Permit{controller: c, request: request, started: clock.Now()}
 }
 
-// offer puts a request into the line; a nil channel means that it may start.
-func (c *Controller) offer(ask Request) (int64, chan struct{}, error) {
+// submit puts a request into the line; a nil channel means that it may start.
+func (c *Controller) submit(request Request) (int64, chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.draining {
 		return 0, nil, ErrDraining
 	}
-	verdict, id, err := c.line.Offer(ask, clock.Now())
+	verdict, id, err := c.scheduler.Offer(request, clock.Now())
 	if err != nil || verdict == VerdictStart {
 		return 0, nil, err
 	}
 	turn := make(chan struct{})
-	c.waiters[id] = turn
+	c.turns[id] = turn
 	return id, turn, nil
 }
 
-// latest is how long a request may wait and still have a first token in time.
-func (c *Controller) latest(deadline clock.Instant) time.Duration {
+// maxWait is how long a request may wait and still have a first token in time.
+func (c *Controller) maxWait(deadline clock.Instant) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	left := clock.Until(deadline)
-	return left - c.line.Margin(left)
+	return left - c.scheduler.StartMargin(left)
 }
 
 // wait blocks a request until its turn, its deadline or its caller's end.
-func (c *Controller) wait(ctx context.Context, ask Request, id int64, turn chan struct{}) (*Permit, error) {
-	var late <-chan time.Time
-	if !ask.Deadline.IsZero() {
-		left := max(c.latest(ask.Deadline), time.Microsecond) // no timer is due at its making: see clock.Sleep
+func (c *Controller) wait(ctx context.Context, request Request, id int64, turn chan struct{}) (*Permit, error) {
+	var expired <-chan time.Time
+	if !request.Deadline.IsZero() {
+		left := max(c.maxWait(request.Deadline), time.Microsecond) // no timer is due at its making: see clock.Sleep
 		t := time.NewTimer(left)
 		defer t.Stop()
-		late = t.C
+		expired = t.C
 	}
-	var cause error
+	var err error
 	select {
 	case <-turn:
-		return c.place(ask), nil
-	case <-late:
-		cause = ErrDeadline
+		return c.newPermit(request), nil
+	case <-expired:
+		err = ErrDeadline
 	case <-ctx.Done():
-		cause = ctx.Err()
+		err = ctx.Err()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.line.Leave(id) {
-		delete(c.waiters, id)
+	if c.scheduler.Cancel(id) {
+		delete(c.turns, id)
 	} else {
-		c.wake(c.line.Finish(ask, 0)) // its turn came at the same time
+		c.start(c.scheduler.Finish(request, 0)) // its turn came at the same time
 	}
 	c.closeWhenIdle()
-	return nil, cause
+	return nil, err
 }
 
-// wake tells requests that their turn has come; the caller holds mu.
-func (c *Controller) wake(ids []int64) {
+// start tells requests that their turn has come; the caller holds mu.
+func (c *Controller) start(ids []int64) {
 	for _, id := range ids {
-		close(c.waiters[id])
-		delete(c.waiters, id)
+		close(c.turns[id])
+		delete(c.turns, id)
 	}
 }
 
@@ -155,7 +155,7 @@
 		c := p.controller
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.wake(c.line.Finish(p.ask, clock.Since(p.started)))
+		c.start(c.scheduler.Finish(p.request, clock.Since(p.started)))
 		c.closeWhenIdle()
 	})
 }
@@ -169,21 +169,21 @@
 func (c *Controller) Observe(kind Kind, firstToken time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wake(c.line.Observe(kind, firstToken))
+	c.start(c.scheduler.Observe(kind, firstToken))
 }
 
 // InFlight counts requests with a place and requests that wait.
-func (c *Controller) InFlight() (flying, waiting int) {
+func (c *Controller) InFlight() (inFlight, waiting int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.line.InFlight()
+	return c.scheduler.InFlight()
 }
 
 // Limit is how many requests may be in flight just now.
 func (c *Controller) Limit() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.line.limit.now()
+	return c.scheduler.limit.current()
 }
 
 // Drain refuses new requests from now on; the channel closes when the last one
@@ -198,8 +198,8 @@
 
 // closeWhenIdle tells Drain that nobody is left; the caller holds mu.
 func (c *Controller) closeWhenIdle() {
-	flying, waiting := c.line.InFlight()
-	if !c.draining || flying+waiting > 0 {
+	inFlight, waiting := c.scheduler.InFlight()
+	if !c.draining || inFlight+waiting > 0 {
 		return
 	}
 	select {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,15 +19,15 @@
 	kind := admission.KindOf("support@1", 1000)
 
 	next := map[string]struct {
-		queue []admission.Queued
+		queue []admission.Candidate
 		want  int
 	}{
-		"interactive before batch": {[]admission.Queued{
+		"interactive before batch": {[]admission.Candidate{
 			{Priority: declare.PriorityBatch, Limit: 10}, {Priority: declare.PriorityInteractive, InFlight: 9, Limit: 10},
 		}, 1},
-		"the workspace that uses the least of its share": {[]admission.Queued{{InFlight: 5, Limit: 10}, {InFlight: 1, Limit: 4}}, 1},
-		"the first come among equals":                    {[]admission.Queued{{Limit: 5}, {Limit: 5}}, 0},
-		"none that is at its share":                      {[]admission.Queued{{InFlight: 5, Limit: 5}}, -1},
+		"the workspace that uses the least of its share": {[]admission.Candidate{{InFlight: 5, Limit: 10}, {InFlight: 1, Limit: 4}}, 1},
+		"the first come among equals":                    {[]admission.Candidate{{Limit: 5}, {Limit: 5}}, 0},
+		"none that is at its share":                      {[]admission.Candidate{{InFlight: 5, Limit: 5}}, -1},
 	}
 	for name, n := range next {
 		It("starts "+name, func() { Expect(admission.Next(n.queue)).To(Equal(n.want)) })
--- a/internal/admission/order.go
+++ b/internal/admission/order.go
@@ -5,36 +5,36 @@
 // Thresholds of the order among requests to engines, for loads that engines can't serve in
 // time.
 const (
-	// likelyInTime is the least chance to begin in time with which a request goes at its
+	// minInTimeChance is the least chance to begin in time with which a request goes at its
 	// own urgency. Others take no place of one that can be in time.
-	likelyInTime = 0.5
-	// hopeless is the chance to begin before its caller leaves below which a request is
+	minInTimeChance = 0.5
+	// minServedChance is the chance to begin before its caller leaves below which a request is
 	// refused at once: held, it would keep its caller from coming back to idle engines.
-	hopeless = 0.1
-	// roomWait is how long a request that goes behind waits at an engine at most; longer
+	minServedChance = 0.1
+	// maxEngineQueueWait is how long a request that goes behind waits at an engine at most; longer
 	// waits are kept here, where they end when engines are idle elsewhere.
-	roomWait = 150 * time.Millisecond
-	// lastCall times what an answer is expected to take is left when a request that was let
+	maxEngineQueueWait = 150 * time.Millisecond
+	// forcedSendFactor times what an answer is expected to take is left when a request that was let
 	// wait is sent in any case: it is served late rather than held in vain.
-	lastCall = 1.5
-	// askLeast and askMost bound the time until a request that waits asks again.
-	askLeast = 50 * time.Millisecond
-	askMost  = 500 * time.Millisecond
-	// heedPart of its time is the longest that a refused caller heeds, as the users tell.
+	forcedSendFactor = 1.5
+	// minPollInterval and askMost bound the time until a request that waits asks again.
+	minPollInterval = 50 * time.Millisecond
+	maxPollInterval = 500 * time.Millisecond
+	// maxRetryDelayPart of its time is the longest that a refused caller heeds, as the users tell.
 	// It is told nearly that long: most come back once only, how long a load lasts is not
 	// known, and an answer that is late is worth as much at any time. Callers are spread
 	// from returnPart of it on, so that they don't meet.
-	heedPart   = 1.0 / 3
-	returnPart = 0.7
-	// returnMost is for callers of long time budgets.
-	returnMost = 8 * time.Second
+	maxRetryDelayPart = 1.0 / 3
+	minRetryDelayPart = 0.7
+	// maxRetryDelay is for callers of long time budgets.
+	maxRetryDelay = 8 * time.Second
 )
 
 // RetryDelay is when a caller that has so much time left should come back after a refusal;
 // chance is a number from 0 to 1.
-func RetryDelay(left time.Duration, chance float64) time.Duration {
-	most := min(time.Duration(heedPart*float64(left)), returnMost)
-	return time.Duration((returnPart + (1-returnPart)*chance) * float64(most))
+func RetryDelay(remaining time.Duration, jitter float64) time.Duration {
+	longest := min(time.Duration(maxRetryDelayPart*float64(remaining)), maxRetryDelay)
+	return time.Duration((minRetryDelayPart + (1-minRetryDelayPart)*jitter) * float64(longest))
 }
 
 // Forecast is what is expected of a request to engines that is sent now. An immutable
@@ -78,17 +78,17 @@
 func (Refuse) decision() {}
 
 // Decide decides on a request. It is pure: who asks gives a Wait its turn.
-func Decide(o Forecast) Decision {
+func Decide(f Forecast) Decision {
 	switch {
-	case o.InTime >= likelyInTime:
+	case f.InTime >= minInTimeChance:
 		return Send{}
-	case o.Waiting && o.Left <= time.Duration(lastCall*float64(o.Head)):
+	case f.Waiting && f.Left <= time.Duration(forcedSendFactor*float64(f.Head)):
 		return Send{}
-	case o.QueueWait <= roomWait && o.Ahead < max(o.FreeSlots, 1):
+	case f.QueueWait <= maxEngineQueueWait && f.Ahead < max(f.FreeSlots, 1):
 		return Behind{}
-	case !o.Waiting && (o.ServedBehind < hopeless || o.TurnWait > o.Left/2):
+	case !f.Waiting && (f.ServedBehind < minServedChance || f.TurnWait > f.Left/2):
 		return Refuse{}
 	default:
-		return Wait{For: min(max(o.TurnWait/2, askLeast), askMost)}
+		return Wait{For: min(max(f.TurnWait/2, minPollInterval), maxPollInterval)}
 	}
 }
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -110,8 +110,8 @@
 		o.work(a)
 	case admission.VerdictWait:
 		o.waiting[id] = func() { o.work(a) }
-		o.clock.after(seconds(o.Patience)-o.line.Margin(seconds(o.Patience)), func() {
-			if o.line.Leave(id) {
+		o.clock.after(seconds(o.Patience)-o.line.StartMargin(seconds(o.Patience)), func() {
+			if o.line.Cancel(id) {
 				delete(o.waiting, id)
 				o.again(a)
 			}
