--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -26,10 +26,10 @@
 
 // Errors of Admit; nothing has run when one is returned.
 var (
-	// ErrShare means that the workspace has its full count in flight and waiting.
-	ErrShare = errors.New("workspace is at its limit")
-	// ErrQueue means that the host's queue is full.
-	ErrQueue = errors.New("host is at its limit")
+	// ErrWorkspaceLimit means that the workspace has its full count in flight and waiting.
+	ErrWorkspaceLimit = errors.New("workspace is at its limit")
+	// ErrQueueFull means that the host's queue is full.
+	ErrQueueFull = errors.New("host is at its limit")
 	// ErrDeadline means that the request could not start in time.
 	ErrDeadline = errors.New("request could not start before its deadline")
 	// ErrDraining means that the host is stopping.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -39,22 +39,22 @@
 			var mu sync.Mutex
 			started := map[string]time.Duration{}
 			begin := time.Now()
-			var wait sync.WaitGroup
+			var requests sync.WaitGroup
 			request := func(workspace string) {
-				place, err := c.Admit(ctx, admission.Request{Workspace: workspace, WorkspaceLimit: 100})
+				permit, err := c.Admit(ctx, admission.Request{Workspace: workspace, WorkspaceLimit: 100})
 				Expect(err).NotTo(HaveOccurred())
 				mu.Lock()
 				started[workspace] = time.Since(begin)
 				mu.Unlock()
 				time.Sleep(time.Second)
-				place.Release()
+				permit.Release()
 			}
 			for range 200 {
-				wait.Go(func() { request("large") })
+				requests.Go(func() { request("large") })
 			}
 			time.Sleep(100 * time.Millisecond)
-			wait.Go(func() { request("small") })
-			wait.Wait()
+			requests.Go(func() { request("small") })
+			requests.Wait()
 			Expect(started["small"]).To(Equal(time.Second))
 			Expect(started["large"]).To(BeNumerically(">", 19*time.Second))
 		})
@@ -64,10 +64,10 @@
 		suite.Paused(func() {
 			c := admission.NewController(admission.Options{Limit: 1, Queue: 100})
 			run := func() {
-				place, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 100})
+				permit, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 100})
 				Expect(err).NotTo(HaveOccurred())
 				time.Sleep(10 * time.Second)
-				place.Release()
+				permit.Release()
 			}
 			run()
 			go run()
@@ -83,13 +83,13 @@
 	It("drains: nothing new, and done when the last is", func() {
 		suite.Paused(func() {
 			c := admission.NewController(admission.Options{Limit: 5, Queue: 5})
-			place, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 5})
+			permit, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 5})
 			Expect(err).NotTo(HaveOccurred())
 			idle := c.Drain()
 			_, err = c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 5})
 			Expect(err).To(MatchError(admission.ErrDraining))
 			Consistently(idle).WithTimeout(time.Second).ShouldNot(BeClosed())
-			place.Release()
+			permit.Release()
 			Eventually(idle).Should(BeClosed())
 		})
 	})
@@ -97,19 +97,19 @@
 	It("does not take its own line for slowness", func() {
 		suite.Paused(func() {
 			c := admission.NewController(admission.Options{Limit: 8, Queue: 1000})
-			var wait sync.WaitGroup
+			var requests sync.WaitGroup
 			for range 400 {
-				wait.Go(func() {
-					place, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 1000})
+				requests.Go(func() {
+					permit, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 1000})
 					Expect(err).NotTo(HaveOccurred())
 					time.Sleep(20 * time.Millisecond)
-					place.RecordFirstToken(kind)
+					permit.RecordFirstToken(kind)
 					time.Sleep(20 * time.Millisecond)
-					place.Release()
+					permit.Release()
 				})
 				time.Sleep(time.Millisecond)
 			}
-			wait.Wait()
+			requests.Wait()
 			Expect(c.Limit()).To(Equal(8))
 		})
 	})
--- a/internal/admission/line.go
+++ b/internal/admission/line.go
@@ -42,33 +42,33 @@
 }
 
 // Offer decides on a request. One that has to wait is named by the id.
-func (l *Scheduler) Offer(request Request, now clock.Instant) (Verdict, int64, error) {
-	if err := l.refusal(request, now); err != nil {
+func (s *Scheduler) Offer(request Request, now clock.Instant) (Verdict, int64, error) {
+	if err := s.refusal(request, now); err != nil {
 		return VerdictRefuse, 0, err
 	}
-	if l.inFlight < l.limit.current() && l.workspaceInFlight[request.Workspace] < request.WorkspaceLimit {
-		l.start(request)
+	if s.inFlight < s.limit.current() && s.workspaceInFlight[request.Workspace] < request.WorkspaceLimit {
+		s.start(request)
 		return VerdictStart, 0, nil
 	}
-	l.lastID++
-	l.queue = append(l.queue, queuedRequest{id: l.lastID, request: request})
-	return VerdictWait, l.lastID, nil
+	s.lastID++
+	s.queue = append(s.queue, queuedRequest{id: s.lastID, request: request})
+	return VerdictWait, s.lastID, nil
 }
 
 // refusal tells why a request can't even wait.
-func (l *Scheduler) refusal(request Request, now clock.Instant) error {
+func (s *Scheduler) refusal(request Request, now clock.Instant) error {
 	queuedOfWorkspace := 0
-	for _, w := range l.queue {
+	for _, w := range s.queue {
 		if w.request.Workspace == request.Workspace {
 			queuedOfWorkspace++
 		}
 	}
 	switch {
-	case len(l.queue) >= l.options.Queue:
-		return ErrQueue
-	case l.workspaceInFlight[request.Workspace] >= request.WorkspaceLimit && queuedOfWorkspace >= request.WorkspaceLimit:
-		return ErrShare
-	case !request.Deadline.IsZero() && now.Add(l.expectedWait(request)).After(request.Deadline):
+	case len(s.queue) >= s.options.Queue:
+		return ErrQueueFull
+	case s.workspaceInFlight[request.Workspace] >= request.WorkspaceLimit && queuedOfWorkspace >= request.WorkspaceLimit:
+		return ErrWorkspaceLimit
+	case !request.Deadline.IsZero() && now.Add(s.expectedWait(request)).After(request.Deadline):
 		return ErrDeadline
 	default:
 		return nil
@@ -78,32 +78,32 @@
 // expectedWait estimates a newcomer's wait: its workspace gets one turn in as
 // many as there are active workspaces, and those of its own that are ahead of it
 // go first. A batch request goes behind all that are not.
-func (l *Scheduler) expectedWait(request Request) time.Duration {
-	if l.inFlight < l.limit.current() {
+func (s *Scheduler) expectedWait(request Request) time.Duration {
+	if s.inFlight < s.limit.current() {
 		return 0
 	}
 	active := map[string]bool{request.Workspace: true}
-	for w := range l.workspaceInFlight {
+	for w := range s.workspaceInFlight {
 		active[w] = true
 	}
 	ownTurns, interactiveAhead := 1, 0
-	for _, w := range l.queue {
+	for _, w := range s.queue {
 		active[w.request.Workspace] = true
-		urgent := w.request.Priority != declare.PriorityBatch
+		interactive := w.request.Priority != declare.PriorityBatch
 		switch {
-		case w.request.Workspace == request.Workspace && (urgent || request.Priority == declare.PriorityBatch):
+		case w.request.Workspace == request.Workspace && (interactive || request.Priority == declare.PriorityBatch):
 			ownTurns++
-		case urgent && request.Priority == declare.PriorityBatch:
+		case interactive && request.Priority == declare.PriorityBatch:
 			interactiveAhead++
 		}
 	}
-	turns := float64(ownTurns*len(active)+interactiveAhead) / float64(max(l.limit.current(), 1))
-	return time.Duration(turns * l.meanHeldSeconds * float64(time.Second))
+	turns := float64(ownTurns*len(active)+interactiveAhead) / float64(max(s.limit.current(), 1))
+	return time.Duration(turns * s.meanHeldSeconds * float64(time.Second))
 }
 
-func (l *Scheduler) start(request Request) {
-	l.inFlight++
-	l.workspaceInFlight[request.Workspace]++
+func (s *Scheduler) start(request Request) {
+	s.inFlight++
+	s.workspaceInFlight[request.Workspace]++
 }
 
 // heldTimeWeight of the mean time that requests hold places.
@@ -111,30 +111,30 @@
 
 // Finish ends a request that held its place for a time, and returns the ids of
 // those whose turn it is.
-func (l *Scheduler) Finish(request Request, held time.Duration) []int64 {
-	if l.meanHeldSeconds == 0 {
-		l.meanHeldSeconds = held.Seconds()
+func (s *Scheduler) Finish(request Request, held time.Duration) []int64 {
+	if s.meanHeldSeconds == 0 {
+		s.meanHeldSeconds = held.Seconds()
 	}
-	l.meanHeldSeconds += (held.Seconds() - l.meanHeldSeconds) * heldTimeWeight
-	l.inFlight--
-	l.workspaceInFlight[request.Workspace]--
-	if l.workspaceInFlight[request.Workspace] == 0 {
-		delete(l.workspaceInFlight, request.Workspace)
+	s.meanHeldSeconds += (held.Seconds() - s.meanHeldSeconds) * heldTimeWeight
+	s.inFlight--
+	s.workspaceInFlight[request.Workspace]--
+	if s.workspaceInFlight[request.Workspace] == 0 {
+		delete(s.workspaceInFlight, request.Workspace)
 	}
-	return l.startQueued()
+	return s.startQueued()
 }
 
 // StartMargin is how long before its deadline a request has to start: as long as first
 // tokens take now, but no more than half of the time it has.
-func (l *Scheduler) StartMargin(remaining time.Duration) time.Duration {
-	return min(time.Duration(l.limit.meanSeconds*float64(time.Second)), remaining/2)
+func (s *Scheduler) StartMargin(remaining time.Duration) time.Duration {
+	return min(time.Duration(s.limit.meanSeconds*float64(time.Second)), remaining/2)
 }
 
 // Cancel takes a request out that waits no longer; false if it does not wait.
-func (l *Scheduler) Cancel(id int64) bool {
-	for i, w := range l.queue {
+func (s *Scheduler) Cancel(id int64) bool {
+	for i, w := range s.queue {
 		if w.id == id {
-			l.queue = append(l.queue[:i:i], l.queue[i+1:]...)
+			s.queue = append(s.queue[:i:i], s.queue[i+1:]...)
 			return true
 		}
 	}
@@ -143,29 +143,29 @@
 
 // Observe tells how long a first token took; the limit follows. It returns the
 // ids of those whose turn it is.
-func (l *Scheduler) Observe(kind Kind, firstToken time.Duration) []int64 {
-	l.limit.observe(kind, firstToken, l.inFlight)
-	return l.startQueued()
+func (s *Scheduler) Observe(kind Kind, firstToken time.Duration) []int64 {
+	s.limit.observe(kind, firstToken, s.inFlight)
+	return s.startQueued()
 }
 
 // startQueued starts waiting requests while there is room.
-func (l *Scheduler) startQueued() []int64 {
+func (s *Scheduler) startQueued() []int64 {
 	var started []int64
-	for l.inFlight < l.limit.current() {
-		i := Next(l.candidates())
+	for s.inFlight < s.limit.current() {
+		i := Next(s.candidates())
 		if i < 0 {
 			break
 		}
-		w := l.queue[i]
-		l.queue = append(l.queue[:i:i], l.queue[i+1:]...)
-		l.start(w.request)
+		w := s.queue[i]
+		s.queue = append(s.queue[:i:i], s.queue[i+1:]...)
+		s.start(w.request)
 		started = append(started, w.id)
 	}
 	return started
 }
 
 // InFlight counts requests with a place and requests that wait.
-func (l *Scheduler) InFlight() (inFlight, waiting int) { return l.inFlight, len(l.queue) }
+func (s *Scheduler) InFlight() (inFlight, waiting int) { return s.inFlight, len(s.queue) }
 
 // Candidate is a waiting request as the decision sees it.
 type Candidate struct {
@@ -174,10 +174,10 @@
 	Limit    int
 }
 
-func (l *Scheduler) candidates() []Candidate {
-	queue := make([]Candidate, len(l.queue))
-	for i, w := range l.queue {
-		queue[i] = Candidate{Priority: w.request.Priority, InFlight: l.workspaceInFlight[w.request.Workspace], Limit: w.request.WorkspaceLimit}
+func (s *Scheduler) candidates() []Candidate {
+	queue := make([]Candidate, len(s.queue))
+	for i, w := range s.queue {
+		queue[i] = Candidate{Priority: w.request.Priority, InFlight: s.workspaceInFlight[w.request.Workspace], Limit: w.request.WorkspaceLimit}
 	}
 	return queue
 }
@@ -189,9 +189,9 @@
 // Next picks the request to start from a queue in order of arrival, or -1 if
 // none may: higher priority first, then the workspace that uses the smallest
 // part of its share, then the first come.
-func Next(queue []Candidate) int {
+func Next(candidates []Candidate) int {
 	best, bestRank := -1, math.Inf(1)
-	for i, q := range queue {
+	for i, q := range candidates {
 		if q.InFlight >= q.Limit {
 			continue
 		}
--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -10,10 +10,10 @@
 	"quaybarrow/internal/clock"
 )
 
-// outlooks are what is expected of a request, with what becomes of it.
-var outlooks = map[string]struct {
-	outlook admission.Forecast
-	want    admission.Decision
+// decisionCases are what is expected of a request, with what becomes of it.
+var decisionCases = map[string]struct {
+	forecast admission.Forecast
+	want     admission.Decision
 }{
 	"likely in time": {admission.Forecast{InTime: 0.6, ServedBehind: 0}, admission.Send{}},
 	"late, with idle slots": {
@@ -41,8 +41,8 @@
 }
 
 var _ = Describe("the order among requests to engines", func() {
-	for name, o := range outlooks {
-		It("decides on one that is: "+name, func() { Expect(admission.Decide(o.outlook)).To(Equal(o.want)) })
+	for name, o := range decisionCases {
+		It("decides on one that is: "+name, func() { Expect(admission.Decide(o.forecast)).To(Equal(o.want)) })
 	}
 
 	It("has refused callers come back as late as they heed, and not together", func() {
--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -31,23 +31,23 @@
 
 // Times of advice.
 const (
-	// patience is how long advice is waited for: a few times what it takes within
+	// answerTimeout is how long advice is waited for: a few times what it takes within
 	// a data hall, and little beside the reading of a long prompt.
-	patience = 25 * time.Millisecond
-	// patiencePart of the objective it is waited for where that is longer: an adviser that
+	answerTimeout = 25 * time.Millisecond
+	// objectiveTimeoutPart of the objective it is waited for where that is longer: an adviser that
 	// hundreds ask at once is late, and knows more than a host alone.
-	patiencePart = 0.04
-	// pauseFirst and pauseMost bound the time for which a host is not asked after
+	objectiveTimeoutPart = 0.04
+	// minPause and pauseMost bound the time for which a host is not asked after
 	// its advice did not come; the next one in order is asked meanwhile.
-	pauseFirst = 500 * time.Millisecond
-	pauseMost  = 8 * time.Second
-	// endedMost bounds what is kept to be told; who was advised forgets requests by
+	minPause = 500 * time.Millisecond
+	maxPause = 8 * time.Second
+	// maxEnded bounds what is kept to be told; who was advised forgets requests by
 	// itself after a while.
-	endedMost   = 256
-	resultsMost = 256
-	headsMost   = 64
-	// limitsMost endpoints' limits are told of with a question and its answer.
-	limitsMost = 32
+	maxEnded   = 256
+	maxResults = 256
+	maxHeads   = 64
+	// maxLimits endpoints' limits are told of with a question and its answer.
+	maxLimits = 32
 )
 
 // Options set up an Advisor.
@@ -72,21 +72,21 @@
 	options Options
 
 	mu      sync.Mutex             // guards all below
-	pauses  map[string]pausing     // by address
+	pauses  map[string]pause       // by address
 	ended   []*advicepb.Ended      // advised requests that have ended, not told yet
 	results map[string]fleet.Tally // how attempts have gone, not told yet, by endpoint
 	heads   []fleet.Heard          // not told yet
 }
 
-// pausing is how long a host is not asked.
-type pausing struct {
+// pause is how long a host is not asked.
+type pause struct {
 	until  clock.Instant
 	length time.Duration
 }
 
 // New returns an advisor.
 func New(options Options) *Advisor {
-	return &Advisor{options: options, pauses: map[string]pausing{}, results: map[string]fleet.Tally{}}
+	return &Advisor{options: options, pauses: map[string]pause{}, results: map[string]fleet.Tally{}}
 }
 
 // Register serves advice to other hosts.
@@ -97,7 +97,7 @@
 // Choose returns what the first host of those that answer advises; false if nothing
 // was advised in time, or this host is the first.
 func (a *Advisor) Choose(ctx context.Context, ask fleet.Ask, versionKey uint64) (fleet.Advice, bool) {
-	reply, ok := a.ask(ctx, a.request(ask, versionKey))
+	reply, ok := a.query(ctx, a.newRequest(ask, versionKey))
 	if !ok || (reply.GetEndpoint() == "" && !reply.GetRefused() && reply.GetWaitMicros() == 0) {
 		return fleet.Advice{}, false
 	}
@@ -110,16 +110,16 @@
 // Expect returns what the first host of those that answer expects of an attempt;
 // false if it tells nothing in time, or this host is the first.
 func (a *Advisor) Expect(ctx context.Context, ask fleet.Ask, versionKey uint64) (fleet.Expectation, bool) {
-	request := a.request(ask, versionKey)
+	request := a.newRequest(ask, versionKey)
 	request.Weigh = true
-	reply, ok := a.ask(ctx, request)
+	reply, ok := a.query(ctx, request)
 	if !ok || reply.GetExpected() == nil {
 		return fleet.Expectation{}, false
 	}
 	return expectationFromWire(reply.GetExpected()), true
 }
 
-func (a *Advisor) request(ask fleet.Ask, versionKey uint64) *advicepb.ChooseRequest {
+func (a *Advisor) newRequest(ask fleet.Ask, versionKey uint64) *advicepb.ChooseRequest {
 	return &advicepb.ChooseRequest{
 		Service: ask.Service, Model: ask.Model, Key: ask.Key, VersionKey: versionKey, Tokens: int32(ask.Tokens), //nolint:gosec // prompts are far shorter
 		Shared: int32(ask.Shared), ObjectiveMicros: ask.Objective.Microseconds(), SlackMicros: ask.Slack.Microseconds(), LeftMicros: ask.Left.Microseconds(), Begun: ask.Begun,
@@ -129,34 +129,34 @@
 	}
 }
 
-// ask sends a request to the first host of those that answer.
-func (a *Advisor) ask(ctx context.Context, request *advicepb.ChooseRequest) (*advicepb.ChooseReply, bool) {
-	address, ok := a.first()
+// query sends a request to the first host of those that answer.
+func (a *Advisor) query(ctx context.Context, request *advicepb.ChooseRequest) (*advicepb.ChooseReply, bool) {
+	address, ok := a.hostToAsk()
 	if !ok {
 		a.takeHeads() // old news by the time that another host is first
 		return nil, false
 	}
 	connection, err := a.options.Conn(address)
 	if err != nil {
-		a.failed(address, clock.Now(), err)
+		a.recordFailure(address, clock.Now(), err)
 		return nil, false
 	}
 	asked := clock.Now()
 	request.Ended, request.Results, request.Heads = a.takeEnded(), a.takeResults(), a.takeHeads()
-	request.Limits = limitsToWire(a.options.Fleet.LimitNews(limitsMost), asked)
-	wait := max(patience, time.Duration(patiencePart*float64(clock.Micros(request.GetObjectiveMicros()))))
-	limited, cancel := context.WithTimeout(ctx, wait)
+	request.Limits = limitsToWire(a.options.Fleet.LimitNews(maxLimits), asked)
+	timeout := max(answerTimeout, time.Duration(objectiveTimeoutPart*float64(clock.Micros(request.GetObjectiveMicros()))))
+	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	reply, err := advicepb.NewAdviceClient(connection).Choose(limited, request)
 	if err != nil {
 		if ctx.Err() == nil {
-			a.failed(address, asked, err)
+			a.recordFailure(address, asked, err)
 		}
 		return nil, false
 	}
-	a.answered(address)
+	a.recordAnswer(address)
 	a.options.Fleet.Shun(reply.GetEjected())
-	learnLimits(a.options.Fleet, reply.GetLimits())
+	applyLimits(a.options.Fleet, reply.GetLimits())
 	return reply, true
 }
 
@@ -172,7 +172,7 @@
 func (a *Advisor) Ended(advised fleet.Advice) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.ended) < endedMost {
+	if len(a.ended) < maxEnded {
 		a.ended = append(a.ended, &advicepb.Ended{Endpoint: advised.Endpoint, Ticket: advised.Ticket})
 	}
 }
@@ -181,7 +181,7 @@
 func (a *Advisor) Attempted(endpoint string, o fleet.Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if tally, ok := a.results[endpoint]; ok || len(a.results) < resultsMost {
+	if tally, ok := a.results[endpoint]; ok || len(a.results) < maxResults {
 		a.results[endpoint] = tally.With(o)
 	}
 }
@@ -190,7 +190,7 @@
 func (a *Advisor) Heard(h fleet.Heard) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.heads) < headsMost {
+	if len(a.heads) < maxHeads {
 		a.heads = append(a.heads, h)
 	}
 }
@@ -225,14 +225,14 @@
 	return ended
 }
 
-// first returns the host to ask; false if this one is the first of those that
+// hostToAsk returns the host to ask; false if this one is the hostToAsk of those that
 // answer.
-func (a *Advisor) first() (string, bool) {
-	before := a.options.Predecessors()
+func (a *Advisor) hostToAsk() (string, bool) {
+	predecessors := a.options.Predecessors()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := clock.Now()
-	for _, address := range before {
+	for _, address := range predecessors {
 		if !now.Before(a.pauses[address].until) {
 			return address, true
 		}
@@ -242,39 +242,39 @@
 
 // Rank counts the hosts before this one that answer, as far as it knows; false while it does not
 // know the list of hosts.
-func (a *Advisor) Rank() (place int, known bool) {
-	before := a.options.Predecessors()
-	if len(before) == 0 && !a.Leads() {
+func (a *Advisor) Rank() (rank int, known bool) {
+	predecessors := a.options.Predecessors()
+	if len(predecessors) == 0 && !a.Leads() {
 		return 0, false
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := clock.Now()
-	for _, address := range before {
+	for _, address := range predecessors {
 		if !now.Before(a.pauses[address].until) {
-			place++
+			rank++
 		}
 	}
-	return place, true
+	return rank, true
 }
 
-func (a *Advisor) answered(address string) {
+func (a *Advisor) recordAnswer(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.pauses, address)
 }
 
-// failed notes that a question which was asked at a moment went unanswered. Of many that
+// recordFailure notes that a question which was asked at a moment went unanswered. Of many that
 // were under way together one counts, or a busy moment would keep a host from asking for as
 // long as pauseMost.
-func (a *Advisor) failed(address string, asked clock.Instant, err error) {
+func (a *Advisor) recordFailure(address string, asked clock.Instant, err error) {
 	a.mu.Lock()
 	p := a.pauses[address]
 	if asked.Before(p.until) {
 		a.mu.Unlock()
 		return
 	}
-	p.length = min(max(2*p.length, pauseFirst), pauseMost)
+	p.length = min(max(2*p.length, minPause), maxPause)
 	p.until = clock.Now().Add(p.length)
 	a.pauses[address] = p
 	a.mu.Unlock()
@@ -299,7 +299,7 @@
 	for _, t := range r.GetResults() {
 		f.Learn(t.GetEndpoint(), fleet.Tally{Good: t.GetGood(), Failed: t.GetFailed(), Lost: t.GetLost()})
 	}
-	learnLimits(f, r.GetLimits())
+	applyLimits(f, r.GetLimits())
 	ask := fleet.Ask{
 		Service: r.GetService(), Model: r.GetModel(), Key: r.GetKey(), Tokens: int(r.GetTokens()), Shared: int(r.GetShared()),
 		Objective: clock.Micros(r.GetObjectiveMicros()), Slack: clock.Micros(r.GetSlackMicros()), Left: clock.Micros(r.GetLeftMicros()), Begun: r.GetBegun(),
@@ -308,7 +308,7 @@
 		Regions: r.GetRegions(), Within: clock.Micros(r.GetWithinMicros()),
 	}
 	// The reply goes out even if there is no endpoint: it tells which ones fail.
-	reply := &advicepb.ChooseReply{Ejected: f.Ejected(), Limits: limitsToWire(f.LimitNews(limitsMost), clock.Now())}
+	reply := &advicepb.ChooseReply{Ejected: f.Ejected(), Limits: limitsToWire(f.LimitNews(maxLimits), clock.Now())}
 	if r.GetWeigh() {
 		if expected, ok := f.Expect(ask); ok {
 			reply.Expected = expectationToWire(expected)
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -23,35 +23,35 @@
 
 const firstAddress = "10.0.0.1:7340"
 
-// pair is the first host of a data hall and another one.
-type pair struct {
-	net         *memnet.Network
-	fleet       *fleet.Fleet // of the first
-	other       *fleet.Fleet // of the next
-	first, next *advice.Advisor
-	conns       map[string]*grpc.ClientConn
-	before      []string // the hosts that next asks, in order
-	server      *grpc.Server
+// hostPair is the first host of a data hall and another one.
+type hostPair struct {
+	net          *memnet.Network
+	firstFleet   *fleet.Fleet // of the first
+	nextFleet    *fleet.Fleet // of the next
+	first, next  *advice.Advisor
+	conns        map[string]*grpc.ClientConn
+	predecessors []string // the hosts that next asks, in order
+	server       *grpc.Server
 }
 
-func newPair() *pair {
-	p := &pair{
-		net: memnet.New(), fleet: fleet.New(fleet.Options{Hall: "ikeja"}), other: fleet.New(fleet.Options{Hall: "ikeja"}),
-		conns: map[string]*grpc.ClientConn{}, before: []string{firstAddress},
+func newHostPair() *hostPair {
+	p := &hostPair{
+		net: memnet.New(), firstFleet: fleet.New(fleet.Options{Hall: "ikeja"}), nextFleet: fleet.New(fleet.Options{Hall: "ikeja"}),
+		conns: map[string]*grpc.ClientConn{}, predecessors: []string{firstAddress},
 	}
 	for i := range 4 {
 		e := fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "s", Hall: "ikeja", Version: "v1", Slots: 4}
-		p.fleet.Put(e)
-		p.other.Put(e)
+		p.firstFleet.Put(e)
+		p.nextFleet.Put(e)
 	}
 	options := advice.Options{
-		Fleet: p.fleet, Logger: log.New(io.Discard),
+		Fleet: p.firstFleet, Logger: log.New(io.Discard),
 		Allowed: func(string, uint64) func(string) bool { return func(v string) bool { return v == "v1" } },
 		Conn:    func(address string) (grpc.ClientConnInterface, error) { return p.conn(address), nil },
 	}
 	options.Predecessors = func() []string { return nil }
 	p.first = advice.New(options)
-	options.Fleet, options.Predecessors = p.other, func() []string { return p.before }
+	options.Fleet, options.Predecessors = p.nextFleet, func() []string { return p.predecessors }
 	p.next = advice.New(options)
 	p.server = grpc.NewServer()
 	p.first.Register(p.server)
@@ -60,7 +60,7 @@
 	return p
 }
 
-func (p *pair) conn(address string) *grpc.ClientConn {
+func (p *hostPair) conn(address string) *grpc.ClientConn {
 	if p.conns[address] == nil {
 		c, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()),
 			grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) { return p.net.Dial(ctx, "tcp", address) }))
@@ -70,7 +70,7 @@
 	return p.conns[address]
 }
 
-func (p *pair) stop() {
+func (p *hostPair) stop() {
 	for _, c := range p.conns {
 		_ = c.Close()
 	}
@@ -87,7 +87,7 @@
 
 	It("fill endpoints together, and hear of what has ended", func() {
 		suite.Paused(func() {
-			p := newPair()
+			p := newHostPair()
 			defer p.stop()
 			counts := map[string][]fleet.Advice{}
 			for i := range 16 {
@@ -109,7 +109,7 @@
 
 	It("are advised on endpoints of the regions that they ask for", func() {
 		suite.Paused(func() {
-			p := newPair()
+			p := newHostPair()
 			defer p.stop()
 			q := ask(1)
 			q.Regions = []string{"abuja"}
@@ -122,7 +122,7 @@
 
 	It("know who of them leads", func() {
 		suite.Paused(func() {
-			p := newPair()
+			p := newHostPair()
 			defer p.stop()
 			Expect(p.first.Leads()).To(BeTrue())
 			Expect(p.next.Leads()).To(BeFalse())
@@ -131,9 +131,9 @@
 
 	It("wait for their turn or refuse, as the first tells them, and are served in turn", func() {
 		suite.Paused(func() {
-			p := newPair()
+			p := newHostPair()
 			defer p.stop()
-			tight := func(key uint64) fleet.Ask {
+			askWithDeadline := func(key uint64) fleet.Ask {
 				q := ask(key)
 				q.Slack, q.Left = time.Second, 4*time.Second
 				return q
@@ -142,7 +142,7 @@
 			decisions := map[string]int{}
 			turn := int64(0)
 			for i := range uint64(80) {
-				a, ok := p.next.Choose(ctx, tight(i<<8|1), 0)
+				a, ok := p.next.Choose(ctx, askWithDeadline(i<<8|1), 0)
 				Expect(ok).To(BeTrue())
 				decisions[fmt.Sprintf("%T", a.Decision)]++
 				if w, waits := a.Decision.(admission.Wait); waits {
@@ -159,7 +159,7 @@
 			for _, a := range advised {
 				p.next.Ended(a)
 			}
-			again := tight(99)
+			again := askWithDeadline(99)
 			again.Turn = turn
 			a, ok := p.next.Choose(ctx, again, 0)
 			Expect(ok).To(BeTrue())
@@ -169,20 +169,20 @@
 
 	It("ask again soon after a moment in which many questions went unanswered at once", func() {
 		suite.Paused(func() {
-			p := newPair()
+			p := newHostPair()
 			defer p.stop()
 			_, ok := p.next.Choose(ctx, ask(1), 0)
 			Expect(ok).To(BeTrue())
 			p.net.Cut(firstAddress, true)
-			var asking sync.WaitGroup
+			var queries sync.WaitGroup
 			for i := range uint64(50) {
-				asking.Go(func() {
+				queries.Go(func() {
 					time.Sleep(time.Duration(i) * 100 * time.Microsecond)
 					_, ok := p.next.Choose(ctx, ask(i), 0)
 					Expect(ok).To(BeFalse())
 				})
 			}
-			asking.Wait()
+			queries.Wait()
 			p.net.Cut(firstAddress, false)
 			time.Sleep(2 * time.Second)
 			_, ok = p.next.Choose(ctx, ask(2), 0)
@@ -192,7 +192,7 @@
 
 	It("choose alone if they are the first, or the first has nothing to advise", func() {
 		suite.Paused(func() {
-			p := newPair()
+			p := newHostPair()
 			defer p.stop()
 			_, ok := p.first.Choose(ctx, ask(1), 0)
 			Expect(ok).To(BeFalse())
@@ -203,7 +203,7 @@
 
 	It("hear what an attempt is expected to take, which counts nowhere", func() {
 		suite.Paused(func() {
-			p := newPair()
+			p := newHostPair()
 			defer p.stop()
 			for range 50 {
 				e, ok := p.next.Expect(ctx, ask(1), 0)
@@ -223,7 +223,7 @@
 
 	It("tell the first what heads of answers told", func() {
 		suite.Paused(func() {
-			p := newPair()
+			p := newHostPair()
 			defer p.stop()
 			for range 40 {
 				p.next.Heard(fleet.Heard{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, Read: 100, Expected: time.Second})
@@ -236,15 +236,15 @@
 
 	It("do not tell a new first host what they heard while they were first", func() {
 		suite.Paused(func() {
-			p := newPair()
+			p := newHostPair()
 			defer p.stop()
-			p.before = nil
+			p.predecessors = nil
 			for range 40 {
 				p.next.Heard(fleet.Heard{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, Read: 100, Expected: time.Second})
 				_, ok := p.next.Choose(ctx, ask(1), 0)
 				Expect(ok).To(BeFalse())
 			}
-			p.before = []string{firstAddress}
+			p.predecessors = []string{firstAddress}
 			e, ok := p.next.Expect(ctx, ask(1), 0)
 			Expect(ok).To(BeTrue())
 			Expect(e.Price).To(BeZero())
@@ -253,7 +253,7 @@
 
 	It("tell each other which endpoints fail", func() {
 		suite.Paused(func() {
-			p := newPair()
+			p := newHostPair()
 			defer p.stop()
 			for range 5 {
 				p.next.Attempted("e1", fleet.OutcomeFailed)
@@ -261,25 +261,25 @@
 			}
 			_, ok := p.next.Choose(ctx, ask(1), 0)
 			Expect(ok).To(BeTrue())
-			Expect(p.fleet.Ejected()).To(Equal([]string{"e1"}))
+			Expect(p.firstFleet.Ejected()).To(Equal([]string{"e1"}))
 			for range 40 {
-				h, ok := p.other.Pick(fleet.Ask{Service: "s"})
+				h, ok := p.nextFleet.Pick(fleet.Ask{Service: "s"})
 				Expect(ok).To(BeTrue())
 				Expect(h.Endpoint.ID).NotTo(Equal("e1"))
 			}
 			for _, e := range []string{"e0", "e2", "e3"} {
-				p.other.Remove(e)
+				p.nextFleet.Remove(e)
 			}
-			_, ok = p.other.Pick(fleet.Ask{Service: "s"})
+			_, ok = p.nextFleet.Pick(fleet.Ask{Service: "s"})
 			Expect(ok).To(BeTrue(), "it is better than nothing")
 		})
 	})
 
 	It("ask the next in order while the first does not answer", func() {
 		suite.Paused(func() {
-			p := newPair()
+			p := newHostPair()
 			defer p.stop()
-			p.before = []string{"10.0.0.9:7340", firstAddress}
+			p.predecessors = []string{"10.0.0.9:7340", firstAddress}
 			_, ok := p.next.Choose(ctx, ask(1), 0)
 			Expect(ok).To(BeFalse())
 			for range 10 {
@@ -291,7 +291,7 @@
 
 	It("do not wait for a silent host, and ask it again soon", func() {
 		suite.Paused(func() {
-			p := newPair()
+			p := newHostPair()
 			defer p.stop()
 			_, ok := p.next.Choose(ctx, ask(1), 0)
 			Expect(ok).To(BeTrue())
--- a/internal/advice/wire.go
+++ b/internal/advice/wire.go
@@ -23,8 +23,8 @@
 }
 
 // decisionToWire puts what becomes of a request into a reply.
-func decisionToWire(v admission.Decision, reply *advicepb.ChooseReply) {
-	switch v := v.(type) {
+func decisionToWire(d admission.Decision, reply *advicepb.ChooseReply) {
+	switch v := d.(type) {
 	case admission.Behind:
 		reply.Behind = true
 	case admission.Wait:
@@ -63,9 +63,9 @@
 }
 
 // limitsToWire encodes what is known of limits; times are relative to the sending.
-func limitsToWire(list []fleet.LimitNews, now clock.Instant) []*advicepb.Limit {
+func limitsToWire(limits []fleet.LimitNews, now clock.Instant) []*advicepb.Limit {
 	var wire []*advicepb.Limit
-	for _, n := range list {
+	for _, n := range limits {
 		heard, since := n.Ages(now)
 		wire = append(wire, &advicepb.Limit{
 			Endpoint: n.Endpoint, PerSecond: n.Rate, HeardMicros: heard.Microseconds(), SinceMicros: since.Microseconds(),
@@ -74,10 +74,10 @@
 	return wire
 }
 
-// learnLimits takes in what another host knows of limits.
-func learnLimits(f *fleet.Fleet, wire []*advicepb.Limit) {
+// applyLimits takes in what another host knows of limits.
+func applyLimits(f *fleet.Fleet, limits []*advicepb.Limit) {
 	now := clock.Now()
-	for _, w := range wire {
+	for _, w := range limits {
 		f.LearnLimit(fleet.LimitOf(w.GetEndpoint(), w.GetPerSecond(), clock.Micros(w.GetHeardMicros()), clock.Micros(w.GetSinceMicros()), now))
 	}
 }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -76,175 +76,177 @@
 
 // Parameters of the plan.
 const (
-	// fill is the part of their slots that endpoints are to have in use at the usual peak:
+	// targetUtilization is the part of their slots that endpoints are to have in use at the usual peak:
 	// tokens come more slowly the more requests run together, and a prompt that is read holds
 	// up all beside it.
-	fill = 0.2
-	// spotFill is the same where spot endpoints do most of the work. They cost a part, and bear
+	targetUtilization = 0.2
+	// spotTargetUtilization is the same where spot endpoints do most of the work. They cost a part, and bear
 	// what comes together: a data hall that is lost, those of the others that are cold and have
 	// no prompts, and a burst.
-	spotFill = 0.1
-	// floorPart of the endpoints that the work needs are ordinary ones; alone they have three
+	spotTargetUtilization = 0.1
+	// ordinaryPart of the endpoints that the work needs are ordinary ones; alone they have three
 	// times the usual load.
-	floorPart = 1.0 / 3
-	// forgets is the time in which half of a peak is forgotten: several waves of the work.
-	forgets = 30 * time.Second
-	// lowersAfter is how long fewer endpoints must be enough before fewer are ordered, and
+	ordinaryPart = 1.0 / 3
+	// peakHalfLife is the time in which half of a peak is forgotten: several waves of the work.
+	peakHalfLife = 30 * time.Second
+	// lowerDelay is how long fewer endpoints must be enough before fewer are ordered, and
 	// lowersBy the least part of them that is let go: each that goes takes prompts with it.
-	lowersAfter = 4 * time.Second
-	lowersBy    = 0.15
-	// learnsFor is how long a planner must have seen work before it lets endpoints go: one that
+	lowerDelay   = 4 * time.Second
+	minLowerPart = 0.15
+	// warmup is how long a planner must have seen work before it lets endpoints go: one that
 	// has just begun, as after all hosts were killed, knows of little.
-	learnsFor = 8 * time.Second
-	// dryFor is how long a lot is not ordered more of after none were to be had.
-	dryFor = 5 * time.Second
+	warmup = 8 * time.Second
+	// unavailableDuration is how long a lot is not ordered more of after none were to be had.
+	unavailableDuration = 5 * time.Second
 )
 
 // Planner remembers what was ordered; not for use at once.
 type Planner struct {
-	began   clock.Instant // when it first saw work
-	peak    float64
-	peakAt  clock.Instant
-	ordered map[Pool]int
-	lower   map[Pool]clock.Instant // since when fewer are enough
-	dry     map[Pool]clock.Instant // until when no more are to be had
-	old     map[string]int         // ordinary endpoints of the version in force, by data hall, during an upgrade
+	firstWorkAt      clock.Instant // when it first saw work
+	peak             float64
+	peakAt           clock.Instant
+	accepted         map[Pool]int
+	lowerSince       map[Pool]clock.Instant // since when fewer are enough
+	unavailableUntil map[Pool]clock.Instant // until when no more are to be had
+	oldVersion       map[string]int         // ordinary endpoints of the version in force, by data hall, during an upgrade
 }
 
 // NewPlanner returns a planner that has ordered nothing.
 func NewPlanner() *Planner {
-	return &Planner{ordered: map[Pool]int{}, lower: map[Pool]clock.Instant{}, dry: map[Pool]clock.Instant{}, old: map[string]int{}}
+	return &Planner{accepted: map[Pool]int{}, lowerSince: map[Pool]clock.Instant{}, unavailableUntil: map[Pool]clock.Instant{}, oldVersion: map[string]int{}}
 }
 
 // Orders lists what is to be ordered now.
 func (p *Planner) Orders(now clock.Instant, s State) []Order {
-	p.remember(now, s.Running)
-	want := p.whole(s).want(p.peak)
+	p.recordRunning(now, s.Running)
+	desired := p.countOldVersion(s).desired(p.peak)
 	var orders []Order
-	for _, l := range slices.SortedFunc(maps.Keys(want), Pool.compare) {
-		if count, due := p.due(now, l, want[l], s.Serving[l.Hall].of(l)); due {
+	for _, l := range slices.SortedFunc(maps.Keys(desired), Pool.compare) {
+		if count, due := p.due(now, l, desired[l], s.Serving[l.Hall].of(l)); due {
 			orders = append(orders, Order{Pool: l, Count: count})
 		}
 	}
 	return orders
 }
 
-// whole returns a state in which, during an upgrade, endpoints of the version in force that are down
+// countOldVersion returns a state in which, during an upgrade, endpoints of the version in force that are down
 // for a moment count as there: an order that was lowered by them would cost the new version as many
 // when they are back.
-func (p *Planner) whole(s State) State {
+func (p *Planner) countOldVersion(s State) State {
 	if !s.Upgrading {
-		clear(p.old)
+		clear(p.oldVersion)
 		return s
 	}
-	stocks := map[string]EndpointCounts{}
-	for hall, stock := range s.Serving {
-		p.old[hall] = max(p.old[hall], stock.Ordinary)
-		stock.Ordinary = p.old[hall]
-		stocks[hall] = stock
+	serving := map[string]EndpointCounts{}
+	for hall, counts := range s.Serving {
+		p.oldVersion[hall] = max(p.oldVersion[hall], counts.Ordinary)
+		counts.Ordinary = p.oldVersion[hall]
+		serving[hall] = counts
 	}
-	s.Serving = stocks
+	s.Serving = serving
 	return s
 }
 
 // RecordAccepted takes in that the platform has taken an order.
 func (p *Planner) RecordAccepted(o Order) {
-	p.ordered[o.Pool] = o.Count
-	delete(p.lower, o.Pool)
+	p.accepted[o.Pool] = o.Count
+	delete(p.lowerSince, o.Pool)
 }
 
 // RecordUnavailable takes in that there are no more of a lot to be had.
-func (p *Planner) RecordUnavailable(o Order, now clock.Instant) { p.dry[o.Pool] = now.Add(dryFor) }
+func (p *Planner) RecordUnavailable(o Order, now clock.Instant) {
+	p.unavailableUntil[o.Pool] = now.Add(unavailableDuration)
+}
 
 // Peak is the most that ran at once, as it is remembered.
 func (p *Planner) Peak() float64 { return p.peak }
 
-func (p *Planner) remember(now clock.Instant, running float64) {
+func (p *Planner) recordRunning(now clock.Instant, running float64) {
 	if !p.peakAt.IsZero() {
-		p.peak *= math.Exp2(-now.Sub(p.peakAt).Seconds() / forgets.Seconds())
+		p.peak *= math.Exp2(-now.Sub(p.peakAt).Seconds() / peakHalfLife.Seconds())
 	}
 	p.peak, p.peakAt = max(p.peak, running), now
-	if p.began.IsZero() && running > 0 {
-		p.began = now
+	if p.firstWorkAt.IsZero() && running > 0 {
+		p.firstWorkAt = now
 	}
 }
 
 // due returns what is to be ordered of a lot, if anything: at once if more are wanted, and after a
 // while if far fewer are. What was ordered and does not serve, as after an upgrade whose old
 // endpoints have gone, is not wanted any more at once: nothing is let go by that.
-func (p *Planner) due(now clock.Instant, l Pool, want, serving int) (count int, due bool) {
-	have, known := p.ordered[l]
+func (p *Planner) due(now clock.Instant, l Pool, desired, serving int) (count int, due bool) {
+	accepted, known := p.accepted[l]
 	if !known {
-		have = serving
+		accepted = serving
 	}
-	if want > have {
-		delete(p.lower, l)
-		return want, !now.Before(p.dry[l])
+	if desired > accepted {
+		delete(p.lowerSince, l)
+		return desired, !now.Before(p.unavailableUntil[l])
 	}
-	if have-want < max(1, int(math.Ceil(lowersBy*float64(have)))) {
-		delete(p.lower, l)
+	if accepted-desired < max(1, int(math.Ceil(minLowerPart*float64(accepted)))) {
+		delete(p.lowerSince, l)
 		return 0, false
 	}
-	if serving < have {
-		return max(want, serving), true
+	if serving < accepted {
+		return max(desired, serving), true
 	}
-	since, ok := p.lower[l]
+	since, ok := p.lowerSince[l]
 	if !ok {
-		p.lower[l] = now
+		p.lowerSince[l] = now
 		return 0, false
 	}
-	return want, now.Sub(since) >= lowersAfter && now.Sub(p.began) >= learnsFor
+	return desired, now.Sub(since) >= lowerDelay && now.Sub(p.firstWorkAt) >= warmup
 }
 
-// want is how many endpoints there are to be in each lot if so many requests run at once.
-func (s State) want(running float64) map[Pool]int {
+// desired is how many endpoints there are to be in each lot if so many requests run at once.
+func (s State) desired(running float64) map[Pool]int {
 	halls := s.halls()
-	want := map[Pool]int{}
+	desired := map[Pool]int{}
 	if len(halls) == 0 || running <= 0 || s.Slots <= 0 {
-		return want
+		return desired
 	}
-	needed := math.Ceil(running / (fill * float64(s.Slots)))
+	needed := math.Ceil(running / (targetUtilization * float64(s.Slots)))
 	for _, h := range halls {
 		switch {
 		case s.Upgrading:
-			s.beside(want, h, s.each(needed))
+			s.planUpgrade(desired, h, s.perHall(needed))
 		case s.Scaling.hasSpot():
-			s.mixed(want, h, needed, math.Ceil(running/(spotFill*float64(s.Slots))))
+			s.planSpot(desired, h, needed, math.Ceil(running/(spotTargetUtilization*float64(s.Slots))))
 		default:
-			want[Pool{Hall: h}] = min(max(s.each(needed), s.Scaling.Least), s.Scaling.Most)
+			desired[Pool{Hall: h}] = min(max(s.perHall(needed), s.Scaling.Least), s.Scaling.Most)
 		}
 	}
-	return want
+	return desired
 }
 
-// each is how many endpoints a data hall is to have, so that all but one have what is needed.
-func (s State) each(needed float64) int {
+// perHall is how many endpoints a data hall is to have, so that all but one have what is needed.
+func (s State) perHall(needed float64) int {
 	return int(math.Ceil(needed / float64(max(len(s.halls())-1, 1))))
 }
 
-// mixed plans for a data hall with a floor of ordinary endpoints, for what is needed of these, and spot
+// planSpot plans for a data hall with a floor of ordinary endpoints, for what is needed of these, and spot
 // ones beside them, for all that is needed where they do the work.
-func (s State) mixed(want map[Pool]int, hall string, needed, all float64) {
+func (s State) planSpot(desired map[Pool]int, hall string, ordinaryNeeded, spotNeeded float64) {
 	halls := float64(len(s.halls()))
-	floor, serving := math.Ceil(floorPart*needed/halls), 0
-	for _, stock := range s.Serving {
-		serving += stock.Spot
+	floor, spotServing := math.Ceil(ordinaryPart*ordinaryNeeded/halls), 0
+	for _, counts := range s.Serving {
+		spotServing += counts.Spot
 	}
 	// Until enough spot endpoints serve, ordinary ones do.
-	missing := max(0, all-float64(serving)-floor*halls)
+	missing := max(0, spotNeeded-float64(spotServing)-floor*halls)
 	ordinary := min(max(int(floor+math.Ceil(missing/halls)), s.Scaling.Least), s.Scaling.Most)
-	want[Pool{Hall: hall}] = ordinary
-	want[Pool{Hall: hall, Spot: true}] = min(max(0, s.each(all)-int(floor)), s.Scaling.Most-ordinary)
+	desired[Pool{Hall: hall}] = ordinary
+	desired[Pool{Hall: hall, Spot: true}] = min(max(0, s.perHall(spotNeeded)-int(floor)), s.Scaling.Most-ordinary)
 }
 
-// beside plans for a data hall in which an upgrade is under way. What an order is lowered by is
+// planUpgrade plans for a data hall in which an upgrade is under way. What an order is lowered by is
 // taken from the endpoints that came last, so those of the version in force are all kept, and of
 // the new ones as many as the work needs once it is moved to them. Before any of them serve,
 // orders are not lowered.
-func (s State) beside(want map[Pool]int, hall string, each int) {
-	stock := s.Serving[hall]
-	if stock.Newer > 0 || each > stock.Ordinary {
-		want[Pool{Hall: hall}] = min(max(stock.Ordinary, each)+min(stock.Newer, each), s.Scaling.Most)
+func (s State) planUpgrade(desired map[Pool]int, hall string, perHall int) {
+	counts := s.Serving[hall]
+	if counts.Newer > 0 || perHall > counts.Ordinary {
+		desired[Pool{Hall: hall}] = min(max(counts.Ordinary, perHall)+min(counts.Newer, perHall), s.Scaling.Most)
 	}
 }
 
@@ -287,4 +289,4 @@
 }
 
 // AcceptedOrders is what was ordered, by lot.
-func (p *Planner) AcceptedOrders() map[Pool]int { return maps.Clone(p.ordered) }
+func (p *Planner) AcceptedOrders() map[Pool]int { return maps.Clone(p.accepted) }
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -43,10 +43,10 @@
 
 // Parameters of the bounds.
 const (
-	priorWeight = 8    // ratings that an operator's prior counts for
-	width       = 2.5  // standard errors; wide, because the bound is looked at all the time
-	leastSpread = 0.05 // floor of the standard deviation
-	fewRatings  = 20
+	priorWeight   = 8    // ratings that an operator's prior counts for
+	intervalWidth = 2.5  // standard errors; wide, because the bound is looked at all the time
+	minDeviation  = 0.05 // floor of the standard deviation
+	minRatings    = 20
 )
 
 // bounds returns the mean and the half width of its interval. The prior counts
@@ -58,8 +58,8 @@
 	count := s.Count + priorWeight
 	mean = (s.Mean*s.Count + prior*priorWeight) / count
 	variance := (s.SquaredDeviations + priorWeight*prior*(1-prior)) / count
-	deviation := math.Max(math.Sqrt(variance), leastSpread)
-	return mean, width * deviation / math.Sqrt(count)
+	deviation := math.Max(math.Sqrt(variance), minDeviation)
+	return mean, intervalWidth * deviation / math.Sqrt(count)
 }
 
 // Interval is a mean with the half width of its interval.
@@ -88,7 +88,7 @@
 // with few ratings nothing is certain, whatever its prior says: a bound from the
 // prior alone would keep a version from ever being tried.
 func (s Score) Upper(prior float64) float64 {
-	if s.Count < fewRatings {
+	if s.Count < minRatings {
 		return 1
 	}
 	mean, half := s.bounds(prior)
--- a/internal/estimate/keeper.go
+++ b/internal/estimate/keeper.go
@@ -26,14 +26,14 @@
 
 // Times and bounds of keeping estimates.
 const (
-	sumEvery     = 2 * time.Second
-	readEvery    = 5 * time.Second // at the least
-	readBudget   = 500             // bytes a second that a host spends on reading
-	ratingsAtOne = 1000
+	sumInterval        = 2 * time.Second
+	minReadInterval    = 5 * time.Second // at the least
+	readBytesPerSecond = 500             // bytes a second that a host spends on reading
+	ratingsPerBatch    = 1000
 )
 
-// stored is the row.
-type stored struct {
+// storedEstimates is the row.
+type storedEstimates struct {
 	Cursor  int64   `json:"cursor"`
 	Entries []Entry `json:"entries"`
 }
@@ -47,22 +47,22 @@
 
 // NewAggregator returns a keeper that knows nothing yet.
 func NewAggregator(tables store.Tables, ratings store.Ratings) *Aggregator {
-	k := &Aggregator{tables: tables, ratings: ratings}
-	k.current.Store(&Table{})
-	return k
+	a := &Aggregator{tables: tables, ratings: ratings}
+	a.current.Store(&Table{})
+	return a
 }
 
 // Current returns the estimates as last read.
-func (k *Aggregator) Current() Table { return *k.current.Load() }
+func (a *Aggregator) Current() Table { return *a.current.Load() }
 
 // Run reads the sum until the context ends.
-func (k *Aggregator) Run(ctx context.Context) {
+func (a *Aggregator) Run(ctx context.Context) {
 	for {
-		wait := readEvery
-		if s, row, err := k.read(ctx); err == nil {
+		wait := minReadInterval
+		if s, row, err := a.read(ctx); err == nil {
 			t := NewTable(s.Entries)
-			k.current.Store(&t)
-			wait = max(wait, time.Duration(len(row.Value))*time.Second/readBudget)
+			a.current.Store(&t)
+			wait = max(wait, time.Duration(len(row.Value))*time.Second/readBytesPerSecond)
 		}
 		if !clock.Sleep(ctx, clock.Around(wait)) {
 			return
@@ -71,22 +71,22 @@
 }
 
 // Sum takes in new ratings while the lease is held.
-func (k *Aggregator) Sum(ctx context.Context, l *lease.Lease) {
+func (a *Aggregator) Sum(ctx context.Context, l *lease.Lease) {
 	for l.Valid() && ctx.Err() == nil {
-		if err := k.SumOnce(ctx, l); errors.Is(err, store.ErrConflict) {
+		if err := a.SumOnce(ctx, l); errors.Is(err, store.ErrConflict) {
 			return
 		}
-		clock.Sleep(ctx, sumEvery)
+		clock.Sleep(ctx, sumInterval)
 	}
 }
 
 // SumOnce takes in one batch of ratings.
-func (k *Aggregator) SumOnce(ctx context.Context, l *lease.Lease) error {
-	s, row, err := k.read(ctx)
+func (a *Aggregator) SumOnce(ctx context.Context, l *lease.Lease) error {
+	s, row, err := a.read(ctx)
 	if err != nil {
 		return err
 	}
-	ratings, err := k.ratings.After(ctx, s.Cursor, ratingsAtOne)
+	ratings, err := a.ratings.After(ctx, s.Cursor, ratingsPerBatch)
 	if err != nil {
 		return fmt.Errorf("read ratings: %w", err)
 	}
@@ -105,28 +105,28 @@
 	if err != nil {
 		return err
 	}
-	err = k.tables.Commit(ctx, l.Fenced(store.Transaction{
+	err = a.tables.Commit(ctx, l.Fenced(store.Transaction{
 		Conditions: []store.Condition{store.AtVersion(tableEstimates, row)},
 		Writes:     []store.Write{store.Put(tableEstimates, keySum, data)},
 	}))
 	if err != nil {
 		return fmt.Errorf("write estimates: %w", err)
 	}
-	k.current.Store(&table)
+	a.current.Store(&table)
 	return nil
 }
 
-func (k *Aggregator) read(ctx context.Context) (stored, store.Row, error) {
-	row, err := k.tables.Get(ctx, tableEstimates, keySum)
+func (a *Aggregator) read(ctx context.Context) (storedEstimates, store.Row, error) {
+	row, err := a.tables.Get(ctx, tableEstimates, keySum)
 	if errors.Is(err, store.ErrNotFound) {
-		return stored{}, store.Row{Key: keySum}, nil
+		return storedEstimates{}, store.Row{Key: keySum}, nil
 	}
 	if err != nil {
-		return stored{}, store.Row{}, fmt.Errorf("read estimates: %w", err)
+		return storedEstimates{}, store.Row{}, fmt.Errorf("read estimates: %w", err)
 	}
-	s, err := codec.Unpack[stored](row.Value)
+	s, err := codec.Unpack[storedEstimates](row.Value)
 	if err != nil {
-		return stored{}, store.Row{}, fmt.Errorf("read estimates: %w", err)
+		return storedEstimates{}, store.Row{}, fmt.Errorf("read estimates: %w", err)
 	}
 	return s, row, nil
 }
