--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,17 +1,17 @@
-// Package capacity decides how many endpoints of a service are ordered in each data hall.
+// Package capacity plans how many endpoints of a service to order in each data hall.
 //
 // # Usage
 //
 //	p := capacity.NewPlanner()
-//	orders := p.Orders(now, capacity.State{Scaling: s, Slots: 64, Running: 180, Stocks: stocks})
+//	orders := p.Orders(now, capacity.State{Scaling: s, Slots: 64, Running: 180, Serving: counts})
 //	... send each, then ...
-//	p.Ordered(order) // or p.Refused(order, now)
+//	p.RecordAccepted(order) // or p.RecordUnavailable(order, now)
 //
-// Load that it answers: work that comes in waves and bursts, endpoints that take seconds to start,
-// cheap ones (spot) that may be taken away a data hall at a time, and data halls that are lost or
-// evacuated. Enough endpoints serve that the work fits without those of any one data hall; most
-// are spot endpoints, over a floor of ordinary ones that keeps serving, slower, if all spot
-// endpoints go. Nothing here sends messages or reads a clock.
+// A plan allows for load in waves and bursts, endpoints that take seconds to start, cheap (spot)
+// endpoints that may be reclaimed one data hall at a time, and data halls that are lost or
+// evacuated. Enough endpoints serve that the remaining ones can carry the load if any one data hall
+// is lost. Most are spot endpoints, above a minimum of ordinary ones that keeps serving, more
+// slowly, if all spot endpoints are lost. The package sends no messages and reads no clock.
 package capacity
 
 import (
@@ -23,20 +23,20 @@
 	"quaybarrow/internal/clock"
 )
 
-// Scaling is what operators declare of the number of a service's endpoints.
+// Scaling is the operators' declaration for the number of a service's endpoints.
 type Scaling struct {
-	Least, Most int           // in each data hall, ordinary and spot ones together
-	Boot        time.Duration // until a new one serves
-	// SpotPrice is what a spot endpoint costs, as a part of an ordinary one; 0 where there
-	// are none.
+	Least, Most int           // bounds for each data hall, for ordinary and spot endpoints together
+	Boot        time.Duration // time until a new endpoint serves
+	// SpotPrice is the price of a spot endpoint as a fraction of that of an ordinary one; 0 if
+	// there are no spot endpoints.
 	SpotPrice float64
-	Prices    map[string]float64 // of a second of an endpoint, by data hall
+	Prices    map[string]float64 // price of an ordinary endpoint for a second, by data hall
 }
 
-// Enabled reports whether operators let endpoints be ordered.
+// Enabled reports whether operators allow endpoints to be ordered.
 func (s Scaling) Enabled() bool { return s.Most > 0 }
 
-// Cost is what a second of an endpoint costs.
+// Cost returns the price of an endpoint for a second.
 func (s Scaling) Cost(hall string, spot bool) float64 {
 	if spot {
 		return s.Prices[hall] * s.SpotPrice
@@ -44,31 +44,31 @@
 	return s.Prices[hall]
 }
 
-// EndpointCounts is how many endpoints of a service serve in a data hall.
+// EndpointCounts counts the endpoints of a service that serve in a data hall.
 type EndpointCounts struct {
 	Ordinary, Spot int
-	Newer          int // ordinary ones that an upgrade brings in
+	Newer          int // ordinary endpoints of the version that an upgrade introduces
 }
 
-// State is what is known of a service as it is planned for.
+// State is the input of a plan for a service.
 type State struct {
 	Scaling       Scaling
-	Slots         int                       // requests that an endpoint runs at once
-	Running       float64                   // requests at endpoints or on their way there, over all hosts
-	Serving       map[string]EndpointCounts // by data hall, for all that the service runs in
-	ExcludedHalls []string                  // data halls that get nothing for now
-	// Upgrading tells that an upgrade is under way: the endpoints that it brings in are counted
-	// among the ordinary ones of an order.
+	Slots         int                       // requests that an endpoint runs concurrently
+	Running       float64                   // requests at endpoints or on their way there, from all hosts
+	Serving       map[string]EndpointCounts // by data hall, for all data halls that the service runs in
+	ExcludedHalls []string                  // data halls that get no requests for now
+	// Upgrading reports whether an upgrade is in progress. The endpoints that it introduces count
+	// as ordinary ones in an order.
 	Upgrading bool
 }
 
-// Pool is the endpoints of one kind in a data hall, which are ordered together.
+// Pool identifies the endpoints of one kind in a data hall, which are ordered together.
 type Pool struct {
 	Hall string
 	Spot bool
 }
 
-// Order says how many endpoints there are to be in a lot.
+// Order sets the number of endpoints that a pool should have.
 type Order struct {
 	Pool
 	Count int
@@ -76,39 +76,42 @@
 
 // Parameters of the plan.
 const (
-	// targetUtilization is the part of their slots that endpoints are to have in use at the usual peak:
-	// tokens come more slowly the more requests run together, and a prompt that is read holds
-	// up all beside it.
+	// targetUtilization is the part of the endpoints' slots that should be in use at the usual
+	// peak. It is low because tokens come more slowly the more requests an endpoint runs, and
+	// the processing of a prompt delays all other requests of the endpoint.
 	targetUtilization = 0.2
-	// spotTargetUtilization is the same where spot endpoints do most of the work. They cost a part, and bear
-	// what comes together: a data hall that is lost, those of the others that are cold and have
-	// no prompts, and a burst.
+	// spotTargetUtilization is the same where spot endpoints do most of the work. They cost a
+	// fraction of ordinary ones, and have to bear several events at once: the loss of a data
+	// hall, cold endpoints without cached prompts in the others, and a burst.
 	spotTargetUtilization = 0.1
-	// ordinaryPart of the endpoints that the work needs are ordinary ones; alone they have three
-	// times the usual load.
+	// ordinaryPart is the part of the needed endpoints that are ordinary ones even where there are
+	// spot endpoints. Alone they have three times the usual load.
 	ordinaryPart = 1.0 / 3
-	// peakHalfLife is the time in which half of a peak is forgotten: several waves of the work.
+	// peakHalfLife is the half-life of the remembered peak. It spans several waves of load.
 	peakHalfLife = 30 * time.Second
-	// lowerDelay is how long fewer endpoints must be enough before fewer are ordered, and
-	// lowersBy the least part of them that is let go: each that goes takes prompts with it.
+	// lowerDelay is how long fewer endpoints must suffice before fewer are ordered, and
+	// minLowerPart the smallest part of a pool that is released: each released endpoint loses its
+	// cached prompts.
 	lowerDelay   = 4 * time.Second
 	minLowerPart = 0.15
-	// warmup is how long a planner must have seen work before it lets endpoints go: one that
-	// has just begun, as after all hosts were killed, knows of little.
+	// warmup is how long a planner must have seen load before it releases endpoints. A new
+	// planner, for instance after all hosts were killed, has seen only part of the load.
 	warmup = 8 * time.Second
-	// unavailableDuration is how long a lot is not ordered more of after none were to be had.
+	// unavailableDuration is how long no more endpoints of a pool are ordered after the platform
+	// had none available.
 	unavailableDuration = 5 * time.Second
 )
 
-// Planner remembers what was ordered; not for use at once.
+// Planner plans for one service and remembers the accepted orders and the peak load. It is not safe
+// for concurrent use.
 type Planner struct {
-	firstWorkAt      clock.Instant // when it first saw work
+	firstWorkAt      clock.Instant // when it first saw load
 	peak             float64
 	peakAt           clock.Instant
 	accepted         map[Pool]int
-	lowerSince       map[Pool]clock.Instant // since when fewer are enough
-	unavailableUntil map[Pool]clock.Instant // until when no more are to be had
-	oldVersion       map[string]int         // ordinary endpoints of the version in force, by data hall, during an upgrade
+	lowerSince       map[Pool]clock.Instant // since when fewer endpoints suffice
+	unavailableUntil map[Pool]clock.Instant // until when no more endpoints are ordered
+	oldVersion       map[string]int         // most ordinary endpoints of the version in force seen during an upgrade, by data hall
 }
 
 // NewPlanner returns a planner that has ordered nothing.
@@ -116,22 +119,22 @@
 	return &Planner{accepted: map[Pool]int{}, lowerSince: map[Pool]clock.Instant{}, unavailableUntil: map[Pool]clock.Instant{}, oldVersion: map[string]int{}}
 }
 
-// Orders lists what is to be ordered now.
+// Orders returns the orders to send now.
 func (p *Planner) Orders(now clock.Instant, s State) []Order {
 	p.recordRunning(now, s.Running)
 	desired := p.countOldVersion(s).desired(p.peak)
 	var orders []Order
-	for _, l := range slices.SortedFunc(maps.Keys(desired), Pool.compare) {
-		if count, due := p.due(now, l, desired[l], s.Serving[l.Hall].of(l)); due {
-			orders = append(orders, Order{Pool: l, Count: count})
+	for _, pool := range slices.SortedFunc(maps.Keys(desired), Pool.compare) {
+		if count, due := p.due(now, pool, desired[pool], s.Serving[pool.Hall].count(pool)); due {
+			orders = append(orders, Order{Pool: pool, Count: count})
 		}
 	}
 	return orders
 }
 
-// countOldVersion returns a state in which, during an upgrade, endpoints of the version in force that are down
-// for a moment count as there: an order that was lowered by them would cost the new version as many
-// when they are back.
+// countOldVersion returns a state in which, during an upgrade, endpoints of the version in force
+// that are down for a moment still count as serving. If they lowered an order, the new version would
+// lose as many endpoints once they were back.
 func (p *Planner) countOldVersion(s State) State {
 	if !s.Upgrading {
 		clear(p.oldVersion)
@@ -147,18 +150,18 @@
 	return s
 }
 
-// RecordAccepted takes in that the platform has taken an order.
+// RecordAccepted records that the platform accepted an order.
 func (p *Planner) RecordAccepted(o Order) {
 	p.accepted[o.Pool] = o.Count
 	delete(p.lowerSince, o.Pool)
 }
 
-// RecordUnavailable takes in that there are no more of a lot to be had.
+// RecordUnavailable records that the platform has no more endpoints for the pool of an order.
 func (p *Planner) RecordUnavailable(o Order, now clock.Instant) {
 	p.unavailableUntil[o.Pool] = now.Add(unavailableDuration)
 }
 
-// Peak is the most that ran at once, as it is remembered.
+// Peak returns the decaying maximum of concurrently running requests.
 func (p *Planner) Peak() float64 { return p.peak }
 
 func (p *Planner) recordRunning(now clock.Instant, running float64) {
@@ -171,34 +174,35 @@
 	}
 }
 
-// due returns what is to be ordered of a lot, if anything: at once if more are wanted, and after a
-// while if far fewer are. What was ordered and does not serve, as after an upgrade whose old
-// endpoints have gone, is not wanted any more at once: nothing is let go by that.
-func (p *Planner) due(now clock.Instant, l Pool, desired, serving int) (count int, due bool) {
-	accepted, known := p.accepted[l]
+// due returns the count to order for a pool, if an order is due: at once if more endpoints are
+// desired, and after a delay if far fewer are. Ordered endpoints that don't serve, for instance after
+// an upgrade whose old endpoints are gone, are dropped from the order at once, since that releases
+// no endpoint.
+func (p *Planner) due(now clock.Instant, pool Pool, desired, serving int) (count int, due bool) {
+	accepted, known := p.accepted[pool]
 	if !known {
 		accepted = serving
 	}
 	if desired > accepted {
-		delete(p.lowerSince, l)
-		return desired, !now.Before(p.unavailableUntil[l])
+		delete(p.lowerSince, pool)
+		return desired, !now.Before(p.unavailableUntil[pool])
 	}
 	if accepted-desired < max(1, int(math.Ceil(minLowerPart*float64(accepted)))) {
-		delete(p.lowerSince, l)
+		delete(p.lowerSince, pool)
 		return 0, false
 	}
 	if serving < accepted {
 		return max(desired, serving), true
 	}
-	since, ok := p.lowerSince[l]
+	since, ok := p.lowerSince[pool]
 	if !ok {
-		p.lowerSince[l] = now
+		p.lowerSince[pool] = now
 		return 0, false
 	}
 	return desired, now.Sub(since) >= lowerDelay && now.Sub(p.firstWorkAt) >= warmup
 }
 
-// desired is how many endpoints there are to be in each lot if so many requests run at once.
+// desired returns the number of endpoints that each pool should have for a number of running requests.
 func (s State) desired(running float64) map[Pool]int {
 	halls := s.halls()
 	desired := map[Pool]int{}
@@ -219,30 +223,31 @@
 	return desired
 }
 
-// perHall is how many endpoints a data hall is to have, so that all but one have what is needed.
+// perHall returns the number of endpoints per data hall with which all data halls but one have the
+// needed number together.
 func (s State) perHall(needed float64) int {
 	return int(math.Ceil(needed / float64(max(len(s.halls())-1, 1))))
 }
 
-// planSpot plans for a data hall with a floor of ordinary endpoints, for what is needed of these, and spot
-// ones beside them, for all that is needed where they do the work.
+// planSpot plans a data hall with spot endpoints: a minimum of ordinary ones, which follows from
+// ordinaryNeeded, and spot ones up to spotNeeded, the number needed where they do most of the work.
 func (s State) planSpot(desired map[Pool]int, hall string, ordinaryNeeded, spotNeeded float64) {
 	halls := float64(len(s.halls()))
 	floor, spotServing := math.Ceil(ordinaryPart*ordinaryNeeded/halls), 0
 	for _, counts := range s.Serving {
 		spotServing += counts.Spot
 	}
-	// Until enough spot endpoints serve, ordinary ones do.
+	// Ordinary endpoints stand in for spot endpoints that don't serve yet.
 	missing := max(0, spotNeeded-float64(spotServing)-floor*halls)
 	ordinary := min(max(int(floor+math.Ceil(missing/halls)), s.Scaling.Least), s.Scaling.Most)
 	desired[Pool{Hall: hall}] = ordinary
 	desired[Pool{Hall: hall, Spot: true}] = min(max(0, s.perHall(spotNeeded)-int(floor)), s.Scaling.Most-ordinary)
 }
 
-// planUpgrade plans for a data hall in which an upgrade is under way. What an order is lowered by is
-// taken from the endpoints that came last, so those of the version in force are all kept, and of
-// the new ones as many as the work needs once it is moved to them. Before any of them serve,
-// orders are not lowered.
+// planUpgrade plans a data hall during an upgrade. A lowered order removes the newest endpoints, so
+// the plan keeps all endpoints of the version in force, and as many of the new version as the load
+// needs once it is moved to them. Orders are not lowered before any endpoint of the new version
+// serves.
 func (s State) planUpgrade(desired map[Pool]int, hall string, perHall int) {
 	counts := s.Serving[hall]
 	if counts.Newer > 0 || perHall > counts.Ordinary {
@@ -250,10 +255,11 @@
 	}
 }
 
-// hasSpot reports whether there are spot endpoints that are worth their loss.
+// hasSpot reports whether there are spot endpoints and they are cheap enough to make up for their
+// losses.
 func (s Scaling) hasSpot() bool { return s.SpotPrice > 0 && s.SpotPrice < 1 }
 
-// halls are the data halls that may take requests, in order.
+// halls returns the data halls that may take requests, sorted by name.
 func (s State) halls() []string {
 	var halls []string
 	for _, h := range slices.Sorted(maps.Keys(s.Serving)) {
@@ -264,29 +270,29 @@
 	return halls
 }
 
-// of is how many of a lot serve.
-func (s EndpointCounts) of(l Pool) int {
-	if l.Spot {
-		return s.Spot
+// count returns the number count endpoints count a pool that serve.
+func (c EndpointCounts) count(pool Pool) int {
+	if pool.Spot {
+		return c.Spot
 	}
-	return s.Ordinary + s.Newer
+	return c.Ordinary + c.Newer
 }
 
-// compare orders lots: more spot endpoints are asked for first.
-func (l Pool) compare(o Pool) int {
+// compare sorts pools so that spot endpoints are ordered before ordinary ones.
+func (p Pool) compare(o Pool) int {
 	switch {
-	case l.Spot != o.Spot && l.Spot:
+	case p.Spot != o.Spot && p.Spot:
 		return -1
-	case l.Spot != o.Spot:
+	case p.Spot != o.Spot:
 		return 1
-	case l.Hall < o.Hall:
+	case p.Hall < o.Hall:
 		return -1
-	case l.Hall > o.Hall:
+	case p.Hall > o.Hall:
 		return 1
 	default:
 		return 0
 	}
 }
 
-// AcceptedOrders is what was ordered, by lot.
+// AcceptedOrders returns the counts of the orders that the platform accepted, by pool.
 func (p *Planner) AcceptedOrders() map[Pool]int { return maps.Clone(p.accepted) }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -14,35 +14,34 @@
 
 func TestSuite(t *testing.T) { suite.Run(t, "capacity") }
 
-// start is when a service is first planned for.
+// start is the time of the first plan.
 var start = clock.At(time.Unix(1_000_000, 0))
 
-// scaling is that of a service in three data halls.
+// scaling is the scaling of a service in three data halls.
 var scaling = capacity.Scaling{Least: 1, Most: 60, Boot: 4 * time.Second, SpotPrice: 0.2, Prices: map[string]float64{"a": 1, "b": 1, "c": 1}}
 
 // ordinaryOnly is the same without spot endpoints.
 var ordinaryOnly = capacity.Scaling{Least: 1, Most: 60, Boot: 4 * time.Second, Prices: scaling.Prices}
 
-// pool names a pool.
 func pool(hall string, spot bool) capacity.Pool { return capacity.Pool{Hall: hall, Spot: spot} }
 
-// inEachHall is the same stock in all data halls.
+// inEachHall returns the same counts for all data halls.
 func inEachHall(s capacity.EndpointCounts) map[string]capacity.EndpointCounts {
 	return map[string]capacity.EndpointCounts{"a": s, "b": s, "c": s}
 }
 
-// simulation is a service whose orders are followed: endpoints serve a time after they were ordered.
+// simulation is a service whose orders are carried out: ordered endpoints serve after the boot time.
 type simulation struct {
 	scaling         capacity.Scaling
 	planner         *capacity.Planner
 	now             clock.Instant
 	serving         map[string]capacity.EndpointCounts
 	booting         []booting
-	spotUnavailable map[string]bool // data halls in which no spot endpoints are to be had
-	cost            float64         // ordinary endpoints' seconds
+	spotUnavailable map[string]bool // data halls in which no spot endpoints are available
+	cost            float64         // in seconds of an ordinary endpoint
 }
 
-// booting are endpoints that do not serve yet.
+// booting describes ordered endpoints that do not serve yet.
 type booting struct {
 	pool  capacity.Pool
 	count int
@@ -53,7 +52,7 @@
 	return &simulation{scaling: s, planner: capacity.NewPlanner(), now: start, serving: serving, spotUnavailable: map[string]bool{}}
 }
 
-// countServing counts the endpoints that serve.
+// countServing returns the numbers of all serving endpoints and of the spot ones among them.
 func (s *simulation) countServing() (all, spot int) {
 	for _, s := range s.serving {
 		all, spot = all+s.Ordinary+s.Spot, spot+s.Spot
@@ -61,7 +60,7 @@
 	return all, spot
 }
 
-// step plays a step with so many requests at once.
+// step simulates one second with a number of running requests.
 func (s *simulation) step(running float64) {
 	s.now = s.now.Add(time.Second)
 	var later []booting
@@ -103,7 +102,7 @@
 	p.serving[l.Hall] = s
 }
 
-// reclaimSpot takes all spot endpoints of a data hall away; there are no more to be had for now.
+// reclaimSpot removes all spot endpoints of a data hall and makes new ones unavailable there.
 func (s *simulation) reclaimSpot(hall string) {
 	s.spotUnavailable[hall] = true
 	s.set(pool(hall, true), 0)
@@ -111,7 +110,7 @@
 }
 
 var _ = Describe("orders of endpoints", func() {
-	It("come down to what the work needs, most of it spot endpoints", func() {
+	It("decrease to what the load needs, mostly spot endpoints", func() {
 		p := newSimulation(scaling, inEachHall(capacity.EndpointCounts{Ordinary: 30}))
 		for range 60 {
 			p.step(280)
@@ -123,7 +122,7 @@
 		Expect(p.cost).To(BeNumerically("<", 90*60/2))
 	})
 
-	It("let no endpoint go before others serve in its place", func() {
+	It("release no endpoint before others serve in its place", func() {
 		p := newSimulation(scaling, inEachHall(capacity.EndpointCounts{Ordinary: 30}))
 		for range 60 {
 			p.step(280)
@@ -132,7 +131,7 @@
 		}
 	})
 
-	It("bear the loss of all spot endpoints of a data hall, and of all", func() {
+	It("leave enough endpoints if all spot endpoints of one or of all data halls are lost", func() {
 		p := newSimulation(scaling, inEachHall(capacity.EndpointCounts{Ordinary: 30}))
 		for range 60 {
 			p.step(280)
@@ -151,9 +150,10 @@
 		Expect(280.0 / float64(all)).To(BeNumerically("<", 64*0.25))
 	})
 
-	// A data hall was lost, came back cold, and the traffic jumped, while nobody ordered: the others had
-	// 35 of 64 slots in use, and a third of the requests were late.
-	It("bear the loss of a data hall in a burst while nobody orders", func() {
+	// A data hall was lost and came back cold, and the traffic jumped, while no host sent orders. The
+	// endpoints of the other data halls had 35 of 64 slots in use, and a third of the requests were
+	// late.
+	It("leave enough endpoints if a data hall is lost in a burst and no orders are sent", func() {
 		p := newSimulation(scaling, inEachHall(capacity.EndpointCounts{Ordinary: 30}))
 		for range 60 {
 			p.step(320)
@@ -163,7 +163,7 @@
 		Expect(1.7 * 320 / float64(all)).To(BeNumerically("<", 64*0.2))
 	})
 
-	It("follow a burst up, and come down long after it", func() {
+	It("increase at once in a burst, and decrease long after it", func() {
 		p := newSimulation(scaling, inEachHall(capacity.EndpointCounts{Ordinary: 30}))
 		for range 60 {
 			p.step(280)
@@ -184,7 +184,7 @@
 		Expect(orders).To(BeNumerically("<", 6*8))
 	})
 
-	It("do not flap where the work comes in waves", func() {
+	It("do not flap if the load comes in waves", func() {
 		p := newSimulation(scaling, inEachHall(capacity.EndpointCounts{Ordinary: 30}))
 		orders := 0
 		for i := range 180 {
@@ -200,7 +200,7 @@
 		Expect(orders).To(BeNumerically("<", 6))
 	})
 
-	It("are of ordinary endpoints where there are no others, within what is declared", func() {
+	It("are for ordinary endpoints if there are no spot ones, within the declared bounds", func() {
 		p := newSimulation(ordinaryOnly, inEachHall(capacity.EndpointCounts{Ordinary: 30}))
 		for range 60 {
 			p.step(280)
@@ -216,7 +216,7 @@
 		Expect(p.serving["a"]).To(Equal(capacity.EndpointCounts{Ordinary: 1}))
 	})
 
-	It("keep the version in force whole while an upgrade is under way", func() {
+	It("keep all endpoints of the version in force during an upgrade", func() {
 		planner := capacity.NewPlanner()
 		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: inEachHall(capacity.EndpointCounts{Ordinary: 30}), Upgrading: true}
 		Expect(planner.Orders(start, s)).To(BeEmpty())
@@ -234,7 +234,7 @@
 		Expect(orders).To(ContainElement(capacity.Order{Pool: pool("a", false), Count: 15})) // until spot endpoints serve
 	})
 
-	It("keep the new version where endpoints of the one in force are down for a moment", func() {
+	It("keep the new version if endpoints of the one in force are down for a moment", func() {
 		planner := capacity.NewPlanner()
 		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: inEachHall(capacity.EndpointCounts{Ordinary: 30, Newer: 30}), Upgrading: true}
 		for at := range 10 {
@@ -248,7 +248,7 @@
 		}
 	})
 
-	It("follow the work up while an upgrade is under way", func() {
+	It("increase with the load during an upgrade", func() {
 		planner := capacity.NewPlanner()
 		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: inEachHall(capacity.EndpointCounts{Ordinary: 4}), Upgrading: true}
 		Expect(planner.Orders(start, s)).To(ContainElement(capacity.Order{Pool: pool("a", false), Count: 11}))
@@ -256,14 +256,14 @@
 		Expect(planner.Orders(start.Add(time.Second), s)).To(ContainElement(capacity.Order{Pool: pool("a", false), Count: 15}))
 	})
 
-	It("leave evacuated data halls alone and have the others bear their work", func() {
+	It("omit evacuated data halls and have the others carry their load", func() {
 		planner := capacity.NewPlanner()
 		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Serving: inEachHall(capacity.EndpointCounts{Ordinary: 11}), ExcludedHalls: []string{"c"}}
 		orders := planner.Orders(start, s)
 		Expect(orders).To(Equal([]capacity.Order{{Pool: pool("a", false), Count: 22}, {Pool: pool("b", false), Count: 22}}))
 	})
 
-	It("let nothing go while little of the work was seen, as after all hosts were killed", func() {
+	It("release nothing while little of the load has been seen, as after all hosts were killed", func() {
 		planner := capacity.NewPlanner()
 		s := capacity.State{Scaling: scaling, Slots: 64, Serving: inEachHall(capacity.EndpointCounts{Ordinary: 4, Spot: 8})}
 		for at := range 8 {
@@ -274,12 +274,12 @@
 		}
 	})
 
-	It("are not made while nothing is known of the work", func() {
+	It("are not made while the load is unknown", func() {
 		s := capacity.State{Scaling: scaling, Slots: 64, Serving: inEachHall(capacity.EndpointCounts{Ordinary: 30})}
 		Expect(capacity.NewPlanner().Orders(start, s)).To(BeEmpty())
 	})
 
-	It("are not made again at once where none were to be had", func() {
+	It("are not repeated at once if no endpoints were available", func() {
 		planner := capacity.NewPlanner()
 		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Serving: map[string]capacity.EndpointCounts{"a": {}}}
 		orders := planner.Orders(start, s)
