--- a/internal/estimate/aggregator.go
+++ b/internal/estimate/aggregator.go
@@ -15,47 +15,49 @@
 	"quaybarrow/internal/store"
 )
 
-// Where the sum of all ratings is kept.
+// Table and key under which the aggregate of all ratings is stored.
 const (
 	tableEstimates = "estimate"
 	keySum         = "sum"
 )
 
-// LeaseName is the name of the lease under which ratings are summed up.
+// LeaseName names the lease whose holder aggregates ratings.
 const LeaseName = "estimates"
 
-// Times and bounds of keeping estimates.
+// Intervals and bounds of aggregating and reading ratings.
 const (
 	sumInterval        = 2 * time.Second
-	minReadInterval    = 5 * time.Second // at the least
-	readBytesPerSecond = 500             // bytes a second that a host spends on reading
+	minReadInterval    = 5 * time.Second // shortest time between two reads of the aggregate
+	readBytesPerSecond = 500             // bytes a second that a host spends on reading it, at most
 	ratingsPerBatch    = 1000
 )
 
-// storedEstimates is the row.
+// storedEstimates is the stored form of the aggregate. Cursor is the sequence number of the last
+// rating in it.
 type storedEstimates struct {
 	Cursor  int64   `json:"cursor"`
 	Entries []Entry `json:"entries"`
 }
 
-// Aggregator sums up ratings on one host at a time and reads the sum on all.
+// Aggregator aggregates ratings on the host that holds the lease, and reads the aggregate on all
+// hosts.
 type Aggregator struct {
 	tables  store.Tables
 	ratings store.Ratings
 	current atomic.Pointer[Table]
 }
 
-// NewAggregator returns a keeper that knows nothing yet.
+// NewAggregator returns an aggregator without estimates.
 func NewAggregator(tables store.Tables, ratings store.Ratings) *Aggregator {
 	a := &Aggregator{tables: tables, ratings: ratings}
 	a.current.Store(&Table{})
 	return a
 }
 
-// Current returns the estimates as last read.
+// Current returns the estimates as last read or written by this host.
 func (a *Aggregator) Current() Table { return *a.current.Load() }
 
-// Run reads the sum until the context ends.
+// Run reads the stored aggregate periodically until the context ends.
 func (a *Aggregator) Run(ctx context.Context) {
 	for {
 		wait := minReadInterval
@@ -70,7 +72,7 @@
 	}
 }
 
-// Sum takes in new ratings while the lease is held.
+// Sum adds new ratings to the aggregate while the lease is held.
 func (a *Aggregator) Sum(ctx context.Context, l *lease.Lease) {
 	for l.Valid() && ctx.Err() == nil {
 		if err := a.SumOnce(ctx, l); errors.Is(err, store.ErrConflict) {
@@ -80,7 +82,7 @@
 	}
 }
 
-// SumOnce takes in one batch of ratings.
+// SumOnce adds one batch of new ratings to the aggregate.
 func (a *Aggregator) SumOnce(ctx context.Context, l *lease.Lease) error {
 	s, row, err := a.read(ctx)
 	if err != nil {
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,13 +1,13 @@
-// Package estimate holds what ratings say of versions: a mean with its
-// uncertainty for each workspace, task class and version.
+// Package estimate estimates the quality of versions from ratings: a mean with its uncertainty for
+// each workspace, task class and version.
 //
 // # Usage
 //
-//	table := table.With(key, score)
-//	low := table.Lower(key, prior)
+//	table = table.WithRatings(map[estimate.Key][]float64{key: {0.8, 1}})
+//	low := table.Score(key).Lower(prior)
 //
-// A Table is immutable; ratings are partial and late, so every use of a mean
-// goes through a bound.
+// A Table is immutable. Ratings are incomplete and arrive late, so every use of a mean goes through
+// a bound.
 package estimate
 
 import (
@@ -17,22 +17,22 @@
 	"quaybarrow/internal/declare"
 )
 
-// Key names what an estimate is of.
+// Key identifies the subject of an estimate.
 type Key struct {
 	Workspace string
 	Class     string
 	Version   declare.Ref
 }
 
-// Score sums up the ratings of a key.
+// Score summarizes the ratings of a key.
 type Score struct {
 	Count float64 `json:"count"`
 	Mean  float64 `json:"mean"`
-	// SquaredDeviations is the sum of squared differences from the mean.
+	// SquaredDeviations is the sum of squared deviations from the mean.
 	SquaredDeviations float64 `json:"spread"`
 }
 
-// With returns the score with one more rating, 0 to 1.
+// With returns the score with one more rating, from 0 to 1.
 func (s Score) With(rating float64) Score {
 	s.Count++
 	delta := rating - s.Mean
@@ -43,14 +43,14 @@
 
 // Parameters of the bounds.
 const (
-	priorWeight   = 8    // ratings that an operator's prior counts for
-	intervalWidth = 2.5  // standard errors; wide, because the bound is looked at all the time
-	minDeviation  = 0.05 // floor of the standard deviation
-	minRatings    = 20
+	priorWeight   = 8    // number of ratings that an operator's prior counts as
+	intervalWidth = 2.5  // half width in standard errors; wide, because the bound is checked continuously
+	minDeviation  = 0.05 // lower bound of the standard deviation
+	minRatings    = 20   // ratings below which Upper is 1
 )
 
-// bounds returns the mean and the half width of its interval. The prior counts
-// as ratings with the widest spread possible.
+// bounds returns the mean and the half width of its interval. The prior counts as ratings with the
+// largest possible variance.
 func (s Score) bounds(prior float64) (mean, half float64) {
 	if prior == 0 {
 		prior = 0.5
@@ -71,22 +71,21 @@
 	return Interval{Mean: mean, Half: half}
 }
 
-// MixLower is the lower bound of a mix of two, with a share of the first. The
-// errors of the two are independent, so the mix is surer than its worse part.
+// MixLower returns the lower bound of the mean of a mix of two versions, with a share of the first.
+// Their errors are independent, so the mix is less uncertain than its more uncertain part.
 func MixLower(first, second Interval, share float64) float64 {
 	a, b := share*first.Half, (1-share)*second.Half
 	return share*first.Mean + (1-share)*second.Mean - math.Sqrt(a*a+b*b)
 }
 
-// Lower is a bound that the true mean is above with some certainty.
+// Lower returns the lower confidence bound of the mean.
 func (s Score) Lower(prior float64) float64 {
 	mean, half := s.bounds(prior)
 	return math.Max(mean-half, 0)
 }
 
-// Upper is a bound that the true mean is below with some certainty. Of a version
-// with few ratings nothing is certain, whatever its prior says: a bound from the
-// prior alone would keep a version from ever being tried.
+// Upper returns the upper confidence bound of the mean. It is 1 for a version with few ratings,
+// whatever its prior: a bound from the prior alone could keep a version from ever being tried.
 func (s Score) Upper(prior float64) float64 {
 	if s.Count < minRatings {
 		return 1
@@ -98,7 +97,7 @@
 // Table is an immutable set of scores.
 type Table struct{ scores map[Key]Score }
 
-// Entry is one score of a table, for storing.
+// Entry is the stored form of one score of a table.
 type Entry struct {
 	Workspace string      `json:"workspace"`
 	Class     string      `json:"class"`
@@ -106,7 +105,7 @@
 	Score     Score       `json:"score"`
 }
 
-// NewTable returns a table with entries.
+// NewTable returns a table of the given entries.
 func NewTable(entries []Entry) Table {
 	t := Table{scores: make(map[Key]Score, len(entries))}
 	for _, e := range entries {
@@ -115,10 +114,10 @@
 	return t
 }
 
-// Score returns the score of a key; a zero one if nothing is known.
+// Score returns the score of a key, or a zero score if the key has no ratings.
 func (t Table) Score(k Key) Score { return t.scores[k] }
 
-// WithRatings returns the table with more ratings.
+// WithRatings returns a copy of the table with the given ratings added.
 func (t Table) WithRatings(ratings map[Key][]float64) Table {
 	scores := make(map[Key]Score, len(t.scores)+len(ratings))
 	for k, s := range t.scores {
@@ -132,7 +131,7 @@
 	return Table{scores: scores}
 }
 
-// Entries lists the table in a fixed order.
+// Entries returns the table's entries sorted by workspace, class and version.
 func (t Table) Entries() []Entry {
 	entries := make([]Entry, 0, len(t.scores))
 	for k, s := range t.scores {
