--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,16 +1,19 @@
-// Package admission decides which requests a host takes on now, which wait and
-// which are refused before anything runs.
+// Package admission decides which requests a host starts now, which ones it queues and
+// which ones it refuses before anything runs.
 //
 // # Usage
 //
-//	place, err := controller.Admit(ctx, admission.Ask{Workspace: "clerks", Share: 50})
+//	permit, err := controller.Admit(ctx, admission.Request{Workspace: "clerks", WorkspaceLimit: 50})
 //	if err != nil { ... not_run ... }
-//	defer place.Release()
+//	defer permit.Release()
 //
-// A host runs a limited count of requests, and the limit follows the latency
-// that it sees. Waiting requests go by priority, and within one by the share of
-// the host that their workspace has: the workspace that uses the least of its
-// share goes first, so a large one can't starve a small one.
+// A host runs a limited number of requests at a time and adapts the limit to the latency that it
+// measures. Queued requests start by priority and, within a priority, by workspace: the workspace
+// that uses the smallest fraction of its own limit goes first, so a large workspace can't starve a
+// small one.
+//
+// For requests to engines and to endpoints with rate limits, the package also decides whether a
+// request is sent, waits or is refused; see Decide, DecideRateLimited and WaitingList.
 package admission
 
 import (
@@ -24,39 +27,40 @@
 	"quaybarrow/internal/declare"
 )
 
-// Errors of Admit; nothing has run when one is returned.
+// Errors returned by Admit. The request has not run when Admit returns any of them.
 var (
-	// ErrWorkspaceLimit means that the workspace has its full count in flight and waiting.
+	// ErrWorkspaceLimit means that the workspace has as many requests in flight and as many
+	// queued as its limit allows.
 	ErrWorkspaceLimit = errors.New("workspace is at its limit")
 	// ErrQueueFull means that the host's queue is full.
 	ErrQueueFull = errors.New("host is at its limit")
-	// ErrDeadline means that the request could not start in time.
+	// ErrDeadline means that the request could not start early enough before its deadline.
 	ErrDeadline = errors.New("request could not start before its deadline")
 	// ErrDraining means that the host is stopping.
 	ErrDraining = errors.New("host is draining")
 )
 
-// Request is a request for a place.
+// Request describes a request that asks for admission.
 type Request struct {
 	Workspace      string
-	WorkspaceLimit int // the workspace's limit of requests in flight
+	WorkspaceLimit int // most requests of the workspace in flight
 	Priority       declare.Priority
 	Deadline       clock.Instant // zero means none
 }
 
-// Options set up a Controller.
+// Options configure a Controller or a Scheduler.
 type Options struct {
 	Limit int // most requests in flight
 	Queue int // most requests waiting
 }
 
-// Controller hands out places to requests at once.
+// Controller admits requests. It is safe for concurrent use.
 type Controller struct {
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards all fields below
 	scheduler *Scheduler
-	turns     map[int64]chan struct{} // closed when their turn comes
+	turns     map[int64]chan struct{} // by id of the queued request; closed when it starts
 	draining  bool
-	idle      chan struct{} // closed when draining and nobody is left
+	idle      chan struct{} // closed when draining and no request is in flight or queued
 }
 
 // NewController returns a controller with nothing in flight.
@@ -64,7 +68,7 @@
 	return &Controller{scheduler: NewScheduler(options), turns: map[int64]chan struct{}{}, idle: make(chan struct{})}
 }
 
-// Permit is a request's place; it must be released.
+// Permit allows one request to run. The holder must call Release when the request is done.
 type Permit struct {
 	controller *Controller
 	request    Request
@@ -72,7 +76,8 @@
 	once       sync.Once
 }
 
-// Admit returns a place, waits for one, or refuses.
+// Admit returns a permit, if necessary after waiting in the queue, or an error if the request is
+// refused.
 func (c *Controller) Admit(ctx context.Context, request Request) (*Permit, error) {
 	id, turn, err := c.submit(request)
 	if err != nil {
@@ -88,7 +93,8 @@
 	return &Permit{controller: c, request: request, started: clock.Now()}
 }
 
-// submit puts a request into the line; a nil channel means that it may start.
+// submit offers a request to the scheduler. It returns a nil channel if the request may start at
+// once; otherwise the channel closes when the request may start.
 func (c *Controller) submit(request Request) (int64, chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +110,7 @@
 	return id, turn, nil
 }
 
-// maxWait is how long a request may wait and still have a first token in time.
+// maxWait returns how long a request may wait and still produce its first token by the deadline.
 func (c *Controller) maxWait(deadline clock.Instant) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,11 +118,11 @@
 	return left - c.scheduler.StartMargin(left)
 }
 
-// wait blocks a request until its turn, its deadline or its caller's end.
+// wait blocks until the request may start, its deadline is too close or its context ends.
 func (c *Controller) wait(ctx context.Context, request Request, id int64, turn chan struct{}) (*Permit, error) {
 	var expired <-chan time.Time
 	if !request.Deadline.IsZero() {
-		left := max(c.maxWait(request.Deadline), time.Microsecond) // no timer is due at its making: see clock.Sleep
+		left := max(c.maxWait(request.Deadline), time.Microsecond) // a timer must not be due when it is created: see clock.Sleep
 		t := time.NewTimer(left)
 		defer t.Stop()
 		expired = t.C
@@ -135,13 +141,13 @@
 	if c.scheduler.Cancel(id) {
 		delete(c.turns, id)
 	} else {
-		c.start(c.scheduler.Finish(request, 0)) // its turn came at the same time
+		c.start(c.scheduler.Finish(request, 0)) // it was started at the same moment
 	}
 	c.closeWhenIdle()
 	return nil, err
 }
 
-// start tells requests that their turn has come; the caller holds mu.
+// start signals queued requests that they may start. The caller holds mu.
 func (c *Controller) start(ids []int64) {
 	for _, id := range ids {
 		close(c.turns[id])
@@ -149,7 +155,7 @@
 	}
 }
 
-// Release gives the place back.
+// Release ends the request and starts queued ones in its place. Only the first call has an effect.
 func (p *Permit) Release() {
 	p.once.Do(func() {
 		c := p.controller
@@ -160,34 +166,34 @@
 	})
 }
 
-// RecordFirstToken tells that the request's answer has begun, so that the limit can
-// follow how long that takes. It counts from when the request got its place: its
-// own wait in line must not make the line longer.
+// RecordFirstToken records that the request's response has begun, so that the limit adapts to the
+// time to the first token. The time counts from when the permit was issued: counting time in the
+// queue would lower the limit and so lengthen the queue further.
 func (p *Permit) RecordFirstToken(kind Kind) { p.controller.Observe(kind, clock.Since(p.started)) }
 
-// Observe tells how long a first token took from when its request got a place.
+// Observe records the time from a permit's issue to the request's first token.
 func (c *Controller) Observe(kind Kind, firstToken time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.start(c.scheduler.Observe(kind, firstToken))
 }
 
-// InFlight counts requests with a place and requests that wait.
+// InFlight returns the numbers of requests in flight and in the queue.
 func (c *Controller) InFlight() (inFlight, waiting int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.scheduler.InFlight()
 }
 
-// Limit is how many requests may be in flight just now.
+// Limit returns the current limit of requests in flight.
 func (c *Controller) Limit() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.scheduler.limit.current()
 }
 
-// Drain refuses new requests from now on; the channel closes when the last one
-// in flight is done. Those that wait are still served.
+// Drain refuses new requests from now on. Queued requests are still served. The returned channel
+// closes when no request is in flight or queued.
 func (c *Controller) Drain() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,7 +202,8 @@
 	return c.idle
 }
 
-// closeWhenIdle tells Drain that nobody is left; the caller holds mu.
+// closeWhenIdle closes the channel that Drain returned once no request is in flight or queued. The
+// caller holds mu.
 func (c *Controller) closeWhenIdle() {
 	inFlight, waiting := c.scheduler.InFlight()
 	if !c.draining || inFlight+waiting > 0 {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -25,9 +25,9 @@
 		"interactive before batch": {[]admission.Candidate{
 			{Priority: declare.PriorityBatch, Limit: 10}, {Priority: declare.PriorityInteractive, InFlight: 9, Limit: 10},
 		}, 1},
-		"the workspace that uses the least of its share": {[]admission.Candidate{{InFlight: 5, Limit: 10}, {InFlight: 1, Limit: 4}}, 1},
-		"the first come among equals":                    {[]admission.Candidate{{Limit: 5}, {Limit: 5}}, 0},
-		"none that is at its share":                      {[]admission.Candidate{{InFlight: 5, Limit: 5}}, -1},
+		"the workspace that uses the smallest fraction of its limit": {[]admission.Candidate{{InFlight: 5, Limit: 10}, {InFlight: 1, Limit: 4}}, 1},
+		"the earliest arrival among equals":                          {[]admission.Candidate{{Limit: 5}, {Limit: 5}}, 0},
+		"none whose workspace is at its limit":                       {[]admission.Candidate{{InFlight: 5, Limit: 5}}, -1},
 	}
 	for name, n := range next {
 		It("starts "+name, func() { Expect(admission.Next(n.queue)).To(Equal(n.want)) })
@@ -60,7 +60,7 @@
 		})
 	})
 
-	It("refuses at once what could not start before its deadline", func() {
+	It("refuses at once a request that could not start before its deadline", func() {
 		suite.Paused(func() {
 			c := admission.NewController(admission.Options{Limit: 1, Queue: 100})
 			run := func() {
@@ -80,7 +80,7 @@
 		})
 	})
 
-	It("drains: nothing new, and done when the last is", func() {
+	It("refuses new requests while draining and reports when the last one is done", func() {
 		suite.Paused(func() {
 			c := admission.NewController(admission.Options{Limit: 5, Queue: 5})
 			permit, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 5})
@@ -94,7 +94,7 @@
 		})
 	})
 
-	It("does not take its own line for slowness", func() {
+	It("does not count time in its own queue as latency", func() {
 		suite.Paused(func() {
 			c := admission.NewController(admission.Options{Limit: 8, Queue: 1000})
 			var requests sync.WaitGroup
@@ -114,7 +114,7 @@
 		})
 	})
 
-	It("does not take long prompts, or slower versions, for slowness", func() {
+	It("does not lower its limit because of long prompts or slower versions", func() {
 		c := admission.NewController(admission.Options{Limit: 100, Queue: 5})
 		for range 500 {
 			c.Observe(admission.KindOf("support@1", 200), 30*time.Millisecond)
@@ -124,7 +124,7 @@
 		Expect(c.Limit()).To(Equal(100))
 	})
 
-	It("lowers its limit while first tokens come late, and raises it again", func() {
+	It("lowers its limit while first tokens come late", func() {
 		c := admission.NewController(admission.Options{Limit: 100, Queue: 5})
 		for range 200 {
 			c.Observe(kind, 100*time.Millisecond)
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -2,73 +2,77 @@
 
 import "time"
 
-// Thresholds of the order among requests to engines, for loads that engines can't serve in
-// time.
+// Thresholds of Decide, which apply when engines can't serve all requests in time.
 const (
-	// minInTimeChance is the least chance to begin in time with which a request goes at its
-	// own urgency. Others take no place of one that can be in time.
+	// minInTimeChance is the lowest chance to begin in time at which a request is sent with its
+	// own urgency. A request with a lower chance must not displace one that can be in time.
 	minInTimeChance = 0.5
-	// minServedChance is the chance to begin before its caller leaves below which a request is
-	// refused at once: held, it would keep its caller from coming back to idle engines.
+	// minServedChance is the lowest chance to begin before the caller leaves at which a request
+	// may wait. Below it the request is refused at once: if it were held, its caller could not
+	// retry later when engines are idle.
 	minServedChance = 0.1
-	// maxEngineQueueWait is how long a request that goes behind waits at an engine at most; longer
-	// waits are kept here, where they end when engines are idle elsewhere.
+	// maxEngineQueueWait is the longest expected wait in an engine's queue with which a request
+	// is sent behind all others. For longer waits the request waits here, where the wait ends
+	// as soon as any other engine is idle.
 	maxEngineQueueWait = 150 * time.Millisecond
-	// forcedSendFactor times what an answer is expected to take is left when a request that was let
-	// wait is sent in any case: it is served late rather than held in vain.
+	// A waiting request is sent in any case once its remaining time is at most forcedSendFactor
+	// times the expected time to the head of its answer: it is served late rather than held in
+	// vain.
 	forcedSendFactor = 1.5
-	// minPollInterval and askMost bound the time until a request that waits asks again.
+	// minPollInterval and maxPollInterval bound the time until a waiting request asks again.
 	minPollInterval = 50 * time.Millisecond
 	maxPollInterval = 500 * time.Millisecond
-	// maxRetryDelayPart of its time is the longest that a refused caller heeds, as the users tell.
-	// It is told nearly that long: most come back once only, how long a load lasts is not
-	// known, and an answer that is late is worth as much at any time. Callers are spread
-	// from returnPart of it on, so that they don't meet.
+	// maxRetryDelayPart of the remaining time is the longest retry delay that a refused caller
+	// obeys, according to the users. Callers are told nearly that delay, because most retry only
+	// once, the duration of the overload is unknown, and a late answer is worth the same at any
+	// time. The delays are spread from minRetryDelayPart of the longest one upwards, so that
+	// callers don't retry together.
 	maxRetryDelayPart = 1.0 / 3
 	minRetryDelayPart = 0.7
-	// maxRetryDelay is for callers of long time budgets.
+	// maxRetryDelay bounds the delay for callers with long time budgets.
 	maxRetryDelay = 8 * time.Second
 )
 
-// RetryDelay is when a caller that has so much time left should come back after a refusal;
-// chance is a number from 0 to 1.
+// RetryDelay returns the delay after which a refused caller with a remaining time should retry.
+// jitter is a random number from 0 to 1.
 func RetryDelay(remaining time.Duration, jitter float64) time.Duration {
 	longest := min(time.Duration(maxRetryDelayPart*float64(remaining)), maxRetryDelay)
 	return time.Duration((minRetryDelayPart + (1-minRetryDelayPart)*jitter) * float64(longest))
 }
 
-// Forecast is what is expected of a request to engines that is sent now. An immutable
+// Forecast holds the expectations for a request to engines if it is sent now. It is an immutable
 // value.
 type Forecast struct {
-	InTime       float64       // chance that its answer begins in time, at its own urgency
-	Head         time.Duration // until it would begin there
-	Waiting      bool          // it was let wait for its turn
-	ServedBehind float64       // chance that it begins before its caller leaves, behind all others
-	QueueWait    time.Duration // that it would find there
-	FreeSlots    int           // slots that are free
-	Ahead        int           // requests that wait and go before it
-	TurnWait     time.Duration // until those have gone, as requests that wait go now
-	Left         time.Duration // in which its caller can use the beginning of an answer
+	InTime       float64       // chance that its answer begins in time, with its own urgency
+	Head         time.Duration // until the answer's head would arrive, with its own urgency
+	Waiting      bool          // it has been told to wait before
+	ServedBehind float64       // chance that its answer begins before its caller leaves, if sent behind all others
+	QueueWait    time.Duration // in the engine's queue, if sent behind all others
+	FreeSlots    int           // free slots of engines
+	Ahead        int           // waiting requests that are sent before it
+	TurnWait     time.Duration // until those are sent, at the current rate of waiting requests
+	Left         time.Duration // remaining time in which an answer that begins is of use to its caller
 }
 
-// Decision is what becomes of a request to engines: Send, Behind, Wait or Refuse.
+// Decision is the decision on a request to endpoints: Send, Behind, Wait or Refuse.
 type Decision interface{ decision() }
 
-// Send lets a request go at its own urgency.
+// Send has the request sent with its own urgency.
 type Send struct{}
 
-// Behind lets a request go behind all that can be in time.
+// Behind has the request sent with the lowest urgency, behind all requests that can be in time.
 type Behind struct{}
 
-// Wait has a request ask again after a time, with its turn.
+// Wait has the request ask again after a time.
 type Wait struct {
 	For  time.Duration
-	Turn int64
+	Turn int64 // id of the request in a WaitingList, with which it asks again
 }
 
-// Refuse has the caller told to come back later; see ComeBack.
+// Refuse has the request refused and its caller told to retry later; see RetryDelay and
+// RetryDelayUntilRoom.
 type Refuse struct {
-	// After is when there should be room; 0 if that is not known.
+	// After is the time until there should be room; 0 if it is not known.
 	After time.Duration
 }
 
@@ -77,7 +81,8 @@
 func (Wait) decision()   {}
 func (Refuse) decision() {}
 
-// Decide decides on a request. It is pure: who asks gives a Wait its turn.
+// Decide decides on a request to engines. It is a pure function: the caller sets the Turn of a
+// Wait.
 func Decide(f Forecast) Decision {
 	switch {
 	case f.InTime >= minInTimeChance:
--- a/internal/admission/scheduler.go
+++ b/internal/admission/scheduler.go
@@ -8,40 +8,40 @@
 	"quaybarrow/internal/declare"
 )
 
-// Verdict is what becomes of a request that asks for a place.
+// Verdict is the outcome of offering a request to a Scheduler.
 type Verdict int
 
-// Verdicts.
+// Possible verdicts: the request starts now, is queued or is refused.
 const (
 	VerdictStart Verdict = iota
 	VerdictWait
 	VerdictRefuse
 )
 
-// queuedRequest is a request in the line.
+// queuedRequest is a request in the queue.
 type queuedRequest struct {
 	id      int64
 	request Request
 }
 
-// Scheduler is the state of admission: who is in flight and who waits. It reads no
-// clock and takes no locks; Controller makes it safe for use at once.
+// Scheduler holds the state of admission: the requests in flight and the queue. It reads no clock
+// and takes no locks; Controller makes it safe for concurrent use.
 type Scheduler struct {
 	options           Options
 	limit             limiter
 	inFlight          int
-	workspaceInFlight map[string]int // in flight, by workspace
-	queue             []queuedRequest
+	workspaceInFlight map[string]int  // requests in flight, by workspace
+	queue             []queuedRequest // in order of arrival
 	lastID            int64
-	meanHeldSeconds   float64 // smoothed seconds that a request holds its place
+	meanHeldSeconds   float64 // smoothed time that a request is in flight
 }
 
-// NewScheduler returns a line with nobody in it.
+// NewScheduler returns a scheduler with no requests.
 func NewScheduler(options Options) *Scheduler {
 	return &Scheduler{options: options, limit: newLimiter(options.Limit), workspaceInFlight: map[string]int{}}
 }
 
-// Offer decides on a request. One that has to wait is named by the id.
+// Offer starts, queues or refuses a request. If it is queued, the returned id identifies it.
 func (s *Scheduler) Offer(request Request, now clock.Instant) (Verdict, int64, error) {
 	if err := s.refusal(request, now); err != nil {
 		return VerdictRefuse, 0, err
@@ -55,7 +55,7 @@
 	return VerdictWait, s.lastID, nil
 }
 
-// refusal tells why a request can't even wait.
+// refusal returns the reason why a request may not even be queued, or nil.
 func (s *Scheduler) refusal(request Request, now clock.Instant) error {
 	queuedOfWorkspace := 0
 	for _, w := range s.queue {
@@ -75,9 +75,9 @@
 	}
 }
 
-// expectedWait estimates a newcomer's wait: its workspace gets one turn in as
-// many as there are active workspaces, and those of its own that are ahead of it
-// go first. A batch request goes behind all that are not.
+// expectedWait estimates how long a new request would wait in the queue. It assumes that the active
+// workspaces start requests in rotation and that queued requests of the same workspace start before
+// the new one. A batch request also waits for all interactive requests.
 func (s *Scheduler) expectedWait(request Request) time.Duration {
 	if s.inFlight < s.limit.current() {
 		return 0
@@ -106,11 +106,11 @@
 	s.workspaceInFlight[request.Workspace]++
 }
 
-// heldTimeWeight of the mean time that requests hold places.
+// heldTimeWeight is the weight of a new value in the mean time that requests are in flight.
 const heldTimeWeight = 0.05
 
-// Finish ends a request that held its place for a time, and returns the ids of
-// those whose turn it is.
+// Finish ends a request that was in flight for a time. It returns the ids of the queued requests
+// that start now.
 func (s *Scheduler) Finish(request Request, held time.Duration) []int64 {
 	if s.meanHeldSeconds == 0 {
 		s.meanHeldSeconds = held.Seconds()
@@ -124,13 +124,13 @@
 	return s.startQueued()
 }
 
-// StartMargin is how long before its deadline a request has to start: as long as first
-// tokens take now, but no more than half of the time it has.
+// StartMargin returns how long before its deadline a request has to start: the current mean time to
+// the first token, but no more than half of its remaining time.
 func (s *Scheduler) StartMargin(remaining time.Duration) time.Duration {
 	return min(time.Duration(s.limit.meanSeconds*float64(time.Second)), remaining/2)
 }
 
-// Cancel takes a request out that waits no longer; false if it does not wait.
+// Cancel removes a request from the queue and reports whether it was queued.
 func (s *Scheduler) Cancel(id int64) bool {
 	for i, w := range s.queue {
 		if w.id == id {
@@ -141,14 +141,14 @@
 	return false
 }
 
-// Observe tells how long a first token took; the limit follows. It returns the
-// ids of those whose turn it is.
+// Observe records a time to the first token and adapts the limit to it. It returns the ids of the
+// queued requests that start now.
 func (s *Scheduler) Observe(kind Kind, firstToken time.Duration) []int64 {
 	s.limit.observe(kind, firstToken, s.inFlight)
 	return s.startQueued()
 }
 
-// startQueued starts waiting requests while there is room.
+// startQueued starts queued requests while the limit allows it, and returns their ids.
 func (s *Scheduler) startQueued() []int64 {
 	var started []int64
 	for s.inFlight < s.limit.current() {
@@ -164,14 +164,14 @@
 	return started
 }
 
-// InFlight counts requests with a place and requests that wait.
+// InFlight returns the numbers of requests in flight and in the queue.
 func (s *Scheduler) InFlight() (inFlight, waiting int) { return s.inFlight, len(s.queue) }
 
-// Candidate is a waiting request as the decision sees it.
+// Candidate is a queued request with the data that Next decides on.
 type Candidate struct {
 	Priority declare.Priority
-	InFlight int // its workspace's requests in flight
-	Limit    int
+	InFlight int // requests of its workspace in flight
+	Limit    int // most requests of its workspace in flight
 }
 
 func (s *Scheduler) candidates() []Candidate {
@@ -182,13 +182,13 @@
 	return queue
 }
 
-// batchPenalty puts every batch request behind every interactive one; a part of
-// a share is less than 1.
+// batchPenalty ranks every batch request after every interactive one: the used fraction of a
+// workspace's limit, which Next ranks by, is less than 1.
 const batchPenalty = 2
 
-// Next picks the request to start from a queue in order of arrival, or -1 if
-// none may: higher priority first, then the workspace that uses the smallest
-// part of its share, then the first come.
+// Next returns the index of the request to start from a queue in order of arrival, or -1 if none
+// may start: highest priority first, then the workspace that uses the smallest fraction of its
+// limit, then the earliest arrival.
 func Next(candidates []Candidate) int {
 	best, bestRank := -1, math.Inf(1)
 	for i, q := range candidates {
--- a/internal/admission/waitinglist.go
+++ b/internal/admission/waitinglist.go
@@ -10,103 +10,106 @@
 	"quaybarrow/internal/clock"
 )
 
-// Parameters of the turns of requests that wait.
+// Parameters of a WaitingList.
 const (
-	// maxWaiting bounds the requests that wait for one who decides: each asks again every
-	// askMost at least.
+	// maxWaiting bounds the requests in a list, since each of them asks again at least every
+	// maxPollInterval.
 	maxWaiting = 512
-	// pollGrace is how much later than it was told a request may ask again and still have
-	// its turn; those whose callers have left ask no more.
+	// pollGrace is how much later than told a request may ask again and still keep its
+	// position. Requests whose callers have left don't ask again and are dropped after it.
 	pollGrace = 300 * time.Millisecond
-	// grantRateWindow is over how long the rate is taken at which requests that wait go, and
-	// grantPrior how many are taken to have gone in it besides: with none seen, as many
-	// wait here as go at one a second in half of what their callers can use.
+	// grantRateWindow is the window over which the rate of sent waiting requests is measured, and
+	// priorGrants the number of them that is added to those seen in it. If none were seen, the
+	// rate is thus one a second, and as many requests may wait as are sent at that rate in half
+	// of the time that their callers can use.
 	grantRateWindow = 2 * time.Second
 	priorGrants     = 2
 )
 
-// waitingRequest is a request that waits.
+// waitingRequest is an entry of a WaitingList.
 type waitingRequest struct {
 	id      int64
 	urgency int
-	asked   clock.Instant // when its caller did
+	asked   clock.Instant // when its caller sent it
 	expires clock.Instant
 }
 
-// WaitingList are the requests that wait for engines, the most urgent first and among them
-// those whose callers asked first. They read no clock and take no locks.
+// WaitingList holds the requests that wait for the endpoints of a service, ordered by urgency and
+// then by when their callers sent them. It reads no clock and takes no locks.
 type WaitingList struct {
 	waiting []waitingRequest
-	lastID  int64           // of the last one; it begins by chance, so that turns of another host mean nothing here
-	grants  []clock.Instant // the latest ones, oldest first
+	lastID  int64           // starts at a random number, so that ids given out by another host match nothing here
+	grants  []clock.Instant // times within grantRateWindow at which requests were sent, oldest first
 }
 
-// Ahead counts the requests that go before one, and how long that takes as they go now.
-func (t *WaitingList) Ahead(id int64, urgency int, asked, now clock.Instant) (int, time.Duration) {
-	t.expire(now)
+// Ahead returns the number of waiting requests that are sent before a request, and how long that
+// takes at the current rate. An id of 0 stands for a request that is not in the list.
+func (l *WaitingList) Ahead(id int64, urgency int, asked, now clock.Instant) (int, time.Duration) {
+	l.expire(now)
 	if id == 0 {
-		id = math.MaxInt64 // among those that asked together, the last one
+		id = math.MaxInt64 // the last one of those sent at the same time
 	}
-	position, _ := t.position(waitingRequest{id: id, urgency: urgency, asked: asked})
-	return position, time.Duration(float64(position) / t.grantRate() * float64(time.Second))
+	position, _ := l.position(waitingRequest{id: id, urgency: urgency, asked: asked})
+	return position, time.Duration(float64(position) / l.grantRate() * float64(time.Second))
 }
 
-// Wait notes a request that waits, and returns its id: the one that it has, if any.
-// Without room for it the id is 0.
-func (t *WaitingList) Wait(id int64, urgency int, asked, now clock.Instant, d time.Duration) int64 {
-	t.remove(id)
-	if len(t.waiting) >= maxWaiting {
+// Wait adds a request that asks again after d, or updates it if it has an id already. It returns
+// the request's id, or 0 if the list is full.
+func (l *WaitingList) Wait(id int64, urgency int, asked, now clock.Instant, d time.Duration) int64 {
+	l.remove(id)
+	if len(l.waiting) >= maxWaiting {
 		return 0
 	}
 	if id == 0 {
-		id = t.nextID()
+		id = l.nextID()
 	}
 	entry := waitingRequest{id: id, urgency: urgency, asked: asked, expires: now.Add(d + pollGrace)}
-	position, _ := t.position(entry)
-	t.waiting = slices.Insert(t.waiting, position, entry)
+	position, _ := l.position(entry)
+	l.waiting = slices.Insert(l.waiting, position, entry)
 	return id
 }
 
-// maxFirstID bounds the first id; it leaves as many again to be given out.
+// maxFirstID bounds the random first id and leaves as many ids again to be given out.
 const maxFirstID = math.MaxInt64 / 2
 
-func (t *WaitingList) nextID() int64 {
-	if t.lastID == 0 {
-		t.lastID = rand.Int64N(maxFirstID)
+func (l *WaitingList) nextID() int64 {
+	if l.lastID == 0 {
+		l.lastID = rand.Int64N(maxFirstID)
 	}
-	t.lastID++
-	return t.lastID
+	l.lastID++
+	return l.lastID
 }
 
-// Granted notes that a request which is not likely in time was sent.
-func (t *WaitingList) Granted(id int64, now clock.Instant) {
-	t.remove(id)
-	t.grants = append(t.grants, now)
+// Granted records that a request was sent in the list's order, such as one that is not likely to be
+// in time, and removes it from the list.
+func (l *WaitingList) Granted(id int64, now clock.Instant) {
+	l.remove(id)
+	l.grants = append(l.grants, now)
 }
 
-// Remove takes out a request that waits no more.
-func (t *WaitingList) Remove(id int64) { t.remove(id) }
+// Remove removes a request that no longer waits.
+func (l *WaitingList) Remove(id int64) { l.remove(id) }
 
-func (t *WaitingList) remove(id int64) {
-	t.waiting = slices.DeleteFunc(t.waiting, func(w waitingRequest) bool { return w.id == id })
+func (l *WaitingList) remove(id int64) {
+	l.waiting = slices.DeleteFunc(l.waiting, func(w waitingRequest) bool { return w.id == id })
 }
 
-// position is where a request stands among those that wait.
-func (t *WaitingList) position(w waitingRequest) (int, bool) {
-	return slices.BinarySearchFunc(t.waiting, w, func(a, b waitingRequest) int {
+// position returns the position of a request in the list and whether it is there.
+func (l *WaitingList) position(w waitingRequest) (int, bool) {
+	return slices.BinarySearchFunc(l.waiting, w, func(a, b waitingRequest) int {
 		return cmp.Or(cmp.Compare(a.urgency, b.urgency), a.asked.Compare(b.asked), cmp.Compare(a.id, b.id))
 	})
 }
 
-// expire drops requests that have not asked again, and old grants.
-func (t *WaitingList) expire(now clock.Instant) {
-	t.waiting = slices.DeleteFunc(t.waiting, func(w waitingRequest) bool { return now.After(w.expires) })
-	for len(t.grants) > 0 && now.Sub(t.grants[0]) > grantRateWindow {
-		t.grants = t.grants[1:]
+// expire drops requests that have not asked again in time, and grants outside the window.
+func (l *WaitingList) expire(now clock.Instant) {
+	l.waiting = slices.DeleteFunc(l.waiting, func(w waitingRequest) bool { return now.After(w.expires) })
+	for len(l.grants) > 0 && now.Sub(l.grants[0]) > grantRateWindow {
+		l.grants = l.grants[1:]
 	}
 }
 
-// grantRate is how many requests that wait go in a second.
-func (t *WaitingList) grantRate() float64 {
-	return (float64(len(t.grants)) + priorGrants) / grantRateWindow.Seconds()
+// grantRate returns the number of waiting requests that are sent a second.
+func (l *WaitingList) grantRate() float64 {
+	return (float64(len(l.grants)) + priorGrants) / grantRateWindow.Seconds()
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -7,7 +7,7 @@
 //	fmt.Print(result.Text())
 //
 // Each experiment drives the pure decisions themselves (choose.Pick,
-// rollout.Step, place.Pick, admission.Line, endpoint.Health, dispatch.Budget)
+// rollout.Step, place.Pick, admission.Scheduler, endpoint.Health, dispatch.Budget)
 // against small fakes whose truth is known: versions with a true quality,
 // workers with slots, ratings that come late and partly.
 package experiment
