--- a/internal/admission/scheduler.go
+++ b/internal/admission/scheduler.go
@@ -171,13 +171,13 @@
 type Candidate struct {
 	Priority declare.Priority
 	Used     int // requests of its workspace in flight
-	Limit    int // most requests of its workspace in flight
+	Share    int // most requests of its workspace in flight
 }
 
 func (s *Scheduler) candidates() []Candidate {
 	queue := make([]Candidate, len(s.queue))
 	for i, w := range s.queue {
-		queue[i] = Candidate{Priority: w.request.Priority, Used: s.workspaceInFlight[w.request.Workspace], Limit: w.request.Share}
+		queue[i] = Candidate{Priority: w.request.Priority, Used: s.workspaceInFlight[w.request.Workspace], Share: w.request.Share}
 	}
 	return queue
 }
@@ -192,10 +192,10 @@
 func Next(candidates []Candidate) int {
 	best, bestRank := -1, math.Inf(1)
 	for i, q := range candidates {
-		if q.Used >= q.Limit {
+		if q.Used >= q.Share {
 			continue
 		}
-		rank := float64(q.Used) / float64(q.Limit)
+		rank := float64(q.Used) / float64(q.Share)
 		if q.Priority == declare.PriorityBatch {
 			rank += batchPenalty
 		}
