--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -45,7 +45,7 @@
 type Forecast struct {
 	InTime       float64       // chance that its answer begins in time, with its own urgency
 	Head         time.Duration // until the answer's head would arrive, with its own urgency
-	Waiting      bool          // it has been told to wait before
+	Waits        bool          // it has been told to wait before
 	ServedBehind float64       // chance that its answer begins before its caller leaves, if sent behind all others
 	QueueWait    time.Duration // in the engine's queue, if sent behind all others
 	FreeSlots    int           // free slots of engines
@@ -87,11 +87,11 @@
 	switch {
 	case f.InTime >= minInTimeChance:
 		return Send{}
-	case f.Waiting && f.Left <= time.Duration(forcedSendFactor*float64(f.Head)):
+	case f.Waits && f.Left <= time.Duration(forcedSendFactor*float64(f.Head)):
 		return Send{}
 	case f.QueueWait <= maxEngineQueueWait && f.Ahead < max(f.FreeSlots, 1):
 		return Behind{}
-	case !f.Waiting && (f.ServedBehind < minServedChance || f.TurnWait > f.Left/2):
+	case !f.Waits && (f.ServedBehind < minServedChance || f.TurnWait > f.Left/2):
 		return Refuse{}
 	default:
 		return Wait{For: min(max(f.TurnWait/2, minPollInterval), maxPollInterval)}
--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -33,10 +33,10 @@
 		admission.Forecast{ServedBehind: 0.9, QueueWait: time.Second, TurnWait: 3 * time.Second, Left: 4 * time.Second}, admission.Refuse{},
 	},
 	"waiting already, even if it is now expected to be late": {
-		admission.Forecast{ServedBehind: 0.05, QueueWait: 5 * time.Second, TurnWait: 3 * time.Second, Left: 4 * time.Second, Waiting: true}, admission.Wait{For: 500 * time.Millisecond},
+		admission.Forecast{ServedBehind: 0.05, QueueWait: 5 * time.Second, TurnWait: 3 * time.Second, Left: 4 * time.Second, Waits: true}, admission.Wait{For: 500 * time.Millisecond},
 	},
 	"waiting already, with little time left": {
-		admission.Forecast{ServedBehind: 0.05, QueueWait: 5 * time.Second, Head: time.Second, Left: time.Second, Waiting: true}, admission.Send{},
+		admission.Forecast{ServedBehind: 0.05, QueueWait: 5 * time.Second, Head: time.Second, Left: time.Second, Waits: true}, admission.Send{},
 	},
 }
 
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -52,7 +52,7 @@
 		}
 		return p
 	}
-	o := admission.Forecast{InTime: p.expected.InTime(ask.Slack), Head: p.expected.Head, Waiting: ask.Turn != 0, Left: ask.Left}
+	o := admission.Forecast{InTime: p.expected.InTime(ask.Slack), Head: p.expected.Head, Waits: ask.Turn != 0, Left: ask.Left}
 	if _, ok := admission.Decide(o).(admission.Send); ok {
 		if ask.Turn != 0 {
 			f.turnsOf(ask.Service).Remove(ask.Turn)
