--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -48,7 +48,7 @@
 	Waits     bool          // it has been told to wait before
 	Served    float64       // chance that its answer begins before its caller leaves, if sent behind all others
 	QueueWait time.Duration // in the engine's queue, if sent behind all others
-	FreeSlots int           // free slots of engines
+	Room      int           // free slots of engines
 	Ahead     int           // waiting requests that are sent before it
 	TurnWait  time.Duration // until those are sent, at the current rate of waiting requests
 	Left      time.Duration // remaining time in which an answer that begins is of use to its caller
@@ -89,7 +89,7 @@
 		return Send{}
 	case f.Waits && f.Left <= time.Duration(forcedSendFactor*float64(f.Head)):
 		return Send{}
-	case f.QueueWait <= maxEngineQueueWait && f.Ahead < max(f.FreeSlots, 1):
+	case f.QueueWait <= maxEngineQueueWait && f.Ahead < max(f.Room, 1):
 		return Behind{}
 	case !f.Waits && (f.Served < minServedChance || f.TurnWait > f.Left/2):
 		return Refuse{}
--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -17,10 +17,10 @@
 }{
 	"likely in time": {admission.Forecast{InTime: 0.6, Served: 0}, admission.Send{}},
 	"late, and slots are free": {
-		admission.Forecast{InTime: 0.1, Served: 1, QueueWait: 100 * time.Millisecond, FreeSlots: 1, Left: time.Second}, admission.Behind{},
+		admission.Forecast{InTime: 0.1, Served: 1, QueueWait: 100 * time.Millisecond, Room: 1, Left: time.Second}, admission.Behind{},
 	},
 	"late, and there are fewer free slots than requests ahead of it": {
-		admission.Forecast{InTime: 0.1, Served: 1, FreeSlots: 3, Ahead: 3, TurnWait: time.Second, Left: 4 * time.Second}, admission.Wait{For: 500 * time.Millisecond},
+		admission.Forecast{InTime: 0.1, Served: 1, Room: 3, Ahead: 3, TurnWait: time.Second, Left: 4 * time.Second}, admission.Wait{For: 500 * time.Millisecond},
 	},
 	"late, and engines are busy": {
 		admission.Forecast{InTime: 0.1, Served: 0.9, QueueWait: time.Second, TurnWait: 200 * time.Millisecond, Left: 4 * time.Second}, admission.Wait{For: 100 * time.Millisecond},
