--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -274,7 +274,7 @@
 		}
 		stocks, upgrading := o.Stocks(s.Name)
 		state := capacity.State{
-			Scaling: s.Scaling, Slots: s.Slots, Running: float64(running), Serving: withHalls(stocks, s.Scaling), Upgrading: upgrading, ExcludedHalls: away,
+			Scaling: s.Scaling, Slots: s.Slots, Running: float64(running), Stocks: withHalls(stocks, s.Scaling), Upgrading: upgrading, ExcludedHalls: away,
 		}
 		for _, order := range p.Orders(clock.Now(), state) {
 			t.send(ctx, s.Name, p, order, state)
@@ -307,7 +307,7 @@
 	defer cancel()
 	err := t.keeper.options.Platform.Scale(limited, t.holder(), service, order)
 	fields := []any{
-		"service", service, "hall", order.Hall, "spot", order.Spot, "count", order.Count, "serving", s.Serving[order.Hall],
+		"service", service, "hall", order.Hall, "spot", order.Spot, "count", order.Count, "serving", s.Stocks[order.Hall],
 		"running", s.Running, "peak", int(p.Peak()), "token", t.lease.Epoch(),
 	}
 	switch {
