--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -52,11 +52,11 @@
 
 // State is the input of a plan for a service.
 type State struct {
-	Scaling       Scaling
-	Slots         int                       // requests that an endpoint runs concurrently
-	Running       float64                   // requests at endpoints or on their way there, from all hosts
-	Stocks        map[string]EndpointCounts // by data hall, for all data halls that the service runs in
-	ExcludedHalls []string                  // data halls that get no requests for now
+	Scaling Scaling
+	Slots   int                       // requests that an endpoint runs concurrently
+	Running float64                   // requests at endpoints or on their way there, from all hosts
+	Stocks  map[string]EndpointCounts // by data hall, for all data halls that the service runs in
+	Away    []string                  // data halls that get no requests for now
 	// Upgrading reports whether an upgrade is in progress. The endpoints that it introduces count
 	// as ordinary ones in an order.
 	Upgrading bool
@@ -263,7 +263,7 @@
 func (s State) halls() []string {
 	var halls []string
 	for _, h := range slices.Sorted(maps.Keys(s.Stocks)) {
-		if !slices.Contains(s.ExcludedHalls, h) {
+		if !slices.Contains(s.Away, h) {
 			halls = append(halls, h)
 		}
 	}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -258,7 +258,7 @@
 
 	It("omit evacuated data halls and have the others carry their load", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Stocks: inEachHall(capacity.EndpointCounts{Ordinary: 11}), ExcludedHalls: []string{"c"}}
+		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Stocks: inEachHall(capacity.EndpointCounts{Ordinary: 11}), Away: []string{"c"}}
 		orders := planner.Orders(start, s)
 		Expect(orders).To(Equal([]capacity.Order{{Pool: pool("a", false), Count: 22}, {Pool: pool("b", false), Count: 22}}))
 	})
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -274,7 +274,7 @@
 		}
 		stocks, upgrading := o.Stocks(s.Name)
 		state := capacity.State{
-			Scaling: s.Scaling, Slots: s.Slots, Running: float64(running), Stocks: withHalls(stocks, s.Scaling), Upgrading: upgrading, ExcludedHalls: away,
+			Scaling: s.Scaling, Slots: s.Slots, Running: float64(running), Stocks: withHalls(stocks, s.Scaling), Upgrading: upgrading, Away: away,
 		}
 		for _, order := range p.Orders(clock.Now(), state) {
 			t.send(ctx, s.Name, p, order, state)
