--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	a := advice.New(advice.Options{Fleet: f, Predecessors: watcher.Before, ...})
+//	a := advice.New(advice.Options{Fleet: f, Before: watcher.Before, ...})
 //	a.Register(server)
 //	advised, ok := a.Choose(ctx, ask, versionKey)
 //	...
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -3,7 +3,7 @@
 // # Usage
 //
 //	p := capacity.NewPlanner()
-//	orders := p.Orders(now, capacity.State{Scaling: s, Slots: 64, Running: 180, Serving: counts})
+//	orders := p.Orders(now, capacity.State{Scaling: s, Slots: 64, Running: 180, Stocks: counts})
 //	... send each, then ...
 //	p.RecordAccepted(order) // or p.RecordUnavailable(order, now)
 //
