--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -74,7 +74,7 @@
 	turns := f.turnsOf(p.ask.Service)
 	asked, urgency := p.now.Add(-p.ask.Waited), rank(p.urgency)
 	o.Served, o.Queue, o.Room = p.expected.InTime(o.Left), p.expected.Queue, p.room
-	o.Ahead, o.TurnWait = turns.Ahead(p.ask.Turn, urgency, asked, p.now)
+	o.Ahead, o.Turn = turns.Ahead(p.ask.Turn, urgency, asked, p.now)
 	switch d := admission.Decide(o).(type) {
 	case admission.Wait:
 		d.Turn = turns.Wait(p.ask.Turn, urgency, asked, p.now, d.For)
