--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -55,7 +55,7 @@
 	Scaling Scaling
 	Slots   int                       // requests that an endpoint runs concurrently
 	Running float64                   // requests at endpoints or on their way there, from all hosts
-	Stocks  map[string]EndpointCounts // by data hall, for all data halls that the service runs in
+	Stocks  map[string]EndpointCounts // counts by data hall, for all data halls that the service runs in
 	Away    []string                  // data halls that get no requests for now
 	// Upgrading reports whether an upgrade is in progress. The endpoints that it introduces count
 	// as ordinary ones in an order.
