--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -54,8 +54,8 @@
 
 // countServing returns the numbers of all serving endpoints and of the spot ones among them.
 func (s *simulation) countServing() (all, spot int) {
-	for _, s := range s.serving {
-		all, spot = all+s.Ordinary+s.Spot, spot+s.Spot
+	for _, counts := range s.serving {
+		all, spot = all+counts.Ordinary+counts.Spot, spot+counts.Spot
 	}
 	return all, spot
 }
@@ -85,21 +85,21 @@
 	s.cost += float64(all-spot) + s.scaling.SpotPrice*float64(spot)
 }
 
-func (s *simulation) count(l capacity.Pool) int {
-	if l.Spot {
-		return s.serving[l.Hall].Spot
+func (s *simulation) count(p capacity.Pool) int {
+	if p.Spot {
+		return s.serving[p.Hall].Spot
 	}
-	return s.serving[l.Hall].Ordinary
+	return s.serving[p.Hall].Ordinary
 }
 
-func (p *simulation) set(l capacity.Pool, count int) {
-	s := p.serving[l.Hall]
-	if l.Spot {
-		s.Spot = count
+func (s *simulation) set(p capacity.Pool, count int) {
+	counts := s.serving[p.Hall]
+	if p.Spot {
+		counts.Spot = count
 	} else {
-		s.Ordinary = count
+		counts.Ordinary = count
 	}
-	p.serving[l.Hall] = s
+	s.serving[p.Hall] = counts
 }
 
 // reclaimSpot removes all spot endpoints of a data hall and makes new ones unavailable there.
