--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -13,7 +13,7 @@
 	minServedChance = 0.1
 	// maxEngineQueueWait is the longest expected wait in an engine's queue with which a request
 	// is sent behind all others. For longer waits the request waits here, where the wait ends
-	// as soon as any other engine is idle.
+	// when other engines are idle.
 	maxEngineQueueWait = 150 * time.Millisecond
 	// A waiting request is sent in any case once its remaining time is at most forcedSendFactor
 	// times the expected time to the head of its answer: it is served late rather than held in
