--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -16,8 +16,8 @@
 	Tokens int
 }
 
-// Ask is what a caller says in the head of a request.
-type Ask struct {
+// RequestHeader is what a caller says in the head of a request.
+type RequestHeader struct {
 	ID        string
 	Key       string // the caller's key
 	Keys      int    // how many it gave; more than one is an error
@@ -32,7 +32,7 @@
 
 // shared counts the prompt's tokens that other requests have too: those of all
 // parts but the last.
-func (a Ask) shared() int {
+func (a RequestHeader) shared() int {
 	n := 0
 	for i := range len(a.Parts) - 1 {
 		n += a.Parts[i].Tokens
@@ -63,7 +63,7 @@
 // Codec translates heads between a platform's names and these types.
 type Codec interface {
 	// Request reads a caller's head.
-	Request(h http.Header) Ask
+	Request(h http.Header) RequestHeader
 	// Forward makes an endpoint's head from a caller's.
 	Forward(h http.Header, a Attempt) http.Header
 	// Answer reads an endpoint's head.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -118,7 +118,7 @@
 	final   clock.Instant // the caller gets its answer by then
 	table   *route.Table
 	route   route.Route
-	ask     Ask
+	ask     RequestHeader
 	service string
 
 	workspace  string
