--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -50,8 +50,8 @@
 	Urgency   int // 0 goes first; -1 says nothing
 }
 
-// Answer is what an endpoint says in the head of an answer.
-type Answer struct {
+// ResponseHeader is what an endpoint says in the head of an answer.
+type ResponseHeader struct {
 	RequestID  string
 	Sealed     bool // the endpoint made it
 	NotRun     bool // the request did not run
@@ -67,7 +67,7 @@
 	// Forward makes an endpoint's head from a caller's.
 	Forward(h http.Header, a Attempt) http.Header
 	// Answer reads an endpoint's head.
-	Answer(h http.Header) Answer
+	Answer(h http.Header) ResponseHeader
 	// Back makes a caller's head from an endpoint's.
 	Back(h http.Header) http.Header
 	// Refuse marks the answer to a request that the gateway answers itself.
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -48,7 +48,7 @@
 	model  string
 	sentAt clock.Instant
 	answer *http.Response
-	said   Answer
+	said   ResponseHeader
 	headAt clock.Instant // zero before the head
 	going  *quarantine.Ongoing
 	stop   func() bool // ends the watch on the caller
