--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -40,8 +40,8 @@
 	return n
 }
 
-// Attempt is what an endpoint is told about a request.
-type Attempt struct {
+// AttemptHeader is what an endpoint is told about a request.
+type AttemptHeader struct {
 	Instance  string // what the endpoint calls itself; no other one runs it
 	Workspace string
 	Model     string // empty leaves the caller's
@@ -65,7 +65,7 @@
 	// Request reads a caller's head.
 	Request(h http.Header) RequestHeader
 	// Forward makes an endpoint's head from a caller's.
-	Forward(h http.Header, a Attempt) http.Header
+	Forward(h http.Header, a AttemptHeader) http.Header
 	// Answer reads an endpoint's head.
 	Answer(h http.Header) ResponseHeader
 	// Back makes a caller's head from an endpoint's.
