--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -10,8 +10,8 @@
 // ConfidenceUnsaid stands for a confidence that an answer does not tell.
 const ConfidenceUnsaid = -1
 
-// Part is a part of a prompt that other requests may share.
-type Part struct {
+// PromptPart is a part of a prompt that other requests may share.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
@@ -27,7 +27,7 @@
 	Patience  time.Duration // how long the caller waits; 0 if it does not say
 	TokensIn  int
 	TokensOut int // at most
-	Parts     []Part
+	Parts     []PromptPart
 }
 
 // shared counts the prompt's tokens that other requests have too: those of all
