--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -19,7 +19,7 @@
 func (s *stream) escalates(a *attempt) bool {
 	x := s.x
 	n := len(x.route.Models)
-	if s.begun || n == 0 || x.model == x.route.Models[n-1] || a.said.Confidence == ConfidenceUnsaid || x.sends >= x.route.Attempts {
+	if s.begun || n == 0 || x.model == x.route.Models[n-1] || a.said.Confidence == NoConfidence || x.sends >= x.route.Attempts {
 		return false
 	}
 	w := x.weigh(x.route.Models[n-1], a.said.Confidence)
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -7,8 +7,8 @@
 	"quaybarrow/internal/fleet"
 )
 
-// ConfidenceUnsaid stands for a confidence that an answer does not tell.
-const ConfidenceUnsaid = -1
+// NoConfidence stands for a confidence that an answer does not tell.
+const NoConfidence = -1
 
 // PromptPart is a part of a prompt that other requests may share.
 type PromptPart struct {
