--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -32,7 +32,7 @@
 // admit checks a request's head, finds its route and workspace and reads its
 // body; it returns why the request is refused, nil if it is not.
 func (x *exchange) admit() *refusal {
-	x.ask = x.g.Codec.Request(x.r.Header)
+	x.ask = x.g.Codec.ParseRequest(x.r.Header)
 	if clock.Since(x.g.began) < x.g.startPatience() {
 		x.awaitStart()
 	}
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -62,8 +62,8 @@
 
 // Codec translates heads between a platform's names and these types.
 type Codec interface {
-	// Request reads a caller's head.
-	Request(h http.Header) RequestHeader
+	// ParseRequest reads a caller's head.
+	ParseRequest(h http.Header) RequestHeader
 	// Forward makes an endpoint's head from a caller's.
 	Forward(h http.Header, a AttemptHeader) http.Header
 	// Answer reads an endpoint's head.
