--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -66,8 +66,8 @@
 	ParseRequest(h http.Header) RequestHeader
 	// Forward makes an endpoint's head from a caller's.
 	Forward(h http.Header, a AttemptHeader) http.Header
-	// Answer reads an endpoint's head.
-	Answer(h http.Header) ResponseHeader
+	// ParseResponse reads an endpoint's head.
+	ParseResponse(h http.Header) ResponseHeader
 	// Back makes a caller's head from an endpoint's.
 	Back(h http.Header) http.Header
 	// Refuse marks the answer to a request that the gateway answers itself.
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -242,7 +242,7 @@
 		return nil, err
 	}
 	a.liftLimit(ctx)
-	a.answer, a.said = answer, x.g.Codec.Answer(answer.Header)
+	a.answer, a.said = answer, x.g.Codec.ParseResponse(answer.Header)
 	a.hearLimit()
 	if a.said.NotRun || answer.StatusCode == http.StatusMisdirectedRequest {
 		x.mayRun = before
@@ -289,7 +289,7 @@
 
 // accepts reports whether an answer is for this request.
 func (x *exchange) accepts(h http.Header) bool {
-	id := x.g.Codec.Answer(h).RequestID
+	id := x.g.Codec.ParseResponse(h).RequestID
 	return id == "" || id == x.ask.ID
 }
 
