--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -64,8 +64,8 @@
 type Codec interface {
 	// ParseRequest reads a caller's head.
 	ParseRequest(h http.Header) RequestHeader
-	// Forward makes an endpoint's head from a caller's.
-	Forward(h http.Header, a AttemptHeader) http.Header
+	// EndpointHeader makes an endpoint's head from a caller's.
+	EndpointHeader(h http.Header, a AttemptHeader) http.Header
 	// ParseResponse reads an endpoint's head.
 	ParseResponse(h http.Header) ResponseHeader
 	// Back makes a caller's head from an endpoint's.
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -296,7 +296,7 @@
 // request makes the request as the endpoint gets it.
 func (x *exchange) request(a *attempt, lastEvent string) *http.Request {
 	left := x.left()
-	h := x.g.Codec.Forward(x.r.Header, AttemptHeader{
+	h := x.g.Codec.EndpointHeader(x.r.Header, AttemptHeader{
 		Instance: a.hold.Endpoint.Instance, Workspace: x.workspace, Model: x.modelName(a.model), LastEvent: lastEvent,
 		Left: left, Urgency: a.hold.Urgency(),
 	})
