--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -68,8 +68,8 @@
 	EndpointHeader(h http.Header, a AttemptHeader) http.Header
 	// ParseResponse reads an endpoint's head.
 	ParseResponse(h http.Header) ResponseHeader
-	// Back makes a caller's head from an endpoint's.
-	Back(h http.Header) http.Header
+	// CallerHeader makes a caller's head from an endpoint's.
+	CallerHeader(h http.Header) http.Header
 	// Refuse marks the answer to a request that the gateway answers itself.
 	Refuse(h http.Header, id string, retryAfter time.Duration)
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -102,7 +102,7 @@
 	s.begun = true
 	s.x.first = clock.Since(s.x.start)
 	h := s.x.w.Header()
-	for name, values := range s.x.g.Codec.Back(a.answer.Header) {
+	for name, values := range s.x.g.Codec.CallerHeader(a.answer.Header) {
 		h[name] = values
 	}
 	s.x.w.WriteHeader(http.StatusOK)
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -156,7 +156,7 @@
 func (x *exchange) relayWhole(answer *wholeAnswer) {
 	a := answer.attempt
 	h := x.w.Header()
-	for name, values := range x.g.Codec.Back(a.answer.Header) {
+	for name, values := range x.g.Codec.CallerHeader(a.answer.Header) {
 		h[name] = values
 	}
 	if !answer.rest {
