--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -217,7 +217,7 @@
 		h.Set("Connection", "close")
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	x.g.Codec.Refuse(h, x.ask.ID, f.after)
+	x.g.Codec.SetRefusal(h, x.ask.ID, f.after)
 	x.g.Telemetry.Count("refusals", 1)
 	x.w.WriteHeader(f.status)
 	_, _ = io.WriteString(x.w, f.reason+"\n")
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -70,6 +70,6 @@
 	ParseResponse(h http.Header) ResponseHeader
 	// CallerHeader makes a caller's head from an endpoint's.
 	CallerHeader(h http.Header) http.Header
-	// Refuse marks the answer to a request that the gateway answers itself.
-	Refuse(h http.Header, id string, retryAfter time.Duration)
+	// SetRefusal marks the answer to a request that the gateway answers itself.
+	SetRefusal(h http.Header, id string, retryAfter time.Duration)
 }
