--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -126,7 +126,7 @@
 	if x.route.Public || !x.table.KeysRequired() {
 		return nil
 	}
-	w, ok := x.table.Workspace(x.ask.Key)
+	w, ok := x.table.Workspace(x.ask.APIKey)
 	if !ok || x.ask.Keys != 1 {
 		return &refusal{status: http.StatusUnauthorized, reason: "unknown key"}
 	}
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -19,7 +19,7 @@
 // RequestHeader is what a caller says in the head of a request.
 type RequestHeader struct {
 	ID        string
-	Key       string // the caller's key
+	APIKey    string // the caller's key
 	Keys      int    // how many it gave; more than one is an error
 	LastEvent string // of a stream that is taken up again
 	Model     string
