--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -127,7 +127,7 @@
 		return nil
 	}
 	w, ok := x.table.Workspace(x.ask.APIKey)
-	if !ok || x.ask.Keys != 1 {
+	if !ok || x.ask.APIKeyCount != 1 {
 		return &refusal{status: http.StatusUnauthorized, reason: "unknown key"}
 	}
 	x.workspace, x.regions = w.Name, route.RegionsFor(x.route, w)
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -18,16 +18,16 @@
 
 // RequestHeader is what a caller says in the head of a request.
 type RequestHeader struct {
-	ID        string
-	APIKey    string // the caller's key
-	Keys      int    // how many it gave; more than one is an error
-	LastEvent string // of a stream that is taken up again
-	Model     string
-	Session   string
-	Patience  time.Duration // how long the caller waits; 0 if it does not say
-	TokensIn  int
-	TokensOut int // at most
-	Parts     []PromptPart
+	ID          string
+	APIKey      string // the caller's key
+	APIKeyCount int    // how many it gave; more than one is an error
+	LastEvent   string // of a stream that is taken up again
+	Model       string
+	Session     string
+	Patience    time.Duration // how long the caller waits; 0 if it does not say
+	TokensIn    int
+	TokensOut   int // at most
+	Parts       []PromptPart
 }
 
 // shared counts the prompt's tokens that other requests have too: those of all
