--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -21,7 +21,7 @@
 	ID          string
 	APIKey      string // the caller's key
 	APIKeyCount int    // how many it gave; more than one is an error
-	LastEvent   string // of a stream that is taken up again
+	LastEventID string // of a stream that is taken up again
 	Model       string
 	Session     string
 	Patience    time.Duration // how long the caller waits; 0 if it does not say
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -14,7 +14,7 @@
 // serveStream serves a request whose answer is a stream of events. A stream that
 // breaks goes on at another endpoint inside the same answer, if it may.
 func (x *exchange) serveStream() {
-	s := &stream{x: x, last: x.ask.LastEvent}
+	s := &stream{x: x, last: x.ask.LastEventID}
 	for {
 		err := s.attempt()
 		if err == nil {
