--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -42,12 +42,12 @@
 
 // AttemptHeader is what an endpoint is told about a request.
 type AttemptHeader struct {
-	Instance  string // what the endpoint calls itself; no other one runs it
-	Workspace string
-	Model     string // empty leaves the caller's
-	LastEvent string // empty leaves the caller's
-	Left      time.Duration
-	Urgency   int // 0 goes first; -1 says nothing
+	Instance    string // what the endpoint calls itself; no other one runs it
+	Workspace   string
+	Model       string // empty leaves the caller's
+	LastEventID string // empty leaves the caller's
+	Left        time.Duration
+	Urgency     int // 0 goes first; -1 says nothing
 }
 
 // ResponseHeader is what an endpoint says in the head of an answer.
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -297,7 +297,7 @@
 func (x *exchange) request(a *attempt, lastEvent string) *http.Request {
 	left := x.left()
 	h := x.g.Codec.EndpointHeader(x.r.Header, AttemptHeader{
-		Instance: a.hold.Endpoint.Instance, Workspace: x.workspace, Model: x.modelName(a.model), LastEvent: lastEvent,
+		Instance: a.hold.Endpoint.Instance, Workspace: x.workspace, Model: x.modelName(a.model), LastEventID: lastEvent,
 		Left: left, Urgency: a.hold.Urgency(),
 	})
 	if _, ok := h["User-Agent"]; !ok {
