--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -109,8 +109,8 @@
 	}
 	x.route = r
 	patience := patienceUnsaid
-	if x.ask.Patience > 0 {
-		patience = x.ask.Patience
+	if x.ask.Timeout > 0 {
+		patience = x.ask.Timeout
 	}
 	if r.Timeout > 0 {
 		patience = min(patience, r.Timeout)
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -24,7 +24,7 @@
 	LastEventID string // of a stream that is taken up again
 	Model       string
 	Session     string
-	Patience    time.Duration // how long the caller waits; 0 if it does not say
+	Timeout     time.Duration // how long the caller waits; 0 if it does not say
 	TokensIn    int
 	TokensOut   int // at most
 	Parts       []PromptPart
