--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -46,7 +46,7 @@
 	Workspace   string
 	Model       string // empty leaves the caller's
 	LastEventID string // empty leaves the caller's
-	Left        time.Duration
+	TimeLeft    time.Duration
 	Urgency     int // 0 goes first; -1 says nothing
 }
 
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -298,7 +298,7 @@
 	left := x.left()
 	h := x.g.Codec.EndpointHeader(x.r.Header, AttemptHeader{
 		Instance: a.hold.Endpoint.Instance, Workspace: x.workspace, Model: x.modelName(a.model), LastEventID: lastEvent,
-		Left: left, Urgency: a.hold.Urgency(),
+		TimeLeft: left, Urgency: a.hold.Urgency(),
 	})
 	if _, ok := h["User-Agent"]; !ok {
 		h["User-Agent"] = []string{""} // the library would add its own
