--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,11 +47,11 @@
 	Advice   *advice.Advisor // on endpoints for long prompts; nil for none
 	// Quarantine knows requests under which endpoints crash.
 	Quarantine *quarantine.Book
-	// Limits has suspect requests sent one after the other by all hosts together; nil for no bound.
-	Limits    *ratelimit.Desk
-	Deadlines *clock.Deadlines // watched by the host
-	Telemetry *telemetry.Telemetry
-	Logger    *log.Logger
+	// RateLimits has suspect requests sent one after the other by all hosts together; nil for no bound.
+	RateLimits *ratelimit.Desk
+	Deadlines  *clock.Deadlines // watched by the host
+	Telemetry  *telemetry.Telemetry
+	Logger     *log.Logger
 	// Hosts counts all hosts, as far as this one knows; nil for this one alone.
 	Hosts func() int
 	// Usage counts the requests that begin; nil where nobody asks.
