--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -59,10 +59,10 @@
 
 // startPatience is how long that is here.
 func (g *Gateway) startPatience() time.Duration {
-	if g.Hosts == nil {
+	if g.HostCount == nil {
 		return startPatience
 	}
-	return startPatience + time.Duration(g.Hosts())*startPatienceEach
+	return startPatience + time.Duration(g.HostCount())*startPatienceEach
 }
 
 // awaitStart waits until a host that has just started can serve.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,8 +52,8 @@
 	Deadlines  *clock.Deadlines // watched by the host
 	Telemetry  *telemetry.Telemetry
 	Logger     *log.Logger
-	// Hosts counts all hosts, as far as this one knows; nil for this one alone.
-	Hosts func() int
+	// HostCount counts all hosts, as far as this one knows; nil for this one alone.
+	HostCount func() int
 	// Usage counts the requests that begin; nil where nobody asks.
 	Usage *usage.Counter
 	// RetryRatio bounds repeats to a part of the first sends.
