--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -17,57 +17,57 @@
 
 // Bounds where operators declare none.
 const (
-	patienceUnsaid = 30 * time.Second
-	bodyBytesMost  = 8 << 20
+	defaultTimeout      = 30 * time.Second
+	defaultMaxBodyBytes = 8 << 20
 )
 
 // refusal is an answer that the gateway makes itself.
 type refusal struct {
-	status int
-	reason string
-	after  time.Duration // when to come back; 0 if that does not help
-	close  bool          // the connection can't be used any more
+	status     int
+	reason     string
+	retryAfter time.Duration // when to come back; 0 if that does not help
+	closeConn  bool          // the connection can't be used any more
 }
 
 // admit checks a request's head, finds its route and workspace and reads its
 // body; it returns why the request is refused, nil if it is not.
 func (x *exchange) admit() *refusal {
-	x.ask = x.g.Codec.ParseRequest(x.r.Header)
-	if clock.Since(x.g.began) < x.g.startPatience() {
-		x.awaitStart()
+	x.header = x.g.Codec.ParseRequest(x.r.Header)
+	if clock.Since(x.g.startedAt) < x.g.startupWait() {
+		x.awaitStartup()
 	}
 	if x.table == nil {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", after: configRetry}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: configRetryAfter}
 	}
 	for _, stage := range []func() *refusal{x.checkHead, x.findRoute, x.authenticate, x.checkRegions, x.readBody, x.checkQuarantine} {
 		if refused := stage(); refused != nil {
 			return refused
 		}
 	}
-	x.plan()
+	x.planRouting()
 	return nil
 }
 
-// startPatience is for how long after a host's start requests wait for what it does
+// baseStartupWait is for how long after a host's start requests wait for what it does
 // not know yet, as after a loss of power; a caller that is told to come back has one try
 // less. Once the time is over nothing is known to come, and requests are refused at once.
-const startPatience = 1200 * time.Millisecond
+const baseStartupWait = 1200 * time.Millisecond
 
-// startPatienceEach is added for each host: all start together after a loss of power, and a list of
+// startupWaitPerHost is added for each host: all start together after a loss of power, and a list of
 // endpoints that grows with the hosts goes through a few of them.
-const startPatienceEach = time.Millisecond
+const startupWaitPerHost = time.Millisecond
 
-// startPatience is how long that is here.
-func (g *Gateway) startPatience() time.Duration {
+// startupWait is how long that is here.
+func (g *Gateway) startupWait() time.Duration {
 	if g.HostCount == nil {
-		return startPatience
+		return baseStartupWait
 	}
-	return startPatience + time.Duration(g.HostCount())*startPatienceEach
+	return baseStartupWait + time.Duration(g.HostCount())*startupWaitPerHost
 }
 
-// awaitStart waits until a host that has just started can serve.
-func (x *exchange) awaitStart() {
-	ctx, cancel := context.WithTimeout(x.ctx, clock.Until(x.g.began.Add(x.g.startPatience())))
+// awaitStartup waits until a host that has just started can serve.
+func (x *exchange) awaitStartup() {
+	ctx, cancel := context.WithTimeout(x.ctx, clock.Until(x.g.startedAt.Add(x.g.startupWait())))
 	defer cancel()
 	for _, known := range []<-chan struct{}{x.g.Holder.Known(), x.g.Fleet.Known()} {
 		select {
@@ -78,20 +78,20 @@
 	x.table = x.g.Holder.Table()
 }
 
-// configRetry is when to come back to a host that knows no configuration yet.
-const configRetry = 500 * time.Millisecond
+// configRetryAfter is when to come back to a host that knows no configuration yet.
+const configRetryAfter = 500 * time.Millisecond
 
 // checkHead refuses heads that could hide a second request or are too long.
 func (x *exchange) checkHead() *refusal {
-	seen := headOf(x.r)
+	info := inspectHeader(x.r)
 	limits := x.table.Limits()
 	switch {
-	case seen.problem != "":
-		return &refusal{status: http.StatusBadRequest, reason: seen.problem, close: true}
-	case limits.HeaderBytes > 0 && seen.bytes > limits.HeaderBytes:
-		return &refusal{status: http.StatusRequestHeaderFieldsTooLarge, reason: "head is too long", close: true}
-	case x.ask.ID == "":
-		return &refusal{status: http.StatusBadRequest, reason: "no request id", close: true}
+	case info.problem != "":
+		return &refusal{status: http.StatusBadRequest, reason: info.problem, closeConn: true}
+	case limits.HeaderBytes > 0 && info.bytes > limits.HeaderBytes:
+		return &refusal{status: http.StatusRequestHeaderFieldsTooLarge, reason: "head is too long", closeConn: true}
+	case x.header.ID == "":
+		return &refusal{status: http.StatusBadRequest, reason: "no request id", closeConn: true}
 	default:
 		return nil
 	}
@@ -108,14 +108,14 @@
 		return &refusal{status: http.StatusNotFound, reason: "no route"}
 	}
 	x.route = r
-	patience := patienceUnsaid
-	if x.ask.Timeout > 0 {
-		patience = x.ask.Timeout
+	timeout := defaultTimeout
+	if x.header.Timeout > 0 {
+		timeout = x.header.Timeout
 	}
 	if r.Timeout > 0 {
-		patience = min(patience, r.Timeout)
+		timeout = min(timeout, r.Timeout)
 	}
-	x.final = x.start.Add(patience)
+	x.deadline = x.start.Add(timeout)
 	x.service = r.Target(rand.Float64())
 	return nil
 }
@@ -126,8 +126,8 @@
 	if x.route.Public || !x.table.KeysRequired() {
 		return nil
 	}
-	w, ok := x.table.Workspace(x.ask.APIKey)
-	if !ok || x.ask.APIKeyCount != 1 {
+	w, ok := x.table.Workspace(x.header.APIKey)
+	if !ok || x.header.APIKeyCount != 1 {
 		return &refusal{status: http.StatusUnauthorized, reason: "unknown key"}
 	}
 	x.workspace, x.regions = w.Name, route.RegionsFor(x.route, w)
@@ -150,89 +150,89 @@
 func (x *exchange) readBody() *refusal {
 	limit := x.table.Limits().BodyBytes
 	if limit <= 0 {
-		limit = bodyBytesMost
+		limit = defaultMaxBodyBytes
 	}
 	if x.r.ContentLength > limit {
-		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "body is too long", close: true}
+		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "body is too long", closeConn: true}
 	}
 	// A caller that sends no more by the end of its time is not waited for.
-	_ = http.NewResponseController(x.w).SetReadDeadline(x.final.Time())
+	_ = http.NewResponseController(x.w).SetReadDeadline(x.deadline.Time())
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, limit))
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{})
 	var tooLong *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLong):
-		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "body is too long", close: true}
+		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "body is too long", closeConn: true}
 	case err != nil:
-		return &refusal{status: http.StatusBadRequest, reason: "body can't be read", close: true}
+		return &refusal{status: http.StatusBadRequest, reason: "body can't be read", closeConn: true}
 	}
-	headDone(x.r)
+	markRequestRead(x.r)
 	x.body = body
 	return nil
 }
 
-// plan derives what the choice of an endpoint goes by.
-func (x *exchange) plan() {
-	x.model = x.ask.Model
+// planRouting derives what the choice of an endpoint goes by.
+func (x *exchange) planRouting() {
+	x.model = x.header.Model
 	if n := len(x.route.Models); n > 0 {
 		x.model = x.route.Models[0]
-		if x.g.begins.largest(x.route.Name) {
+		if x.g.firstModels.startWithLargest(x.route.Name) {
 			x.model = x.route.Models[n-1]
 		}
 	}
-	x.key, x.versionKey = x.keys()
-	x.size = x.g.sizes.relative(x.route.Name, x.ask.TokensIn, x.ask.TokensOut)
+	x.prefixKey, x.versionKey = x.routingKeys()
+	x.relativeSize = x.g.sizes.relative(x.route.Name, x.header.TokensIn, x.header.TokensOut)
 }
 
-// keys hash what the prompt shares with other requests, all but its last part,
+// routingKeys hash what the prompt shares with other requests, all but its last part,
 // and what stays on one version: the session, if there is one.
-func (x *exchange) keys() (share, version uint64) {
-	share = xxhash.Sum64String(x.ask.ID)
-	if n := len(x.ask.Parts); n > 1 {
-		share = xxhash.Sum64String(x.ask.Parts[n-2].ID)
+func (x *exchange) routingKeys() (prefix, versionKey uint64) {
+	prefix = xxhash.Sum64String(x.header.ID)
+	if n := len(x.header.Parts); n > 1 {
+		prefix = xxhash.Sum64String(x.header.Parts[n-2].ID)
 	}
-	if x.ask.Session == "" {
-		return share, share
+	if x.header.Session == "" {
+		return prefix, prefix
 	}
-	return share, xxhash.Sum64String(x.ask.Session)
+	return prefix, xxhash.Sum64String(x.header.Session)
 }
 
-// affinity is the key by which endpoints are ranked: the prompt's, for a model,
+// affinityKey is the key by which endpoints are ranked: the prompt's, for a model,
 // since memory of prompts is kept by model; 0 for requests without a prompt.
-func (x *exchange) affinity(model string) uint64 {
-	if x.route.Kind != route.KindStream || len(x.ask.Parts) == 0 {
+func (x *exchange) affinityKey(model string) uint64 {
+	if x.route.Kind != route.KindStream || len(x.header.Parts) == 0 {
 		return 0
 	}
-	return x.key ^ xxhash.Sum64String(model) | 1
+	return x.prefixKey ^ xxhash.Sum64String(model) | 1
 }
 
 // refuse answers a request that is not sent on.
 func (x *exchange) refuse(f refusal) {
 	x.outcome = f.reason
-	if x.gone() {
-		x.abandon("caller left: " + f.reason)
+	if x.callerGone() {
+		x.abort("caller left: " + f.reason)
 	}
 	h := x.w.Header()
-	if f.close || !x.drained() {
+	if f.closeConn || !x.drainBody() {
 		h.Set("Connection", "close")
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	x.g.Codec.SetRefusal(h, x.ask.ID, f.after)
+	x.g.Codec.SetRefusal(h, x.header.ID, f.retryAfter)
 	x.g.Telemetry.Count("refusals", 1)
 	x.w.WriteHeader(f.status)
 	_, _ = io.WriteString(x.w, f.reason+"\n")
 }
 
-// drained reads what is left of a request that is refused before its body was
+// drainBody reads what is left of a request that is refused before its body was
 // read, so that the connection can be used again; false if that fails.
-func (x *exchange) drained() bool {
+func (x *exchange) drainBody() bool {
 	if x.body != nil {
 		return true
 	}
 	_ = http.NewResponseController(x.w).SetReadDeadline(x.start.Add(drainTimeout).Time())
-	_, err := io.Copy(io.Discard, http.MaxBytesReader(x.w, x.r.Body, bodyBytesMost))
+	_, err := io.Copy(io.Discard, http.MaxBytesReader(x.w, x.r.Body, defaultMaxBodyBytes))
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{})
-	headDone(x.r)
+	markRequestRead(x.r)
 	return err == nil
 }
 
--- a/internal/gateway/beginnings_test.go
+++ b/internal/gateway/beginnings_test.go
@@ -8,10 +8,10 @@
 )
 
 // begun is how many of a thousand requests begin with the largest model.
-func begun(b *beginnings, route string) int {
+func begun(b *firstModels, route string) int {
 	n := 0
 	for range 1000 {
-		if b.largest(route) {
+		if b.startWithLargest(route) {
 			n++
 		}
 	}
@@ -34,9 +34,9 @@
 var _ = Describe("the model to begin with", func() {
 	for name, l := range learned {
 		It("is known by route where "+name, func() {
-			b := newBeginnings()
+			b := newFirstModels()
 			for i := range l.answers {
-				b.note("r", l.better[i%len(l.better)])
+				b.record("r", l.better[i%len(l.better)])
 			}
 			if !l.begins {
 				Expect(begun(b, "r")).To(BeZero())
@@ -48,12 +48,12 @@
 	}
 
 	It("changes back when the smallest model becomes better", func() {
-		b := newBeginnings()
+		b := newFirstModels()
 		for range 50 {
-			b.note("r", 0.3)
+			b.record("r", 0.3)
 		}
 		for range 60 {
-			b.note("r", -0.3)
+			b.record("r", -0.3)
 		}
 		Expect(begun(b, "r")).To(BeZero())
 	})
@@ -61,7 +61,7 @@
 
 var _ = Describe("the size of a request", func() {
 	It("is relative to the mean of its route", func() {
-		s := newSizes()
+		s := newRequestSizes()
 		Expect(s.relative("r", 1000, 100)).To(Equal(1.0))
 		for i := range 500 {
 			s.relative("r", 1000+i%3, 100)
@@ -72,7 +72,7 @@
 	})
 
 	It("is one where nobody tells tokens", func() {
-		s := newSizes()
+		s := newRequestSizes()
 		for i := range 3 {
 			Expect(s.relative(fmt.Sprint(i), 0, 0)).To(Equal(1.0))
 		}
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -10,87 +10,87 @@
 	"quaybarrow/internal/fleet"
 )
 
-// escalationPart of the retry budget may go to larger models; the rest is for
+// escalationBudgetFraction of the retry budget may go to larger models; the rest is for
 // requests that failed.
-const escalationPart = 0.85
+const escalationBudgetFraction = 0.85
 
-// escalates reports whether the answer is dropped for the largest model's, and
+// tryEscalate reports whether the answer is dropped for the largest model's, and
 // if so makes that the model to ask.
-func (s *stream) escalates(a *attempt) bool {
+func (s *stream) tryEscalate(a *attempt) bool {
 	x := s.x
 	n := len(x.route.Models)
-	if s.begun || n == 0 || x.model == x.route.Models[n-1] || a.said.Confidence == NoConfidence || x.sends >= x.route.Attempts {
+	if s.headerSent || n == 0 || x.model == x.route.Models[n-1] || a.header.Confidence == NoConfidence || x.sends >= x.route.Attempts {
 		return false
 	}
-	w := x.weigh(x.route.Models[n-1], a.said.Confidence)
-	x.noteBeginning(w)
-	granted := w.better() && x.g.budgets.Repeat(x.service, escalationPart)
-	x.logWeighing(w, granted)
+	w := x.compareWith(x.route.Models[n-1], a.header.Confidence)
+	x.recordLargestFirstGain(w)
+	granted := w.largerIsBetter() && x.g.retryBudgets.Repeat(x.service, escalationBudgetFraction)
+	x.logComparison(w, granted)
 	if !granted {
 		return false
 	}
-	x.model, x.larger = w.model, true
+	x.model, x.escalated = w.model, true
 	x.tried = nil
 	return true
 }
 
-// weighing is a small model's answer against a larger one that may be asked for.
-type weighing struct {
+// modelComparison is a small model's answer against a larger one that may be asked for.
+type modelComparison struct {
 	model      string // the larger one
 	confidence float64
-	took       time.Duration // so far
+	elapsed    time.Duration // so far
 	kept       cascade.Answer
 	larger     cascade.Option
-	possible   bool              // some endpoint takes the larger model's
+	available  bool              // some endpoint takes the larger model's
 	expected   fleet.Expectation // of the larger model's answer
 }
 
-// better reports whether the larger model's answer is worth more.
-func (w weighing) better() bool { return w.possible && w.larger.Net() > w.kept.Value() }
+// largerIsBetter reports whether the larger model's answer is worth more.
+func (w modelComparison) largerIsBetter() bool { return w.available && w.larger.Net() > w.kept.Value() }
 
-// weigh weighs an answer of a confidence against a larger model's.
-func (x *exchange) weigh(model string, confidence float64) weighing {
+// compareWith weighs an answer of a confidence against a larger model's.
+func (x *exchange) compareWith(model string, confidence float64) modelComparison {
 	ask := x.fleetAsk(model)
 	ask.Avoid = nil // where the small model answered, the larger one may
-	w := weighing{model: model, confidence: confidence, took: clock.Since(x.start)}
-	w.expected, w.possible = x.expect(ask)
+	w := modelComparison{model: model, confidence: confidence, elapsed: clock.Since(x.start)}
+	w.expected, w.available = x.expect(ask)
 	w.kept.Right = cascade.ChanceRight(confidence)
-	if w.took <= x.route.Objective {
+	if w.elapsed <= x.route.Objective {
 		w.kept.InTime = 1
 	}
 	w.larger = cascade.Option{
-		Answer: cascade.Answer{Right: cascade.LargestRight, InTime: w.expected.InTime(x.route.Objective - w.took)},
-		Use:    x.use(model), Size: x.size, Delay: x.delay(w.expected),
+		Answer: cascade.Answer{Right: cascade.LargestRight, InTime: w.expected.InTime(x.route.Objective - w.elapsed)},
+		Use:    x.useCost(model), Size: x.relativeSize, Delay: x.delayCost(w.expected),
 	}
 	return w
 }
 
-// delay is how long others wait for an attempt's work, as a part of the objective;
+// delayCost is how long others wait for an attempt's work, as a part of the objective;
 // nothing where operators declare none.
-func (x *exchange) delay(e fleet.Expectation) float64 {
+func (x *exchange) delayCost(e fleet.Expectation) float64 {
 	if x.route.Objective <= 0 {
 		return 0
 	}
 	return e.Price * e.Work.Seconds() / x.route.Objective.Seconds()
 }
 
-// logWeighing writes the line about a small model's answer.
-func (x *exchange) logWeighing(w weighing, granted bool) {
-	x.g.Logger.Info("larger model weighed", "id", x.ask.ID, "model", w.model, "confidence", w.confidence, "kept", w.kept.Value(),
-		"larger", w.larger.Value(), "use", w.larger.Use, "delay", w.larger.Delay, "in_time", w.larger.InTime, "took_ms", w.took.Milliseconds(),
-		"expected_ms", w.expected.Head.Milliseconds(), "read", w.expected.Read, "price", w.expected.Price, "better", w.better(), "asked", granted)
+// logComparison writes the line about a small model's answer.
+func (x *exchange) logComparison(w modelComparison, granted bool) {
+	x.g.Logger.Info("larger model weighed", "id", x.header.ID, "model", w.model, "confidence", w.confidence, "kept", w.kept.Value(),
+		"larger", w.larger.Value(), "use", w.larger.Use, "delay", w.larger.Delay, "in_time", w.larger.InTime, "took_ms", w.elapsed.Milliseconds(),
+		"expected_ms", w.expected.Head.Milliseconds(), "read", w.expected.Read, "price", w.expected.Price, "better", w.largerIsBetter(), "asked", granted)
 }
 
-// noteBeginning takes in how much better the request would have done if it had begun
+// recordLargestFirstGain takes in how much better the request would have done if it had begun
 // with the larger model.
-func (x *exchange) noteBeginning(w weighing) {
-	if !w.possible || x.sends > 1 {
+func (x *exchange) recordLargestFirstGain(w modelComparison) {
+	if !w.available || x.sends > 1 {
 		return
 	}
-	small := cascade.Option{Use: x.use(x.model), Size: x.size, Delay: x.delay(x.expected)}
-	atOnce := w.larger
-	atOnce.InTime = w.expected.InTime(x.route.Objective)
-	x.g.begins.note(x.route.Name, atOnce.Net()-max(w.kept.Value(), w.larger.Net())-small.Net())
+	small := cascade.Option{Use: x.useCost(x.model), Size: x.relativeSize, Delay: x.delayCost(x.expected)}
+	largestFirst := w.larger
+	largestFirst.InTime = w.expected.InTime(x.route.Objective)
+	x.g.firstModels.record(x.route.Name, largestFirst.Net()-max(w.kept.Value(), w.larger.Net())-small.Net())
 }
 
 // expect is what an attempt is expected to take, as the host knows that advises; false
@@ -104,8 +104,8 @@
 	return x.g.Fleet.Expect(ask)
 }
 
-// use is what the use of a model costs, as a part of the answer's worth.
-func (x *exchange) use(model string) float64 {
+// useCost is what the useCost of a model costs, as a part of the answer's worth.
+func (x *exchange) useCost(model string) float64 {
 	s, _ := x.table.Service(x.service)
 	cost, largest := 0.0, 0.0
 	for _, m := range s.Models {
@@ -121,27 +121,27 @@
 func (x *exchange) fleetAsk(model string) fleet.Ask {
 	return fleet.Ask{
 		Service: x.service, Allowed: x.g.Upgrades.Allowed(x.service, x.versionKey), Avoid: x.tried,
-		Key: x.affinity(model), Model: model, Tokens: x.ask.TokensIn, Shared: x.ask.shared(),
-		Parts: x.parts(model), Memory: x.memory(), Objective: x.route.Objective, Urgency: x.urgency,
+		Key: x.affinityKey(model), Model: model, Tokens: x.header.TokensIn, Shared: x.header.shared(),
+		Parts: x.promptParts(model), Memory: x.cacheTokens(), Objective: x.route.Objective, Urgency: x.urgency,
 		Regions: x.regions,
 	}
 }
 
-// parts are those of the prompt, for a model; nil for requests without a prompt.
-func (x *exchange) parts(model string) []fleet.Part {
-	if x.affinity(model) == 0 {
+// promptParts are those of the prompt, for a model; nil for requests without a prompt.
+func (x *exchange) promptParts(model string) []fleet.Part {
+	if x.affinityKey(model) == 0 {
 		return nil
 	}
 	salt := xxhash.Sum64String(model)
-	parts := make([]fleet.Part, len(x.ask.Parts))
-	for i, p := range x.ask.Parts {
+	parts := make([]fleet.Part, len(x.header.Parts))
+	for i, p := range x.header.Parts {
 		parts[i] = fleet.Part{ID: xxhash.Sum64String(p.ID) ^ salt, Tokens: p.Tokens}
 	}
 	return parts
 }
 
-// memory is how many tokens an endpoint of the service keeps; 0 if nobody tells.
-func (x *exchange) memory() int {
+// cacheTokens is how many tokens an endpoint of the service keeps; 0 if nobody tells.
+func (x *exchange) cacheTokens() int {
 	s, _ := x.table.Service(x.service)
 	return s.CacheTokens
 }
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -15,32 +15,32 @@
 // errQuarantined means that endpoints crash under the request.
 var errQuarantined = errors.New("quarantined: endpoints crash under this request; change it, or ask the operators to let it out")
 
-// errSuspect means that the request has turned suspect since it was its turn.
-var errSuspect = errors.New("endpoints may crash under this request, and it is not its turn")
+// errBecameSuspect means that the request has turned suspect since it was its turn.
+var errBecameSuspect = errors.New("endpoints may crash under this request, and it is not its turn")
 
-// suspectRate is how often all hosts together send a service a request under which endpoints may crash,
+// suspectSendsPerSecond is how often all hosts together send a service a request under which endpoints may crash,
 // in a second.
-const suspectRate = 1
+const suspectSendsPerSecond = 1
 
-// suspect reports whether endpoints may crash under the request, so that it has to wait for its turn.
-func (x *exchange) suspect() bool {
+// isSuspect reports whether endpoints may crash under the request, so that it has to wait for its turn.
+func (x *exchange) isSuspect() bool {
 	s := x.standing()
-	return s.Suspect() || (x.stranded && s.MayHaveEmptied())
+	return s.Suspect() || (x.foundNoEndpoint && s.MayHaveEmptied())
 }
 
-// awaitTurn waits until a request under which endpoints may crash may be sent. Copies that wait while a
+// awaitSuspectTurn waits until a request under which endpoints may crash may be sent. Copies that wait while a
 // service has no endpoint would otherwise all go as the first one is back, and crash it together. One of
 // all suspects runs at a time, so that what it does to its endpoint speaks of no other.
-func (x *exchange) awaitTurn(ctx context.Context) error {
-	for x.g.RateLimits != nil && !x.suspectTurn && x.suspect() {
-		wait, granted := x.g.RateLimits.Turn(ctx, "suspect/"+x.service, suspectRate)
+func (x *exchange) awaitSuspectTurn(ctx context.Context) error {
+	for x.g.RateLimits != nil && !x.maySendSuspect && x.isSuspect() {
+		wait, granted := x.g.RateLimits.Turn(ctx, "suspect/"+x.service, suspectSendsPerSecond)
 		if granted {
-			x.suspectTurn = true
-			x.g.Logger.Info("suspect request may be sent", "id", x.ask.ID, "fingerprint", x.fingerprint(), "crashed", x.standing().Crashed)
+			x.maySendSuspect = true
+			x.g.Logger.Info("suspect request may be sent", "id", x.header.ID, "fingerprint", x.fingerprint(), "crashed", x.standing().Crashed)
 			break
 		}
 		x.waits++
-		if !clock.Sleep(ctx, min(wait, suspectLook)) {
+		if !clock.Sleep(ctx, min(wait, suspectPollInterval)) {
 			return context.DeadlineExceeded
 		}
 	}
@@ -50,20 +50,20 @@
 	return nil
 }
 
-// suspectLook is after how long a suspect request that waits looks again what is known of it.
-const suspectLook = 100 * time.Millisecond
+// suspectPollInterval is after how long a suspect request that waits looks again what is known of it.
+const suspectPollInterval = 100 * time.Millisecond
 
-// known is the fingerprint, for the log of a request that endpoints crashed under; empty for
+// loggedFingerprint is the fingerprint, for the log of a request that endpoints crashed under; empty for
 // others, which need not be hashed.
-func (x *exchange) known() string {
-	if x.crashes == 0 && !x.held {
+func (x *exchange) loggedFingerprint() string {
+	if x.crashes == 0 && !x.refusedAsQuarantined {
 		return ""
 	}
 	return x.fingerprint().String()
 }
 
-// hash makes the request's fingerprint.
-func (x *exchange) hash() quarantine.Fingerprint {
+// computeFingerprint makes the request's fingerprint.
+func (x *exchange) computeFingerprint() quarantine.Fingerprint {
 	return quarantine.Identity{Workspace: x.workspace, Target: x.r.Method + " " + x.r.Host + " " + x.r.RequestURI, Body: x.body}.Fingerprint()
 }
 
@@ -81,19 +81,19 @@
 	if !x.standing().Quarantined {
 		return nil
 	}
-	x.held = true
+	x.refusedAsQuarantined = true
 	x.g.Telemetry.Count("quarantine_refusals", 1)
 	return &refusal{status: http.StatusServiceUnavailable, reason: errQuarantined.Error()}
 }
 
-// broke ends an attempt whose answer could not be read, and notes whether its endpoint has
+// endBroken ends an attempt whose answer could not be read, and notes whether its endpoint has
 // crashed.
-func (a *attempt) broke(err error) {
+func (a *attempt) endBroken(err error) {
 	run := quarantine.Run{Lasted: clock.Since(a.sentAt), Of: a.x.workspace + " " + a.x.route.Name}
 	if !a.headAt.IsZero() {
 		run.Answered = clock.Since(a.headAt)
 	}
-	a.fail()
+	a.endFailed()
 	x := a.x
 	e := a.hold.Endpoint
 	if !conn.BrokeOff(err) || x.ctx.Err() != nil || !x.g.Fleet.Serves(e.ID) {
@@ -104,7 +104,7 @@
 	}
 	x.crashes++
 	x.g.Telemetry.Count("endpoint_crashes_met", 1)
-	x.g.Logger.Warn("endpoint crashed under a request", "id", x.ask.ID, "fingerprint", x.fingerprint(), "workspace", x.workspace,
+	x.g.Logger.Warn("endpoint crashed under a request", "id", x.header.ID, "fingerprint", x.fingerprint(), "workspace", x.workspace,
 		"endpoint", e.ID, "address", e.Address, "service", x.service, "ran_ms", run.Lasted.Milliseconds(),
 		"answered_ms", run.Answered.Milliseconds(), "crashes", x.crashes)
 }
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -47,8 +47,8 @@
 func TestEventsAreNotRepeated(t *testing.T) {
 	e := newEventReader(strings.NewReader("id: 3\ndata: old\n\nid: 4\ndata: new\n\n"), "3")
 	c, err := e.next()
-	if err != nil || string(c.data) != "id: 4\ndata: new\n\n" || c.events != 1 || c.last != "4" {
-		t.Fatalf("got %q, %d events, last %s: %v", c.data, c.events, c.last, err)
+	if err != nil || string(c.data) != "id: 4\ndata: new\n\n" || c.events != 1 || c.lastID != "4" {
+		t.Fatalf("got %q, %d events, last %s: %v", c.data, c.events, c.lastID, err)
 	}
 }
 
--- a/internal/gateway/head.go
+++ b/internal/gateway/head.go
@@ -11,29 +11,29 @@
 	"quaybarrow/internal/clock"
 )
 
-// headMost is the longest head that is kept for checking; the server refuses
+// maxHeaderBytes is the longest head that is kept for checking; the server refuses
 // longer ones.
-const headMost = 64 << 10
+const maxHeaderBytes = 64 << 10
 
 // callerConn is a caller's connection that keeps the bytes of the head being
 // read. The library drops a length that stands beside a chunked encoding, so
 // only the bytes show that a head could be read in two ways.
 type callerConn struct {
 	net.Conn
-	idle func() time.Duration
+	idleTimeout func() time.Duration
 
-	mu        sync.Mutex // guards all below
-	recording bool
-	head      []byte
-	resting   bool
+	mu           sync.Mutex // guards all below
+	recording    bool
+	header       []byte
+	enteringIdle bool
 }
 
-func newCallerConn(raw net.Conn, idle func() time.Duration) *callerConn {
-	return &callerConn{Conn: raw, idle: idle, recording: true}
+func newCallerConn(raw net.Conn, idleTimeout func() time.Duration) *callerConn {
+	return &callerConn{Conn: raw, idleTimeout: idleTimeout, recording: true}
 }
 
-// headEnd separates a head from what follows.
-var headEnd = []byte("\r\n\r\n")
+// headerEnd separates a head from what follows.
+var headerEnd = []byte("\r\n\r\n")
 
 // Read implements net.Conn.
 func (c *callerConn) Read(p []byte) (int, error) {
@@ -50,21 +50,21 @@
 	if !c.recording {
 		return
 	}
-	from := max(0, len(c.head)-len(headEnd)+1)
-	c.head = append(c.head, p...)
-	if end := bytes.Index(c.head[from:], headEnd); end >= 0 {
-		c.head = c.head[:from+end+len(headEnd)]
+	from := max(0, len(c.header)-len(headerEnd)+1)
+	c.header = append(c.header, p...)
+	if end := bytes.Index(c.header[from:], headerEnd); end >= 0 {
+		c.header = c.header[:from+end+len(headerEnd)]
 		c.recording = false
-	} else if len(c.head) > headMost {
+	} else if len(c.header) > maxHeaderBytes {
 		c.recording = false
 	}
 }
 
-// next starts the recording of the next head.
-func (c *callerConn) next() {
+// startNextHeader starts the recording of the startNextHeader head.
+func (c *callerConn) startNextHeader() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.head = c.head[:0]
+	c.header = c.header[:0]
 	c.recording = true
 }
 
@@ -72,19 +72,19 @@
 // connection at rest; it is replaced by the one that operators declare now.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	resting := c.resting
-	c.resting = false
+	enteringIdle := c.enteringIdle
+	c.enteringIdle = false
 	c.mu.Unlock()
-	if idle := c.idle(); resting && idle > 0 {
+	if idle := c.idleTimeout(); enteringIdle && idle > 0 {
 		t = clock.Now().Add(idle).Time()
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-func (c *callerConn) rest() {
+func (c *callerConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.resting = true
+	c.enteringIdle = true
 }
 
 // connKey is the context key of a caller's connection.
@@ -94,34 +94,34 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// headFacts are what the bytes of a head tell beyond what the library does.
-type headFacts struct {
+// headerInfo are what the bytes of a head tell beyond what the library does.
+type headerInfo struct {
 	bytes   int
 	problem string // why the head is refused; "" if it is not
 }
 
-// headOf returns the facts of a request's head. A request whose head came
+// inspectHeader returns the facts of a request's head. A request whose head came
 // together with the end of the one before can't be told from a hidden one.
-func headOf(r *http.Request) headFacts {
+func inspectHeader(r *http.Request) headerInfo {
 	c, ok := r.Context().Value(connKey{}).(*callerConn)
 	if !ok {
-		return headFacts{}
+		return headerInfo{}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := headFacts{bytes: len(c.head)}
-	if len(c.head) == 0 || !bytes.HasPrefix(c.head, []byte(r.Method+" ")) {
+	f := headerInfo{bytes: len(c.header)}
+	if len(c.header) == 0 || !bytes.HasPrefix(c.header, []byte(r.Method+" ")) {
 		f.problem = "request came inside another"
 		return f
 	}
-	f.problem = framingProblem(c.head)
+	f.problem = framingProblem(c.header)
 	return f
 }
 
 // framingProblem tells why a head's length can be read in two ways.
-func framingProblem(head []byte) string {
+func framingProblem(header []byte) string {
 	lengths, encodings := 0, 0
-	for i, line := range bytes.Split(head, []byte("\r\n")) {
+	for i, line := range bytes.Split(header, []byte("\r\n")) {
 		if i == 0 || len(line) == 0 {
 			continue
 		}
@@ -145,9 +145,9 @@
 	return ""
 }
 
-// headDone notes that a request is read to its end: what comes is another.
-func headDone(r *http.Request) {
+// markRequestRead notes that a request is read to its end: what comes is another.
+func markRequestRead(r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*callerConn); ok {
-		c.next()
+		c.startNextHeader()
 	}
 }
--- a/internal/gateway/patience_test.go
+++ b/internal/gateway/patience_test.go
@@ -16,7 +16,7 @@
 func TestRequestsWaitForHostsThatStartTogether(t *testing.T) {
 	for hosts, c := range waits {
 		g := New(Options{HostCount: func() int { return hosts }})
-		if got := g.startPatience(); got < c[0] || got > c[1] {
+		if got := g.startupWait(); got < c[0] || got > c[1] {
 			t.Errorf("%d hosts: requests wait %s, not %s to %s", hosts, got, c[0], c[1])
 		}
 	}
--- a/internal/gateway/pauses.go
+++ b/internal/gateway/pauses.go
@@ -7,41 +7,41 @@
 	"quaybarrow/internal/upgrade"
 )
 
-// pausesTold is how many pauses of a stream are known before its pace is told; a
+// minPacePauses is how many pauses of a stream are known before its pace is told; a
 // stream that ends with fewer tells what it has.
-const pausesTold = 6
+const minPacePauses = 6
 
-// pauses are the times between the events of an attempt.
-type pauses struct {
-	lastAt            clock.Instant
-	n                 int
+// eventPauses are the times between the events of an attempt.
+type eventPauses struct {
+	lastEventAt       clock.Instant
+	count             int
 	shortest, longest time.Duration
-	told              bool
+	reported          bool
 }
 
 // add takes in events that came together: all but the first came at once only to
 // this host, so the pause counts as shared by them.
-func (p *pauses) add(now clock.Instant, events int) {
-	last := p.lastAt
-	p.lastAt = now
+func (p *eventPauses) add(now clock.Instant, events int) {
+	last := p.lastEventAt
+	p.lastEventAt = now
 	if last.IsZero() || events == 0 {
 		return
 	}
-	p.n++
+	p.count++
 	pause := now.Sub(last)
 	p.longest = max(p.longest, pause)
 	pause /= time.Duration(events)
-	if p.n == 1 || pause < p.shortest {
+	if p.count == 1 || pause < p.shortest {
 		p.shortest = pause
 	}
 }
 
-// tellPace tells the pace of a stream once, as soon as it is known or the stream
+// reportPaceOnce tells the pace of a stream once, as soon as it is known or the stream
 // has ended.
-func (a *attempt) tellPace(p *pauses, ended bool) {
-	if p.told || p.n == 0 || (p.n < pausesTold && !ended) {
+func (a *attempt) reportPaceOnce(p *eventPauses, ended bool) {
+	if p.reported || p.count == 0 || (p.count < minPacePauses && !ended) {
 		return
 	}
-	p.told = true
-	a.paced(upgrade.Shortest(p.shortest))
+	p.reported = true
+	a.reportPace(upgrade.Shortest(p.shortest))
 }
--- a/internal/gateway/pauses_test.go
+++ b/internal/gateway/pauses_test.go
@@ -29,7 +29,7 @@
 var _ = Describe("the pauses of a stream", func() {
 	for name, a := range arrivals {
 		It("with "+name, func() {
-			p, start := &pauses{}, clock.Now()
+			p, start := &eventPauses{}, clock.Now()
 			for _, c := range a.came {
 				p.add(start.Add(c.at), c.events)
 			}
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -22,12 +22,12 @@
 
 // Errors of attempts.
 var (
-	errNoEndpoint = errors.New("no endpoint takes the request")
-	errRefused    = errors.New("engines can't serve it")
-	errLimited    = errors.New("endpoints are at the limits that they name")
-	errAway       = errors.New("all data halls of the service are evacuated")
-	errRejected   = errors.New("the endpoint did not run the request")
-	errUnsound    = errors.New("the answer is not an endpoint's")
+	errNoEndpoint      = errors.New("no endpoint takes the request")
+	errNoCapacity      = errors.New("engines can't serve it")
+	errAtLimits        = errors.New("endpoints are at the limits that they name")
+	errAllEvacuated    = errors.New("all data halls of the service are evacuated")
+	errRejected        = errors.New("the endpoint did not run the request")
+	errNotFromEndpoint = errors.New("the answer is not an endpoint's")
 )
 
 // Bounds of attempts.
@@ -35,65 +35,65 @@
 	// connShare of an endpoint's connections is the most that one host holds;
 	// the hosts' loads differ, and the sum stays far below what endpoints take.
 	connShare = 0.25
-	connLeast = 4
+	minConns  = 4
 	// maxDials bounds the endpoints that a request tries to reach.
 	maxDials = 6
 )
 
 // attempt is a request at an endpoint, with the answer's head read.
 type attempt struct {
-	x      *exchange
-	hold   *fleet.Hold
-	conn   *conn.Conn
-	model  string
-	sentAt clock.Instant
-	answer *http.Response
-	said   ResponseHeader
-	headAt clock.Instant // zero before the head
-	going  *quarantine.Ongoing
-	stop   func() bool // ends the watch on the caller
-	ended  bool
+	x             *exchange
+	hold          *fleet.Hold
+	conn          *conn.Conn
+	model         string
+	sentAt        clock.Instant
+	response      *http.Response
+	header        ResponseHeader
+	headAt        clock.Instant // zero before the head
+	ongoingRun    *quarantine.Ongoing
+	stopInterrupt func() bool // ends the watch on the caller
+	ended         bool
 }
 
 // send picks an endpoint and sends the request there. Endpoints that can't be
 // reached are passed over: they have seen nothing.
 func (x *exchange) send(ctx context.Context, model, lastEvent string) (*attempt, error) {
 	for range maxDials {
-		if err := x.awaitTurn(ctx); err != nil {
+		if err := x.awaitSuspectTurn(ctx); err != nil {
 			return nil, err
 		}
-		hold, decision := x.pick(ctx, model)
+		hold, decision := x.pickInTurn(ctx, model)
 		if refused, ok := decision.(admission.Refuse); ok {
-			x.room = refused.After
+			x.roomIn = refused.After
 			if refused.After > 0 {
-				return nil, errLimited
+				return nil, errAtLimits
 			}
-			return nil, errRefused
+			return nil, errNoCapacity
 		}
 		if hold == nil {
 			if x.g.Fleet.Away(x.service) {
-				return nil, errAway
+				return nil, errAllEvacuated
 			}
-			x.stranded = true
+			x.foundNoEndpoint = true
 			return nil, errNoEndpoint
 		}
 		c, err := x.g.Pool.Get(ctx, hold.Endpoint.Address, x.connLimit())
 		if err != nil {
-			x.unreached(hold, err)
+			x.recordUnreachable(hold, err)
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
 			continue
 		}
-		if err := x.stillWanted(ctx); err != nil {
+		if err := x.checkBeforeSend(ctx); err != nil {
 			c.Release(false)
 			hold.Done(fleet.Result{Outcome: fleet.OutcomeNeutral})
-			if errors.Is(err, errSuspect) {
+			if errors.Is(err, errBecameSuspect) {
 				continue
 			}
 			return nil, err
 		}
-		a, err := x.sendOn(ctx, hold, c, model, lastEvent)
+		a, err := x.sendOnConn(ctx, hold, c, model, lastEvent)
 		if errors.Is(err, conn.ErrNotSent) {
 			continue
 		}
@@ -102,27 +102,27 @@
 	return nil, errNoEndpoint
 }
 
-// stillWanted asks, right before a request is sent, what was known when it came and may be old:
+// checkBeforeSend asks, right before a request is sent, what was known when it came and may be old:
 // waits and connections take time, and a machine may have been suspended in between.
-func (x *exchange) stillWanted(ctx context.Context) error {
+func (x *exchange) checkBeforeSend(ctx context.Context) error {
 	switch {
 	case clock.Over(ctx):
 		return context.DeadlineExceeded
 	case x.standing().Quarantined:
 		return errQuarantined
-	case x.suspect() && !x.suspectTurn:
-		return errSuspect
+	case x.isSuspect() && !x.maySendSuspect:
+		return errBecameSuspect
 	default:
 		return nil
 	}
 }
 
-// pick chooses an endpoint that the request has not been to, once it is its turn; nil if
+// pickInTurn chooses an endpoint that the request has not been to, once it is its turn; nil if
 // it is refused or there is none.
-func (x *exchange) pick(ctx context.Context, model string) (*fleet.Hold, admission.Decision) {
+func (x *exchange) pickInTurn(ctx context.Context, model string) (*fleet.Hold, admission.Decision) {
 	turn := int64(0)
 	for {
-		hold, decision := x.choose(ctx, model, turn)
+		hold, decision := x.chooseEndpoint(ctx, model, turn)
 		wait, ok := decision.(admission.Wait)
 		if !ok {
 			return hold, decision
@@ -138,16 +138,16 @@
 	}
 }
 
-// choose decides on the request. For one with a prompt hosts choose together.
-func (x *exchange) choose(ctx context.Context, model string, turn int64) (*fleet.Hold, admission.Decision) {
+// chooseEndpoint decides on the request. For one with a prompt hosts chooseEndpoint together.
+func (x *exchange) chooseEndpoint(ctx context.Context, model string, turn int64) (*fleet.Hold, admission.Decision) {
 	ask := x.fleetAsk(model)
-	ask.Waited, ask.Turn, ask.Within = clock.Since(x.start), turn, x.within()
+	ask.Waited, ask.Turn, ask.Within = clock.Since(x.start), turn, x.maxLimitWait()
 	if ask.Key == 0 {
 		return x.g.Fleet.Place(ask)
 	}
 	ask.Unadvised = x.g.Advice != nil && !x.g.Advice.Leads()
-	if x.first == 0 { // else the caller has a part of the answer, and the rest goes before others
-		ask.Slack, ask.Left, ask.Begun = x.slack(), x.useful(), x.mayRun
+	if x.headerDelay == 0 { // else the caller has a part of the answer, and the rest goes before others
+		ask.Slack, ask.Left, ask.Begun = x.slack(), x.usefulTime(), x.mayHaveRun
 	}
 	if x.g.Advice == nil {
 		return x.g.Fleet.Place(ask)
@@ -175,28 +175,28 @@
 // slack is what is left until the answer should begin.
 func (x *exchange) slack() time.Duration { return x.route.Objective - clock.Since(x.start) }
 
-// Callers leave a stream of which nothing has come for the longest of leaveLeast,
-// leaveObjectives objectives and leaveGaps of the longest pauses that count as in time.
+// Callers leave a stream of which nothing has come for the longest of minSilenceLimit,
+// silenceLimitObjectives objectives and silenceLimitGaps of the longest pauses that count as in time.
 const (
-	leaveLeast      = 2 * time.Second
-	leaveObjectives = 4
-	leaveGaps       = 8
+	minSilenceLimit        = 2 * time.Second
+	silenceLimitObjectives = 4
+	silenceLimitGaps       = 8
 )
 
-// useful is for how long the caller can use the beginning of an answer: until it would
+// usefulTime is for how long the caller can use the beginning of an answer: until it would
 // leave, or the answer could not end in time.
-func (x *exchange) useful() time.Duration {
-	span := time.Duration(x.g.spans.of(x.route.Name) * float64(time.Second))
-	return max(min(x.leaves()-clock.Since(x.start), x.left()-span), 1)
+func (x *exchange) usefulTime() time.Duration {
+	span := time.Duration(x.g.streamSpans.mean(x.route.Name) * float64(time.Second))
+	return max(min(x.callerSilenceLimit()-clock.Since(x.start), x.timeLeft()-span), 1)
 }
 
-// leaves is after how long a silence the caller leaves a stream.
-func (x *exchange) leaves() time.Duration {
-	return max(leaveLeast, leaveObjectives*x.route.Objective, leaveGaps*x.route.Gap)
+// callerSilenceLimit is after how long a silence the caller callerSilenceLimit a stream.
+func (x *exchange) callerSilenceLimit() time.Duration {
+	return max(minSilenceLimit, silenceLimitObjectives*x.route.Objective, silenceLimitGaps*x.route.Gap)
 }
 
 func (x *exchange) countAdvice(outcome string) {
-	x.advice = outcome
+	x.adviceOutcome = outcome
 	x.g.Telemetry.Count("advice", 1, telemetry.Label("outcome", outcome))
 }
 
@@ -206,96 +206,96 @@
 	if !ok || s.MaxConns == 0 {
 		return 0
 	}
-	return max(connLeast, int(float64(s.MaxConns)*connShare))
+	return max(minConns, int(float64(s.MaxConns)*connShare))
 }
 
-// unreached notes an endpoint that the request could not be sent to.
-func (x *exchange) unreached(hold *fleet.Hold, err error) {
+// recordUnreachable notes an endpoint that the request could not be sent to.
+func (x *exchange) recordUnreachable(hold *fleet.Hold, err error) {
 	x.tried = append(x.tried, hold.Endpoint.ID)
 	outcome := fleet.OutcomeLost
 	if errors.Is(err, conn.ErrBusy) || x.ctx.Err() != nil {
 		outcome = fleet.OutcomeNeutral
 	}
 	hold.Done(fleet.Result{Outcome: outcome})
-	x.g.Logger.Warn("endpoint not reached", "id", x.ask.ID, "endpoint", hold.Endpoint.ID, "address", hold.Endpoint.Address, "error", err)
+	x.g.Logger.Warn("endpoint not reached", "id", x.header.ID, "endpoint", hold.Endpoint.ID, "address", hold.Endpoint.Address, "error", err)
 }
 
-// sendOn sends the request on a connection and reads the answer's head.
-func (x *exchange) sendOn(ctx context.Context, hold *fleet.Hold, c *conn.Conn, model, lastEvent string) (*attempt, error) {
+// sendOnConn sends the request on a connection and reads the answer's head.
+func (x *exchange) sendOnConn(ctx context.Context, hold *fleet.Hold, c *conn.Conn, model, lastEvent string) (*attempt, error) {
 	a := &attempt{x: x, hold: hold, conn: c, model: model, sentAt: clock.Now()}
 	x.sends++
-	x.suspectTurn = false
+	x.maySendSuspect = false
 	x.tried = append(x.tried, hold.Endpoint.ID)
 	x.endpoint, x.version, x.model = hold.Endpoint.ID, hold.Endpoint.Version, model
-	a.stop = context.AfterFunc(ctx, c.Interrupt)
-	a.limitHead(ctx)
-	answer, err := c.Send(x.request(a, lastEvent), x.accepts) //nolint:bodyclose // a closed connection ends its body
+	a.stopInterrupt = context.AfterFunc(ctx, c.Interrupt)
+	a.boundHeaderWait(ctx)
+	resp, err := c.Send(x.outgoingRequest(a, lastEvent), x.acceptsResponse) //nolint:bodyclose // a closed connection ends its body
 	if errors.Is(err, conn.ErrNotSent) {
 		x.sends--
 		a.end(fleet.OutcomeLost, false)
 		return nil, err
 	}
-	before := x.mayRun
-	x.mayRun = true
+	before := x.mayHaveRun
+	x.mayHaveRun = true
 	if err != nil {
-		a.broke(err)
+		a.endBroken(err)
 		return nil, err
 	}
-	a.liftLimit(ctx)
-	a.answer, a.said = answer, x.g.Codec.ParseResponse(answer.Header)
-	a.hearLimit()
-	if a.said.NotRun || answer.StatusCode == http.StatusMisdirectedRequest {
-		x.mayRun = before
-		a.rejected()
+	a.clearReadDeadline(ctx)
+	a.response, a.header = resp, x.g.Codec.ParseResponse(resp.Header)
+	a.recordLimit()
+	if a.header.NotRun || resp.StatusCode == http.StatusMisdirectedRequest {
+		x.mayHaveRun = before
+		a.endRejected()
 		return nil, errRejected
 	}
 	// A rejection comes at once: taken for the beginning of an answer it would tell that
 	// full endpoints read prompts in no time, and have nobody waiting.
-	a.hold.Head(a.said.Load)
-	x.count()
-	a.headAt, a.going = clock.Now(), x.g.Quarantine.Begin(x.fingerprint)
-	x.head, x.expected = clock.Since(a.sentAt), hold.Expected
+	a.hold.Head(a.header.Load)
+	x.countUsage()
+	a.headAt, a.ongoingRun = clock.Now(), x.g.Quarantine.Begin(x.fingerprint)
+	x.lastHeaderDelay, x.expected = clock.Since(a.sentAt), hold.Expected
 	return a, nil
 }
 
-// stuckPart of the objective is how long a plain repeatable request waits for an
+// headerWaitFraction of the objective is how long a plain repeatable request waits for an
 // answer before it is offered to another endpoint: an answer is likely to come
 // sooner, unless it never does. Streams are left to wait: another attempt may be what a
 // larger model needs.
-const stuckPart = 0.75
+const headerWaitFraction = 0.75
 
-// limitHead bounds the wait for the answer's head if the request may go to
+// boundHeaderWait bounds the wait for the answer's head if the request may go to
 // another endpoint instead, and would be in time there.
-func (a *attempt) limitHead(ctx context.Context) {
+func (a *attempt) boundHeaderWait(ctx context.Context) {
 	x := a.x
-	patience := time.Duration(stuckPart * float64(x.route.Objective))
-	over := clock.Since(x.start)+patience > x.route.Objective
-	if x.route.Kind != route.KindRepeatable || x.sends >= x.route.Attempts || over {
+	headerWait := time.Duration(headerWaitFraction * float64(x.route.Objective))
+	tooLate := clock.Since(x.start)+headerWait > x.route.Objective
+	if x.route.Kind != route.KindRepeatable || x.sends >= x.route.Attempts || tooLate {
 		return
 	}
-	a.conn.SetReadDeadline(a.sentAt.Add(patience).Time())
+	a.conn.SetReadDeadline(a.sentAt.Add(headerWait).Time())
 	if ctx.Err() != nil {
 		a.conn.Interrupt()
 	}
 }
 
-// liftLimit lets the rest of the answer take its time.
-func (a *attempt) liftLimit(ctx context.Context) {
+// clearReadDeadline lets the rest of the answer take its time.
+func (a *attempt) clearReadDeadline(ctx context.Context) {
 	a.conn.SetReadDeadline(time.Time{})
 	if ctx.Err() != nil {
 		a.conn.Interrupt()
 	}
 }
 
-// accepts reports whether an answer is for this request.
-func (x *exchange) accepts(h http.Header) bool {
+// acceptsResponse reports whether an answer is for this request.
+func (x *exchange) acceptsResponse(h http.Header) bool {
 	id := x.g.Codec.ParseResponse(h).RequestID
-	return id == "" || id == x.ask.ID
+	return id == "" || id == x.header.ID
 }
 
-// request makes the request as the endpoint gets it.
-func (x *exchange) request(a *attempt, lastEvent string) *http.Request {
-	left := x.left()
+// outgoingRequest makes the outgoingRequest as the endpoint gets it.
+func (x *exchange) outgoingRequest(a *attempt, lastEvent string) *http.Request {
+	left := x.timeLeft()
 	h := x.g.Codec.EndpointHeader(x.r.Header, AttemptHeader{
 		Instance: a.hold.Endpoint.Instance, Workspace: x.workspace, Model: x.modelName(a.model), LastEventID: lastEvent,
 		TimeLeft: left, Urgency: a.hold.Urgency(),
@@ -321,24 +321,24 @@
 	return model
 }
 
-// rejected ends an attempt that the endpoint did not run.
-func (a *attempt) rejected() {
+// endRejected ends an attempt that the endpoint did not run.
+func (a *attempt) endRejected() {
 	a.x.rejections++
 	outcome := fleet.OutcomeRefused
-	if a.answer.StatusCode == http.StatusMisdirectedRequest {
+	if a.response.StatusCode == http.StatusMisdirectedRequest {
 		outcome = fleet.OutcomeLost // another endpoint has the address now
 	}
-	_, err := io.Copy(io.Discard, io.LimitReader(a.answer.Body, drainBytes))
+	_, err := io.Copy(io.Discard, io.LimitReader(a.response.Body, maxDrainBytes))
 	a.end(outcome, err == nil)
-	a.x.g.Logger.Info("endpoint rejected", "id", a.x.ask.ID, "endpoint", a.hold.Endpoint.ID, "status", a.answer.StatusCode,
-		"running", a.said.Load.Running, "waiting", a.said.Load.Waiting)
+	a.x.g.Logger.Info("endpoint rejected", "id", a.x.header.ID, "endpoint", a.hold.Endpoint.ID, "status", a.response.StatusCode,
+		"running", a.header.Load.Running, "waiting", a.header.Load.Waiting)
 }
 
-// drainBytes bounds what is read of an answer that nobody needs.
-const drainBytes = 16 << 10
+// maxDrainBytes bounds what is read of an answer that nobody needs.
+const maxDrainBytes = 16 << 10
 
-// fail ends an attempt that broke or whose answer is no good.
-func (a *attempt) fail() {
+// endFailed ends an attempt that broke or whose answer is no good.
+func (a *attempt) endFailed() {
 	outcome := fleet.OutcomeFailed
 	if a.x.ctx.Err() != nil {
 		outcome = fleet.OutcomeNeutral
@@ -352,30 +352,30 @@
 		return
 	}
 	a.ended = true
-	if a.going != nil {
+	if a.ongoingRun != nil {
 		x := a.x
-		x.g.Quarantine.End(a.going)
+		x.g.Quarantine.End(a.ongoingRun)
 		if whole && x.g.Quarantine.Watching() {
 			x.g.Quarantine.Finished(x.fingerprint())
 		}
 	}
-	a.conn.Release(a.stop() && whole)
-	a.hold.Done(fleet.Result{Outcome: outcome, Load: a.said.Load})
+	a.conn.Release(a.stopInterrupt() && whole)
+	a.hold.Done(fleet.Result{Outcome: outcome, Load: a.header.Load})
 }
 
-// sound reports whether the answer is one that the endpoint made.
-func (a *attempt) sound() bool {
-	return a.said.Sealed && a.answer.Header.Get("Content-Encoding") == ""
+// fromEndpoint reports whether the answer is one that the endpoint made.
+func (a *attempt) fromEndpoint() bool {
+	return a.header.Sealed && a.response.Header.Get("Content-Encoding") == ""
 }
 
-// paced tells the upgrade of the service how fast the answer came.
-func (a *attempt) paced(pace upgrade.Pace) {
-	a.report(upgrade.Paced{Pace: pace, Requests: a.said.Load.Running + a.said.Load.Waiting})
+// reportPace tells the upgrade of the service how fast the answer came.
+func (a *attempt) reportPace(pace upgrade.Pace) {
+	a.reportFinding(upgrade.Paced{Pace: pace, Requests: a.header.Load.Running + a.header.Load.Waiting})
 }
 
-// report tells the upgrade of the service what was seen of the endpoint's version. All starts
+// reportFinding tells the upgrade of the service what was seen of the endpoint's version. All starts
 // of an endpoint count as one: what fails at each of its starts is the endpoint.
-func (a *attempt) report(f upgrade.Finding) {
+func (a *attempt) reportFinding(f upgrade.Finding) {
 	e := a.hold.Endpoint
 	a.x.g.Upgrades.Note(upgrade.Report{
 		Service: a.x.service, Version: e.Version, Endpoint: e.Instance, Route: a.x.route.Name, Model: a.model, Finding: f,
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -14,22 +14,22 @@
 
 // Bounds of callers' connections.
 const (
-	headTimeout = 5 * time.Second // for a head, once its first byte is there
-	idleMost    = 5 * time.Minute // where operators declare nothing
-	probeAfter  = 2 * time.Second // callers that vanish are noticed in about five seconds
-	probeEvery  = time.Second
-	probeCount  = 3
+	headerTimeout      = 5 * time.Second // for a head, once its first byte is there
+	defaultIdleTimeout = 5 * time.Minute // where operators declare nothing
+	keepAliveIdle      = 2 * time.Second // callers that vanish are noticed in about five seconds
+	keepAliveInterval  = time.Second
+	keepAliveProbes    = 3
 )
 
 // Server returns a server of routed requests, for a listener made by Wrap.
 func (g *Gateway) Server() *http.Server {
 	return &http.Server{
-		Handler: g, ReadHeaderTimeout: headTimeout, IdleTimeout: idleMost, MaxHeaderBytes: headMost,
+		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog:    stdlog.New(io.Discard, "", 0), // refused heads are the caller's matter
 		ConnContext: withConn,
 		ConnState: func(c net.Conn, s http.ConnState) {
 			if caller, ok := c.(*callerConn); ok && s == http.StateIdle {
-				caller.rest()
+				caller.markIdle()
 			}
 		},
 	}
@@ -39,7 +39,7 @@
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{
 		Control:         conn.SetUserTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
 	}
 	inner, err := config.Listen(ctx, "tcp4", address)
 	if err != nil {
@@ -50,11 +50,11 @@
 
 // Wrap makes a listener's connections keep the heads of requests for checking.
 func (g *Gateway) Wrap(inner net.Listener) net.Listener {
-	return &listener{Listener: inner, idle: g.idle}
+	return &listener{Listener: inner, idleTimeout: g.idleTimeout}
 }
 
-// idle is how long a caller's connection may rest.
-func (g *Gateway) idle() time.Duration {
+// idleTimeout is how long a caller's connection may rest.
+func (g *Gateway) idleTimeout() time.Duration {
 	if t := g.Holder.Table(); t != nil {
 		return t.Limits().Idle
 	}
@@ -64,7 +64,7 @@
 // listener hands out connections that keep their heads.
 type listener struct {
 	net.Listener
-	idle func() time.Duration
+	idleTimeout func() time.Duration
 }
 
 // Accept implements net.Listener.
@@ -73,5 +73,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return newCallerConn(raw, l.idle), nil
+	return newCallerConn(raw, l.idleTimeout), nil
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -14,15 +14,15 @@
 // serveStream serves a request whose answer is a stream of events. A stream that
 // breaks goes on at another endpoint inside the same answer, if it may.
 func (x *exchange) serveStream() {
-	s := &stream{x: x, last: x.ask.LastEventID}
+	s := &stream{x: x, lastEventID: x.header.LastEventID}
 	for {
-		err := s.attempt()
+		err := s.tryOnce()
 		if err == nil {
 			x.outcome = "streamed"
-			x.g.spans.add(x.route.Name, (clock.Since(x.start) - x.first).Seconds())
+			x.g.streamSpans.add(x.route.Name, (clock.Since(x.start) - x.headerDelay).Seconds())
 			return
 		}
-		if errors.Is(err, errEscalate) || (s.mayResume() && x.again(err)) {
+		if errors.Is(err, errEscalate) || (s.mayResume() && x.mayRetry(err)) {
 			continue
 		}
 		s.giveUp(err)
@@ -35,74 +35,74 @@
 
 // stream is the answer that the caller has got so far.
 type stream struct {
-	x       *exchange
-	begun   bool   // the caller has the head
-	last    string // id of the last event that the caller has
-	failure *wholeAnswer
+	x           *exchange
+	headerSent  bool   // the caller has the head
+	lastEventID string // id of the last event that the caller has
+	failure     *bufferedResponse
 }
 
 // mayResume reports whether another attempt can go on where the answer is.
-func (s *stream) mayResume() bool { return !s.begun || s.x.route.Resumable }
+func (s *stream) mayResume() bool { return !s.headerSent || s.x.route.Resumable }
 
-// attempt sends the request once and relays its events.
-func (s *stream) attempt() error {
+// tryOnce sends the request once and relays its events.
+func (s *stream) tryOnce() error {
 	x := s.x
-	a, err := x.send(x.ctx, x.model, s.last)
+	a, err := x.send(x.ctx, x.model, s.lastEventID)
 	if err != nil {
 		return err
 	}
-	if a.answer.StatusCode != http.StatusOK {
-		return s.notStream(a)
+	if a.response.StatusCode != http.StatusOK {
+		return s.handleNonStream(a)
 	}
-	if !a.sound() {
-		a.fail()
-		return errUnsound
+	if !a.fromEndpoint() {
+		a.endFailed()
+		return errNotFromEndpoint
 	}
-	a.report(upgrade.Answered{})
-	if s.escalates(a) {
+	a.reportFinding(upgrade.Answered{})
+	if s.tryEscalate(a) {
 		a.end(fleet.OutcomeGood, false)
 		return errEscalate
 	}
-	s.begin(a)
+	s.sendHeader(a)
 	return s.relay(a)
 }
 
-// notStream handles an answer that is no stream.
-func (s *stream) notStream(a *attempt) error {
-	body, err := readShort(a.answer)
+// handleNonStream handles an answer that is no stream.
+func (s *stream) handleNonStream(a *attempt) error {
+	body, err := readNonStream(a.response)
 	if err != nil {
-		a.broke(err)
+		a.endBroken(err)
 		return err
 	}
-	if !a.sound() {
-		a.fail()
-		return errUnsound
+	if !a.fromEndpoint() {
+		a.endFailed()
+		return errNotFromEndpoint
 	}
-	failed := a.answer.StatusCode >= http.StatusInternalServerError
-	a.report(upgrade.Answered{Failed: failed})
-	answer := &wholeAnswer{attempt: a, body: body}
+	failed := a.response.StatusCode >= http.StatusInternalServerError
+	a.reportFinding(upgrade.Answered{Failed: failed})
+	resp := &bufferedResponse{attempt: a, body: body}
 	if failed {
 		a.end(fleet.OutcomeFailed, true)
-		s.failure = answer
-		return errors.Errorf("the endpoint answered %d", a.answer.StatusCode)
+		s.failure = resp
+		return errors.Errorf("the endpoint answered %d", a.response.StatusCode)
 	}
 	a.end(fleet.OutcomeGood, true)
-	if s.begun {
-		return errors.Errorf("the endpoint answered %d", a.answer.StatusCode)
+	if s.headerSent {
+		return errors.Errorf("the endpoint answered %d", a.response.StatusCode)
 	}
-	s.x.relayWhole(answer)
+	s.x.relayBuffered(resp)
 	return nil
 }
 
-// begin sends the caller the head of the first answer.
-func (s *stream) begin(a *attempt) {
-	if s.begun {
+// sendHeader sends the caller the head of the first answer.
+func (s *stream) sendHeader(a *attempt) {
+	if s.headerSent {
 		return
 	}
-	s.begun = true
-	s.x.first = clock.Since(s.x.start)
+	s.headerSent = true
+	s.x.headerDelay = clock.Since(s.x.start)
 	h := s.x.w.Header()
-	for name, values := range s.x.g.Codec.CallerHeader(a.answer.Header) {
+	for name, values := range s.x.g.Codec.CallerHeader(a.response.Header) {
 		h[name] = values
 	}
 	s.x.w.WriteHeader(http.StatusOK)
@@ -112,20 +112,20 @@
 func (s *stream) relay(a *attempt) error {
 	x := s.x
 	out := http.NewResponseController(x.w)
-	events := newEventReader(a.answer.Body, s.last)
-	times := &pauses{}
+	events := newEventReader(a.response.Body, s.lastEventID)
+	pauses := &eventPauses{}
 	defer func() {
-		x.pause, x.shortest = max(x.pause, times.longest), times.shortest
-		a.tellPace(times, true)
+		x.longestPause, x.shortestPause = max(x.longestPause, pauses.longest), pauses.shortest
+		a.reportPaceOnce(pauses, true)
 	}()
 	for {
-		a.limitSilence()
+		a.boundSilence()
 		chunk, err := events.next()
 		if len(chunk.data) > 0 {
 			now := clock.Now()
-			times.add(now, chunk.events)
-			a.going.Arrived(now)
-			a.tellPace(times, false)
+			pauses.add(now, chunk.events)
+			a.ongoingRun.Arrived(now)
+			a.reportPaceOnce(pauses, false)
 			if _, writeErr := x.w.Write(chunk.data); writeErr != nil {
 				a.end(fleet.OutcomeNeutral, false)
 				return errors.WithMessage(writeErr, "caller left")
@@ -135,31 +135,31 @@
 				return errors.WithMessage(flushErr, "caller left")
 			}
 			x.events += chunk.events
-			s.last = chunk.last
+			s.lastEventID = chunk.lastID
 		}
 		switch {
 		case errors.Is(err, errStreamEnd):
 			a.end(fleet.OutcomeGood, true)
 			return nil
 		case err != nil:
-			a.broke(err)
+			a.endBroken(err)
 			return err
 		}
 	}
 }
 
-// silentPart of the time after which callers leave a silent stream is how long one is
+// silenceFraction of the time after which callers leave a silent stream is how long one is
 // waited for that may go on elsewhere: engines lose answers and leave the connection open.
 // Those that read long prompts beside it pause for seconds.
-const silentPart = 0.375
+const silenceFraction = 0.375
 
-// limitSilence bounds the wait for a stream's next event if it may go on elsewhere.
-func (a *attempt) limitSilence() {
+// boundSilence bounds the wait for a stream's next event if it may go on elsewhere.
+func (a *attempt) boundSilence() {
 	x := a.x
 	if !x.route.Resumable || x.sends >= x.route.Attempts {
 		return
 	}
-	a.conn.SetReadDeadline(clock.Now().Add(time.Duration(silentPart * float64(x.leaves()))).Time())
+	a.conn.SetReadDeadline(clock.Now().Add(time.Duration(silenceFraction * float64(x.callerSilenceLimit()))).Time())
 	if x.ctx.Err() != nil {
 		a.conn.Interrupt()
 	}
@@ -168,12 +168,12 @@
 // giveUp ends a stream that can't go on.
 func (s *stream) giveUp(err error) {
 	x := s.x
-	if !s.begun {
+	if !s.headerSent {
 		x.giveUp(s.failure, err)
 		return
 	}
-	if x.gone() {
-		x.abandon("caller left")
+	if x.callerGone() {
+		x.abort("caller left")
 	}
-	x.cut(err.Error())
+	x.abortPartial(err.Error())
 }
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// running counts requests in hand, by service; safe for use at once.
-type running struct {
+// runningCounter counts requests in hand, by service; safe for use at once.
+type runningCounter struct {
 	mu     sync.Mutex // guards counts
 	counts map[string]int
 }
 
-func newRunning() *running { return &running{counts: map[string]int{}} }
+func newRunningCounter() *runningCounter { return &runningCounter{counts: map[string]int{}} }
 
-func (r *running) add(service string, n int) {
+func (r *runningCounter) add(service string, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[service] += n
@@ -29,9 +29,9 @@
 	return maps.Clone(g.running.counts)
 }
 
-// count counts the request for its workspace as it begins to run. Other attempts at it, at larger
+// countUsage counts the request for its workspace as it begins to run. Other attempts at it, at larger
 // models or after a break, are the same request.
-func (x *exchange) count() {
+func (x *exchange) countUsage() {
 	if x.counted || x.g.Usage == nil {
 		return
 	}
