--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -39,7 +39,7 @@
 	if x.table == nil {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: configRetryAfter}
 	}
-	for _, stage := range []func() *refusal{x.checkHead, x.findRoute, x.authenticate, x.checkRegions, x.readBody, x.checkQuarantine} {
+	for _, stage := range []func() *refusal{x.checkHeader, x.findRoute, x.authenticate, x.checkRegions, x.readBody, x.checkQuarantine} {
 		if refused := stage(); refused != nil {
 			return refused
 		}
@@ -81,8 +81,8 @@
 // configRetryAfter is when to come back to a host that knows no configuration yet.
 const configRetryAfter = 500 * time.Millisecond
 
-// checkHead refuses heads that could hide a second request or are too long.
-func (x *exchange) checkHead() *refusal {
+// checkHeader refuses heads that could hide a second request or are too long.
+func (x *exchange) checkHeader() *refusal {
 	info := inspectHeader(x.r)
 	limits := x.table.Limits()
 	switch {
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -144,7 +144,7 @@
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": answer})
 			defer r.stop()
-			table := r.unknow()
+			table := r.forgetConfig()
 			time.AfterFunc(150*time.Millisecond, func() { r.holder.Apply(table) })
 			began := time.Now()
 			a := r.ask(request("POST", "/once/1", "x"))
@@ -157,7 +157,7 @@
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": answer})
 			defer r.stop()
-			table := r.unknow()
+			table := r.forgetConfig()
 			time.AfterFunc(time.Second, func() { r.holder.Apply(table) })
 			began := time.Now()
 			Expect(r.ask(request("POST", "/once/1", "x")).Status).To(Equal(200))
@@ -169,7 +169,7 @@
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": answer})
 			defer r.stop()
-			r.unknow()
+			r.forgetConfig()
 			for _, most := range []time.Duration{1250 * time.Millisecond, time.Millisecond, time.Millisecond} {
 				began := time.Now()
 				a := r.ask(request("POST", "/once/1", "x"))
--- a/internal/gateway/beginnings_test.go
+++ b/internal/gateway/beginnings_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// begun is how many of a thousand requests begin with the largest model.
-func begun(b *firstModels, route string) int {
+// startsWithLargest is how many of a thousand requests begin with the largest model.
+func startsWithLargest(b *firstModels, route string) int {
 	n := 0
 	for range 1000 {
 		if b.startWithLargest(route) {
@@ -18,10 +18,10 @@
 	return n
 }
 
-var learned = map[string]struct {
-	better  []float64 // of each answer of the smallest model in turn
-	answers int
-	begins  bool
+var gainCases = map[string]struct {
+	gains         []float64 // of each answer of the smallest model in turn
+	responses     int
+	startsLargest bool
 }{
 	"the largest is better each time":  {[]float64{0.2}, 40, true},
 	"the smallest is better each time": {[]float64{-0.2}, 40, false},
@@ -32,18 +32,18 @@
 }
 
 var _ = Describe("the model to begin with", func() {
-	for name, l := range learned {
+	for name, l := range gainCases {
 		It("is known by route where "+name, func() {
 			b := newFirstModels()
-			for i := range l.answers {
-				b.record("r", l.better[i%len(l.better)])
+			for i := range l.responses {
+				b.record("r", l.gains[i%len(l.gains)])
 			}
-			if !l.begins {
-				Expect(begun(b, "r")).To(BeZero())
+			if !l.startsLargest {
+				Expect(startsWithLargest(b, "r")).To(BeZero())
 				return
 			}
-			Expect(begun(b, "r")).To(BeNumerically("~", 900, 60), "a tenth goes on asking the smallest")
-			Expect(begun(b, "other")).To(BeZero())
+			Expect(startsWithLargest(b, "r")).To(BeNumerically("~", 900, 60), "a tenth goes on asking the smallest")
+			Expect(startsWithLargest(b, "other")).To(BeZero())
 		})
 	}
 
@@ -55,7 +55,7 @@
 		for range 60 {
 			b.record("r", -0.3)
 		}
-		Expect(begun(b, "r")).To(BeZero())
+		Expect(startsWithLargest(b, "r")).To(BeZero())
 	})
 })
 
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -121,7 +121,7 @@
 func (x *exchange) fleetAsk(model string) fleet.Ask {
 	return fleet.Ask{
 		Service: x.service, Allowed: x.g.Upgrades.Allowed(x.service, x.versionKey), Avoid: x.tried,
-		Key: x.affinityKey(model), Model: model, Tokens: x.header.TokensIn, Shared: x.header.shared(),
+		Key: x.affinityKey(model), Model: model, Tokens: x.header.TokensIn, Shared: x.header.sharedTokens(),
 		Parts: x.promptParts(model), Memory: x.cacheTokens(), Objective: x.route.Objective, Urgency: x.urgency,
 		Regions: x.regions,
 	}
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -30,9 +30,9 @@
 	Parts       []PromptPart
 }
 
-// shared counts the prompt's tokens that other requests have too: those of all
+// sharedTokens counts the prompt's tokens that other requests have too: those of all
 // parts but the last.
-func (a RequestHeader) shared() int {
+func (a RequestHeader) sharedTokens() int {
 	n := 0
 	for i := range len(a.Parts) - 1 {
 		n += a.Parts[i].Tokens
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -10,10 +10,10 @@
 	"quaybarrow/platform/standin"
 )
 
-// breaks are ways in which an attempt ends early, and whether its endpoint has crashed.
-var breaks = map[string]struct {
+// failures are ways in which an attempt ends early, and whether its endpoint has crashed.
+var failures = map[string]struct {
 	path    string
-	goes    standin.Script
+	script  standin.Script
 	crashed bool
 }{
 	"an endpoint that crashes before its answer":    {"/again/1", standin.Crash{}, true},
@@ -29,12 +29,12 @@
 }
 
 var _ = Describe("an attempt that ends early", func() {
-	for name, b := range breaks {
+	for name, b := range failures {
 		It("is told from others by whether the endpoint crashed: "+name, func() {
 			suite.Paused(func() {
-				both := between(b.goes, good)
+				both := between(b.script, good)
 				if b.path == "/stream/1" {
-					both = between(b.goes, standin.Stream{Events: 3, Confidence: 100})
+					both = between(b.script, standin.Stream{Events: 3, Confidence: 100})
 				}
 				r := newRig(scripts{"plain-1": both, "plain-2": both, "model-1": both, "model-2": both})
 				defer r.stop()
--- a/internal/gateway/halfclose_test.go
+++ b/internal/gateway/halfclose_test.go
@@ -11,9 +11,9 @@
 	"quaybarrow/platform/standin"
 )
 
-// closesHalf sends a request on a real connection, closes the sending half of it and
+// askHalfClosed sends a request on a real connection, closes the sending half of it and
 // returns what comes back.
-func (r *rig) closesHalf(q standin.Request) string {
+func (r *rig) askHalfClosed(req standin.Request) string {
 	var config net.ListenConfig
 	l, err := config.Listen(context.Background(), "tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -22,15 +22,15 @@
 	c, err := dialer.DialContext(context.Background(), "tcp4", l.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = c.Close() }()
-	_, err = io.WriteString(c, q.Text())
+	_, err = io.WriteString(c, req.Text())
 	Expect(err).NotTo(HaveOccurred())
 	Expect(c.(*net.TCPConn).CloseWrite()).To(Succeed())
 	got, _ := io.ReadAll(c) // an error is as good as nothing
 	return string(got)
 }
 
-// halves are requests whose callers are taken to have left, with what an endpoint does.
-var halves = map[string]struct {
+// halfClosedRequests are requests whose callers are taken to have left, with what an endpoint does.
+var halfClosedRequests = map[string]struct {
 	path   string
 	script standin.Script
 }{
@@ -41,11 +41,11 @@
 }
 
 var _ = Describe("a caller that has closed its sending half", func() {
-	for name, h := range halves {
+	for name, h := range halfClosedRequests {
 		It("gets nothing that looks like a whole answer: "+name, func() {
 			r := newRig(scripts{"plain-1": standin.Always(h.script), "model-1": standin.Always(h.script)})
 			defer func() { _ = r.server.Close() }()
-			got := r.closesHalf(request("POST", h.path, "x").WithPrompt())
+			got := r.askHalfClosed(request("POST", h.path, "x").WithPrompt())
 			Expect(got).NotTo(ContainSubstring("Content-Length: 0"), "the library's answer of a handler that wrote nothing")
 			Expect(got).NotTo(HaveSuffix("0\r\n\r\n"), "the end of a stream")
 		})
--- a/internal/gateway/halls_test.go
+++ b/internal/gateway/halls_test.go
@@ -41,8 +41,8 @@
 	It("end where they run, and go on elsewhere when they break", func() {
 		suite.Paused(func() {
 			breaks := standin.Stream{Events: 6, BreakAfter: 3, Confidence: 90, Gap: 50 * time.Millisecond}
-			whole := standin.Stream{Events: 6, Confidence: 90, Gap: 50 * time.Millisecond}
-			r := newRig(scripts{"model-1": standin.Always(breaks), "model-2": standin.Always(whole)})
+			complete := standin.Stream{Events: 6, Confidence: 90, Gap: 50 * time.Millisecond}
+			r := newRig(scripts{"model-1": standin.Always(breaks), "model-2": standin.Always(complete)})
 			defer r.stop()
 			for id, hall := range map[string]string{"model-1": "ikeja", "model-2": "lekki"} {
 				e, _ := r.fleet.Listed(id)
@@ -67,8 +67,8 @@
 })
 
 var _ = Describe("requests that regions bind", func() {
-	// rigIn has an endpoint in each of two regions.
-	rigIn := func(ofRoute, ofWorkspace []string) *rig {
+	// newRegionRig has an endpoint in each of two regions.
+	newRegionRig := func(ofRoute, ofWorkspace []string) *rig {
 		r := newRig(scripts{"plain-1": standin.Always(good), "plain-2": standin.Always(good)})
 		f := fleet.New(fleet.Options{Hall: "ikeja", Regions: map[string]string{"ikeja": "lagos", "wuse": "abuja"}})
 		for id, hall := range map[string]string{"plain-1": "ikeja", "plain-2": "wuse"} {
@@ -98,7 +98,7 @@
 	for name, c := range cases {
 		It("run only there: "+name, func() {
 			suite.Paused(func() {
-				r := rigIn(c.route, c.workspace)
+				r := newRegionRig(c.route, c.workspace)
 				defer r.stop()
 				for range 12 {
 					a := r.ask(request("POST", "/once/1", "body"))
@@ -121,9 +121,9 @@
 })
 
 var _ = Describe("a host at a cold endpoint", func() {
-	// runsOf sends twenty streams at once to the only endpoint, which is cold, at a host that has advised for
+	// countRuns sends twenty streams at once to the only endpoint, which is cold, at a host that has advised for
 	// a time, and counts those that it ran.
-	runsOf := func(before []string, advised time.Duration) int {
+	countRuns := func(earlierHosts []string, advised time.Duration) int {
 		runs := 0
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(standin.Stream{Events: 1, Confidence: 90})})
@@ -138,7 +138,7 @@
 			f.Put(e)
 			r.gateway.Fleet = f
 			r.gateway.Advice = advice.New(advice.Options{
-				Hall: "ikeja", Fleet: f, Logger: log.New(io.Discard), Before: func() []string { return before },
+				Hall: "ikeja", Fleet: f, Logger: log.New(io.Discard), Before: func() []string { return earlierHosts },
 				Conn: func(string) (grpc.ClientConnInterface, error) { return nil, net.ErrClosed },
 			})
 			for range advised / (100 * time.Millisecond) {
@@ -157,8 +157,8 @@
 	}
 
 	It("sends its own part only while it gets no advice, and what one may that advises others", func() {
-		Expect(runsOf([]string{"10.0.0.9:1"}, 0)).To(BeNumerically("<=", 1))
-		Expect(runsOf(nil, 1500*time.Millisecond)).To(Equal(8))
-		Expect(runsOf(nil, 0)).To(Equal(2), "of one that has just begun to")
+		Expect(countRuns([]string{"10.0.0.9:1"}, 0)).To(BeNumerically("<=", 1))
+		Expect(countRuns(nil, 1500*time.Millisecond)).To(Equal(8))
+		Expect(countRuns(nil, 0)).To(Equal(2), "of one that has just begun to")
 	})
 })
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -12,8 +12,8 @@
 	"quaybarrow/platform/standin"
 )
 
-// fill has other requests hold an endpoint's slots, and many wait there.
-func (r *rig) fill(count int) []*fleet.Hold {
+// occupySlots has other requests hold an endpoint's slots, and many wait there.
+func (r *rig) occupySlots(count int) []*fleet.Hold {
 	var holds []*fleet.Hold
 	for i := range count {
 		h, ok := r.fleet.Pick(fleet.Ask{Service: "model", Key: uint64(i) + 1, Model: "small", Tokens: 300, Objective: time.Second})
@@ -33,27 +33,27 @@
 var _ = Describe("a stream while engines are full", func() {
 	It("that can't be served is refused at once, and its caller told to come back late", func() {
 		suite.Paused(func() {
-			r := newRig(scripts{"model-1": standin.Always(sure)})
+			r := newRig(scripts{"model-1": standin.Always(confident)})
 			defer r.stop()
-			r.fill(200)
+			r.occupySlots(200)
 			start := time.Now()
 			a := r.ask(prompt("/stream/1"))
 			Expect(a.Status).To(Equal(503))
 			Expect(time.Since(start)).To(BeNumerically("<", 250*time.Millisecond), "an eighth of the objective")
 			after, err := strconv.ParseFloat(a.Head.Get("Retry-After"), 64)
 			Expect(err).NotTo(HaveOccurred())
-			const heeded = 15.0 / 3 // of the time that the caller gives
-			Expect(after).To(BeNumerically(">", 0.65*heeded))
-			Expect(after).To(BeNumerically("<=", heeded))
+			const maxRetryAfter = 15.0 / 3 // of the time that the caller gives
+			Expect(after).To(BeNumerically(">", 0.65*maxRetryAfter))
+			Expect(after).To(BeNumerically("<=", maxRetryAfter))
 			Expect(r.runs()).To(BeZero())
 		})
 	})
 
 	It("waits for its turn here, and is served as soon as there is room", func() {
 		suite.Paused(func() {
-			r := newRig(scripts{"model-1": standin.Always(sure)})
+			r := newRig(scripts{"model-1": standin.Always(confident)})
 			defer r.stop()
-			holds := r.fill(24)
+			holds := r.occupySlots(24)
 			start := time.Now()
 			answered := make(chan standin.Answer)
 			go func() { answered <- r.ask(prompt("/stream/1")) }()
@@ -68,9 +68,9 @@
 
 	It("that waits is forgotten when its caller leaves", func() {
 		suite.Paused(func() {
-			r := newRig(scripts{"model-1": standin.Always(sure)})
+			r := newRig(scripts{"model-1": standin.Always(confident)})
 			defer r.stop()
-			holds := r.fill(24)
+			holds := r.occupySlots(24)
 			c := r.call()
 			c.send(prompt("/stream/1").Text())
 			time.Sleep(2 * time.Second)
@@ -86,9 +86,9 @@
 
 	It("that waits at a host which stops is sent elsewhere", func() {
 		suite.Paused(func() {
-			r := newRig(scripts{"model-1": standin.Always(sure)})
+			r := newRig(scripts{"model-1": standin.Always(confident)})
 			defer r.stop()
-			holds := r.fill(24)
+			holds := r.occupySlots(24)
 			answered := make(chan standin.Answer)
 			go func() { answered <- r.ask(prompt("/stream/1")) }()
 			time.Sleep(time.Second)
@@ -107,11 +107,11 @@
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(standin.Reply{Status: 503, NotRun: true})})
 			defer r.stop()
-			var heard []fleet.Heard
-			r.fleet.OnHead(func(h fleet.Heard) { heard = append(heard, h) })
+			var reports []fleet.Heard
+			r.fleet.OnHead(func(h fleet.Heard) { reports = append(reports, h) })
 			Expect(r.ask(prompt("/stream/1")).Status).To(Equal(503))
-			Expect(heard).NotTo(BeEmpty())
-			for _, h := range heard {
+			Expect(reports).NotTo(BeEmpty())
+			for _, h := range reports {
 				Expect(h.Refused).To(BeTrue())
 			}
 		})
--- a/internal/gateway/pauses_test.go
+++ b/internal/gateway/pauses_test.go
@@ -16,7 +16,7 @@
 }
 
 var arrivals = map[string]struct {
-	came              []arrival
+	arrivals          []arrival
 	shortest, longest time.Duration
 }{
 	"no events":        {nil, 0, 0},
@@ -30,7 +30,7 @@
 	for name, a := range arrivals {
 		It("with "+name, func() {
 			p, start := &eventPauses{}, clock.Now()
-			for _, c := range a.came {
+			for _, c := range a.arrivals {
 				p.add(start.Add(c.at), c.events)
 			}
 			Expect(p.shortest).To(Equal(a.shortest))
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -11,8 +11,8 @@
 	"quaybarrow/platform/standin"
 )
 
-// crashesUnder has endpoints crash under one body, and answer all others.
-func crashesUnder(body string, other standin.Script) func(int, *http.Request) standin.Script {
+// crashOnBody has endpoints crash under one body, and answer all others.
+func crashOnBody(body string, other standin.Script) func(int, *http.Request) standin.Script {
 	return func(_ int, r *http.Request) standin.Script {
 		if r.Header.Get("X-Body") == body {
 			return standin.Crash{After: 50 * time.Millisecond}
@@ -21,18 +21,18 @@
 	}
 }
 
-// asking sends a request whose endpoints can tell its body.
-func (r *rig) asking(path, body, id string) standin.Answer {
+// askWithBody sends a request whose endpoints can tell its body.
+func (r *rig) askWithBody(path, body, id string) standin.Answer {
 	q := request("POST", path, body).WithID(id).With("X-Body: " + body)
 	return r.ask(q)
 }
 
-// crashRig has six endpoints of each service that crash under one request.
-func crashRig() *rig {
+// newCrashRig has six endpoints of each service that crash under one request.
+func newCrashRig() *rig {
 	s := scripts{}
 	for _, n := range []string{"1", "2", "3", "4", "5", "6"} {
-		s["plain-"+n] = crashesUnder("bad", good)
-		s["model-"+n] = crashesUnder("bad", standin.Stream{Events: 3, Confidence: 100})
+		s["plain-"+n] = crashOnBody("bad", good)
+		s["model-"+n] = crashOnBody("bad", standin.Stream{Events: 3, Confidence: 100})
 	}
 	return newRig(s)
 }
@@ -48,11 +48,11 @@
 	for name, path := range quarantinePaths {
 		It("is refused for good, at once and truly, from the third crash on: "+name, func() {
 			suite.Paused(func() {
-				r := crashRig()
+				r := newCrashRig()
 				defer r.stop()
 				for _, id := range []string{"a", "b", "c", "d"} {
 					before := r.runs()
-					a := r.asking(path, "bad", id)
+					a := r.askWithBody(path, "bad", id)
 					if r.runs() > before {
 						Expect(a.Status).To(Equal(http.StatusBadGateway), "it ran")
 					} else {
@@ -62,7 +62,7 @@
 				}
 				Expect(r.runs()).To(Equal(3))
 				began := time.Now()
-				a := r.asking(path, "bad", "e")
+				a := r.askWithBody(path, "bad", "e")
 				Expect(a.Status).To(Equal(http.StatusServiceUnavailable))
 				Expect(a.Head.Get("Retry-After")).To(BeEmpty())
 				Expect(a.Body).To(ContainSubstring("quarantined: endpoints crash under this request"))
@@ -74,38 +74,38 @@
 
 	It("does nothing to others of the same workspace, or to the same request of another route", func() {
 		suite.Paused(func() {
-			r := crashRig()
+			r := newCrashRig()
 			defer r.stop()
 			for _, id := range []string{"a", "b", "c"} {
-				r.asking("/once/1", "bad", id)
+				r.askWithBody("/once/1", "bad", id)
 				time.Sleep(time.Second)
 			}
-			Expect(r.asking("/once/1", "bad", "d").Status).To(Equal(http.StatusServiceUnavailable))
-			Expect(r.asking("/once/1", "fine", "e").Status).To(Equal(http.StatusOK))
-			Expect(r.asking("/once/2", "bad", "f").Status).To(Equal(http.StatusBadGateway), "it crashes one more")
+			Expect(r.askWithBody("/once/1", "bad", "d").Status).To(Equal(http.StatusServiceUnavailable))
+			Expect(r.askWithBody("/once/1", "fine", "e").Status).To(Equal(http.StatusOK))
+			Expect(r.askWithBody("/once/2", "bad", "f").Status).To(Equal(http.StatusBadGateway), "it crashes one more")
 		})
 	})
 
 	It("is known by its caller: the same of another workspace, or of nobody, is another request", func() {
 		suite.Paused(func() {
-			r := crashRig()
+			r := newCrashRig()
 			defer r.stop()
 			for _, id := range []string{"a", "b", "c"} {
-				r.asking("/open/1", "bad", id)
+				r.askWithBody("/open/1", "bad", id)
 				time.Sleep(time.Second)
 			}
-			Expect(r.asking("/open/1", "bad", "d").Status).To(Equal(http.StatusServiceUnavailable))
-			Expect(r.asking("/once/1", "bad", "e").Status).To(Equal(http.StatusBadGateway))
+			Expect(r.askWithBody("/open/1", "bad", "d").Status).To(Equal(http.StatusServiceUnavailable))
+			Expect(r.askWithBody("/once/1", "bad", "e").Status).To(Equal(http.StatusBadGateway))
 		})
 	})
 
 	It("is not sent on though it came before it was known", func() {
 		suite.Paused(func() {
-			r := crashRig()
+			r := newCrashRig()
 			defer r.stop()
 			asked := make(chan standin.Answer, 8)
 			for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
-				go func() { asked <- r.asking("/again/1", "bad", id) }()
+				go func() { asked <- r.askWithBody("/again/1", "bad", id) }()
 				time.Sleep(40 * time.Millisecond)
 			}
 			for range 8 {
@@ -118,20 +118,20 @@
 	// Two crashes are known of those that emptied the service, a third not yet; all copies that waited were sent together.
 	It("is sent one copy at a time to a service that it may have emptied", func() {
 		suite.Paused(func() {
-			r := crashRig()
+			r := newCrashRig()
 			defer r.stop()
-			r.lending()
+			r.grantTurns()
 			later := []string{"plain-3", "plain-4", "plain-5", "plain-6"}
 			for _, id := range later {
 				r.fleet.Remove(id)
 			}
-			r.asking("/again/1", "bad", "a")
+			r.askWithBody("/again/1", "bad", "a")
 			Expect(r.runs()).To(Equal(2), "both that were there crashed")
 			r.fleet.Remove("plain-1")
 			r.fleet.Remove("plain-2")
 			asked := make(chan standin.Answer, 8)
 			for _, id := range []string{"b", "c", "d", "e", "f"} {
-				go func() { asked <- r.asking("/again/1", "bad", id) }()
+				go func() { asked <- r.askWithBody("/again/1", "bad", id) }()
 			}
 			time.Sleep(30 * time.Millisecond)
 			r.relist(later...)
@@ -144,7 +144,7 @@
 
 	It("is let out by an answer of its own that comes to a good end", func() {
 		suite.Paused(func() {
-			r := crashRig()
+			r := newCrashRig()
 			defer r.stop()
 			slow := standin.Reply{Status: 200, Body: "late", Delay: time.Second}
 			r.endpoints["plain-1"].Script(standin.Always(slow))
@@ -153,17 +153,17 @@
 				r.fleet.Remove("plain-" + n)
 			}
 			asked := make(chan standin.Answer, 1)
-			go func() { asked <- r.asking("/once/1", "bad", "slow") }()
+			go func() { asked <- r.askWithBody("/once/1", "bad", "slow") }()
 			time.Sleep(time.Millisecond)
 			r.relist("plain-2", "plain-3", "plain-4", "plain-5")
 			r.fleet.Remove("plain-1")
 			for _, id := range []string{"a", "b", "c"} {
-				r.asking("/once/1", "bad", id)
+				r.askWithBody("/once/1", "bad", id)
 				time.Sleep(200 * time.Millisecond)
 			}
-			Expect(r.asking("/once/1", "bad", "d").Status).To(Equal(http.StatusServiceUnavailable))
+			Expect(r.askWithBody("/once/1", "bad", "d").Status).To(Equal(http.StatusServiceUnavailable))
 			Expect((<-asked).Status).To(Equal(http.StatusOK))
-			Expect(r.asking("/once/1", "bad", "e").Status).To(Equal(http.StatusBadGateway), "it is sent again")
+			Expect(r.askWithBody("/once/1", "bad", "e").Status).To(Equal(http.StatusBadGateway), "it is sent again")
 		})
 	})
 })
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -44,23 +44,23 @@
 	endpoints map[string]*standin.Endpoint
 	entries   map[string]fleet.Endpoint
 	listeners []net.Listener
-	log       *lines
+	log       *logBuffer
 }
 
-// lines is what was logged, for use at once.
-type lines struct {
+// logBuffer is what was logged, for use at once.
+type logBuffer struct {
 	mu sync.Mutex // guards b
 	b  bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) text() string {
+func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
@@ -69,8 +69,8 @@
 // fingerprintIn finds the fingerprint that a log tells.
 func fingerprintIn(text string) string {
 	_, after, _ := strings.Cut(text, "fingerprint=")
-	print, _, _ := strings.Cut(after, " ")
-	return print
+	fingerprint, _, _ := strings.Cut(after, " ")
+	return fingerprint
 }
 
 // noClock is a watcher for tests without upgrades.
@@ -80,21 +80,21 @@
 
 // declaration has a route of each kind.
 func declaration() route.Declaration {
-	one := func(service string) []route.Target { return []route.Target{{Service: service, Weight: 1}} }
+	only := func(service string) []route.Target { return []route.Target{{Service: service, Weight: 1}} }
 	return route.Declaration{
 		Version: 1,
 		Limits:  route.Limits{HeaderBytes: 4096, BodyBytes: 1000, Idle: 10 * time.Second},
 		Routes: []route.Route{
 			{Name: "once", Host: "a.example", Prefix: "/once/", Kind: route.KindOnce, Timeout: 2 * time.Second,
-				Objective: 300 * time.Millisecond, Attempts: 2, Targets: one("plain")},
+				Objective: 300 * time.Millisecond, Attempts: 2, Targets: only("plain")},
 			{Name: "again", Host: "a.example", Prefix: "/again/", Kind: route.KindRepeatable, Timeout: 2 * time.Second,
-				Objective: 300 * time.Millisecond, Attempts: 2, Targets: one("plain")},
+				Objective: 300 * time.Millisecond, Attempts: 2, Targets: only("plain")},
 			{Name: "open", Host: "a.example", Prefix: "/open/", Kind: route.KindOnce, Timeout: 2 * time.Second,
-				Objective: 300 * time.Millisecond, Attempts: 1, Targets: one("plain"), Public: true},
+				Objective: 300 * time.Millisecond, Attempts: 1, Targets: only("plain"), Public: true},
 			{Name: "stream", Host: "a.example", Prefix: "/stream/", Kind: route.KindStream, Timeout: 20 * time.Second,
-				Objective: 2 * time.Second, Attempts: 3, Targets: one("model"), Resumable: true, Models: []string{"small", "middle", "large"}},
+				Objective: 2 * time.Second, Attempts: 3, Targets: only("model"), Resumable: true, Models: []string{"small", "middle", "large"}},
 			{Name: "fixed", Host: "a.example", Prefix: "/fixed/", Kind: route.KindStream, Timeout: 20 * time.Second,
-				Objective: 2 * time.Second, Attempts: 3, Targets: one("model")},
+				Objective: 2 * time.Second, Attempts: 3, Targets: only("model")},
 		},
 		Services:   []route.Service{{Name: "plain", MaxConns: 96}, {Name: "model", MaxConns: 200}},
 		Workspaces: []route.Workspace{{Name: "weavers", Priority: -1, Keys: []string{"key-1"}}},
@@ -105,7 +105,7 @@
 func newRig(scripts map[string]func(int, *http.Request) standin.Script) *rig {
 	r := &rig{
 		net: memnet.New(), holder: route.NewHolder(), fleet: fleet.New(fleet.Options{Hall: "ikeja"}),
-		endpoints: map[string]*standin.Endpoint{}, entries: map[string]fleet.Endpoint{}, log: &lines{},
+		endpoints: map[string]*standin.Endpoint{}, entries: map[string]fleet.Endpoint{}, log: &logBuffer{},
 	}
 	r.holder.Apply(route.NewTable(declaration()))
 	logger := log.New(r.log)
@@ -120,7 +120,7 @@
 	n := 10
 	for id, script := range scripts {
 		n++
-		service, _, _ := cut(id)
+		service, _, _ := splitID(id)
 		address := fmt.Sprintf("10.0.1.%d:80", n)
 		e := standin.NewEndpoint(id, script)
 		r.endpoints[id] = e
@@ -136,8 +136,8 @@
 	return r
 }
 
-// lending has the gateway's host, alone, give turns to suspect requests.
-func (r *rig) lending() {
+// grantTurns has the gateway's host, alone, give turns to suspect requests.
+func (r *rig) grantTurns() {
 	r.gateway.RateLimits = ratelimit.NewDesk(ratelimit.Options{
 		Host: "h", Fleet: r.fleet, Known: func() bool { return true }, Members: func() []ratelimit.Member { return nil }, Logger: log.New(r.log),
 	})
@@ -150,7 +150,7 @@
 	}
 }
 
-func cut(id string) (service, number string, ok bool) {
+func splitID(id string) (service, number string, ok bool) {
 	for i := range id {
 		if id[i] == '-' {
 			return id[:i], id[i+1:], true
@@ -159,9 +159,9 @@
 	return id, "", false
 }
 
-// unknow has the gateway begin again without a configuration, and returns the one
+// forgetConfig has the gateway begin again without a configuration, and returns the one
 // that it had.
-func (r *rig) unknow() *route.Table {
+func (r *rig) forgetConfig() *route.Table {
 	table := r.holder.Table()
 	r.holder = route.NewHolder()
 	r.gateway.Holder = r.holder
@@ -212,9 +212,9 @@
 }
 
 // ask sends one request on a connection of its own.
-func (r *rig) ask(q standin.Request) standin.Answer {
+func (r *rig) ask(req standin.Request) standin.Answer {
 	c := r.call()
 	defer func() { _ = c.Close() }()
-	c.send(q.Text())
+	c.send(req.Text())
 	return c.read()
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -347,7 +347,7 @@
 }
 
 // end gives the connection and the place at the endpoint back.
-func (a *attempt) end(outcome fleet.Outcome, whole bool) {
+func (a *attempt) end(outcome fleet.Outcome, complete bool) {
 	if a.ended {
 		return
 	}
@@ -355,11 +355,11 @@
 	if a.ongoingRun != nil {
 		x := a.x
 		x.g.Quarantine.End(a.ongoingRun)
-		if whole && x.g.Quarantine.Watching() {
+		if complete && x.g.Quarantine.Watching() {
 			x.g.Quarantine.Finished(x.fingerprint())
 		}
 	}
-	a.conn.Release(a.stopInterrupt() && whole)
+	a.conn.Release(a.stopInterrupt() && complete)
 	a.hold.Done(fleet.Result{Outcome: outcome, Load: a.header.Load})
 }
 
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -28,12 +28,12 @@
 // prompt is a request to a model.
 func prompt(path string) standin.Request { return request("POST", path, "x").WithPrompt() }
 
-var sure = standin.Stream{Events: 5, Confidence: 90}
+var confident = standin.Stream{Events: 5, Confidence: 90}
 
 var _ = Describe("streams", func() {
 	It("are passed on whole, with the seal of the endpoint", func() {
 		suite.Paused(func() {
-			r := newRig(scripts{"model-1": standin.Always(sure)})
+			r := newRig(scripts{"model-1": standin.Always(confident)})
 			defer r.stop()
 			a := r.ask(prompt("/stream/1"))
 			Expect(a.Err).NotTo(HaveOccurred())
@@ -44,7 +44,7 @@
 
 	It("go on at another endpoint after a break inside an event", func() {
 		suite.Paused(func() {
-			both := between(standin.Stream{Events: 5, Confidence: 90, BreakAfter: 2}, sure)
+			both := between(standin.Stream{Events: 5, Confidence: 90, BreakAfter: 2}, confident)
 			r := newRig(scripts{"model-1": both, "model-2": both})
 			defer r.stop()
 			a := r.ask(prompt("/stream/1"))
@@ -56,7 +56,7 @@
 
 	It("go on at another endpoint when nothing more comes and the connection stays", func() {
 		suite.Paused(func() {
-			both := between(standin.Stream{Events: 5, Confidence: 90, StallAfter: 2}, sure)
+			both := between(standin.Stream{Events: 5, Confidence: 90, StallAfter: 2}, confident)
 			r := newRig(scripts{"model-1": both, "model-2": both})
 			defer r.stop()
 			start := time.Now()
@@ -68,14 +68,14 @@
 		})
 	})
 
-	// leaving are streams whose caller leaves while nothing comes.
-	leaving := map[string]standin.Script{
+	// silences are streams whose caller leaves while nothing comes.
+	silences := map[string]standin.Script{
 		"before the first event":        standin.Mute{},
 		"between two events":            standin.Stream{Events: 5, Confidence: 90, Gap: 3 * time.Second},
 		"while nothing more comes":      standin.Stream{Events: 5, Confidence: 90, StallAfter: 1},
 		"while a larger model is asked": standin.Stream{Events: 5, Confidence: 1, Gap: 3 * time.Second},
 	}
-	for name, script := range leaving {
+	for name, script := range silences {
 		It("let go of their endpoint when their caller leaves "+name, func() {
 			suite.Paused(func() {
 				r := newRig(scripts{"model-1": standin.Always(script), "model-2": standin.Always(script)})
@@ -190,8 +190,8 @@
 
 	It("of a small model are kept if the largest model's answer would be late", func() {
 		suite.Paused(func() {
-			doubtful := standin.Always(standin.Stream{Events: 5, Confidence: 10})
-			r := newRig(scripts{"model-1": doubtful, "model-2": doubtful})
+			unsure := standin.Always(standin.Stream{Events: 5, Confidence: 10})
+			r := newRig(scripts{"model-1": unsure, "model-2": unsure})
 			defer r.stop()
 			// Both endpoints read a prompt for longer than the objective.
 			for _, other := range []string{"model-1", "model-2"} {
@@ -207,7 +207,7 @@
 
 	It("start where the caller's last event says", func() {
 		suite.Paused(func() {
-			r := newRig(scripts{"model-1": standin.Always(sure)})
+			r := newRig(scripts{"model-1": standin.Always(confident)})
 			defer r.stop()
 			a := r.ask(prompt("/stream/1").WithLastEvent("3"))
 			Expect(a.Body).To(Equal(events(4, 5, "small")))
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -13,12 +13,12 @@
 	"quaybarrow/platform/standin"
 )
 
-// suspendedFor are times for which the machine is suspended while a request that has two
+// suspensions are times for which the machine is suspended while a request that has two
 // seconds is at an endpoint that fails after a tenth of one.
-var suspendedFor = map[string]struct {
-	lasts time.Duration
-	runs  int           // of the request
-	left  time.Duration // most that the last endpoint is told
+var suspensions = map[string]struct {
+	duration    time.Duration
+	runs        int           // of the request
+	maxTimeLeft time.Duration // most that the last endpoint is told
 }{
 	"not at all":                   {0, 2, 1900 * time.Millisecond},
 	"for a part of its time":       {time.Second, 2, 900 * time.Millisecond},
@@ -27,7 +27,7 @@
 }
 
 var _ = Describe("a request on a machine that is suspended", func() {
-	for name, s := range suspendedFor {
+	for name, s := range suspensions {
 		It("gives endpoints the time that is left, and is not sent on without any: "+name, func() {
 			suite.Paused(func() {
 				failing := standin.Reply{Status: http.StatusInternalServerError, Body: "no", Delay: 100 * time.Millisecond}
@@ -39,10 +39,10 @@
 				answers := make(chan standin.Answer, 1)
 				go func() { answers <- r.ask(q) }()
 				time.Sleep(50 * time.Millisecond)
-				clock.Suspend(s.lasts)
+				clock.Suspend(s.duration)
 				Expect((<-answers).Err).NotTo(HaveOccurred(), "an answer is delivered, late too")
 				Expect(r.runs()).To(Equal(s.runs))
-				Expect(r.lastLeft()).To(BeNumerically("<=", s.left))
+				Expect(r.lastTimeLeft()).To(BeNumerically("<=", s.maxTimeLeft))
 			})
 		})
 	}
@@ -57,8 +57,8 @@
 	})
 })
 
-// lastLeft is the time that the endpoint was given that was asked last.
-func (r *rig) lastLeft() time.Duration {
+// lastTimeLeft is the time that the endpoint was given that was asked last.
+func (r *rig) lastTimeLeft() time.Duration {
 	var last standin.Seen
 	for _, e := range r.endpoints {
 		for _, s := range e.Seen() {
--- a/internal/gateway/whole_test.go
+++ b/internal/gateway/whole_test.go
@@ -28,10 +28,10 @@
 
 var good = standin.Reply{Status: 200, Body: "done"}
 
-// wholeCases are requests with one endpoint that goes wrong once and then well.
-var wholeCases = map[string]struct {
+// unaryCases are requests with one endpoint that goes wrong once and then well.
+var unaryCases = map[string]struct {
 	path   string
-	goes   standin.Script
+	script standin.Script
 	status int
 	runs   int
 	sealed bool
@@ -50,10 +50,10 @@
 }
 
 var _ = Describe("requests with one answer", func() {
-	for name, c := range wholeCases {
+	for name, c := range unaryCases {
 		It(name, func() {
 			suite.Paused(func() {
-				both := between(c.goes, good)
+				both := between(c.script, good)
 				r := newRig(scripts{"plain-1": both, "plain-2": both})
 				defer r.stop()
 				a := r.ask(request("POST", c.path, "body"))
