--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -15,22 +15,22 @@
 	"quaybarrow/internal/route"
 )
 
-// Bounds where operators declare none.
+// Bounds that apply where operators declare none.
 const (
 	defaultTimeout      = 30 * time.Second
 	defaultMaxBodyBytes = 8 << 20
 )
 
-// refusal is an answer that the gateway makes itself.
+// refusal is a response that the gateway itself produces.
 type refusal struct {
 	status     int
 	reason     string
-	retryAfter time.Duration // when to come back; 0 if that does not help
+	retryAfter time.Duration // when to retry; 0 if that does not help
 	closeConn  bool          // the connection can't be used any more
 }
 
-// admit checks a request's head, finds its route and workspace and reads its
-// body; it returns why the request is refused, nil if it is not.
+// admit checks a request's header, finds its route and workspace, and reads its body. It returns
+// why the request is refused; nil if it is not.
 func (x *exchange) admit() *refusal {
 	x.header = x.g.Codec.ParseRequest(x.r.Header)
 	if clock.Since(x.g.startedAt) < x.g.startupWait() {
@@ -48,16 +48,16 @@
 	return nil
 }
 
-// baseStartupWait is for how long after a host's start requests wait for what it does
-// not know yet, as after a loss of power; a caller that is told to come back has one try
-// less. Once the time is over nothing is known to come, and requests are refused at once.
+// baseStartupWait is how long after a host's start requests wait for state that the host does not
+// have yet, as after a power loss; a caller that is told to retry has one try less. After that time
+// nothing is known to arrive, and requests are refused at once.
 const baseStartupWait = 1200 * time.Millisecond
 
-// startupWaitPerHost is added for each host: all start together after a loss of power, and a list of
-// endpoints that grows with the hosts goes through a few of them.
+// startupWaitPerHost is added for each host: all hosts start together after a power loss, and a
+// list of endpoints that grows with the number of hosts passes through a few of them.
 const startupWaitPerHost = time.Millisecond
 
-// startupWait is how long that is here.
+// startupWait returns how long requests wait after the start of this host.
 func (g *Gateway) startupWait() time.Duration {
 	if g.HostCount == nil {
 		return baseStartupWait
@@ -78,10 +78,10 @@
 	x.table = x.g.Holder.Table()
 }
 
-// configRetryAfter is when to come back to a host that knows no configuration yet.
+// configRetryAfter is when to retry at a host that has no configuration yet.
 const configRetryAfter = 500 * time.Millisecond
 
-// checkHeader refuses heads that could hide a second request or are too long.
+// checkHeader refuses headers that could hide a second request or are too long.
 func (x *exchange) checkHeader() *refusal {
 	info := inspectHeader(x.r)
 	limits := x.table.Limits()
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// authenticate finds whose request it is.
+// authenticate finds the request's workspace by its API key.
 func (x *exchange) authenticate() *refusal {
 	x.urgency, x.regions = x.route.Priority, route.RegionsFor(x.route, route.Workspace{})
 	if x.route.Public || !x.table.KeysRequired() {
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// checkRegions refuses a request that may run in no region: its route and its workspace
+// checkRegions refuses a request that may run in no region, because its route and its workspace
 // allow none in common.
 func (x *exchange) checkRegions() *refusal {
 	if !x.regions.None() {
@@ -146,7 +146,7 @@
 	return &refusal{status: http.StatusServiceUnavailable, reason: "route and workspace have no region in common"}
 }
 
-// readBody reads the whole body, which a second attempt may need again.
+// readBody reads the whole body, since a second attempt may need it again.
 func (x *exchange) readBody() *refusal {
 	limit := x.table.Limits().BodyBytes
 	if limit <= 0 {
@@ -155,7 +155,7 @@
 	if x.r.ContentLength > limit {
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "body is too long", closeConn: true}
 	}
-	// A caller that sends no more by the end of its time is not waited for.
+	// Stop waiting at the deadline for a caller that sends no more.
 	_ = http.NewResponseController(x.w).SetReadDeadline(x.deadline.Time())
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, limit))
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{})
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// planRouting derives what the choice of an endpoint goes by.
+// planRouting derives the inputs to the choice of an endpoint.
 func (x *exchange) planRouting() {
 	x.model = x.header.Model
 	if n := len(x.route.Models); n > 0 {
@@ -184,8 +184,8 @@
 	x.relativeSize = x.g.sizes.relative(x.route.Name, x.header.TokensIn, x.header.TokensOut)
 }
 
-// routingKeys hash what the prompt shares with other requests, all but its last part,
-// and what stays on one version: the session, if there is one.
+// routingKeys returns the hash of the prompt prefix that other requests share, which is all but its
+// last part, and the hash of what stays on one version: the session, if there is one.
 func (x *exchange) routingKeys() (prefix, versionKey uint64) {
 	prefix = xxhash.Sum64String(x.header.ID)
 	if n := len(x.header.Parts); n > 1 {
@@ -197,8 +197,8 @@
 	return prefix, xxhash.Sum64String(x.header.Session)
 }
 
-// affinityKey is the key by which endpoints are ranked: the prompt's, for a model,
-// since memory of prompts is kept by model; 0 for requests without a prompt.
+// affinityKey returns the key by which endpoints are ranked: the prompt's key for a model, since
+// prompt caches are kept by model. It is 0 for requests without a prompt.
 func (x *exchange) affinityKey(model string) uint64 {
 	if x.route.Kind != route.KindStream || len(x.header.Parts) == 0 {
 		return 0
@@ -206,7 +206,7 @@
 	return x.prefixKey ^ xxhash.Sum64String(model) | 1
 }
 
-// refuse answers a request that is not sent on.
+// refuse responds to a request that is not forwarded.
 func (x *exchange) refuse(f refusal) {
 	x.outcome = f.reason
 	if x.callerGone() {
@@ -223,8 +223,8 @@
 	_, _ = io.WriteString(x.w, f.reason+"\n")
 }
 
-// drainBody reads what is left of a request that is refused before its body was
-// read, so that the connection can be used again; false if that fails.
+// drainBody reads the rest of a request that is refused before its body was read, so that the
+// connection can be reused. It returns false if that fails.
 func (x *exchange) drainBody() bool {
 	if x.body != nil {
 		return true
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -10,12 +10,12 @@
 	"quaybarrow/internal/fleet"
 )
 
-// escalationBudgetFraction of the retry budget may go to larger models; the rest is for
-// requests that failed.
+// escalationBudgetFraction is the fraction of the retry budget that may be spent on larger models.
+// The rest is for requests that failed.
 const escalationBudgetFraction = 0.85
 
-// tryEscalate reports whether the answer is dropped for the largest model's, and
-// if so makes that the model to ask.
+// tryEscalate decides whether to drop the response and ask the largest model instead. If so, it
+// sets the largest model as the one to ask next and returns true.
 func (s *stream) tryEscalate(a *attempt) bool {
 	x := s.x
 	n := len(x.route.Models)
@@ -34,24 +34,27 @@
 	return true
 }
 
-// modelComparison is a small model's answer against a larger one that may be asked for.
+// modelComparison compares a small model's response with a larger model that could be asked
+// instead.
 type modelComparison struct {
-	model      string // the larger one
+	model      string // the larger model
 	confidence float64
-	elapsed    time.Duration // so far
+	elapsed    time.Duration // since the request arrived
 	kept       cascade.Answer
 	larger     cascade.Option
-	available  bool              // some endpoint takes the larger model's
-	expected   fleet.Expectation // of the larger model's answer
+	available  bool              // some endpoint takes a request to the larger model
+	expected   fleet.Expectation // of the attempt at the larger model
 }
 
-// largerIsBetter reports whether the larger model's answer is worth more.
+// largerIsBetter reports whether the larger model's response, net of its cost, is worth more than
+// the small model's.
 func (w modelComparison) largerIsBetter() bool { return w.available && w.larger.Net() > w.kept.Value() }
 
-// compareWith weighs an answer of a confidence against a larger model's.
+// compareWith compares a response of the given confidence with the expected response of a larger
+// model.
 func (x *exchange) compareWith(model string, confidence float64) modelComparison {
 	ask := x.fleetAsk(model)
-	ask.Avoid = nil // where the small model answered, the larger one may
+	ask.Avoid = nil // the endpoint that ran the small model may also run the larger one
 	w := modelComparison{model: model, confidence: confidence, elapsed: clock.Since(x.start)}
 	w.expected, w.available = x.expect(ask)
 	w.kept.Right = cascade.ChanceRight(confidence)
@@ -65,8 +68,8 @@
 	return w
 }
 
-// delayCost is how long others wait for an attempt's work, as a part of the objective;
-// nothing where operators declare none.
+// delayCost returns how long other requests wait for an attempt's work, as a fraction of the
+// objective. It is 0 where operators declare no objective.
 func (x *exchange) delayCost(e fleet.Expectation) float64 {
 	if x.route.Objective <= 0 {
 		return 0
@@ -74,15 +77,15 @@
 	return e.Price * e.Work.Seconds() / x.route.Objective.Seconds()
 }
 
-// logComparison writes the line about a small model's answer.
+// logComparison logs the comparison of a small model's response with a larger model.
 func (x *exchange) logComparison(w modelComparison, granted bool) {
 	x.g.Logger.Info("larger model weighed", "id", x.header.ID, "model", w.model, "confidence", w.confidence, "kept", w.kept.Value(),
 		"larger", w.larger.Value(), "use", w.larger.Use, "delay", w.larger.Delay, "in_time", w.larger.InTime, "took_ms", w.elapsed.Milliseconds(),
 		"expected_ms", w.expected.Head.Milliseconds(), "read", w.expected.Read, "price", w.expected.Price, "better", w.largerIsBetter(), "asked", granted)
 }
 
-// recordLargestFirstGain takes in how much better the request would have done if it had begun
-// with the larger model.
+// recordLargestFirstGain records how much better the request would have done if it had started with
+// the larger model.
 func (x *exchange) recordLargestFirstGain(w modelComparison) {
 	if !w.available || x.sends > 1 {
 		return
@@ -93,8 +96,8 @@
 	x.g.firstModels.record(x.route.Name, largestFirst.Net()-max(w.kept.Value(), w.larger.Net())-small.Net())
 }
 
-// expect is what an attempt is expected to take, as the host knows that advises; false
-// if no endpoint takes it.
+// expect returns what an attempt is expected to take, as estimated by the host that advises or else
+// by this host. It returns false if no endpoint takes the request.
 func (x *exchange) expect(ask fleet.Ask) (fleet.Expectation, bool) {
 	if x.g.Advice != nil {
 		if e, ok := x.g.Advice.Expect(x.ctx, ask, x.versionKey); ok {
@@ -104,7 +107,7 @@
 	return x.g.Fleet.Expect(ask)
 }
 
-// useCost is what the useCost of a model costs, as a part of the answer's worth.
+// useCost returns the cost of using a model, as a fraction of the answer's value.
 func (x *exchange) useCost(model string) float64 {
 	s, _ := x.table.Service(x.service)
 	cost, largest := 0.0, 0.0
@@ -117,7 +120,7 @@
 	return cascade.Use(cost, largest)
 }
 
-// fleetAsk is what the choice of an endpoint for a model goes by.
+// fleetAsk returns the criteria for choosing an endpoint for a model.
 func (x *exchange) fleetAsk(model string) fleet.Ask {
 	return fleet.Ask{
 		Service: x.service, Allowed: x.g.Upgrades.Allowed(x.service, x.versionKey), Avoid: x.tried,
@@ -127,7 +130,8 @@
 	}
 }
 
-// promptParts are those of the prompt, for a model; nil for requests without a prompt.
+// promptParts returns the prompt's parts with IDs that are specific to the model; nil for requests
+// without a prompt.
 func (x *exchange) promptParts(model string) []fleet.Part {
 	if x.affinityKey(model) == 0 {
 		return nil
@@ -140,7 +144,7 @@
 	return parts
 }
 
-// cacheTokens is how many tokens an endpoint of the service keeps; 0 if nobody tells.
+// cacheTokens returns how many tokens an endpoint of the service caches; 0 if that is not declared.
 func (x *exchange) cacheTokens() int {
 	s, _ := x.table.Service(x.service)
 	return s.CacheTokens
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -7,7 +7,7 @@
 	"quaybarrow/internal/fleet"
 )
 
-// NoConfidence stands for a confidence that an answer does not tell.
+// NoConfidence stands for the confidence of a response that states none.
 const NoConfidence = -1
 
 // PromptPart is a part of a prompt that other requests may share.
@@ -16,22 +16,22 @@
 	Tokens int
 }
 
-// RequestHeader is what a caller says in the head of a request.
+// RequestHeader is the information in the header of a caller's request.
 type RequestHeader struct {
 	ID          string
-	APIKey      string // the caller's key
-	APIKeyCount int    // how many it gave; more than one is an error
-	LastEventID string // of a stream that is taken up again
+	APIKey      string // the caller's API key
+	APIKeyCount int    // number of API keys given; more than one is an error
+	LastEventID string // last event received of a stream that is resumed
 	Model       string
 	Session     string
 	Timeout     time.Duration // how long the caller waits; 0 if it does not say
 	TokensIn    int
-	TokensOut   int // at most
+	TokensOut   int // maximum
 	Parts       []PromptPart
 }
 
-// sharedTokens counts the prompt's tokens that other requests have too: those of all
-// parts but the last.
+// sharedTokens counts the prompt's tokens that other requests have too: those of all parts but the
+// last.
 func (a RequestHeader) sharedTokens() int {
 	n := 0
 	for i := range len(a.Parts) - 1 {
@@ -40,36 +40,36 @@
 	return n
 }
 
-// AttemptHeader is what an endpoint is told about a request.
+// AttemptHeader is the information about a request that is sent to an endpoint.
 type AttemptHeader struct {
-	Instance    string // what the endpoint calls itself; no other one runs it
+	Instance    string // the endpoint's own name; no other endpoint runs the request
 	Workspace   string
-	Model       string // empty leaves the caller's
-	LastEventID string // empty leaves the caller's
+	Model       string // empty keeps the caller's
+	LastEventID string // empty keeps the caller's
 	TimeLeft    time.Duration
-	Urgency     int // 0 goes first; -1 says nothing
+	Urgency     int // 0 goes first; -1 leaves it to the endpoint
 }
 
-// ResponseHeader is what an endpoint says in the head of an answer.
+// ResponseHeader is the information in the header of an endpoint's response.
 type ResponseHeader struct {
 	RequestID  string
-	Sealed     bool // the endpoint made it
+	Sealed     bool // the endpoint produced the response
 	NotRun     bool // the request did not run
 	Load       fleet.Load
 	Limit      fleet.Limit
-	Confidence float64 // the model's own of its answer, 0 to 100
+	Confidence float64 // the model's confidence in its answer, 0 to 100
 }
 
-// Codec translates heads between a platform's names and these types.
+// Codec translates between headers with a platform's field names and these types.
 type Codec interface {
-	// ParseRequest reads a caller's head.
+	// ParseRequest parses the header of a caller's request.
 	ParseRequest(h http.Header) RequestHeader
-	// EndpointHeader makes an endpoint's head from a caller's.
+	// EndpointHeader derives the header of the request to an endpoint from the caller's.
 	EndpointHeader(h http.Header, a AttemptHeader) http.Header
-	// ParseResponse reads an endpoint's head.
+	// ParseResponse parses the header of an endpoint's response.
 	ParseResponse(h http.Header) ResponseHeader
-	// CallerHeader makes a caller's head from an endpoint's.
+	// CallerHeader derives the header of the response to the caller from the endpoint's.
 	CallerHeader(h http.Header) http.Header
-	// SetRefusal marks the answer to a request that the gateway answers itself.
+	// SetRefusal sets the header fields of a response that the gateway itself produces.
 	SetRefusal(h http.Header, id string, retryAfter time.Duration)
 }
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -12,25 +12,27 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// errQuarantined means that endpoints crash under the request.
+// errQuarantined means that the request makes endpoints crash.
 var errQuarantined = errors.New("quarantined: endpoints crash under this request; change it, or ask the operators to let it out")
 
-// errBecameSuspect means that the request has turned suspect since it was its turn.
+// errBecameSuspect means that the request became suspect after its turn to be sent was checked.
 var errBecameSuspect = errors.New("endpoints may crash under this request, and it is not its turn")
 
-// suspectSendsPerSecond is how often all hosts together send a service a request under which endpoints may crash,
-// in a second.
+// suspectSendsPerSecond is how many requests that may make endpoints crash all hosts together send
+// to a service per second.
 const suspectSendsPerSecond = 1
 
-// isSuspect reports whether endpoints may crash under the request, so that it has to wait for its turn.
+// isSuspect reports whether the request may make endpoints crash, so that it has to wait for its
+// turn.
 func (x *exchange) isSuspect() bool {
 	s := x.standing()
 	return s.Suspect() || (x.foundNoEndpoint && s.MayHaveEmptied())
 }
 
-// awaitSuspectTurn waits until a request under which endpoints may crash may be sent. Copies that wait while a
-// service has no endpoint would otherwise all go as the first one is back, and crash it together. One of
-// all suspects runs at a time, so that what it does to its endpoint speaks of no other.
+// awaitSuspectTurn waits until a request that may make endpoints crash may be sent. Copies that
+// wait while a service has no endpoint would otherwise all be sent as soon as the first endpoint is
+// back, and crash it together. Only one suspect request runs at a time, so that a crash of its
+// endpoint is not attributed to another request.
 func (x *exchange) awaitSuspectTurn(ctx context.Context) error {
 	for x.g.RateLimits != nil && !x.maySendSuspect && x.isSuspect() {
 		wait, granted := x.g.RateLimits.Turn(ctx, "suspect/"+x.service, suspectSendsPerSecond)
@@ -50,11 +52,11 @@
 	return nil
 }
 
-// suspectPollInterval is after how long a suspect request that waits looks again what is known of it.
+// suspectPollInterval is how often a waiting suspect request checks what is known of it.
 const suspectPollInterval = 100 * time.Millisecond
 
-// loggedFingerprint is the fingerprint, for the log of a request that endpoints crashed under; empty for
-// others, which need not be hashed.
+// loggedFingerprint returns the fingerprint to log for a request that is known to make endpoints
+// crash; empty for others, which need not be hashed.
 func (x *exchange) loggedFingerprint() string {
 	if x.crashes == 0 && !x.refusedAsQuarantined {
 		return ""
@@ -62,12 +64,12 @@
 	return x.fingerprint().String()
 }
 
-// computeFingerprint makes the request's fingerprint.
+// computeFingerprint computes the request's fingerprint.
 func (x *exchange) computeFingerprint() quarantine.Fingerprint {
 	return quarantine.Identity{Workspace: x.workspace, Target: x.r.Method + " " + x.r.Host + " " + x.r.RequestURI, Body: x.body}.Fingerprint()
 }
 
-// standing is what is known of the request when it came before.
+// standing returns what is known of the request from earlier times that it came.
 func (x *exchange) standing() quarantine.Standing {
 	if !x.g.Quarantine.Watching() {
 		return quarantine.Standing{}
@@ -75,8 +77,8 @@
 	return x.g.Quarantine.Standing(x.fingerprint())
 }
 
-// checkQuarantine refuses a request under which endpoints crash. It has not run and will not,
-// and nothing is gained by coming back.
+// checkQuarantine refuses a request that makes endpoints crash. It has not run and will not, and
+// retrying does not help.
 func (x *exchange) checkQuarantine() *refusal {
 	if !x.standing().Quarantined {
 		return nil
@@ -86,7 +88,7 @@
 	return &refusal{status: http.StatusServiceUnavailable, reason: errQuarantined.Error()}
 }
 
-// endBroken ends an attempt whose answer could not be read, and notes whether its endpoint has
+// endBroken ends an attempt whose response could not be read, and records whether its endpoint has
 // crashed.
 func (a *attempt) endBroken(err error) {
 	run := quarantine.Run{Lasted: clock.Since(a.sentAt), Of: a.x.workspace + " " + a.x.route.Name}
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -21,29 +21,30 @@
 	maxEventBytes      = 1 << 20
 )
 
-// eventReader cuts a stream into whole events. What a stream that breaks leaves
-// of an event is dropped, and so are events that the caller has already.
+// eventReader splits a stream into complete events. It drops the incomplete event at the end of a
+// stream that breaks off, and events that the caller already has.
 type eventReader struct {
 	source io.Reader
 	buffer []byte
-	lastID string // id of the last event handed out
+	lastID string // ID of the last event returned
 	endErr error
 }
 
-// newEventReader reads events that come after one with an id; "" for all.
+// newEventReader returns a reader of the events that follow the one with ID lastID; "" for all
+// events.
 func newEventReader(source io.Reader, lastID string) *eventReader {
 	return &eventReader{source: source, buffer: make([]byte, 0, initialEventBuffer), lastID: lastID}
 }
 
-// chunk is a row of whole events.
+// chunk is a sequence of complete events.
 type chunk struct {
 	data   []byte
 	events int
-	lastID string // id of the last event so far
+	lastID string // ID of the last event so far
 }
 
-// next returns the events that are there, after waiting for one at least. The
-// error tells how the stream ended; events may come with it.
+// next returns the events that are available, after waiting for at least one. The error tells how
+// the stream ended.
 func (e *eventReader) next() (chunk, error) {
 	for {
 		if c := e.takeEvents(); len(c.data) > 0 {
@@ -56,7 +57,7 @@
 	}
 }
 
-// fill reads what is there.
+// fill reads the available bytes.
 func (e *eventReader) fill() {
 	if len(e.buffer) >= maxEventBytes {
 		e.endErr = errEventTooLong
@@ -81,7 +82,7 @@
 // eventEnd is the empty line after an event.
 var eventEnd = []byte("\n\n")
 
-// takeEvents takes the whole events out of the buffer.
+// takeEvents removes the complete events from the buffer and returns those that the caller lacks.
 func (e *eventReader) takeEvents() chunk {
 	c := chunk{lastID: e.lastID}
 	consumed := 0
@@ -107,7 +108,7 @@
 	return c
 }
 
-// eventID finds an event's id.
+// eventID returns an event's ID.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -117,8 +118,8 @@
 	return "", false
 }
 
-// idAfter reports whether an id comes idAfter another; ids that are no numbers are
-// taken to rise.
+// idAfter reports whether an ID comes after another. IDs that are not numbers are assumed to be in
+// rising order.
 func idAfter(id, last string) bool {
 	if last == "" {
 		return true
@@ -128,7 +129,7 @@
 	return errA != nil || errB != nil || a > b
 }
 
-// readNonStream reads the body of an answer that is no stream.
+// readNonStream reads the body of a response that is not a stream, up to maxBufferedBytes.
 func readNonStream(resp *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes))
 	if err != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway serves routed requests: opaque ones that go by host name and
-// path to a service's endpoints, and come back as the endpoint answered them.
+// Package gateway serves routed requests. It routes them by host name and path to a
+// service's endpoints, without interpreting their content, and relays the endpoints' responses.
 //
 // # Usage
 //
@@ -7,11 +7,11 @@
 //	server := g.Server()
 //	err := server.Serve(g.Wrap(listener))
 //
-// A request passes through stages: its head is checked, its route and workspace
-// are found, its body is read, and it is sent to endpoints until one answers it
-// or its time, its attempts or the retry budget end. What a caller is told about
-// whether a request ran is true: 503 only where it has not and will not. Nothing
-// outside the codec knows a platform's names.
+// A request passes through stages: its header is checked, its route and workspace are found, its
+// body is read, and it is sent to endpoints until one responds or its time, its attempts or the
+// retry budget run out. What a caller is told about whether a request ran is true: 503 is used
+// only where the request has not run and will not. Only the codec knows a platform's header field
+// names.
 package gateway
 
 import (
@@ -44,19 +44,20 @@
 	Pool     *conn.Pool
 	Upgrades *upgrade.Tracker
 	Codec    Codec
-	Advice   *advice.Advisor // on endpoints for long prompts; nil for none
-	// Quarantine knows requests under which endpoints crash.
+	Advice   *advice.Advisor // advice on endpoints for long prompts; nil for none
+	// Quarantine tracks the requests that make endpoints crash.
 	Quarantine *quarantine.Book
-	// RateLimits has suspect requests sent one after the other by all hosts together; nil for no bound.
+	// RateLimits makes all hosts together send suspect requests one after the other; nil for no
+	// bound.
 	RateLimits *ratelimit.Desk
 	Deadlines  *clock.Deadlines // watched by the host
 	Telemetry  *telemetry.Telemetry
 	Logger     *log.Logger
-	// HostCount counts all hosts, as far as this one knows; nil for this one alone.
+	// HostCount returns the number of all hosts that this host knows of; nil for this host alone.
 	HostCount func() int
-	// Usage counts the requests that begin; nil where nobody asks.
+	// Usage counts the requests that start to run; nil to count none.
 	Usage *usage.Counter
-	// RetryRatio bounds repeats to a part of the first sends.
+	// RetryRatio bounds retries to a fraction of the first sends.
 	RetryRatio float64
 }
 
@@ -65,18 +66,18 @@
 	Options
 	retryBudgets       *retry.Budgets
 	sizes              *requestSizes
-	streamSpans        *routeMeans // seconds that answers take from their first event on
+	streamSpans        *routeMeans // seconds that responses take from their first event on
 	firstModels        *firstModels
 	startedAt          clock.Instant // when the host started
 	draining           atomic.Bool
 	inFlight           atomic.Int64
 	running            *runningCounter
-	unreadableLimitLog *rate.Sometimes // lines about limits that can't be read
-	changedLimitLog    *rate.Sometimes // lines about limits that have changed
+	unreadableLimitLog *rate.Sometimes // limits logging of limits that can't be parsed
+	changedLimitLog    *rate.Sometimes // limits logging of limits that have changed
 }
 
-// retryReserve is how many repeats a host may make in the window without any first
-// sends: the platform's reserve for all hosts together, some fifty, stays unspent.
+// retryReserve is how many retries a host may make in the window without any first sends: the
+// platform's reserve for all hosts together, some fifty, stays unspent.
 const retryReserve = 2
 
 // New returns a gateway.
@@ -99,62 +100,62 @@
 	}
 }
 
-// Drain makes the gateway not ready; callers are told to close connections.
+// Drain makes the gateway report that it is not ready, and tell callers to close their connections.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// SetRetryRatio bounds repeats from now on.
+// SetRetryRatio changes the bound on retries.
 func (g *Gateway) SetRetryRatio(ratio float64) { g.retryBudgets.SetRatio(ratio) }
 
-// InFlight counts the requests being served.
+// InFlight returns the number of requests being served.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// exchange is a request on its way through the stages.
+// exchange is the state of a request as it passes through the stages.
 type exchange struct {
 	g        *Gateway
 	w        http.ResponseWriter
 	r        *http.Request
 	ctx      context.Context
 	start    clock.Instant
-	deadline clock.Instant // the caller gets its answer by then
+	deadline clock.Instant // the caller gets its response by then
 	table    *route.Table
 	route    route.Route
 	header   RequestHeader
 	service  string
 
 	workspace    string
-	regions      route.Regions // whose endpoints may run it
+	regions      route.Regions // whose endpoints may run the request
 	urgency      int
 	body         []byte
-	relativeSize float64 // of the prompt and the answer, relative to its route's mean
-	prefixKey    uint64  // of the prompt that it shares with others
-	versionKey   uint64  // of what stays on one version
-
-	adviceOutcome        string        // what came of the last advice
-	rejections           int           // of the sends, those that endpoints have not run
-	waits                int           // times that it was told to wait for its turn
-	roomIn               time.Duration // until there should be room for it, if it was refused for that
-	sends                int           // requests written to endpoints
+	relativeSize float64 // size of prompt and response, relative to its route's mean
+	prefixKey    uint64  // hash of the prompt prefix that it shares with others
+	versionKey   uint64  // hash of what stays on one version
+
+	adviceOutcome        string        // outcome of the last advice
+	rejections           int           // sends that endpoints have not run
+	waits                int           // how often it was told to wait for its turn
+	roomIn               time.Duration // time until there should be capacity for it, if it was refused for lack of it
+	sends                int           // how often it was written to an endpoint
 	tried                []string
-	mayHaveRun           bool // some endpoint may have run it, or may yet
+	mayHaveRun           bool // some endpoint may have run it, or may still do so
 	outcome              string
 	endpoint             string
 	model                string
 	events               int
-	headerDelay          time.Duration     // until the head of the answer that the caller got; 0 if it got none
-	lastHeaderDelay      time.Duration     // until the head of the last attempt's answer, from its sending
+	headerDelay          time.Duration     // time until the header of the response that the caller got; 0 if it got none
+	lastHeaderDelay      time.Duration     // time until the response header of the last attempt, from its sending
 	expected             fleet.Expectation // of the last attempt, as it was sent
 	longestPause         time.Duration     // longest time between two events that the caller got
-	shortestPause        time.Duration     // shortest one of the last attempt
+	shortestPause        time.Duration     // shortest time between two events of the last attempt
 	version              string            // of the last attempt's endpoint
 	escalated            bool              // a larger model was asked
-	counted              bool              // it has begun to run, and was counted
-	crashes              int               // of endpoints while it ran there
-	refusedAsQuarantined bool              // it was refused since endpoints crash under it
+	counted              bool              // it has started to run, and was counted
+	crashes              int               // number of endpoints that crashed while they ran it
+	refusedAsQuarantined bool              // it was refused because it makes endpoints crash
 	foundNoEndpoint      bool              // no endpoint took it
-	// maySendSuspect tells that it may be sent once though endpoints may crash under it.
+	// maySendSuspect permits one send of the request, though it may make endpoints crash.
 	maySendSuspect bool
-	// fingerprint is that by which the request is known when it comes again; it is hashed when
-	// it is first asked for.
+	// fingerprint identifies the request when it comes again. It is computed when it is first
+	// needed.
 	fingerprint func() quarantine.Fingerprint
 }
 
@@ -181,7 +182,7 @@
 // noUrgency stands for an urgency that is left to the endpoint.
 const noUrgency = -1
 
-// serve sends the request to endpoints and answers it.
+// serve sends the request to endpoints and responds to the caller.
 func (x *exchange) serve() {
 	x.g.retryBudgets.First(x.service)
 	x.g.running.add(x.service, 1)
@@ -193,13 +194,13 @@
 	x.serveUnary()
 }
 
-// timeLeft is the time until the caller gets its answer.
+// timeLeft returns the time left until the request's deadline.
 func (x *exchange) timeLeft() time.Duration { return clock.Until(x.deadline) }
 
-// callerGone reports whether the caller has left.
+// callerGone reports whether the caller has disconnected.
 func (x *exchange) callerGone() bool { return x.r.Context().Err() != nil }
 
-// logRequest writes the line about a request.
+// logRequest writes the log line about a request.
 func (x *exchange) logRequest() {
 	took := clock.Since(x.start)
 	x.g.Telemetry.Observe("routed_request", took, telemetry.Label("kind", x.route.Kind.String()), telemetry.Label("outcome", x.outcome))
--- a/internal/gateway/head.go
+++ b/internal/gateway/header.go
@@ -11,13 +11,13 @@
 	"quaybarrow/internal/clock"
 )
 
-// maxHeaderBytes is the longest head that is kept for checking; the server refuses
-// longer ones.
+// maxHeaderBytes is the longest request header that is kept for checking. The server refuses longer
+// ones.
 const maxHeaderBytes = 64 << 10
 
-// callerConn is a caller's connection that keeps the bytes of the head being
-// read. The library drops a length that stands beside a chunked encoding, so
-// only the bytes show that a head could be read in two ways.
+// callerConn is a caller's connection that records the bytes of the request header being read.
+// net/http drops a Content-Length that accompanies a chunked Transfer-Encoding, so only the raw
+// bytes show that the length of a request is ambiguous.
 type callerConn struct {
 	net.Conn
 	idleTimeout func() time.Duration
@@ -32,7 +32,7 @@
 	return &callerConn{Conn: raw, idleTimeout: idleTimeout, recording: true}
 }
 
-// headerEnd separates a head from what follows.
+// headerEnd separates a header from the bytes that follow it.
 var headerEnd = []byte("\r\n\r\n")
 
 // Read implements net.Conn.
@@ -60,7 +60,7 @@
 	}
 }
 
-// startNextHeader starts the recording of the startNextHeader head.
+// startNextHeader starts recording the header of the next request.
 func (c *callerConn) startNextHeader() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,8 +68,8 @@
 	c.recording = true
 }
 
-// SetReadDeadline implements net.Conn. The server sets the first deadline of a
-// connection at rest; it is replaced by the one that operators declare now.
+// SetReadDeadline implements net.Conn. The server sets the first deadline of an idle connection,
+// which is replaced by the idle timeout that operators currently declare.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	enteringIdle := c.enteringIdle
@@ -94,14 +94,14 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// headerInfo are what the bytes of a head tell beyond what the library does.
+// headerInfo holds what the raw bytes of a request header show beyond what net/http reports.
 type headerInfo struct {
 	bytes   int
-	problem string // why the head is refused; "" if it is not
+	problem string // why the request is refused; "" if it is not
 }
 
-// inspectHeader returns the facts of a request's head. A request whose head came
-// together with the end of the one before can't be told from a hidden one.
+// inspectHeader returns information about a request's header. A request whose header arrived
+// together with the end of the previous request can't be told from a smuggled one.
 func inspectHeader(r *http.Request) headerInfo {
 	c, ok := r.Context().Value(connKey{}).(*callerConn)
 	if !ok {
@@ -118,7 +118,8 @@
 	return f
 }
 
-// framingProblem tells why a head's length can be read in two ways.
+// framingProblem returns why a header is malformed or the length of its request ambiguous; "" if it
+// is neither.
 func framingProblem(header []byte) string {
 	lengths, encodings := 0, 0
 	for i, line := range bytes.Split(header, []byte("\r\n")) {
@@ -145,7 +146,8 @@
 	return ""
 }
 
-// markRequestRead notes that a request is read to its end: what comes is another.
+// markRequestRead notes that a request has been read to its end, so that the next bytes belong to
+// another request.
 func markRequestRead(r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*callerConn); ok {
 		c.startNextHeader()
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -7,14 +7,15 @@
 	"golang.org/x/time/rate"
 )
 
-// limitLogInterval bounds the lines about limits that change, or can't be read, to one in a while.
+// limitLogInterval is the minimum interval between log lines about limits that change, and between
+// those about limits that can't be parsed.
 const limitLogInterval = time.Second
 
-// newLogSampler has one of many lines written.
+// newLogSampler returns a sampler that passes at most one log line per limitLogInterval.
 func newLogSampler() *rate.Sometimes { return &rate.Sometimes{Interval: limitLogInterval} }
 
-// maxLimitWait is how long the request may wait for endpoints that are at their limits: until its caller
-// leaves, or the answer could not come in time.
+// maxLimitWait returns how long the request may wait for endpoints that are at their limits: until
+// its caller disconnects, or the response could not arrive in time.
 func (x *exchange) maxLimitWait() time.Duration {
 	if x.affinityKey(x.model) != 0 && x.headerDelay == 0 {
 		return x.usefulTime()
@@ -22,9 +23,9 @@
 	return max(x.timeLeft()-x.route.Objective, 1)
 }
 
-// recordLimit takes in what the head of an answer says of its endpoint's limit. An answer that the
-// endpoint has not sealed may lack what the endpoint would say, and one that another endpoint gave
-// says nothing of this one.
+// recordLimit records what a response header says about its endpoint's limit. A response without
+// the endpoint's seal may lack a limit that the endpoint would state, and a response that another
+// endpoint gave says nothing about this one.
 func (a *attempt) recordLimit() {
 	l, endpoint := a.header.Limit, a.hold.Endpoint.ID
 	if a.response.StatusCode == http.StatusMisdirectedRequest || (!l.Named && l.Unread == "" && !a.header.Sealed) {
--- a/internal/gateway/pauses.go
+++ b/internal/gateway/pauses.go
@@ -7,11 +7,11 @@
 	"quaybarrow/internal/upgrade"
 )
 
-// minPacePauses is how many pauses of a stream are known before its pace is told; a
-// stream that ends with fewer tells what it has.
+// minPacePauses is how many pauses of a stream are known before its pace is reported. A stream that
+// ends with fewer reports what it has.
 const minPacePauses = 6
 
-// eventPauses are the times between the events of an attempt.
+// eventPauses measures the times between the events of an attempt.
 type eventPauses struct {
 	lastEventAt       clock.Instant
 	count             int
@@ -19,8 +19,8 @@
 	reported          bool
 }
 
-// add takes in events that came together: all but the first came at once only to
-// this host, so the pause counts as shared by them.
+// add records events that arrived together. They were simultaneous only on arrival at this host, so
+// each of them gets an equal share of the pause before them.
 func (p *eventPauses) add(now clock.Instant, events int) {
 	last := p.lastEventAt
 	p.lastEventAt = now
@@ -36,8 +36,7 @@
 	}
 }
 
-// reportPaceOnce tells the pace of a stream once, as soon as it is known or the stream
-// has ended.
+// reportPaceOnce reports the pace of a stream once, as soon as it is known or the stream has ended.
 func (a *attempt) reportPaceOnce(p *eventPauses, ended bool) {
 	if p.reported || p.count == 0 || (p.count < minPacePauses && !ended) {
 		return
--- a/internal/gateway/means.go
+++ b/internal/gateway/route_means.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// meanWeight weighs a value in a mean: some hundred count.
+// meanWeight is the weight of a new value in a smoothed mean: about the last hundred values count.
 const meanWeight = 0.01
 
-// routeMeans are smoothed routeMeans of a measure, by route; safe for use at once.
+// routeMeans holds an exponentially smoothed mean per route. It is safe for concurrent use.
 type routeMeans struct {
 	mu     sync.Mutex // guards all below
 	values map[string]float64
@@ -13,7 +13,7 @@
 
 func newRouteMeans() *routeMeans { return &routeMeans{values: map[string]float64{}} }
 
-// add takes in a value and returns the mean with it.
+// add adds a value to a route's mean and returns the updated mean.
 func (m *routeMeans) add(route string, value float64) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -26,7 +26,7 @@
 	return mean
 }
 
-// mean returns a route's mean; 0 before its first value.
+// mean returns a route's mean, 0 before its first value.
 func (m *routeMeans) mean(route string) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -32,15 +32,15 @@
 
 // Bounds of attempts.
 const (
-	// connShare of an endpoint's connections is the most that one host holds;
-	// the hosts' loads differ, and the sum stays far below what endpoints take.
+	// connShare is the largest fraction of an endpoint's connections that one host holds. The
+	// hosts' loads differ, and the sum stays far below what endpoints accept.
 	connShare = 0.25
 	minConns  = 4
-	// maxDials bounds the endpoints that a request tries to reach.
+	// maxDials bounds the number of endpoints that one attempt tries to reach.
 	maxDials = 6
 )
 
-// attempt is a request at an endpoint, with the answer's head read.
+// attempt is a request sent to an endpoint, and the endpoint's response.
 type attempt struct {
 	x             *exchange
 	hold          *fleet.Hold
@@ -49,14 +49,14 @@
 	sentAt        clock.Instant
 	response      *http.Response
 	header        ResponseHeader
-	headAt        clock.Instant // zero before the head
+	headAt        clock.Instant // when the response header had been read; zero before
 	ongoingRun    *quarantine.Ongoing
-	stopInterrupt func() bool // ends the watch on the caller
+	stopInterrupt func() bool // stops interrupting conn at the end of the context
 	ended         bool
 }
 
-// send picks an endpoint and sends the request there. Endpoints that can't be
-// reached are passed over: they have seen nothing.
+// send picks an endpoint and sends the request to it. Endpoints that can't be reached are skipped,
+// since they have seen nothing of the request.
 func (x *exchange) send(ctx context.Context, model, lastEvent string) (*attempt, error) {
 	for range maxDials {
 		if err := x.awaitSuspectTurn(ctx); err != nil {
@@ -102,8 +102,8 @@
 	return nil, errNoEndpoint
 }
 
-// checkBeforeSend asks, right before a request is sent, what was known when it came and may be old:
-// waits and connections take time, and a machine may have been suspended in between.
+// checkBeforeSend repeats, right before a request is sent, the checks whose results may be out of
+// date: waiting and connecting take time, and the machine may have been suspended in between.
 func (x *exchange) checkBeforeSend(ctx context.Context) error {
 	switch {
 	case clock.Over(ctx):
@@ -117,8 +117,8 @@
 	}
 }
 
-// pickInTurn chooses an endpoint that the request has not been to, once it is its turn; nil if
-// it is refused or there is none.
+// pickInTurn waits for the request's turn and picks an endpoint that the request has not been sent
+// to. It returns nil if the request is refused or no endpoint is available.
 func (x *exchange) pickInTurn(ctx context.Context, model string) (*fleet.Hold, admission.Decision) {
 	turn := int64(0)
 	for {
@@ -128,7 +128,7 @@
 			return hold, decision
 		}
 		if x.g.draining.Load() {
-			return nil, admission.Refuse{} // the wait may outlast this host, and others take the request
+			return nil, admission.Refuse{} // the wait may outlast this host, and other hosts take the request
 		}
 		x.waits++
 		if !clock.Sleep(ctx, wait.For) {
@@ -138,7 +138,8 @@
 	}
 }
 
-// chooseEndpoint decides on the request. For one with a prompt hosts chooseEndpoint together.
+// chooseEndpoint picks an endpoint for the request, or decides that it waits or is refused. Hosts
+// coordinate their choices for requests with a prompt.
 func (x *exchange) chooseEndpoint(ctx context.Context, model string, turn int64) (*fleet.Hold, admission.Decision) {
 	ask := x.fleetAsk(model)
 	ask.Waited, ask.Turn, ask.Within = clock.Since(x.start), turn, x.maxLimitWait()
@@ -146,7 +147,7 @@
 		return x.g.Fleet.Place(ask)
 	}
 	ask.Unadvised = x.g.Advice != nil && !x.g.Advice.Leads()
-	if x.headerDelay == 0 { // else the caller has a part of the answer, and the rest goes before others
+	if x.headerDelay == 0 { // otherwise the caller has part of the response, and the rest takes precedence over other requests
 		ask.Slack, ask.Left, ask.Begun = x.slack(), x.usefulTime(), x.mayHaveRun
 	}
 	if x.g.Advice == nil {
@@ -172,25 +173,26 @@
 	return hold, advised.Decision
 }
 
-// slack is what is left until the answer should begin.
+// slack returns the time left until the response should begin.
 func (x *exchange) slack() time.Duration { return x.route.Objective - clock.Since(x.start) }
 
-// Callers leave a stream of which nothing has come for the longest of minSilenceLimit,
-// silenceLimitObjectives objectives and silenceLimitGaps of the longest pauses that count as in time.
+// Callers disconnect from a stream that has been silent for the longest of minSilenceLimit,
+// silenceLimitObjectives objectives and silenceLimitGaps of the longest pauses that count as in
+// time.
 const (
 	minSilenceLimit        = 2 * time.Second
 	silenceLimitObjectives = 4
 	silenceLimitGaps       = 8
 )
 
-// usefulTime is for how long the caller can use the beginning of an answer: until it would
-// leave, or the answer could not end in time.
+// usefulTime returns for how long the start of a response is useful to the caller: until the caller
+// would disconnect, or the response could not end in time.
 func (x *exchange) usefulTime() time.Duration {
 	span := time.Duration(x.g.streamSpans.mean(x.route.Name) * float64(time.Second))
 	return max(min(x.callerSilenceLimit()-clock.Since(x.start), x.timeLeft()-span), 1)
 }
 
-// callerSilenceLimit is after how long a silence the caller callerSilenceLimit a stream.
+// callerSilenceLimit returns how long a stream may be silent before the caller disconnects.
 func (x *exchange) callerSilenceLimit() time.Duration {
 	return max(minSilenceLimit, silenceLimitObjectives*x.route.Objective, silenceLimitGaps*x.route.Gap)
 }
@@ -200,7 +202,8 @@
 	x.g.Telemetry.Count("advice", 1, telemetry.Label("outcome", outcome))
 }
 
-// connLimit is how many connections to one endpoint this host may hold.
+// connLimit returns how many connections to one endpoint this host may hold; 0 if the service
+// declares no limit.
 func (x *exchange) connLimit() int {
 	s, ok := x.table.Service(x.service)
 	if !ok || s.MaxConns == 0 {
@@ -209,7 +212,7 @@
 	return max(minConns, int(float64(s.MaxConns)*connShare))
 }
 
-// recordUnreachable notes an endpoint that the request could not be sent to.
+// recordUnreachable records an endpoint that the request could not be sent to.
 func (x *exchange) recordUnreachable(hold *fleet.Hold, err error) {
 	x.tried = append(x.tried, hold.Endpoint.ID)
 	outcome := fleet.OutcomeLost
@@ -220,7 +223,7 @@
 	x.g.Logger.Warn("endpoint not reached", "id", x.header.ID, "endpoint", hold.Endpoint.ID, "address", hold.Endpoint.Address, "error", err)
 }
 
-// sendOnConn sends the request on a connection and reads the answer's head.
+// sendOnConn sends the request on a connection and reads the response header.
 func (x *exchange) sendOnConn(ctx context.Context, hold *fleet.Hold, c *conn.Conn, model, lastEvent string) (*attempt, error) {
 	a := &attempt{x: x, hold: hold, conn: c, model: model, sentAt: clock.Now()}
 	x.sends++
@@ -249,8 +252,8 @@
 		a.endRejected()
 		return nil, errRejected
 	}
-	// A rejection comes at once: taken for the beginning of an answer it would tell that
-	// full endpoints read prompts in no time, and have nobody waiting.
+	// A rejection arrives at once. Taken for the start of a response, it would suggest that full
+	// endpoints process prompts instantly and have no requests waiting.
 	a.hold.Head(a.header.Load)
 	x.countUsage()
 	a.headAt, a.ongoingRun = clock.Now(), x.g.Quarantine.Begin(x.fingerprint)
@@ -258,14 +261,13 @@
 	return a, nil
 }
 
-// headerWaitFraction of the objective is how long a plain repeatable request waits for an
-// answer before it is offered to another endpoint: an answer is likely to come
-// sooner, unless it never does. Streams are left to wait: another attempt may be what a
-// larger model needs.
+// headerWaitFraction of the objective is how long a unary repeatable request waits for a response
+// before it is sent to another endpoint: a response is likely to arrive sooner, unless it never
+// does. Streams keep waiting, because a larger model may need the remaining attempt.
 const headerWaitFraction = 0.75
 
-// boundHeaderWait bounds the wait for the answer's head if the request may go to
-// another endpoint instead, and would be in time there.
+// boundHeaderWait bounds the wait for the response header if the request may go to another endpoint
+// instead and would be in time there.
 func (a *attempt) boundHeaderWait(ctx context.Context) {
 	x := a.x
 	headerWait := time.Duration(headerWaitFraction * float64(x.route.Objective))
@@ -279,7 +281,7 @@
 	}
 }
 
-// clearReadDeadline lets the rest of the answer take its time.
+// clearReadDeadline removes the bound on the wait for the rest of the response.
 func (a *attempt) clearReadDeadline(ctx context.Context) {
 	a.conn.SetReadDeadline(time.Time{})
 	if ctx.Err() != nil {
@@ -287,13 +289,13 @@
 	}
 }
 
-// acceptsResponse reports whether an answer is for this request.
+// acceptsResponse reports whether a response is for this request.
 func (x *exchange) acceptsResponse(h http.Header) bool {
 	id := x.g.Codec.ParseResponse(h).RequestID
 	return id == "" || id == x.header.ID
 }
 
-// outgoingRequest makes the outgoingRequest as the endpoint gets it.
+// outgoingRequest returns the request to send to the endpoint.
 func (x *exchange) outgoingRequest(a *attempt, lastEvent string) *http.Request {
 	left := x.timeLeft()
 	h := x.g.Codec.EndpointHeader(x.r.Header, AttemptHeader{
@@ -301,7 +303,7 @@
 		TimeLeft: left, Urgency: a.hold.Urgency(),
 	})
 	if _, ok := h["User-Agent"]; !ok {
-		h["User-Agent"] = []string{""} // the library would add its own
+		h["User-Agent"] = []string{""} // net/http would add its own
 	}
 	r := &http.Request{
 		Method: x.r.Method, URL: &url.URL{Opaque: x.r.RequestURI}, Host: x.r.Host, Header: h,
@@ -313,7 +315,7 @@
 	return r
 }
 
-// modelName is the model to name to an endpoint; empty where the caller chose.
+// modelName returns the model to name to the endpoint; empty where the caller chose the model.
 func (x *exchange) modelName(model string) string {
 	if len(x.route.Models) == 0 {
 		return ""
@@ -334,10 +336,10 @@
 		"running", a.header.Load.Running, "waiting", a.header.Load.Waiting)
 }
 
-// maxDrainBytes bounds what is read of an answer that nobody needs.
+// maxDrainBytes bounds how much of an unneeded response is read.
 const maxDrainBytes = 16 << 10
 
-// endFailed ends an attempt that broke or whose answer is no good.
+// endFailed ends an attempt that broke off or whose response is unusable.
 func (a *attempt) endFailed() {
 	outcome := fleet.OutcomeFailed
 	if a.x.ctx.Err() != nil {
@@ -346,7 +348,8 @@
 	a.end(outcome, false)
 }
 
-// end gives the connection and the place at the endpoint back.
+// end releases the connection and the slot at the endpoint. The connection is reused only if the
+// response is complete.
 func (a *attempt) end(outcome fleet.Outcome, complete bool) {
 	if a.ended {
 		return
@@ -363,18 +366,18 @@
 	a.hold.Done(fleet.Result{Outcome: outcome, Load: a.header.Load})
 }
 
-// fromEndpoint reports whether the answer is one that the endpoint made.
+// fromEndpoint reports whether the endpoint itself produced the response.
 func (a *attempt) fromEndpoint() bool {
 	return a.header.Sealed && a.response.Header.Get("Content-Encoding") == ""
 }
 
-// reportPace tells the upgrade of the service how fast the answer came.
+// reportPace reports to the service's upgrade how fast the response arrived.
 func (a *attempt) reportPace(pace upgrade.Pace) {
 	a.reportFinding(upgrade.Paced{Pace: pace, Requests: a.header.Load.Running + a.header.Load.Waiting})
 }
 
-// reportFinding tells the upgrade of the service what was seen of the endpoint's version. All starts
-// of an endpoint count as one: what fails at each of its starts is the endpoint.
+// reportFinding reports to the service's upgrade a finding about the endpoint's version. All starts
+// of an endpoint count as one: if it fails at each of its starts, the fault is the endpoint's.
 func (a *attempt) reportFinding(f upgrade.Finding) {
 	e := a.hold.Endpoint
 	a.x.g.Upgrades.Note(upgrade.Report{
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -14,18 +14,18 @@
 
 // Bounds of callers' connections.
 const (
-	headerTimeout      = 5 * time.Second // for a head, once its first byte is there
-	defaultIdleTimeout = 5 * time.Minute // where operators declare nothing
-	keepAliveIdle      = 2 * time.Second // callers that vanish are noticed in about five seconds
+	headerTimeout      = 5 * time.Second // to read a header, once its first byte has arrived
+	defaultIdleTimeout = 5 * time.Minute // where operators declare none
+	keepAliveIdle      = 2 * time.Second // vanished callers are detected in about five seconds
 	keepAliveInterval  = time.Second
 	keepAliveProbes    = 3
 )
 
-// Server returns a server of routed requests, for a listener made by Wrap.
+// Server returns an HTTP server for routed requests, to be run on a listener made by Wrap.
 func (g *Gateway) Server() *http.Server {
 	return &http.Server{
 		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog:    stdlog.New(io.Discard, "", 0), // refused heads are the caller's matter
+		ErrorLog:    stdlog.New(io.Discard, "", 0), // malformed headers are the caller's fault
 		ConnContext: withConn,
 		ConnState: func(c net.Conn, s http.ConnState) {
 			if caller, ok := c.(*callerConn); ok && s == http.StateIdle {
@@ -35,7 +35,7 @@
 	}
 }
 
-// Listen opens an address so that callers that vanish are noticed.
+// Listen listens on an address, with timeouts and keep-alive probes that detect vanished callers.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{
 		Control:         conn.SetUserTimeout,
@@ -48,12 +48,12 @@
 	return inner, nil
 }
 
-// Wrap makes a listener's connections keep the heads of requests for checking.
+// Wrap makes a listener's connections record request headers for checking.
 func (g *Gateway) Wrap(inner net.Listener) net.Listener {
 	return &listener{Listener: inner, idleTimeout: g.idleTimeout}
 }
 
-// idleTimeout is how long a caller's connection may rest.
+// idleTimeout returns how long a caller's connection may be idle.
 func (g *Gateway) idleTimeout() time.Duration {
 	if t := g.Holder.Table(); t != nil {
 		return t.Limits().Idle
@@ -61,7 +61,7 @@
 	return 0
 }
 
-// listener hands out connections that keep their heads.
+// listener accepts connections that record request headers.
 type listener struct {
 	net.Listener
 	idleTimeout func() time.Duration
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -11,8 +11,8 @@
 	"quaybarrow/internal/upgrade"
 )
 
-// serveStream serves a request whose answer is a stream of events. A stream that
-// breaks goes on at another endpoint inside the same answer, if it may.
+// serveStream serves a request whose response is a stream of events. A stream that breaks off
+// continues at another endpoint within the same response, if the route allows it.
 func (x *exchange) serveStream() {
 	s := &stream{x: x, lastEventID: x.header.LastEventID}
 	for {
@@ -30,18 +30,18 @@
 	}
 }
 
-// errEscalate means that the answer was dropped for a larger model's.
+// errEscalate means that the response was dropped in favor of a larger model's.
 var errEscalate = errors.New("a larger model is asked")
 
-// stream is the answer that the caller has got so far.
+// stream is the response that the caller has got so far.
 type stream struct {
 	x           *exchange
-	headerSent  bool   // the caller has the head
-	lastEventID string // id of the last event that the caller has
+	headerSent  bool   // the caller has the response header
+	lastEventID string // ID of the last event that the caller has
 	failure     *bufferedResponse
 }
 
-// mayResume reports whether another attempt can go on where the answer is.
+// mayResume reports whether another attempt can continue the response.
 func (s *stream) mayResume() bool { return !s.headerSent || s.x.route.Resumable }
 
 // tryOnce sends the request once and relays its events.
@@ -67,7 +67,7 @@
 	return s.relay(a)
 }
 
-// handleNonStream handles an answer that is no stream.
+// handleNonStream handles a response that is not a stream.
 func (s *stream) handleNonStream(a *attempt) error {
 	body, err := readNonStream(a.response)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// sendHeader sends the caller the head of the first answer.
+// sendHeader sends the caller the header of the first response.
 func (s *stream) sendHeader(a *attempt) {
 	if s.headerSent {
 		return
@@ -108,7 +108,7 @@
 	s.x.w.WriteHeader(http.StatusOK)
 }
 
-// relay passes events on as they come, whole ones only.
+// relay forwards events as they arrive, complete ones only.
 func (s *stream) relay(a *attempt) error {
 	x := s.x
 	out := http.NewResponseController(x.w)
@@ -148,12 +148,13 @@
 	}
 }
 
-// silenceFraction of the time after which callers leave a silent stream is how long one is
-// waited for that may go on elsewhere: engines lose answers and leave the connection open.
-// Those that read long prompts beside it pause for seconds.
+// silenceFraction of the time after which callers disconnect from a silent stream is how long to
+// wait for an event of a stream that may continue at another endpoint: engines lose responses and
+// leave the connection open. Engines that process long prompts at the same time pause for seconds.
 const silenceFraction = 0.375
 
-// boundSilence bounds the wait for a stream's next event if it may go on elsewhere.
+// boundSilence bounds the wait for a stream's next event if the stream may continue at another
+// endpoint.
 func (a *attempt) boundSilence() {
 	x := a.x
 	if !x.route.Resumable || x.sends >= x.route.Attempts {
@@ -165,7 +166,7 @@
 	}
 }
 
-// giveUp ends a stream that can't go on.
+// giveUp ends a stream that can't continue.
 func (s *stream) giveUp(err error) {
 	x := s.x
 	if !s.headerSent {
--- a/internal/gateway/whole.go
+++ b/internal/gateway/unary.go
@@ -16,36 +16,36 @@
 	"quaybarrow/internal/upgrade"
 )
 
-// Bounds of answers that are relayed whole.
+// Bounds of buffered responses and retries.
 const (
-	// maxBufferedBytes of an answer are held back until it is whole, so that a broken
-	// one can be asked for again.
+	// maxBufferedBytes of a response are held back until it is complete, so that a broken one can
+	// be requested again.
 	maxBufferedBytes = 256 << 10
-	// retryPause lets an endpoint that is full, or an entry that is late, catch
-	// up before the request is offered again.
+	// retryPause lets an endpoint that is full, or an entry that is late, catch up before the
+	// request is tried again.
 	retryPause = 25 * time.Millisecond
-	// noEndpointWaitFraction of the objective is how long a request that no endpoint takes is
-	// offered again before the caller is told to come back.
+	// noEndpointWaitFraction of the objective is how long a request that no endpoint takes is tried
+	// again before the caller is told to retry.
 	noEndpointWaitFraction = 0.2
-	// defaultRetryAfter is when a caller may try again; full endpoints have room again
-	// after a few requests' time.
+	// defaultRetryAfter is when a caller may retry; full endpoints have room again after the
+	// duration of a few requests.
 	defaultRetryAfter = 400 * time.Millisecond
 )
 
-// evacuatedRetryAfter is when a caller may try again while all data halls are evacuated, which
-// lasts for seconds; callers wait for a third of their time at most.
+// evacuatedRetryAfter is when a caller may retry while all data halls are evacuated, which lasts
+// for seconds; callers wait for a third of their time at most.
 const evacuatedRetryAfter = 2 * time.Second
 
-// bufferedResponse is an answer, or its beginning if it is long.
+// bufferedResponse is a response, or the start of it if it is long.
 type bufferedResponse struct {
 	attempt   *attempt
 	body      []byte
-	truncated bool // more is to be read
+	truncated bool // the rest is still to be read
 }
 
-// serveUnary serves a request whose answer is one body.
+// serveUnary serves a request whose response is a single body.
 func (x *exchange) serveUnary() {
-	var failure *bufferedResponse // the endpoint's own, to be passed on if nothing better comes
+	var failure *bufferedResponse // the endpoint's own failure, to be forwarded if nothing better arrives
 	for {
 		resp, err := x.unaryAttempt()
 		if err == nil && resp.attempt.response.StatusCode < http.StatusInternalServerError {
@@ -63,7 +63,7 @@
 	}
 }
 
-// unaryAttempt sends the request once and reads the answer.
+// unaryAttempt sends the request once and reads the response.
 func (x *exchange) unaryAttempt() (*bufferedResponse, error) {
 	a, err := x.send(x.ctx, x.model, "")
 	if err != nil {
@@ -95,8 +95,8 @@
 	return resp, nil
 }
 
-// mayRetry reports whether the request may be sent once more after an error, and
-// waits where that helps.
+// mayRetry reports whether the request may be sent again after an error, and waits where that
+// helps.
 func (x *exchange) mayRetry(err error) bool {
 	if x.callerGone() {
 		return false
@@ -107,7 +107,7 @@
 	return may
 }
 
-// retryDecision decides whether the request is sent once more, and tells why.
+// retryDecision decides whether the request is sent again, and returns the reason.
 func (x *exchange) retryDecision(err error) (may bool, reason string) {
 	switch {
 	case clock.Over(x.ctx):
@@ -133,9 +133,9 @@
 	}
 }
 
-// waitForEndpoint pauses while no endpoint takes the request; false once the caller is
-// better told to come back. Endpoints that the request has been to are tried
-// again if it did not run there.
+// waitForEndpoint pauses while no endpoint takes the request. It returns false once it is better to
+// tell the caller to retry. Endpoints that the request was sent to are tried again if it did not
+// run there.
 func (x *exchange) waitForEndpoint() bool {
 	until := x.start.Add(time.Duration(noEndpointWaitFraction * float64(x.route.Objective)))
 	if x.mayHaveRun || x.sends >= max(x.route.Attempts, 1) || clock.Now().Add(retryPause).After(until) {
@@ -152,7 +152,7 @@
 	return true
 }
 
-// relayBuffered answers the caller with an endpoint's answer.
+// relayBuffered sends an endpoint's response to the caller.
 func (x *exchange) relayBuffered(resp *bufferedResponse) {
 	a := resp.attempt
 	h := x.w.Header()
@@ -179,18 +179,18 @@
 	a.end(fleet.OutcomeGood, true)
 }
 
-// abortPartial ends the caller's connection, so that a part does not look whole.
+// abortPartial closes the caller's connection, so that a partial response does not look complete.
 func (x *exchange) abortPartial(reason string) { x.abort("cut: " + reason) }
 
-// abort ends the caller's connection without another byte. A handler that returns
-// without an answer has the library send an empty one with status 200, or end a stream
-// cleanly, and a caller that has closed only its sending half reads it.
+// abort closes the caller's connection without another byte. If a handler returns without a
+// response, net/http sends an empty one with status 200, or ends a stream cleanly, and a caller
+// that has closed only its sending half reads it.
 func (x *exchange) abort(outcome string) {
 	x.outcome = outcome
 	panic(http.ErrAbortHandler)
 }
 
-// giveUp answers a request that no endpoint has answered well.
+// giveUp responds to a request for which no endpoint gave a good response.
 func (x *exchange) giveUp(failure *bufferedResponse, err error) {
 	switch {
 	case x.callerGone():
@@ -202,10 +202,10 @@
 	}
 }
 
-// retryAfter is when the caller of a request that no endpoint has run, for a reason, should
-// come back.
-// Other hosts than one that stops take it at once; engines are full for as long as a load
-// lasts; other endpoints have room again after a few requests' time.
+// retryAfter returns when the caller of a request that no endpoint has run, for the given reason,
+// should retry. If this host is draining, other hosts take the request at once; engines are full
+// for as long as a load lasts; other endpoints have room again after the duration of a few
+// requests.
 func (x *exchange) retryAfter(reason error) time.Duration {
 	switch {
 	case errors.Is(reason, errAllEvacuated):
@@ -222,8 +222,8 @@
 	return defaultRetryAfter
 }
 
-// finalRefusal is what a caller is told after the last error. Only where no endpoint
-// can have run the request is it told that it did not run.
+// finalRefusal returns the response to the caller after the last error. It says that the request
+// did not run only where no endpoint can have run it.
 func (x *exchange) finalRefusal(err error) refusal {
 	late := clock.Over(x.ctx)
 	reason := "no answer"
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// runningCounter counts requests in hand, by service; safe for use at once.
+// runningCounter counts the requests in progress by service. It is safe for concurrent use.
 type runningCounter struct {
 	mu     sync.Mutex // guards counts
 	counts map[string]int
@@ -22,15 +22,16 @@
 	}
 }
 
-// Running counts the requests in hand, by service: at endpoints or on their way there.
+// Running returns the number of requests in progress by service: those at endpoints and those on
+// their way there.
 func (g *Gateway) Running() map[string]int {
 	g.running.mu.Lock()
 	defer g.running.mu.Unlock()
 	return maps.Clone(g.running.counts)
 }
 
-// countUsage counts the request for its workspace as it begins to run. Other attempts at it, at larger
-// models or after a break, are the same request.
+// countUsage counts the request for its workspace when it starts to run. Further attempts at it, at
+// larger models or after a failure, are the same request.
 func (x *exchange) countUsage() {
 	if x.counted || x.g.Usage == nil {
 		return
