--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -59,10 +59,10 @@
 
 // startupWait returns how long requests wait after the start of this host.
 func (g *Gateway) startupWait() time.Duration {
-	if g.HostCount == nil {
+	if g.Hosts == nil {
 		return baseStartupWait
 	}
-	return baseStartupWait + time.Duration(g.HostCount())*startupWaitPerHost
+	return baseStartupWait + time.Duration(g.Hosts())*startupWaitPerHost
 }
 
 // awaitStartup waits until a host that has just started can serve.
@@ -109,8 +109,8 @@
 	}
 	x.route = r
 	timeout := defaultTimeout
-	if x.header.Timeout > 0 {
-		timeout = x.header.Timeout
+	if x.header.Patience > 0 {
+		timeout = x.header.Patience
 	}
 	if r.Timeout > 0 {
 		timeout = min(timeout, r.Timeout)
@@ -126,8 +126,8 @@
 	if x.route.Public || !x.table.KeysRequired() {
 		return nil
 	}
-	w, ok := x.table.Workspace(x.header.APIKey)
-	if !ok || x.header.APIKeyCount != 1 {
+	w, ok := x.table.Workspace(x.header.Key)
+	if !ok || x.header.Keys != 1 {
 		return &refusal{status: http.StatusUnauthorized, reason: "unknown key"}
 	}
 	x.workspace, x.regions = w.Name, route.RegionsFor(x.route, w)
