--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -69,7 +69,7 @@
 		})
 	})
 
-	It("sends nothing on that only the system may say, and what the platform needs", func() {
+	It("forwards the fields that the platform needs, and no forged ones that only the system may set", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
@@ -100,7 +100,7 @@
 		})
 	})
 
-	It("lets public routes in without a key and without a workspace", func() {
+	It("admits requests on public routes without a key and without a workspace", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
@@ -122,7 +122,7 @@
 		})
 	})
 
-	It("keeps a connection at rest for as long as operators declare", func() {
+	It("keeps an idle connection open for as long as operators declare", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
@@ -140,7 +140,7 @@
 var _ = Describe("a gateway that has just started", func() {
 	answer := standin.Always(standin.Reply{Status: 200, Body: "done"})
 
-	It("has requests wait for its configuration for a moment", func() {
+	It("makes requests wait a short time for its configuration", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": answer})
 			defer r.stop()
@@ -153,7 +153,7 @@
 		})
 	})
 
-	It("has all that came meanwhile wait where that takes a second", func() {
+	It("makes requests wait for a configuration that takes a second", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": answer})
 			defer r.stop()
@@ -165,7 +165,7 @@
 		})
 	})
 
-	It("tells them soon to come back if there is none, and from then on at once", func() {
+	It("tells callers to retry if there is no configuration, first after a short wait and then at once", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": answer})
 			defer r.stop()
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -10,27 +10,27 @@
 	"quaybarrow/platform/standin"
 )
 
-// failures are ways in which an attempt ends early, and whether its endpoint has crashed.
+// failures are ways in which an attempt ends early, and whether its endpoint has crashed in each.
 var failures = map[string]struct {
 	path    string
 	script  standin.Script
 	crashed bool
 }{
-	"an endpoint that crashes before its answer":    {"/again/1", standin.Crash{}, true},
-	"an endpoint that crashes under what runs once": {"/once/1", standin.Crash{}, true},
-	"an endpoint that crashes after the head":       {"/stream/1", standin.Crash{After: time.Second, Head: true}, true},
-	"a connection that is reset":                    {"/again/1", standin.Reset{}, false},
-	"a stream that breaks off":                      {"/stream/1", standin.Stream{Events: 3, BreakAfter: 1, Confidence: 100}, false},
-	"an endpoint that says nothing":                 {"/again/1", standin.Mute{}, false},
-	"a body cut short by an endpoint that lives":    {"/again/1", standin.Reply{Status: 200, Body: "whole body", Cut: 4}, false},
-	"an answer that is not the endpoint's":          {"/again/1", standin.Reply{Status: 200, Body: "x", Bare: true}, false},
-	"an endpoint that does not take it":             {"/again/1", standin.Reply{Status: 503, NotRun: true}, false},
-	"an endpoint that fails by its own word":        {"/again/1", standin.Reply{Status: 500, Body: "no"}, false},
+	"an endpoint that crashes before its response":                    {"/again/1", standin.Crash{}, true},
+	"an endpoint that crashes while running a non-repeatable request": {"/once/1", standin.Crash{}, true},
+	"an endpoint that crashes after the response header":              {"/stream/1", standin.Crash{After: time.Second, Head: true}, true},
+	"a connection that is reset":                                      {"/again/1", standin.Reset{}, false},
+	"a stream that breaks off":                                        {"/stream/1", standin.Stream{Events: 3, BreakAfter: 1, Confidence: 100}, false},
+	"an endpoint that does not respond":                               {"/again/1", standin.Mute{}, false},
+	"a body truncated by an endpoint that keeps running":              {"/again/1", standin.Reply{Status: 200, Body: "whole body", Cut: 4}, false},
+	"a response that the endpoint did not produce":                    {"/again/1", standin.Reply{Status: 200, Body: "x", Bare: true}, false},
+	"an endpoint that does not run the request":                       {"/again/1", standin.Reply{Status: 503, NotRun: true}, false},
+	"an endpoint that responds with an error":                         {"/again/1", standin.Reply{Status: 500, Body: "no"}, false},
 }
 
 var _ = Describe("an attempt that ends early", func() {
 	for name, b := range failures {
-		It("is told from others by whether the endpoint crashed: "+name, func() {
+		It("counts as a crash only if the endpoint crashed: "+name, func() {
 			suite.Paused(func() {
 				both := between(b.script, good)
 				if b.path == "/stream/1" {
@@ -48,7 +48,7 @@
 		})
 	}
 
-	It("of an endpoint that was to leave is no crash", func() {
+	It("does not count as a crash if the endpoint was removed from the fleet", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(standin.Crash{After: 100 * time.Millisecond})})
 			defer r.stop()
@@ -62,7 +62,7 @@
 		})
 	})
 
-	It("has the same fingerprint when it comes again under another id, and another one with another body", func() {
+	It("has the same fingerprint under another id, and a different one with another body", func() {
 		suite.Paused(func() {
 			prints := map[string]bool{}
 			for _, q := range []standin.Request{
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -6,8 +6,8 @@
 	"testing/iotest"
 )
 
-// FuzzEvents checks that whatever way a stream is cut up, its whole events come
-// out in order, once each, and nothing else does.
+// FuzzEvents checks that a stream yields its complete events in order, once each, and nothing
+// else, however its bytes are split between reads.
 func FuzzEvents(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "", true)
 	f.Add("id: 1\ndata: a\n\nid: 2\nda", "", false)
@@ -33,10 +33,10 @@
 		a, cleanA := read(slow)
 		b, cleanB := read(!slow)
 		if a != b || cleanA != cleanB {
-			t.Fatalf("%q and %q, %v and %v", a, b, cleanA, cleanB)
+			t.Fatalf("reads of different sizes gave %q and %q, ended cleanly: %v and %v", a, b, cleanA, cleanB)
 		}
 		if a != "" && !strings.HasSuffix(a, "\n\n") {
-			t.Fatalf("a part of an event: %q", a)
+			t.Fatalf("the last event is incomplete: %q", a)
 		}
 		if cleanA && len(text) > 0 && !strings.HasSuffix(text, "\n\n") {
 			t.Fatalf("%q ended cleanly", text)
--- a/internal/gateway/first_model_test.go
+++ b/internal/gateway/first_model_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// startsWithLargest is how many of a thousand requests begin with the largest model.
+// startsWithLargest returns how many of a thousand requests start with the largest model.
 func startsWithLargest(b *firstModels, route string) int {
 	n := 0
 	for range 1000 {
@@ -19,21 +19,21 @@
 }
 
 var gainCases = map[string]struct {
-	gains         []float64 // of each answer of the smallest model in turn
+	gains         []float64 // of each response of the smallest model in turn
 	responses     int
 	startsLargest bool
 }{
 	"the largest is better each time":  {[]float64{0.2}, 40, true},
 	"the smallest is better each time": {[]float64{-0.2}, 40, false},
 	"the largest is hardly better":     {[]float64{0.01}, 40, false},
-	"either is better by turns":        {[]float64{0.2, -0.25}, 200, false},
+	"each is better in turn":           {[]float64{0.2, -0.25}, 200, false},
 	"the largest is mostly better":     {[]float64{0.3, 0.3, 0.3, -0.2}, 200, true},
-	"a few answers only":               {[]float64{0.2}, 10, false},
+	"there are few responses":          {[]float64{0.2}, 10, false},
 }
 
-var _ = Describe("the model to begin with", func() {
+var _ = Describe("the choice of the first model", func() {
 	for name, l := range gainCases {
-		It("is known by route where "+name, func() {
+		It("is made by route where "+name, func() {
 			b := newFirstModels()
 			for i := range l.responses {
 				b.record("r", l.gains[i%len(l.gains)])
@@ -42,7 +42,7 @@
 				Expect(startsWithLargest(b, "r")).To(BeZero())
 				return
 			}
-			Expect(startsWithLargest(b, "r")).To(BeNumerically("~", 900, 60), "a tenth goes on asking the smallest")
+			Expect(startsWithLargest(b, "r")).To(BeNumerically("~", 900, 60), "a tenth of the requests still start with the smallest")
 			Expect(startsWithLargest(b, "other")).To(BeZero())
 		})
 	}
@@ -71,7 +71,7 @@
 		Expect(s.relative("r", 500, 50)).To(BeNumerically("~", 0.5, 0.05))
 	})
 
-	It("is one where nobody tells tokens", func() {
+	It("is 1 if token counts are unknown", func() {
 		s := newRequestSizes()
 		for i := range 3 {
 			Expect(s.relative(fmt.Sprint(i), 0, 0)).To(Equal(1.0))
--- a/internal/gateway/halls_test.go
+++ b/internal/gateway/halls_test.go
@@ -20,7 +20,7 @@
 )
 
 var _ = Describe("requests while data halls are evacuated", func() {
-	It("are refused at once when all are, and have not run", func() {
+	It("are refused at once without having run if all data halls are evacuated", func() {
 		for _, path := range []string{"/once/1", "/again/1", "/stream/1"} {
 			suite.Paused(func() {
 				r := newRig(scripts{"plain-1": standin.Always(good), "model-1": standin.Always(standin.Stream{Events: 3, Confidence: 90})})
@@ -38,7 +38,7 @@
 		}
 	})
 
-	It("end where they run, and go on elsewhere when they break", func() {
+	It("finish at the endpoints that run them, and continue elsewhere if they break off", func() {
 		suite.Paused(func() {
 			breaks := standin.Stream{Events: 6, BreakAfter: 3, Confidence: 90, Gap: 50 * time.Millisecond}
 			complete := standin.Stream{Events: 6, Confidence: 90, Gap: 50 * time.Millisecond}
@@ -60,14 +60,14 @@
 			Expect(a.Status).To(Equal(http.StatusOK))
 			Expect(a.Err).NotTo(HaveOccurred())
 			Expect(a.Body).To(ContainSubstring("id: 6"))
-			Expect(r.endpoints["model-1"].Seen()).To(HaveLen(1), "its hall is evacuated")
+			Expect(r.endpoints["model-1"].Seen()).To(HaveLen(1), "its data hall is evacuated")
 			Expect(r.endpoints["model-2"].Seen()).To(HaveLen(1))
 		})
 	})
 })
 
-var _ = Describe("requests that regions bind", func() {
-	// newRegionRig has an endpoint in each of two regions.
+var _ = Describe("requests that are restricted to regions", func() {
+	// newRegionRig returns a rig with an endpoint in each of two regions.
 	newRegionRig := func(ofRoute, ofWorkspace []string) *rig {
 		r := newRig(scripts{"plain-1": standin.Always(good), "plain-2": standin.Always(good)})
 		f := fleet.New(fleet.Options{Hall: "ikeja", Regions: map[string]string{"ikeja": "lagos", "wuse": "abuja"}})
@@ -89,14 +89,14 @@
 	cases := map[string]struct {
 		route, workspace, ran []string
 	}{
-		"by the route":              {[]string{"abuja"}, nil, []string{"plain-2"}},
-		"by the workspace":          {nil, []string{"abuja"}, []string{"plain-2"}},
-		"by both":                   {[]string{"lagos", "abuja"}, []string{"abuja", "accra"}, []string{"plain-2"}},
-		"by both, none in common":   {[]string{"lagos"}, []string{"abuja"}, nil},
-		"by a region without halls": {[]string{"accra"}, nil, nil},
+		"by the route":                   {[]string{"abuja"}, nil, []string{"plain-2"}},
+		"by the workspace":               {nil, []string{"abuja"}, []string{"plain-2"}},
+		"by both":                        {[]string{"lagos", "abuja"}, []string{"abuja", "accra"}, []string{"plain-2"}},
+		"by both, none in common":        {[]string{"lagos"}, []string{"abuja"}, nil},
+		"by a region without data halls": {[]string{"accra"}, nil, nil},
 	}
 	for name, c := range cases {
-		It("run only there: "+name, func() {
+		It("run only in those regions: "+name, func() {
 			suite.Paused(func() {
 				r := newRegionRig(c.route, c.workspace)
 				defer r.stop()
@@ -121,8 +121,8 @@
 })
 
 var _ = Describe("a host at a cold endpoint", func() {
-	// countRuns sends twenty streams at once to the only endpoint, which is cold, at a host that has advised for
-	// a time, and counts those that it ran.
+	// countRuns sends twenty concurrent streams to a host whose only endpoint is cold, after the host has
+	// advised for the given time, and returns how many of them the endpoint ran.
 	countRuns := func(earlierHosts []string, advised time.Duration) int {
 		runs := 0
 		suite.Paused(func() {
@@ -156,9 +156,9 @@
 		return runs
 	}
 
-	It("sends its own part only while it gets no advice, and what one may that advises others", func() {
+	It("sends only its own share while it gets no advice, and an adviser's share if it advises others", func() {
 		Expect(countRuns([]string{"10.0.0.9:1"}, 0)).To(BeNumerically("<=", 1))
 		Expect(countRuns(nil, 1500*time.Millisecond)).To(Equal(8))
-		Expect(countRuns(nil, 0)).To(Equal(2), "of one that has just begun to")
+		Expect(countRuns(nil, 0)).To(Equal(2), "a host that has just started to advise")
 	})
 })
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -12,8 +12,8 @@
 	"quaybarrow/platform/standin"
 )
 
-var _ = Describe("a limit that an endpoint names", func() {
-	It("ends with an answer that the endpoint has sealed, and with no other", func() {
+var _ = Describe("a limit that an endpoint states", func() {
+	It("ends only with a response that the endpoint has sealed", func() {
 		suite.Paused(func() {
 			var bare atomic.Bool
 			r := newRig(scripts{"plain-1": func(int, *http.Request) standin.Script {
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -12,7 +12,7 @@
 	"quaybarrow/platform/standin"
 )
 
-// occupySlots has other requests hold an endpoint's slots, and many wait there.
+// occupySlots makes count other requests hold slots of the service's endpoints or wait there.
 func (r *rig) occupySlots(count int) []*fleet.Hold {
 	var holds []*fleet.Hold
 	for i := range count {
@@ -30,8 +30,8 @@
 	}
 }
 
-var _ = Describe("a stream while engines are full", func() {
-	It("that can't be served is refused at once, and its caller told to come back late", func() {
+var _ = Describe("a stream while all engines are full", func() {
+	It("that can't be served is refused at once, with a long Retry-After", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(confident)})
 			defer r.stop()
@@ -42,14 +42,14 @@
 			Expect(time.Since(start)).To(BeNumerically("<", 250*time.Millisecond), "an eighth of the objective")
 			after, err := strconv.ParseFloat(a.Head.Get("Retry-After"), 64)
 			Expect(err).NotTo(HaveOccurred())
-			const maxRetryAfter = 15.0 / 3 // of the time that the caller gives
+			const maxRetryAfter = 15.0 / 3 // callers wait for at most a third of their 15 s
 			Expect(after).To(BeNumerically(">", 0.65*maxRetryAfter))
 			Expect(after).To(BeNumerically("<=", maxRetryAfter))
 			Expect(r.runs()).To(BeZero())
 		})
 	})
 
-	It("waits for its turn here, and is served as soon as there is room", func() {
+	It("waits for its turn at the host, and is served as soon as there is capacity", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(confident)})
 			defer r.stop()
@@ -66,7 +66,7 @@
 		})
 	})
 
-	It("that waits is forgotten when its caller leaves", func() {
+	It("that waits is dropped when its caller disconnects", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(confident)})
 			defer r.stop()
@@ -84,7 +84,7 @@
 		})
 	})
 
-	It("that waits at a host which stops is sent elsewhere", func() {
+	It("that waits at a host that starts to drain is refused with a short Retry-After", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(confident)})
 			defer r.stop()
@@ -103,7 +103,7 @@
 		})
 	})
 
-	It("takes a rejection for no answer that has begun", func() {
+	It("does not count a rejection as the start of a response", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(standin.Reply{Status: 503, NotRun: true})})
 			defer r.stop()
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -11,7 +11,7 @@
 	"quaybarrow/platform/standin"
 )
 
-// crashOnBody has endpoints crash under one body, and answer all others.
+// crashOnBody returns a script that crashes on requests with one body and responds to all others.
 func crashOnBody(body string, other standin.Script) func(int, *http.Request) standin.Script {
 	return func(_ int, r *http.Request) standin.Script {
 		if r.Header.Get("X-Body") == body {
@@ -21,13 +21,13 @@
 	}
 }
 
-// askWithBody sends a request whose endpoints can tell its body.
+// askWithBody sends a request that carries its body in a header field too, where endpoint scripts can read it.
 func (r *rig) askWithBody(path, body, id string) standin.Answer {
 	q := request("POST", path, body).WithID(id).With("X-Body: " + body)
 	return r.ask(q)
 }
 
-// newCrashRig has six endpoints of each service that crash under one request.
+// newCrashRig returns a rig with six endpoints of each service that crash on one request.
 func newCrashRig() *rig {
 	s := scripts{}
 	for _, n := range []string{"1", "2", "3", "4", "5", "6"} {
@@ -37,16 +37,16 @@
 	return newRig(s)
 }
 
-// quarantinePaths are ways to ask.
+// quarantinePaths has a path of each kind of route.
 var quarantinePaths = map[string]string{
 	"a call that may be repeated": "/again/1",
 	"a call that runs once":       "/once/1",
 	"a stream":                    "/stream/1",
 }
 
-var _ = Describe("a request under which endpoints crash", func() {
+var _ = Describe("a request that makes endpoints crash", func() {
 	for name, path := range quarantinePaths {
-		It("is refused for good, at once and truly, from the third crash on: "+name, func() {
+		It("is refused permanently and at once from the third crash on, with a truthful status: "+name, func() {
 			suite.Paused(func() {
 				r := newCrashRig()
 				defer r.stop()
@@ -72,7 +72,7 @@
 		})
 	}
 
-	It("does nothing to others of the same workspace, or to the same request of another route", func() {
+	It("does not affect other requests of its workspace, or a request with the same body to another path", func() {
 		suite.Paused(func() {
 			r := newCrashRig()
 			defer r.stop()
@@ -82,11 +82,11 @@
 			}
 			Expect(r.askWithBody("/once/1", "bad", "d").Status).To(Equal(http.StatusServiceUnavailable))
 			Expect(r.askWithBody("/once/1", "fine", "e").Status).To(Equal(http.StatusOK))
-			Expect(r.askWithBody("/once/2", "bad", "f").Status).To(Equal(http.StatusBadGateway), "it crashes one more")
+			Expect(r.askWithBody("/once/2", "bad", "f").Status).To(Equal(http.StatusBadGateway), "it crashes another endpoint")
 		})
 	})
 
-	It("is known by its caller: the same of another workspace, or of nobody, is another request", func() {
+	It("is identified by its workspace too: the same request of another workspace, or of none, is a different one", func() {
 		suite.Paused(func() {
 			r := newCrashRig()
 			defer r.stop()
@@ -99,7 +99,7 @@
 		})
 	})
 
-	It("is not sent on though it came before it was known", func() {
+	It("is not sent again after its quarantine even if it arrived before", func() {
 		suite.Paused(func() {
 			r := newCrashRig()
 			defer r.stop()
@@ -115,7 +115,8 @@
 		})
 	})
 
-	// Two crashes are known of those that emptied the service, a third not yet; all copies that waited were sent together.
+	// Guards against sending all waiting copies together: two of the crashes that emptied the service are
+	// known, the third is not known yet.
 	It("is sent one copy at a time to a service that it may have emptied", func() {
 		suite.Paused(func() {
 			r := newCrashRig()
@@ -126,7 +127,7 @@
 				r.fleet.Remove(id)
 			}
 			r.askWithBody("/again/1", "bad", "a")
-			Expect(r.runs()).To(Equal(2), "both that were there crashed")
+			Expect(r.runs()).To(Equal(2), "both listed endpoints crashed")
 			r.fleet.Remove("plain-1")
 			r.fleet.Remove("plain-2")
 			asked := make(chan standin.Answer, 8)
@@ -138,11 +139,11 @@
 			for range 5 {
 				Expect((<-asked).Status).NotTo(Equal(http.StatusOK))
 			}
-			Expect(r.runs()).To(BeNumerically("<=", 3), "the third tells it")
+			Expect(r.runs()).To(BeNumerically("<=", 3), "the third crash quarantines it")
 		})
 	})
 
-	It("is let out by an answer of its own that comes to a good end", func() {
+	It("is released when one of its own responses completes", func() {
 		suite.Paused(func() {
 			r := newCrashRig()
 			defer r.stop()
@@ -163,7 +164,7 @@
 			}
 			Expect(r.askWithBody("/once/1", "bad", "d").Status).To(Equal(http.StatusServiceUnavailable))
 			Expect((<-asked).Status).To(Equal(http.StatusOK))
-			Expect(r.askWithBody("/once/1", "bad", "e").Status).To(Equal(http.StatusBadGateway), "it is sent again")
+			Expect(r.askWithBody("/once/1", "bad", "e").Status).To(Equal(http.StatusBadGateway), "it is sent to an endpoint again")
 		})
 	})
 })
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -30,10 +30,10 @@
 	"quaybarrow/platform/standin"
 )
 
-// gatewayAddress is where the gateway of a rig serves.
+// gatewayAddress is the address of a rig's gateway.
 const gatewayAddress = "10.0.0.1:80"
 
-// rig is a gateway between a caller and scripted endpoints, in memory.
+// rig is a gateway between a caller and scripted endpoints on an in-memory network.
 type rig struct {
 	net       *memnet.Network
 	gateway   *gateway.Gateway
@@ -47,7 +47,7 @@
 	log       *logBuffer
 }
 
-// logBuffer is what was logged, for use at once.
+// logBuffer records the log. It is safe for concurrent use.
 type logBuffer struct {
 	mu sync.Mutex // guards b
 	b  bytes.Buffer
@@ -66,19 +66,19 @@
 	return l.b.String()
 }
 
-// fingerprintIn finds the fingerprint that a log tells.
+// fingerprintIn returns the first fingerprint in a log.
 func fingerprintIn(text string) string {
 	_, after, _ := strings.Cut(text, "fingerprint=")
 	fingerprint, _, _ := strings.Cut(after, " ")
 	return fingerprint
 }
 
-// noClock is a watcher for tests without upgrades.
+// noClock is a watcher without a known time, for tests without upgrades.
 type noClock struct{ store.Watcher }
 
 func (noClock) Now() (clock.Bounds, bool) { return clock.Bounds{}, false }
 
-// declaration has a route of each kind.
+// declaration returns a configuration with a route of each kind.
 func declaration() route.Declaration {
 	only := func(service string) []route.Target { return []route.Target{{Service: service, Weight: 1}} }
 	return route.Declaration{
@@ -101,7 +101,7 @@
 	}
 }
 
-// newRig starts a gateway; endpoints are named after their service and a number.
+// newRig starts a gateway and scripted endpoints. An endpoint's ID is its service, a dash and a number.
 func newRig(scripts map[string]func(int, *http.Request) standin.Script) *rig {
 	r := &rig{
 		net: memnet.New(), holder: route.NewHolder(), fleet: fleet.New(fleet.Options{Hall: "ikeja"}),
@@ -136,14 +136,14 @@
 	return r
 }
 
-// grantTurns has the gateway's host, alone, give turns to suspect requests.
+// grantTurns makes the gateway's host, as the only one, grant turns to suspect requests.
 func (r *rig) grantTurns() {
 	r.gateway.Limits = ratelimit.NewDesk(ratelimit.Options{
 		Host: "h", Fleet: r.fleet, Known: func() bool { return true }, Members: func() []ratelimit.Member { return nil }, Logger: log.New(r.log),
 	})
 }
 
-// relist lists endpoints, also again.
+// relist adds endpoints to the fleet, also ones that were removed.
 func (r *rig) relist(ids ...string) {
 	for _, id := range ids {
 		r.fleet.Put(r.entries[id])
@@ -159,8 +159,7 @@
 	return id, "", false
 }
 
-// forgetConfig has the gateway begin again without a configuration, and returns the one
-// that it had.
+// forgetConfig removes the gateway's configuration, as after a start, and returns it.
 func (r *rig) forgetConfig() *route.Table {
 	table := r.holder.Table()
 	r.holder = route.NewHolder()
@@ -179,7 +178,7 @@
 	time.Sleep(time.Minute)
 }
 
-// runs counts the requests that reached endpoints.
+// runs returns the number of requests that reached endpoints.
 func (r *rig) runs() int {
 	n := 0
 	for _, e := range r.endpoints {
@@ -203,15 +202,15 @@
 // send writes raw bytes without waiting for them to be read.
 func (c *caller) send(text string) { go func() { _, _ = io.WriteString(c, text) }() }
 
-// read reads an answer.
+// read reads a response.
 func (c *caller) read() standin.Answer { return standin.ReadAnswer(c.reader) }
 
-// request is a request of a workspace.
+// request returns a request of a workspace.
 func request(method, path, body string) standin.Request {
 	return standin.NewRequest(method, path, body)
 }
 
-// ask sends one request on a connection of its own.
+// ask sends one request on a new connection and returns the response.
 func (r *rig) ask(req standin.Request) standin.Answer {
 	c := r.call()
 	defer func() { _ = c.Close() }()
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -16,7 +16,7 @@
 	"quaybarrow/platform/standin"
 )
 
-// events formats events as an endpoint makes them.
+// events formats events as an endpoint sends them.
 func events(from, to int, model string) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
@@ -25,13 +25,13 @@
 	return b.String()
 }
 
-// prompt is a request to a model.
+// prompt returns a request to a model.
 func prompt(path string) standin.Request { return request("POST", path, "x").WithPrompt() }
 
 var confident = standin.Stream{Events: 5, Confidence: 90}
 
 var _ = Describe("streams", func() {
-	It("are passed on whole, with the seal of the endpoint", func() {
+	It("are forwarded completely, with the endpoint's seal", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(confident)})
 			defer r.stop()
@@ -42,7 +42,7 @@
 		})
 	})
 
-	It("go on at another endpoint after a break inside an event", func() {
+	It("continue at another endpoint after a break inside an event", func() {
 		suite.Paused(func() {
 			both := between(standin.Stream{Events: 5, Confidence: 90, BreakAfter: 2}, confident)
 			r := newRig(scripts{"model-1": both, "model-2": both})
@@ -54,7 +54,7 @@
 		})
 	})
 
-	It("go on at another endpoint when nothing more comes and the connection stays", func() {
+	It("continue at another endpoint if no event arrives and the connection stays open", func() {
 		suite.Paused(func() {
 			both := between(standin.Stream{Events: 5, Confidence: 90, StallAfter: 2}, confident)
 			r := newRig(scripts{"model-1": both, "model-2": both})
@@ -64,19 +64,19 @@
 			Expect(a.Err).NotTo(HaveOccurred())
 			Expect(a.Body).To(Equal(events(1, 5, "small")))
 			Expect(r.runs()).To(Equal(2))
-			Expect(time.Since(start)).To(BeNumerically("<", 4*time.Second), "its caller leaves after 8 s")
+			Expect(time.Since(start)).To(BeNumerically("<", 4*time.Second), "its caller disconnects after 8 s")
 		})
 	})
 
-	// silences are streams whose caller leaves while nothing comes.
+	// silences are streams whose caller disconnects while no event arrives.
 	silences := map[string]standin.Script{
 		"before the first event":        standin.Mute{},
 		"between two events":            standin.Stream{Events: 5, Confidence: 90, Gap: 3 * time.Second},
-		"while nothing more comes":      standin.Stream{Events: 5, Confidence: 90, StallAfter: 1},
+		"while no more events arrive":   standin.Stream{Events: 5, Confidence: 90, StallAfter: 1},
 		"while a larger model is asked": standin.Stream{Events: 5, Confidence: 1, Gap: 3 * time.Second},
 	}
 	for name, script := range silences {
-		It("let go of their endpoint when their caller leaves "+name, func() {
+		It("release their endpoint when their caller disconnects "+name, func() {
 			suite.Paused(func() {
 				r := newRig(scripts{"model-1": standin.Always(script), "model-2": standin.Always(script)})
 				defer r.stop()
@@ -95,7 +95,7 @@
 		})
 	}
 
-	It("that may not be resumed are waited for, however silent", func() {
+	It("that may not be resumed are waited for, however long they are silent", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(standin.Stream{Events: 5, Confidence: -1, StallAfter: 2})})
 			defer r.stop()
@@ -105,7 +105,7 @@
 		})
 	})
 
-	It("that may not be resumed are cut and do not look whole", func() {
+	It("that may not be resumed are aborted and do not look complete", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(standin.Stream{Events: 5, Confidence: -1, BreakAfter: 2})})
 			defer r.stop()
@@ -116,7 +116,7 @@
 		})
 	})
 
-	It("of a small model without confidence are asked of the largest", func() {
+	It("of a small model with low confidence are requested from the largest model", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(standin.Stream{Events: 5, Confidence: 10})})
 			defer r.stop()
@@ -127,7 +127,7 @@
 		})
 	})
 
-	It("that have begun are not dropped for a larger model after a break", func() {
+	It("that have started are not dropped for a larger model after a break", func() {
 		suite.Paused(func() {
 			both := between(standin.Stream{Events: 5, Confidence: 90, BreakAfter: 2}, standin.Stream{Events: 5, Confidence: 1})
 			r := newRig(scripts{"model-1": both, "model-2": both})
@@ -139,7 +139,7 @@
 		})
 	})
 
-	It("of a small model are kept once the retry budget is spent", func() {
+	It("of a small model are kept when the retry budget is spent", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(standin.Stream{Events: 5, Confidence: 10})})
 			defer r.stop()
@@ -170,7 +170,7 @@
 		})
 	})
 
-	It("begin with the largest model where all small answers are dropped", func() {
+	It("start with the largest model if all responses of the small model are dropped", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(standin.Stream{Events: 5, Confidence: 1})})
 			defer r.stop()
@@ -188,12 +188,12 @@
 		})
 	})
 
-	It("of a small model are kept if the largest model's answer would be late", func() {
+	It("of a small model are kept if the largest model's response would be late", func() {
 		suite.Paused(func() {
 			unsure := standin.Always(standin.Stream{Events: 5, Confidence: 10})
 			r := newRig(scripts{"model-1": unsure, "model-2": unsure})
 			defer r.stop()
-			// Both endpoints read a prompt for longer than the objective.
+			// Both endpoints process a prompt for longer than the objective.
 			for _, other := range []string{"model-1", "model-2"} {
 				hold, ok := r.fleet.Pick(fleet.Ask{Service: "model", Key: 1, Model: "large", Tokens: 400_000, Avoid: []string{other}})
 				Expect(ok).To(BeTrue())
@@ -205,7 +205,7 @@
 		})
 	})
 
-	It("start where the caller's last event says", func() {
+	It("start after the caller's last event", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(confident)})
 			defer r.stop()
@@ -214,7 +214,7 @@
 		})
 	})
 
-	It("that break at every endpoint end without looking whole, within the attempts", func() {
+	It("that break at every endpoint end within the allowed attempts and do not look complete", func() {
 		suite.Paused(func() {
 			broken := standin.Always(standin.Stream{Events: 5, Confidence: 90, BreakAfter: 2})
 			r := newRig(scripts{"model-1": broken, "model-2": broken, "model-3": broken, "model-4": broken})
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -13,12 +13,12 @@
 	"quaybarrow/platform/standin"
 )
 
-// suspensions are times for which the machine is suspended while a request that has two
-// seconds is at an endpoint that fails after a tenth of one.
+// suspensions are durations for which the machine is suspended while a request with a timeout of two
+// seconds is at an endpoint that fails after a tenth of a second.
 var suspensions = map[string]struct {
 	duration    time.Duration
 	runs        int           // of the request
-	maxTimeLeft time.Duration // most that the last endpoint is told
+	maxTimeLeft time.Duration // upper bound of the time that the last endpoint is told
 }{
 	"not at all":                   {0, 2, 1900 * time.Millisecond},
 	"for a part of its time":       {time.Second, 2, 900 * time.Millisecond},
@@ -28,7 +28,7 @@
 
 var _ = Describe("a request on a machine that is suspended", func() {
 	for name, s := range suspensions {
-		It("gives endpoints the time that is left, and is not sent on without any: "+name, func() {
+		It("tells endpoints the time that is left, and is not sent again if none is: "+name, func() {
 			suite.Paused(func() {
 				failing := standin.Reply{Status: http.StatusInternalServerError, Body: "no", Delay: 100 * time.Millisecond}
 				both := between(failing, good)
@@ -40,14 +40,14 @@
 				go func() { answers <- r.ask(q) }()
 				time.Sleep(50 * time.Millisecond)
 				clock.Suspend(s.duration)
-				Expect((<-answers).Err).NotTo(HaveOccurred(), "an answer is delivered, late too")
+				Expect((<-answers).Err).NotTo(HaveOccurred(), "a response is delivered even if it is late")
 				Expect(r.runs()).To(Equal(s.runs))
 				Expect(r.lastTimeLeft()).To(BeNumerically("<=", s.maxTimeLeft))
 			})
 		})
 	}
 
-	It("that comes while the machine is back is in time again", func() {
+	It("that arrives after the machine has resumed is in time", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
@@ -57,7 +57,7 @@
 	})
 })
 
-// lastTimeLeft is the time that the endpoint was given that was asked last.
+// lastTimeLeft returns the time left that the last request to an endpoint stated.
 func (r *rig) lastTimeLeft() time.Duration {
 	var last standin.Seen
 	for _, e := range r.endpoints {
--- a/internal/gateway/unary_test.go
+++ b/internal/gateway/unary_test.go
@@ -14,8 +14,8 @@
 
 type scripts = map[string]func(int, *http.Request) standin.Script
 
-// between returns a script for several endpoints: whichever gets the first request
-// answers in one way, and all others in another.
+// between returns a script for several endpoints: the first request to any of them gets one
+// response, and all later requests get another.
 func between(first, then standin.Script) func(int, *http.Request) standin.Script {
 	var n atomic.Int64
 	return func(int, *http.Request) standin.Script {
@@ -28,7 +28,7 @@
 
 var good = standin.Reply{Status: 200, Body: "done"}
 
-// unaryCases are requests with one endpoint that goes wrong once and then well.
+// unaryCases are requests whose first attempt ends as scripted and whose later attempts succeed.
 var unaryCases = map[string]struct {
 	path   string
 	script standin.Script
@@ -36,20 +36,20 @@
 	runs   int
 	sealed bool
 }{
-	"a good answer is passed on":                            {"/once/1", good, 200, 1, true},
-	"a repeatable request whose endpoint failed runs again": {"/again/1", standin.Reply{Status: 500, Body: "no"}, 200, 2, true},
-	"a failure of what runs once is the endpoint's own":     {"/once/1", standin.Reply{Status: 500, Body: "no"}, 500, 1, true},
-	"a reset leaves open whether it ran":                    {"/once/1", standin.Reset{}, 502, 1, false},
-	"a repeatable request that was reset runs again":        {"/again/1", standin.Reset{}, 200, 2, true},
-	"a refusal before any work is offered again":            {"/once/1", standin.Reply{Status: 503, NotRun: true}, 200, 2, true},
-	"an answer without a seal is no answer":                 {"/once/1", standin.Reply{Status: 200, Body: "x", Bare: true}, 502, 1, false},
-	"a body cut short is no answer":                         {"/once/1", standin.Reply{Status: 200, Body: "whole body", Cut: 4}, 502, 1, false},
-	"a body cut short is asked for again":                   {"/again/1", standin.Reply{Status: 200, Body: "whole body", Cut: 4}, 200, 2, true},
-	"a body that ends with the connection is whole":         {"/once/1", standin.Reply{Status: 200, Body: "whole body", Unsized: true}, 200, 1, true},
-	"an answer to another request is passed over":           {"/once/1", standin.Reply{Status: 200, Body: "mine", Stray: true}, 200, 1, true},
+	"a good response is forwarded":                            {"/once/1", good, 200, 1, true},
+	"a repeatable request whose endpoint fails runs again":    {"/again/1", standin.Reply{Status: 500, Body: "no"}, 200, 2, true},
+	"a failure of a non-repeatable request is forwarded":      {"/once/1", standin.Reply{Status: 500, Body: "no"}, 500, 1, true},
+	"a reset leaves it unknown whether the request ran":       {"/once/1", standin.Reset{}, 502, 1, false},
+	"a repeatable request that was reset runs again":          {"/again/1", standin.Reset{}, 200, 2, true},
+	"a request that an endpoint refused to run is sent again": {"/once/1", standin.Reply{Status: 503, NotRun: true}, 200, 2, true},
+	"a response without a seal is not forwarded":              {"/once/1", standin.Reply{Status: 200, Body: "x", Bare: true}, 502, 1, false},
+	"a truncated body is not forwarded":                       {"/once/1", standin.Reply{Status: 200, Body: "whole body", Cut: 4}, 502, 1, false},
+	"a repeatable request with a truncated body runs again":   {"/again/1", standin.Reply{Status: 200, Body: "whole body", Cut: 4}, 200, 2, true},
+	"a body that ends with the connection is complete":        {"/once/1", standin.Reply{Status: 200, Body: "whole body", Unsized: true}, 200, 1, true},
+	"a response to another request is skipped":                {"/once/1", standin.Reply{Status: 200, Body: "mine", Stray: true}, 200, 1, true},
 }
 
-var _ = Describe("requests with one answer", func() {
+var _ = Describe("unary requests", func() {
 	for name, c := range unaryCases {
 		It(name, func() {
 			suite.Paused(func() {
@@ -65,7 +65,7 @@
 		})
 	}
 
-	It("never passes on what belongs to another request", func() {
+	It("never forward a response to another request", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(standin.Reply{Status: 200, Body: "mine", Stray: true})})
 			defer r.stop()
@@ -73,7 +73,7 @@
 		})
 	})
 
-	It("does not use a connection again after surplus bytes", func() {
+	It("do not reuse a connection after surplus bytes", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(standin.Reply{Status: 200, Body: "a", Extra: "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nb"})})
 			defer r.stop()
@@ -84,7 +84,7 @@
 		})
 	})
 
-	It("uses a connection again after a clean answer", func() {
+	It("reuse a connection after a clean response", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
@@ -95,7 +95,7 @@
 		})
 	})
 
-	It("tells that a request did not run only where nothing was sent", func() {
+	It("are reported as not run only if nothing was sent", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
@@ -109,7 +109,7 @@
 		})
 	})
 
-	It("answers at the route's time-out when the endpoint is mute, and lets go of it", func() {
+	It("fail at the route's timeout if the endpoint does not respond, and release it", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(standin.Mute{})})
 			defer r.stop()
@@ -122,7 +122,7 @@
 		})
 	})
 
-	It("offers a repeatable request that gets no answer to another endpoint, in time", func() {
+	It("that are repeatable and get no response are sent to another endpoint in time", func() {
 		suite.Paused(func() {
 			both := between(standin.Mute{}, good)
 			r := newRig(scripts{"plain-1": both, "plain-2": both})
@@ -133,7 +133,7 @@
 		})
 	})
 
-	It("lets go of the endpoint when the caller leaves", func() {
+	It("release the endpoint when the caller disconnects", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(standin.Mute{})})
 			defer r.stop()
