--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -22,14 +22,14 @@
 	if s.headerSent || n == 0 || x.model == x.route.Models[n-1] || a.header.Confidence == NoConfidence || x.sends >= x.route.Attempts {
 		return false
 	}
-	w := x.compareWith(x.route.Models[n-1], a.header.Confidence)
-	x.recordLargestFirstGain(w)
-	granted := w.largerIsBetter() && x.g.retryBudgets.Repeat(x.service, escalationBudgetFraction)
-	x.logComparison(w, granted)
+	c := x.compareWith(x.route.Models[n-1], a.header.Confidence)
+	x.recordLargestFirstGain(c)
+	granted := c.largerIsBetter() && x.g.retryBudgets.Repeat(x.service, escalationBudgetFraction)
+	x.logComparison(c, granted)
 	if !granted {
 		return false
 	}
-	x.model, x.escalated = w.model, true
+	x.model, x.escalated = c.model, true
 	x.tried = nil
 	return true
 }
@@ -48,24 +48,24 @@
 
 // largerIsBetter reports whether the larger model's response, net of its cost, is worth more than
 // the small model's.
-func (w modelComparison) largerIsBetter() bool { return w.available && w.larger.Net() > w.kept.Value() }
+func (c modelComparison) largerIsBetter() bool { return c.available && c.larger.Net() > c.kept.Value() }
 
 // compareWith compares a response of the given confidence with the expected response of a larger
 // model.
 func (x *exchange) compareWith(model string, confidence float64) modelComparison {
 	ask := x.fleetAsk(model)
 	ask.Avoid = nil // the endpoint that ran the small model may also run the larger one
-	w := modelComparison{model: model, confidence: confidence, elapsed: clock.Since(x.start)}
-	w.expected, w.available = x.expect(ask)
-	w.kept.Right = cascade.ChanceRight(confidence)
-	if w.elapsed <= x.route.Objective {
-		w.kept.InTime = 1
+	c := modelComparison{model: model, confidence: confidence, elapsed: clock.Since(x.start)}
+	c.expected, c.available = x.expect(ask)
+	c.kept.Right = cascade.ChanceRight(confidence)
+	if c.elapsed <= x.route.Objective {
+		c.kept.InTime = 1
 	}
-	w.larger = cascade.Option{
-		Answer: cascade.Answer{Right: cascade.LargestRight, InTime: w.expected.InTime(x.route.Objective - w.elapsed)},
-		Use:    x.useCost(model), Size: x.relativeSize, Delay: x.delayCost(w.expected),
+	c.larger = cascade.Option{
+		Answer: cascade.Answer{Right: cascade.LargestRight, InTime: c.expected.InTime(x.route.Objective - c.elapsed)},
+		Use:    x.useCost(model), Size: x.relativeSize, Delay: x.delayCost(c.expected),
 	}
-	return w
+	return c
 }
 
 // delayCost returns how long other requests wait for an attempt's work, as a fraction of the
@@ -78,22 +78,22 @@
 }
 
 // logComparison logs the comparison of a small model's response with a larger model.
-func (x *exchange) logComparison(w modelComparison, granted bool) {
-	x.g.Logger.Info("larger model weighed", "id", x.header.ID, "model", w.model, "confidence", w.confidence, "kept", w.kept.Value(),
-		"larger", w.larger.Value(), "use", w.larger.Use, "delay", w.larger.Delay, "in_time", w.larger.InTime, "took_ms", w.elapsed.Milliseconds(),
-		"expected_ms", w.expected.Head.Milliseconds(), "read", w.expected.Read, "price", w.expected.Price, "better", w.largerIsBetter(), "asked", granted)
+func (x *exchange) logComparison(c modelComparison, granted bool) {
+	x.g.Logger.Info("larger model weighed", "id", x.header.ID, "model", c.model, "confidence", c.confidence, "kept", c.kept.Value(),
+		"larger", c.larger.Value(), "use", c.larger.Use, "delay", c.larger.Delay, "in_time", c.larger.InTime, "took_ms", c.elapsed.Milliseconds(),
+		"expected_ms", c.expected.Head.Milliseconds(), "read", c.expected.Read, "price", c.expected.Price, "better", c.largerIsBetter(), "asked", granted)
 }
 
 // recordLargestFirstGain records how much better the request would have done if it had started with
 // the larger model.
-func (x *exchange) recordLargestFirstGain(w modelComparison) {
-	if !w.available || x.sends > 1 {
+func (x *exchange) recordLargestFirstGain(c modelComparison) {
+	if !c.available || x.sends > 1 {
 		return
 	}
 	small := cascade.Option{Use: x.useCost(x.model), Size: x.relativeSize, Delay: x.delayCost(x.expected)}
-	largestFirst := w.larger
-	largestFirst.InTime = w.expected.InTime(x.route.Objective)
-	x.g.firstModels.record(x.route.Name, largestFirst.Net()-max(w.kept.Value(), w.larger.Net())-small.Net())
+	largestFirst := c.larger
+	largestFirst.InTime = c.expected.InTime(x.route.Objective)
+	x.g.firstModels.record(x.route.Name, largestFirst.Net()-max(c.kept.Value(), c.larger.Net())-small.Net())
 }
 
 // expect returns what an attempt is expected to take, as estimated by the host that advises or else
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -32,10 +32,10 @@
 
 // sharedTokens counts the prompt's tokens that other requests have too: those of all parts but the
 // last.
-func (a RequestHeader) sharedTokens() int {
+func (h RequestHeader) sharedTokens() int {
 	n := 0
-	for i := range len(a.Parts) - 1 {
-		n += a.Parts[i].Tokens
+	for i := range len(h.Parts) - 1 {
+		n += h.Parts[i].Tokens
 	}
 	return n
 }
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -92,8 +92,8 @@
 // crashed.
 func (a *attempt) endBroken(err error) {
 	run := quarantine.Run{Lasted: clock.Since(a.sentAt), Of: a.x.workspace + " " + a.x.route.Name}
-	if !a.headAt.IsZero() {
-		run.Answered = clock.Since(a.headAt)
+	if !a.headerAt.IsZero() {
+		run.Answered = clock.Since(a.headerAt)
 	}
 	a.endFailed()
 	x := a.x
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -120,12 +120,12 @@
 
 // idAfter reports whether an ID comes after another. IDs that are not numbers are assumed to be in
 // rising order.
-func idAfter(id, last string) bool {
-	if last == "" {
+func idAfter(id, lastID string) bool {
+	if lastID == "" {
 		return true
 	}
 	a, errA := strconv.ParseInt(id, 10, 64)
-	b, errB := strconv.ParseInt(last, 10, 64)
+	b, errB := strconv.ParseInt(lastID, 10, 64)
 	return errA != nil || errB != nil || a > b
 }
 
--- a/internal/gateway/first_model.go
+++ b/internal/gateway/first_model.go
@@ -39,22 +39,22 @@
 
 // record records a result of the smallest model: how much better the request would have done if it
 // had started with the largest.
-func (b *firstModels) record(route string, gain float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r, ok := b.routes[route]
+func (m *firstModels) record(route string, gain float64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	r, ok := m.routes[route]
 	if !ok {
 		r = &routeGain{gain: gain}
-		b.routes[route] = r
+		m.routes[route] = r
 	}
 	r.gain += gainWeight * (gain - r.gain)
 	r.samples++
 }
 
 // startWithLargest reports whether a request starts with the largest model.
-func (b *firstModels) startWithLargest(route string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r, ok := b.routes[route]
+func (m *firstModels) startWithLargest(route string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	r, ok := m.routes[route]
 	return ok && r.samples >= minGainSamples && r.gain > minGain && rand.Float64() >= smallestProbeFraction
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -132,7 +132,7 @@
 	adviceOutcome        string        // outcome of the last advice
 	rejections           int           // sends that endpoints have not run
 	waits                int           // how often it was told to wait for its turn
-	roomIn               time.Duration // time until there should be capacity for it, if it was refused for lack of it
+	roomIn               time.Duration // until there should be capacity for it, if it was refused
 	sends                int           // how often it was written to an endpoint
 	tried                []string
 	mayHaveRun           bool // some endpoint may have run it, or may still do so
@@ -140,8 +140,8 @@
 	endpoint             string
 	model                string
 	events               int
-	headerDelay          time.Duration     // time until the header of the response that the caller got; 0 if it got none
-	lastHeaderDelay      time.Duration     // time until the response header of the last attempt, from its sending
+	headerDelay          time.Duration     // until the header of the response that the caller got; 0 if none
+	lastHeaderDelay      time.Duration     // of the last attempt, from its sending to its response header
 	expected             fleet.Expectation // of the last attempt, as it was sent
 	longestPause         time.Duration     // longest time between two events that the caller got
 	shortestPause        time.Duration     // shortest time between two events of the last attempt
--- a/internal/gateway/header.go
+++ b/internal/gateway/header.go
@@ -109,13 +109,13 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := headerInfo{bytes: len(c.header)}
+	info := headerInfo{bytes: len(c.header)}
 	if len(c.header) == 0 || !bytes.HasPrefix(c.header, []byte(r.Method+" ")) {
-		f.problem = "request came inside another"
-		return f
+		info.problem = "request came inside another"
+		return info
 	}
-	f.problem = framingProblem(c.header)
-	return f
+	info.problem = framingProblem(c.header)
+	return info
 }
 
 // framingProblem returns why a header is malformed or the length of its request ambiguous; "" if it
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -49,7 +49,7 @@
 	sentAt        clock.Instant
 	response      *http.Response
 	header        ResponseHeader
-	headAt        clock.Instant // when the response header had been read; zero before
+	headerAt      clock.Instant // when the response header had been read; zero before
 	ongoingRun    *quarantine.Ongoing
 	stopInterrupt func() bool // stops interrupting conn at the end of the context
 	ended         bool
@@ -57,7 +57,7 @@
 
 // send picks an endpoint and sends the request to it. Endpoints that can't be reached are skipped,
 // since they have seen nothing of the request.
-func (x *exchange) send(ctx context.Context, model, lastEvent string) (*attempt, error) {
+func (x *exchange) send(ctx context.Context, model, lastEventID string) (*attempt, error) {
 	for range maxDials {
 		if err := x.awaitSuspectTurn(ctx); err != nil {
 			return nil, err
@@ -93,7 +93,7 @@
 			}
 			return nil, err
 		}
-		a, err := x.sendOnConn(ctx, hold, c, model, lastEvent)
+		a, err := x.sendOnConn(ctx, hold, c, model, lastEventID)
 		if errors.Is(err, conn.ErrNotSent) {
 			continue
 		}
@@ -128,7 +128,8 @@
 			return hold, decision
 		}
 		if x.g.draining.Load() {
-			return nil, admission.Refuse{} // the wait may outlast this host, and other hosts take the request
+			// The wait may outlast this host, and other hosts take the request.
+			return nil, admission.Refuse{}
 		}
 		x.waits++
 		if !clock.Sleep(ctx, wait.For) {
@@ -147,7 +148,8 @@
 		return x.g.Fleet.Place(ask)
 	}
 	ask.Unadvised = x.g.Advice != nil && !x.g.Advice.Leads()
-	if x.headerDelay == 0 { // otherwise the caller has part of the response, and the rest takes precedence over other requests
+	// Once the caller has part of a response, the rest takes precedence over other requests.
+	if x.headerDelay == 0 {
 		ask.Slack, ask.Left, ask.Begun = x.slack(), x.usefulTime(), x.mayHaveRun
 	}
 	if x.g.Advice == nil {
@@ -224,7 +226,7 @@
 }
 
 // sendOnConn sends the request on a connection and reads the response header.
-func (x *exchange) sendOnConn(ctx context.Context, hold *fleet.Hold, c *conn.Conn, model, lastEvent string) (*attempt, error) {
+func (x *exchange) sendOnConn(ctx context.Context, hold *fleet.Hold, c *conn.Conn, model, lastEventID string) (*attempt, error) {
 	a := &attempt{x: x, hold: hold, conn: c, model: model, sentAt: clock.Now()}
 	x.sends++
 	x.maySendSuspect = false
@@ -232,7 +234,7 @@
 	x.endpoint, x.version, x.model = hold.Endpoint.ID, hold.Endpoint.Version, model
 	a.stopInterrupt = context.AfterFunc(ctx, c.Interrupt)
 	a.boundHeaderWait(ctx)
-	resp, err := c.Send(x.outgoingRequest(a, lastEvent), x.acceptsResponse) //nolint:bodyclose // a closed connection ends its body
+	resp, err := c.Send(x.outgoingRequest(a, lastEventID), x.acceptsResponse) //nolint:bodyclose // a closed connection ends its body
 	if errors.Is(err, conn.ErrNotSent) {
 		x.sends--
 		a.end(fleet.OutcomeLost, false)
@@ -256,7 +258,7 @@
 	// endpoints process prompts instantly and have no requests waiting.
 	a.hold.Head(a.header.Load)
 	x.countUsage()
-	a.headAt, a.ongoingRun = clock.Now(), x.g.Quarantine.Begin(x.fingerprint)
+	a.headerAt, a.ongoingRun = clock.Now(), x.g.Quarantine.Begin(x.fingerprint)
 	x.lastHeaderDelay, x.expected = clock.Since(a.sentAt), hold.Expected
 	return a, nil
 }
@@ -296,10 +298,10 @@
 }
 
 // outgoingRequest returns the request to send to the endpoint.
-func (x *exchange) outgoingRequest(a *attempt, lastEvent string) *http.Request {
+func (x *exchange) outgoingRequest(a *attempt, lastEventID string) *http.Request {
 	left := x.timeLeft()
 	h := x.g.Codec.EndpointHeader(x.r.Header, AttemptHeader{
-		Instance: a.hold.Endpoint.Instance, Workspace: x.workspace, Model: x.modelName(a.model), LastEvent: lastEvent,
+		Instance: a.hold.Endpoint.Instance, Workspace: x.workspace, Model: x.modelName(a.model), LastEvent: lastEventID,
 		Left: left, Urgency: a.hold.Urgency(),
 	})
 	if _, ok := h["User-Agent"]; !ok {
--- a/internal/gateway/unary.go
+++ b/internal/gateway/unary.go
@@ -45,7 +45,8 @@
 
 // serveUnary serves a request whose response is a single body.
 func (x *exchange) serveUnary() {
-	var failure *bufferedResponse // the endpoint's own failure, to be forwarded if nothing better arrives
+	// failure is the endpoint's own, to be forwarded if nothing better arrives.
+	var failure *bufferedResponse
 	for {
 		resp, err := x.unaryAttempt()
 		if err == nil && resp.attempt.response.StatusCode < http.StatusInternalServerError {
