--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -132,7 +132,7 @@
 	adviceOutcome        string        // outcome of the last advice
 	rejections           int           // sends that endpoints have not run
 	waits                int           // how often it was told to wait for its turn
-	roomIn               time.Duration // until there should be capacity for it, if it was refused
+	roomIn               time.Duration // until there should be capacity, if it was refused for lack of it
 	sends                int           // how often it was written to an endpoint
 	tried                []string
 	mayHaveRun           bool // some endpoint may have run it, or may still do so
