--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -7,69 +7,69 @@
 	"quaybarrow/internal/fleet"
 )
 
-// ConfidenceUnsaid stands for a confidence that an answer does not tell.
-const ConfidenceUnsaid = -1
+// NoConfidence stands for the confidence of a response that states none.
+const NoConfidence = -1
 
-// Part is a part of a prompt that other requests may share.
-type Part struct {
+// PromptPart is a part of a prompt that other requests may share.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Ask is what a caller says in the head of a request.
-type Ask struct {
+// RequestHeader is the information in the header of a caller's request.
+type RequestHeader struct {
 	ID        string
-	Key       string // the caller's key
-	Keys      int    // how many it gave; more than one is an error
-	LastEvent string // of a stream that is taken up again
+	Key       string // the caller's API key
+	Keys      int    // number of API keys given; more than one is an error
+	LastEvent string // ID of the last event received, for a stream that is resumed
 	Model     string
 	Session   string
 	Patience  time.Duration // how long the caller waits; 0 if it does not say
 	TokensIn  int
-	TokensOut int // at most
-	Parts     []Part
+	TokensOut int // maximum
+	Parts     []PromptPart
 }
 
-// shared counts the prompt's tokens that other requests have too: those of all
-// parts but the last.
-func (a Ask) shared() int {
+// sharedTokens counts the prompt's tokens that other requests have too: those of all parts but the
+// last.
+func (h RequestHeader) sharedTokens() int {
 	n := 0
-	for i := range len(a.Parts) - 1 {
-		n += a.Parts[i].Tokens
+	for i := range len(h.Parts) - 1 {
+		n += h.Parts[i].Tokens
 	}
 	return n
 }
 
-// Attempt is what an endpoint is told about a request.
-type Attempt struct {
-	Instance  string // what the endpoint calls itself; no other one runs it
+// AttemptHeader is the information about a request that is sent to an endpoint.
+type AttemptHeader struct {
+	Instance  string // the endpoint's own name; no other endpoint runs the request
 	Workspace string
-	Model     string // empty leaves the caller's
-	LastEvent string // empty leaves the caller's
+	Model     string // empty keeps the caller's
+	LastEvent string // empty keeps the caller's
 	Left      time.Duration
-	Urgency   int // 0 goes first; -1 says nothing
+	Urgency   int // 0 goes first; -1 leaves it to the endpoint
 }
 
-// Answer is what an endpoint says in the head of an answer.
-type Answer struct {
+// ResponseHeader is the information in the header of an endpoint's response.
+type ResponseHeader struct {
 	RequestID  string
-	Sealed     bool // the endpoint made it
+	Sealed     bool // the endpoint produced the response
 	NotRun     bool // the request did not run
 	Load       fleet.Load
 	Limit      fleet.Limit
-	Confidence float64 // the model's own of its answer, 0 to 100
+	Confidence float64 // the model's confidence in its answer, 0 to 100
 }
 
-// Codec translates heads between a platform's names and these types.
+// Codec translates between headers with a platform's field names and these types.
 type Codec interface {
-	// Request reads a caller's head.
-	Request(h http.Header) Ask
-	// Forward makes an endpoint's head from a caller's.
-	Forward(h http.Header, a Attempt) http.Header
-	// Answer reads an endpoint's head.
-	Answer(h http.Header) Answer
-	// Back makes a caller's head from an endpoint's.
-	Back(h http.Header) http.Header
-	// Refuse marks the answer to a request that the gateway answers itself.
-	Refuse(h http.Header, id string, retryAfter time.Duration)
+	// ParseRequest parses the header of a caller's request.
+	ParseRequest(h http.Header) RequestHeader
+	// EndpointHeader derives the header of the request to an endpoint from the caller's.
+	EndpointHeader(h http.Header, a AttemptHeader) http.Header
+	// ParseResponse parses the header of an endpoint's response.
+	ParseResponse(h http.Header) ResponseHeader
+	// CallerHeader derives the header of the response to the caller from the endpoint's.
+	CallerHeader(h http.Header) http.Header
+	// SetRefusal sets the header fields of a response that the gateway itself produces.
+	SetRefusal(h http.Header, id string, retryAfter time.Duration)
 }
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -12,35 +12,37 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// errQuarantined means that endpoints crash under the request.
+// errQuarantined means that the request makes endpoints crash.
 var errQuarantined = errors.New("quarantined: endpoints crash under this request; change it, or ask the operators to let it out")
 
-// errSuspect means that the request has turned suspect since it was its turn.
-var errSuspect = errors.New("endpoints may crash under this request, and it is not its turn")
+// errBecameSuspect means that the request became suspect after its turn to be sent was checked.
+var errBecameSuspect = errors.New("endpoints may crash under this request, and it is not its turn")
 
-// suspectRate is how often all hosts together send a service a request under which endpoints may crash,
-// in a second.
-const suspectRate = 1
+// suspectSendsPerSecond is how many requests that may make endpoints crash all hosts together send
+// to a service per second.
+const suspectSendsPerSecond = 1
 
-// suspect reports whether endpoints may crash under the request, so that it has to wait for its turn.
-func (x *exchange) suspect() bool {
+// isSuspect reports whether the request may make endpoints crash, so that it has to wait for its
+// turn.
+func (x *exchange) isSuspect() bool {
 	s := x.standing()
-	return s.Suspect() || (x.stranded && s.MayHaveEmptied())
+	return s.Suspect() || (x.foundNoEndpoint && s.MayHaveEmptied())
 }
 
-// awaitTurn waits until a request under which endpoints may crash may be sent. Copies that wait while a
-// service has no endpoint would otherwise all go as the first one is back, and crash it together. One of
-// all suspects runs at a time, so that what it does to its endpoint speaks of no other.
-func (x *exchange) awaitTurn(ctx context.Context) error {
-	for x.g.Limits != nil && !x.suspectTurn && x.suspect() {
-		wait, granted := x.g.Limits.Turn(ctx, "suspect/"+x.service, suspectRate)
+// awaitSuspectTurn waits until a request that may make endpoints crash may be sent. Copies that
+// wait while a service has no endpoint would otherwise all be sent as soon as the first endpoint is
+// back, and crash it together. Only one suspect request runs at a time, so that a crash of its
+// endpoint is not attributed to another request.
+func (x *exchange) awaitSuspectTurn(ctx context.Context) error {
+	for x.g.Limits != nil && !x.maySendSuspect && x.isSuspect() {
+		wait, granted := x.g.Limits.Turn(ctx, "suspect/"+x.service, suspectSendsPerSecond)
 		if granted {
-			x.suspectTurn = true
-			x.g.Logger.Info("suspect request may be sent", "id", x.ask.ID, "fingerprint", x.fingerprint(), "crashed", x.standing().Crashed)
+			x.maySendSuspect = true
+			x.g.Logger.Info("suspect request may be sent", "id", x.header.ID, "fingerprint", x.fingerprint(), "crashed", x.standing().Crashed)
 			break
 		}
 		x.waits++
-		if !clock.Sleep(ctx, min(wait, suspectLook)) {
+		if !clock.Sleep(ctx, min(wait, suspectPollInterval)) {
 			return context.DeadlineExceeded
 		}
 	}
@@ -50,24 +52,24 @@
 	return nil
 }
 
-// suspectLook is after how long a suspect request that waits looks again what is known of it.
-const suspectLook = 100 * time.Millisecond
+// suspectPollInterval is how often a waiting suspect request checks what is known of it.
+const suspectPollInterval = 100 * time.Millisecond
 
-// known is the fingerprint, for the log of a request that endpoints crashed under; empty for
-// others, which need not be hashed.
-func (x *exchange) known() string {
-	if x.crashes == 0 && !x.held {
+// loggedFingerprint returns the fingerprint to log for a request that is known to make endpoints
+// crash; empty for others, which need not be hashed.
+func (x *exchange) loggedFingerprint() string {
+	if x.crashes == 0 && !x.refusedAsQuarantined {
 		return ""
 	}
 	return x.fingerprint().String()
 }
 
-// hash makes the request's fingerprint.
-func (x *exchange) hash() quarantine.Fingerprint {
+// computeFingerprint computes the request's fingerprint.
+func (x *exchange) computeFingerprint() quarantine.Fingerprint {
 	return quarantine.Identity{Workspace: x.workspace, Target: x.r.Method + " " + x.r.Host + " " + x.r.RequestURI, Body: x.body}.Fingerprint()
 }
 
-// standing is what is known of the request when it came before.
+// standing returns what is known of the request from earlier times that it came.
 func (x *exchange) standing() quarantine.Standing {
 	if !x.g.Quarantine.Watching() {
 		return quarantine.Standing{}
@@ -75,25 +77,25 @@
 	return x.g.Quarantine.Standing(x.fingerprint())
 }
 
-// checkQuarantine refuses a request under which endpoints crash. It has not run and will not,
-// and nothing is gained by coming back.
+// checkQuarantine refuses a request that makes endpoints crash. It has not run and will not, and
+// retrying does not help.
 func (x *exchange) checkQuarantine() *refusal {
 	if !x.standing().Quarantined {
 		return nil
 	}
-	x.held = true
+	x.refusedAsQuarantined = true
 	x.g.Telemetry.Count("quarantine_refusals", 1)
 	return &refusal{status: http.StatusServiceUnavailable, reason: errQuarantined.Error()}
 }
 
-// broke ends an attempt whose answer could not be read, and notes whether its endpoint has
+// endBroken ends an attempt whose response could not be read, and records whether its endpoint has
 // crashed.
-func (a *attempt) broke(err error) {
+func (a *attempt) endBroken(err error) {
 	run := quarantine.Run{Lasted: clock.Since(a.sentAt), Of: a.x.workspace + " " + a.x.route.Name}
-	if !a.headAt.IsZero() {
-		run.Answered = clock.Since(a.headAt)
+	if !a.headerAt.IsZero() {
+		run.Answered = clock.Since(a.headerAt)
 	}
-	a.fail()
+	a.endFailed()
 	x := a.x
 	e := a.hold.Endpoint
 	if !conn.BrokeOff(err) || x.ctx.Err() != nil || !x.g.Fleet.Serves(e.ID) {
@@ -104,7 +106,7 @@
 	}
 	x.crashes++
 	x.g.Telemetry.Count("endpoint_crashes_met", 1)
-	x.g.Logger.Warn("endpoint crashed under a request", "id", x.ask.ID, "fingerprint", x.fingerprint(), "workspace", x.workspace,
+	x.g.Logger.Warn("endpoint crashed under a request", "id", x.header.ID, "fingerprint", x.fingerprint(), "workspace", x.workspace,
 		"endpoint", e.ID, "address", e.Address, "service", x.service, "ran_ms", run.Lasted.Milliseconds(),
 		"answered_ms", run.Answered.Milliseconds(), "crashes", x.crashes)
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -30,10 +30,10 @@
 	"quaybarrow/platform/standin"
 )
 
-// gatewayAddress is where the gateway of a rig serves.
+// gatewayAddress is the address of a rig's gateway.
 const gatewayAddress = "10.0.0.1:80"
 
-// rig is a gateway between a caller and scripted endpoints, in memory.
+// rig is a gateway between a caller and scripted endpoints on an in-memory network.
 type rig struct {
 	net       *memnet.Network
 	gateway   *gateway.Gateway
@@ -44,68 +44,68 @@
 	endpoints map[string]*standin.Endpoint
 	entries   map[string]fleet.Endpoint
 	listeners []net.Listener
-	log       *lines
+	log       *logBuffer
 }
 
-// lines is what was logged, for use at once.
-type lines struct {
+// logBuffer records the log. It is safe for concurrent use.
+type logBuffer struct {
 	mu sync.Mutex // guards b
 	b  bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) text() string {
+func (l *logBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-// fingerprintIn finds the fingerprint that a log tells.
+// fingerprintIn returns the first fingerprint in a log.
 func fingerprintIn(text string) string {
 	_, after, _ := strings.Cut(text, "fingerprint=")
-	print, _, _ := strings.Cut(after, " ")
-	return print
+	fingerprint, _, _ := strings.Cut(after, " ")
+	return fingerprint
 }
 
-// noClock is a watcher for tests without upgrades.
+// noClock is a watcher without a known time, for tests without upgrades.
 type noClock struct{ store.Watcher }
 
 func (noClock) Now() (clock.Bounds, bool) { return clock.Bounds{}, false }
 
-// declaration has a route of each kind.
+// declaration returns a configuration with a route of each kind.
 func declaration() route.Declaration {
-	one := func(service string) []route.Target { return []route.Target{{Service: service, Weight: 1}} }
+	only := func(service string) []route.Target { return []route.Target{{Service: service, Weight: 1}} }
 	return route.Declaration{
 		Version: 1,
 		Limits:  route.Limits{HeaderBytes: 4096, BodyBytes: 1000, Idle: 10 * time.Second},
 		Routes: []route.Route{
 			{Name: "once", Host: "a.example", Prefix: "/once/", Kind: route.KindOnce, Timeout: 2 * time.Second,
-				Objective: 300 * time.Millisecond, Attempts: 2, Targets: one("plain")},
+				Objective: 300 * time.Millisecond, Attempts: 2, Targets: only("plain")},
 			{Name: "again", Host: "a.example", Prefix: "/again/", Kind: route.KindRepeatable, Timeout: 2 * time.Second,
-				Objective: 300 * time.Millisecond, Attempts: 2, Targets: one("plain")},
+				Objective: 300 * time.Millisecond, Attempts: 2, Targets: only("plain")},
 			{Name: "open", Host: "a.example", Prefix: "/open/", Kind: route.KindOnce, Timeout: 2 * time.Second,
-				Objective: 300 * time.Millisecond, Attempts: 1, Targets: one("plain"), Public: true},
+				Objective: 300 * time.Millisecond, Attempts: 1, Targets: only("plain"), Public: true},
 			{Name: "stream", Host: "a.example", Prefix: "/stream/", Kind: route.KindStream, Timeout: 20 * time.Second,
-				Objective: 2 * time.Second, Attempts: 3, Targets: one("model"), Resumable: true, Models: []string{"small", "middle", "large"}},
+				Objective: 2 * time.Second, Attempts: 3, Targets: only("model"), Resumable: true, Models: []string{"small", "middle", "large"}},
 			{Name: "fixed", Host: "a.example", Prefix: "/fixed/", Kind: route.KindStream, Timeout: 20 * time.Second,
-				Objective: 2 * time.Second, Attempts: 3, Targets: one("model")},
+				Objective: 2 * time.Second, Attempts: 3, Targets: only("model")},
 		},
 		Services:   []route.Service{{Name: "plain", MaxConns: 96}, {Name: "model", MaxConns: 200}},
 		Workspaces: []route.Workspace{{Name: "weavers", Priority: -1, Keys: []string{"key-1"}}},
 	}
 }
 
-// newRig starts a gateway; endpoints are named after their service and a number.
+// newRig starts a gateway and scripted endpoints. An endpoint's ID is its service, a dash and a number.
 func newRig(scripts map[string]func(int, *http.Request) standin.Script) *rig {
 	r := &rig{
 		net: memnet.New(), holder: route.NewHolder(), fleet: fleet.New(fleet.Options{Hall: "ikeja"}),
-		endpoints: map[string]*standin.Endpoint{}, entries: map[string]fleet.Endpoint{}, log: &lines{},
+		endpoints: map[string]*standin.Endpoint{}, entries: map[string]fleet.Endpoint{}, log: &logBuffer{},
 	}
 	r.holder.Apply(route.NewTable(declaration()))
 	logger := log.New(r.log)
@@ -120,7 +120,7 @@
 	n := 10
 	for id, script := range scripts {
 		n++
-		service, _, _ := cut(id)
+		service, _, _ := splitID(id)
 		address := fmt.Sprintf("10.0.1.%d:80", n)
 		e := standin.NewEndpoint(id, script)
 		r.endpoints[id] = e
@@ -136,21 +136,21 @@
 	return r
 }
 
-// lending has the gateway's host, alone, give turns to suspect requests.
-func (r *rig) lending() {
+// grantTurns makes the gateway's host, as the only one, grant turns to suspect requests.
+func (r *rig) grantTurns() {
 	r.gateway.Limits = ratelimit.NewDesk(ratelimit.Options{
 		Host: "h", Fleet: r.fleet, Known: func() bool { return true }, Members: func() []ratelimit.Member { return nil }, Logger: log.New(r.log),
 	})
 }
 
-// relist lists endpoints, also again.
+// relist adds endpoints to the fleet, also ones that were removed.
 func (r *rig) relist(ids ...string) {
 	for _, id := range ids {
 		r.fleet.Put(r.entries[id])
 	}
 }
 
-func cut(id string) (service, number string, ok bool) {
+func splitID(id string) (service, number string, ok bool) {
 	for i := range id {
 		if id[i] == '-' {
 			return id[:i], id[i+1:], true
@@ -159,9 +159,8 @@
 	return id, "", false
 }
 
-// unknow has the gateway begin again without a configuration, and returns the one
-// that it had.
-func (r *rig) unknow() *route.Table {
+// forgetConfig removes the gateway's configuration, as after a start, and returns it.
+func (r *rig) forgetConfig() *route.Table {
 	table := r.holder.Table()
 	r.holder = route.NewHolder()
 	r.gateway.Holder = r.holder
@@ -179,7 +178,7 @@
 	time.Sleep(time.Minute)
 }
 
-// runs counts the requests that reached endpoints.
+// runs returns the number of requests that reached endpoints.
 func (r *rig) runs() int {
 	n := 0
 	for _, e := range r.endpoints {
@@ -203,18 +202,18 @@
 // send writes raw bytes without waiting for them to be read.
 func (c *caller) send(text string) { go func() { _, _ = io.WriteString(c, text) }() }
 
-// read reads an answer.
+// read reads a response.
 func (c *caller) read() standin.Answer { return standin.ReadAnswer(c.reader) }
 
-// request is a request of a workspace.
+// request returns a request of a workspace.
 func request(method, path, body string) standin.Request {
 	return standin.NewRequest(method, path, body)
 }
 
-// ask sends one request on a connection of its own.
-func (r *rig) ask(q standin.Request) standin.Answer {
+// ask sends one request on a new connection and returns the response.
+func (r *rig) ask(req standin.Request) standin.Answer {
 	c := r.call()
 	defer func() { _ = c.Close() }()
-	c.send(q.Text())
+	c.send(req.Text())
 	return c.read()
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -14,32 +14,32 @@
 
 // Bounds of callers' connections.
 const (
-	headTimeout = 5 * time.Second // for a head, once its first byte is there
-	idleMost    = 5 * time.Minute // where operators declare nothing
-	probeAfter  = 2 * time.Second // callers that vanish are noticed in about five seconds
-	probeEvery  = time.Second
-	probeCount  = 3
+	headerTimeout      = 5 * time.Second // to read a header, once its first byte has arrived
+	defaultIdleTimeout = 5 * time.Minute // where operators declare none
+	keepAliveIdle      = 2 * time.Second // vanished callers are detected in about five seconds
+	keepAliveInterval  = time.Second
+	keepAliveProbes    = 3
 )
 
-// Server returns a server of routed requests, for a listener made by Wrap.
+// Server returns an HTTP server for routed requests, to be run on a listener made by Wrap.
 func (g *Gateway) Server() *http.Server {
 	return &http.Server{
-		Handler: g, ReadHeaderTimeout: headTimeout, IdleTimeout: idleMost, MaxHeaderBytes: headMost,
-		ErrorLog:    stdlog.New(io.Discard, "", 0), // refused heads are the caller's matter
+		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog:    stdlog.New(io.Discard, "", 0), // malformed headers are the caller's fault
 		ConnContext: withConn,
 		ConnState: func(c net.Conn, s http.ConnState) {
 			if caller, ok := c.(*callerConn); ok && s == http.StateIdle {
-				caller.rest()
+				caller.markIdle()
 			}
 		},
 	}
 }
 
-// Listen opens an address so that callers that vanish are noticed.
+// Listen listens on an address, with timeouts and keep-alive probes that detect vanished callers.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{
 		Control:         conn.SetUserTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
 	}
 	inner, err := config.Listen(ctx, "tcp4", address)
 	if err != nil {
@@ -48,23 +48,23 @@
 	return inner, nil
 }
 
-// Wrap makes a listener's connections keep the heads of requests for checking.
+// Wrap makes a listener's connections record request headers for checking.
 func (g *Gateway) Wrap(inner net.Listener) net.Listener {
-	return &listener{Listener: inner, idle: g.idle}
+	return &listener{Listener: inner, idleTimeout: g.idleTimeout}
 }
 
-// idle is how long a caller's connection may rest.
-func (g *Gateway) idle() time.Duration {
+// idleTimeout returns how long a caller's connection may be idle.
+func (g *Gateway) idleTimeout() time.Duration {
 	if t := g.Holder.Table(); t != nil {
 		return t.Limits().Idle
 	}
 	return 0
 }
 
-// listener hands out connections that keep their heads.
+// listener accepts connections that record request headers.
 type listener struct {
 	net.Listener
-	idle func() time.Duration
+	idleTimeout func() time.Duration
 }
 
 // Accept implements net.Listener.
@@ -73,5 +73,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return newCallerConn(raw, l.idle), nil
+	return newCallerConn(raw, l.idleTimeout), nil
 }
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -13,12 +13,12 @@
 	"quaybarrow/platform/standin"
 )
 
-// suspendedFor are times for which the machine is suspended while a request that has two
-// seconds is at an endpoint that fails after a tenth of one.
-var suspendedFor = map[string]struct {
-	lasts time.Duration
-	runs  int           // of the request
-	left  time.Duration // most that the last endpoint is told
+// suspensions are durations for which the machine is suspended while a request with a timeout of two
+// seconds is at an endpoint that fails after a tenth of a second.
+var suspensions = map[string]struct {
+	duration    time.Duration
+	runs        int           // of the request
+	maxTimeLeft time.Duration // upper bound of the time that the last endpoint is told
 }{
 	"not at all":                   {0, 2, 1900 * time.Millisecond},
 	"for a part of its time":       {time.Second, 2, 900 * time.Millisecond},
@@ -27,8 +27,8 @@
 }
 
 var _ = Describe("a request on a machine that is suspended", func() {
-	for name, s := range suspendedFor {
-		It("gives endpoints the time that is left, and is not sent on without any: "+name, func() {
+	for name, s := range suspensions {
+		It("tells endpoints the time that is left, and is not sent again if none is: "+name, func() {
 			suite.Paused(func() {
 				failing := standin.Reply{Status: http.StatusInternalServerError, Body: "no", Delay: 100 * time.Millisecond}
 				both := between(failing, good)
@@ -39,15 +39,15 @@
 				answers := make(chan standin.Answer, 1)
 				go func() { answers <- r.ask(q) }()
 				time.Sleep(50 * time.Millisecond)
-				clock.Suspend(s.lasts)
-				Expect((<-answers).Err).NotTo(HaveOccurred(), "an answer is delivered, late too")
+				clock.Suspend(s.duration)
+				Expect((<-answers).Err).NotTo(HaveOccurred(), "a response is delivered even if it is late")
 				Expect(r.runs()).To(Equal(s.runs))
-				Expect(r.lastLeft()).To(BeNumerically("<=", s.left))
+				Expect(r.lastTimeLeft()).To(BeNumerically("<=", s.maxTimeLeft))
 			})
 		})
 	}
 
-	It("that comes while the machine is back is in time again", func() {
+	It("that arrives after the machine has resumed is in time", func() {
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
@@ -57,8 +57,8 @@
 	})
 })
 
-// lastLeft is the time that the endpoint was given that was asked last.
-func (r *rig) lastLeft() time.Duration {
+// lastTimeLeft returns the time left that the last request to an endpoint stated.
+func (r *rig) lastTimeLeft() time.Duration {
 	var last standin.Seen
 	for _, e := range r.endpoints {
 		for _, s := range e.Seen() {
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// running counts requests in hand, by service; safe for use at once.
-type running struct {
+// runningCounter counts the requests in progress by service. It is safe for concurrent use.
+type runningCounter struct {
 	mu     sync.Mutex // guards counts
 	counts map[string]int
 }
 
-func newRunning() *running { return &running{counts: map[string]int{}} }
+func newRunningCounter() *runningCounter { return &runningCounter{counts: map[string]int{}} }
 
-func (r *running) add(service string, n int) {
+func (r *runningCounter) add(service string, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts[service] += n
@@ -22,16 +22,17 @@
 	}
 }
 
-// Running counts the requests in hand, by service: at endpoints or on their way there.
+// Running returns the number of requests in progress by service: those at endpoints and those on
+// their way there.
 func (g *Gateway) Running() map[string]int {
 	g.running.mu.Lock()
 	defer g.running.mu.Unlock()
 	return maps.Clone(g.running.counts)
 }
 
-// count counts the request for its workspace as it begins to run. Other attempts at it, at larger
-// models or after a break, are the same request.
-func (x *exchange) count() {
+// countUsage counts the request for its workspace when it starts to run. Further attempts at it, at
+// larger models or after a failure, are the same request.
+func (x *exchange) countUsage() {
 	if x.counted || x.g.Usage == nil {
 		return
 	}
