--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -40,7 +40,7 @@
 	Regions map[string]string
 	// Warming tells what cold endpoints of a service bear; nil where they bear as much as
 	// others.
-	Warming func(service string) Warming
+	Warming func(service string) WarmUp
 	// Choosers counts those who choose endpoints; nil for this host alone.
 	Choosers func() Choosers
 	// Now and Random stand in for the runtime's clock and random numbers from 0 to
--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -6,8 +6,8 @@
 	"quaybarrow/internal/clock"
 )
 
-// Warming is what endpoints of a service bear while they are cold.
-type Warming struct {
+// WarmUp is what endpoints of a service bear while they are cold.
+type WarmUp struct {
 	Lasts time.Duration // after a start, where the endpoint does not tell
 	// Most is how many requests a second a cold endpoint may get, from all hosts
 	// together; 0 where it bears as many as others.
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -140,20 +140,20 @@
 func newFleet(s settings.Settings, h *route.Holder, w *spread.Watcher) *fleet.Fleet {
 	return fleet.New(fleet.Options{
 		Hall: s.DataHall, Regions: s.Gateway.Halls, Choosers: w.Choosers,
-		Warming: func(service string) fleet.Warming { return warming(s.Gateway, h.Table(), service) },
+		Warming: func(service string) fleet.WarmUp { return warming(s.Gateway, h.Table(), service) },
 	})
 }
 
 // warming is what operators declare of cold endpoints of a service.
-func warming(s settings.Gateway, t *route.Table, service string) fleet.Warming {
+func warming(s settings.Gateway, t *route.Table, service string) fleet.WarmUp {
 	if t == nil {
-		return fleet.Warming{}
+		return fleet.WarmUp{}
 	}
 	declared, ok := t.Service(service)
 	if !ok {
-		return fleet.Warming{}
+		return fleet.WarmUp{}
 	}
-	return fleet.Warming{Lasts: declared.ColdFor, Most: s.ColdMost(declared.ColdRate)}
+	return fleet.WarmUp{Lasts: declared.ColdFor, Most: s.ColdMost(declared.ColdRate)}
 }
 
 func newPool(p Ports, t *telemetry.Telemetry) *conn.Pool {
