--- a/internal/fleet/endpoint.go
+++ b/internal/fleet/endpoint.go
@@ -23,24 +23,24 @@
 
 // Endpoint is a listed endpoint; an immutable value.
 type Endpoint struct {
-	ID       string // of this start of the endpoint; no other start has it
-	Instance string // what the endpoint calls itself, in all its starts; empty stands for the ID
-	Born     int64  // Unix ms of this start; 0 if it does not tell
-	Service  string
-	Address  string // ip:port
-	Hall     string
-	Version  string        // of its software
-	Slots    int           // requests it runs at once
-	Draining bool          // it takes nothing new
-	Cold     time.Duration // until it bears its usual load, by its own word
-	Spot     bool          // the platform may take it away at short notice
+	ID          string // of this start of the endpoint; no other start has it
+	Instance    string // what the endpoint calls itself, in all its starts; empty stands for the ID
+	StartMillis int64  // Unix ms of this start; 0 if it does not tell
+	Service     string
+	Address     string // ip:port
+	Hall        string
+	Version     string        // of its software
+	Slots       int           // requests it runs at once
+	Draining    bool          // it takes nothing new
+	Cold        time.Duration // until it bears its usual load, by its own word
+	Spot        bool          // the platform may take it away at short notice
 }
 
 // WithStart returns the endpoint as one that started at a moment, in Unix ms. What is known
 // of an endpoint (its memory, load, health, awaited answers) is kept by ID, so nothing of
 // it falls on a later start, which knows nothing of before.
 func (e Endpoint) WithStart(born int64) Endpoint {
-	e.Instance, e.Born = e.name(), born
+	e.Instance, e.StartMillis = e.name(), born
 	e.ID = e.Instance + "@" + strconv.FormatInt(born, 10)
 	return e
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -146,12 +146,12 @@
 	}
 	e = f.alike(e)
 	old, listed := f.instances[e.Instance]
-	if listed && e.Born == 0 {
-		e.ID, e.Born = old.ID, old.Born // it does not tell this time
+	if listed && e.StartMillis == 0 {
+		e.ID, e.StartMillis = old.ID, old.StartMillis // it does not tell this time
 	}
 	switch {
 	case !listed || old.ID == e.ID:
-	case e.Born < old.Born:
+	case e.StartMillis < old.StartMillis:
 		return false
 	default:
 		f.remove(e.Instance)
