--- a/internal/endpoint/report.go
+++ b/internal/endpoint/report.go
@@ -113,6 +113,6 @@
 	}
 	w.fleet.Report(e.ID, fleet.Report{
 		Load:     fleet.Load{Running: report.Running, Waiting: report.Queued, Slots: report.Slots},
-		Draining: report.Draining, Models: append([]string{}, report.Versions...), Asked: asked, Flying: flying,
+		Draining: report.Draining, Models: append([]string{}, report.Versions...), Asked: asked, InFlight: flying,
 	})
 }
--- a/internal/fleet/endpoint.go
+++ b/internal/fleet/endpoint.go
@@ -59,7 +59,7 @@
 	Draining bool
 	Models   []string      // that it has loaded; nil if it does not say
 	Asked    clock.Instant // when it was asked for
-	Flying   int           // this host's requests there at that moment
+	InFlight int           // this host's requests there at that moment
 }
 
 // Status is what a host knows of an endpoint, for operators.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -364,7 +364,7 @@
 	if r.Load.Slots > 0 {
 		m.Slots = r.Load.Slots
 	}
-	m.others, m.saidAt = max(0, r.Load.Running+r.Load.Waiting-r.Flying), r.Asked
+	m.others, m.saidAt = max(0, r.Load.Running+r.Load.Waiting-r.InFlight), r.Asked
 }
 
 // View lists all endpoints by id, for operators.
