--- a/internal/fleet/endpoint.go
+++ b/internal/fleet/endpoint.go
@@ -65,11 +65,11 @@
 // Status is what a host knows of an endpoint, for operators.
 type Status struct {
 	Endpoint
-	Models []string
-	Flying int           // this host's requests there
-	Others int           // others' requests there, when it last said
-	Age    time.Duration // since it said so; 0 if it never did
-	Ready  bool          // it is not ejected
+	Models   []string
+	InFlight int           // this host's requests there
+	Others   int           // others' requests there, when it last said
+	Age      time.Duration // since it said so; 0 if it never did
+	Ready    bool          // it is not ejected
 	// Evacuated tells that its data hall is, ColdSince since when it is taken to be cold
 	// (zero if it is not), and ColdFor for how much longer.
 	Evacuated bool
--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -124,7 +124,7 @@
 			Expect(f.Put(start(2))).To(BeTrue())
 			Expect(f.Ejected()).To(BeEmpty(), "its failures")
 			Expect(f.View()).To(HaveLen(1))
-			Expect(f.View()[0].Flying).To(BeZero(), "its requests")
+			Expect(f.View()[0].InFlight).To(BeZero(), "its requests")
 			e, ok := f.Expect(prompt(7))
 			Expect(ok).To(BeTrue())
 			Expect(e.Read).To(Equal(6000), "its memory of prompts")
@@ -139,7 +139,7 @@
 			_, ok = f.PickAt(advice, prompt(9))
 			Expect(ok).To(BeFalse(), "advice on the start before")
 			view := f.View()[0]
-			Expect(view.Flying).To(BeZero())
+			Expect(view.InFlight).To(BeZero())
 			Expect(view.Others).To(BeZero())
 			Expect(view.Ready).To(BeTrue())
 			time.Sleep(2 * time.Second) // it is warm
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -374,7 +374,7 @@
 	now := f.options.Now()
 	list := make([]Status, 0, len(f.members))
 	for _, m := range f.members {
-		s := Status{Endpoint: m.Endpoint, Models: m.models, Flying: m.flying, Others: m.others}
+		s := Status{Endpoint: m.Endpoint, Models: m.models, InFlight: m.flying, Others: m.others}
 		s.Draining = m.Draining || m.leaving
 		s.Evacuated = f.away(m)
 		if m.warmth.cold(now) {
--- a/internal/gatewayd/endpointsview.go
+++ b/internal/gatewayd/endpointsview.go
@@ -62,7 +62,7 @@
 func endpointView(s fleet.Status) EndpointView {
 	v := EndpointView{
 		ID: s.ID, Service: s.Service, Hall: s.Hall, Version: s.Version, Ready: s.Ready, Draining: s.Draining,
-		Evacuated: s.Evacuated, ColdMs: s.ColdFor.Milliseconds(), Flying: s.Flying,
+		Evacuated: s.Evacuated, ColdMs: s.ColdFor.Milliseconds(), Flying: s.InFlight,
 		Limit: s.Limit.Rate, LimitSinceMs: s.Limit.Since.Milliseconds(), InHand: s.Limit.InHand, Wanted: s.Limit.Wanted,
 	}
 	if !s.ColdSince.IsZero() {
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -270,7 +270,7 @@
 	for _, e := range q.options.Fleet.View() {
 		rows = append(rows, console.Row{
 			{Name: "endpoint", Value: e.ID}, {Name: "data_hall", Value: e.Hall}, {Name: "address", Value: e.Address},
-			{Name: "ready", Value: e.Ready}, {Name: "in_flight", Value: e.Flying}, {Name: "others", Value: e.Others},
+			{Name: "ready", Value: e.Ready}, {Name: "in_flight", Value: e.InFlight}, {Name: "others", Value: e.Others},
 			{Name: "slots", Value: e.Slots}, {Name: "age_ms", Value: float64(e.Age.Milliseconds())},
 			{Name: "versions", Value: strings.Join(e.Models, ", ")},
 		})
