--- a/internal/endpoint/report.go
+++ b/internal/endpoint/report.go
@@ -106,7 +106,7 @@
 // refresh reads one report. An engine that can't be reached is not ejected for
 // it: attempts decide that.
 func (w *Watch) refresh(ctx context.Context, e fleet.Endpoint) {
-	asked, flying := clock.Now(), w.fleet.Flying(e.ID)
+	asked, flying := clock.Now(), w.fleet.InFlight(e.ID)
 	report, err := w.options.Fetch(ctx, e.Address)
 	if err != nil {
 		return
--- a/internal/experiment/placement.go
+++ b/internal/experiment/placement.go
@@ -191,7 +191,7 @@
 			name := fmt.Sprintf(workerName, i)
 			p.fleets[host].Report(name, fleet.Report{
 				Load:  fleet.Load{Running: w.history[at], Slots: p.Slots},
-				Asked: p.clock.instant().Add(-p.lag), InFlight: min(p.fleets[host].Flying(name), w.history[at]),
+				Asked: p.clock.instant().Add(-p.lag), InFlight: min(p.fleets[host].InFlight(name), w.history[at]),
 			})
 		}
 	}
--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -64,11 +64,11 @@
 		f := newFleet()
 		h, _ := f.Pick(plain)
 		f.Evacuate([]string{"ikeja"})
-		Expect(f.Flying(h.Endpoint.ID)).To(Equal(1))
+		Expect(f.InFlight(h.Endpoint.ID)).To(Equal(1))
 		Expect(f.Versions("s")).To(Equal(map[string]int{"v1": 6}))
 		h.Head(fleet.Load{})
 		h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
-		Expect(f.Flying(h.Endpoint.ID)).To(BeZero())
+		Expect(f.InFlight(h.Endpoint.ID)).To(BeZero())
 	})
 
 	It("leaves nobody to ask once all are", func() {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -342,8 +342,8 @@
 	return false
 }
 
-// Flying counts this host's requests at an endpoint.
-func (f *Fleet) Flying(id string) int {
+// InFlight counts this host's requests at an endpoint.
+func (f *Fleet) InFlight(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m, ok := f.members[id]; ok {
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -88,7 +88,7 @@
 				_ = c.Close()
 				time.Sleep(400 * time.Millisecond)
 				Expect(r.gateway.InFlight()).To(BeZero())
-				Expect(r.fleet.Flying("model-1") + r.fleet.Flying("model-2")).To(BeZero())
+				Expect(r.fleet.InFlight("model-1") + r.fleet.InFlight("model-2")).To(BeZero())
 				time.Sleep(20 * time.Second)
 				Expect(r.runs()).To(Equal(runs), "nothing more is sent")
 			})
