--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// Known returns a channel that is closed once an endpoint was listed.
-func (f *Fleet) Known() <-chan struct{} { return f.known }
+// Populated returns a channel that is closed once an endpoint was listed.
+func (f *Fleet) Populated() <-chan struct{} { return f.known }
 
 // Put adds an endpoint or brings it up to date; it reports whether that is another start of
 // one that was listed. What an earlier start left behind is passed over.
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -69,7 +69,7 @@
 func (x *exchange) awaitStart() {
 	ctx, cancel := context.WithTimeout(x.ctx, clock.Until(x.g.began.Add(x.g.startPatience())))
 	defer cancel()
-	for _, known := range []<-chan struct{}{x.g.Holder.Known(), x.g.Fleet.Known()} {
+	for _, known := range []<-chan struct{}{x.g.Holder.Known(), x.g.Fleet.Populated()} {
 		select {
 		case <-known:
 		case <-ctx.Done():
