--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -219,7 +219,7 @@
 
 // ready tells whether some endpoint serves a version and takes new work.
 func ready(f *fleet.Fleet) func(declare.Ref) bool {
-	return func(ref declare.Ref) bool { return f.Has(endpoint.Engines, ref.String()) }
+	return func(ref declare.Ref) bool { return f.HasModel(endpoint.Engines, ref.String()) }
 }
 
 func newAdmission(s settings.Settings) *admission.Controller {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -329,8 +329,8 @@
 	return ok && !m.Draining && !m.leaving
 }
 
-// Has reports whether some endpoint of a service that is well has a model.
-func (f *Fleet) Has(service, model string) bool {
+// HasModel reports whether some endpoint of a service that is well has a model.
+func (f *Fleet) HasModel(service, model string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Now()
--- a/internal/fleet/report_test.go
+++ b/internal/fleet/report_test.go
@@ -111,16 +111,16 @@
 
 	It("serve a model if one that is well has it", func() {
 		f := reported(fleet.Options{}, 0, 0)
-		Expect(f.Has("s", "m")).To(BeTrue())
-		Expect(f.Has("s", "x")).To(BeFalse())
-		Expect(f.Has("t", "m")).To(BeFalse())
+		Expect(f.HasModel("s", "m")).To(BeTrue())
+		Expect(f.HasModel("s", "x")).To(BeFalse())
+		Expect(f.HasModel("t", "m")).To(BeFalse())
 		f.Report("e0", fleet.Report{Draining: true, Models: []string{"m"}, Asked: clock.Now()})
-		Expect(f.Has("s", "m")).To(BeTrue())
+		Expect(f.HasModel("s", "m")).To(BeTrue())
 		for range 4 {
 			h, _ := f.Pick(model)
 			h.Done(fleet.Result{Outcome: fleet.OutcomeLost})
 		}
-		Expect(f.Has("s", "m")).To(BeFalse())
+		Expect(f.HasModel("s", "m")).To(BeFalse())
 	})
 
 	It("are left alone longer each time if they fail at once after an ejection", func() {
