--- a/internal/experiment/placement.go
+++ b/internal/experiment/placement.go
@@ -124,7 +124,7 @@
 // newFleet returns what a host knows before the first request.
 func (p *placement) newFleet() *fleet.Fleet {
 	f := fleet.New(fleet.Options{
-		Now: p.clock.instant, Random: p.random.Float64, Sharers: func(string) int { return p.Hosts },
+		Now: p.clock.instant, Random: p.random.Float64, SendingHosts: func(string) int { return p.Hosts },
 	})
 	for i := range p.Workers {
 		f.Put(fleet.Endpoint{ID: fmt.Sprintf(workerName, i), Slots: p.Slots})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -30,9 +30,9 @@
 // Options set up a Fleet.
 type Options struct {
 	Hall string // the host's own data hall
-	// Sharers counts the hosts that send to an endpoint of a service, this one
+	// SendingHosts counts the hosts that send to an endpoint of a service, this one
 	// included; nil where endpoints say in each answer how loaded they are.
-	Sharers func(service string) int
+	SendingHosts func(service string) int
 	// EjectMost is the longest that an endpoint is left alone; 0 stands for a time
 	// that suits endpoints whose list is brought up to date within seconds.
 	EjectMost time.Duration
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -156,10 +156,10 @@
 
 // sharers counts the hosts that send to an endpoint of a service.
 func (f *Fleet) sharers(service string) int {
-	if f.options.Sharers == nil {
+	if f.options.SendingHosts == nil {
 		return 1
 	}
-	return max(1, f.options.Sharers(service))
+	return max(1, f.options.SendingHosts(service))
 }
 
 // usable reports whether an endpoint may get the attempt at all.
--- a/internal/fleet/report_test.go
+++ b/internal/fleet/report_test.go
@@ -71,7 +71,7 @@
 
 	It("are taken to be as loaded by other hosts as by this one where reports are old", func() {
 		suite.Paused(func() {
-			f := reported(fleet.Options{Sharers: func(string) int { return 5 }}, 2, 0)
+			f := reported(fleet.Options{SendingHosts: func(string) int { return 5 }}, 2, 0)
 			f.Report("e1", fleet.Report{Load: fleet.Load{Running: 9, Slots: 10}, Asked: clock.Now()})
 			time.Sleep(time.Minute)
 			f.Report("e1", fleet.Report{Load: fleet.Load{Running: 9, Slots: 10}, Asked: clock.Now()})
