--- a/internal/endpoint/watch.go
+++ b/internal/endpoint/watch.go
@@ -62,7 +62,7 @@
 		options.Subset = DefaultSubset
 	}
 	w := &Watch{options: options}
-	w.fleet = fleet.New(fleet.Options{Hall: options.Hall, SendingHosts: w.sharers, EjectMost: ejectMost})
+	w.fleet = fleet.New(fleet.Options{Hall: options.Hall, SendingHosts: w.sharers, MaxEjection: ejectMost})
 	return w
 }
 
--- a/internal/experiment/retries.go
+++ b/internal/experiment/retries.go
@@ -79,7 +79,7 @@
 const workerSlots = 8
 
 func (s RetriesScenario) newHost(clock *clockwork, random *rand.Rand) *retryingHost {
-	f := fleet.New(fleet.Options{Now: clock.instant, Random: random.Float64, EjectMost: time.Minute})
+	f := fleet.New(fleet.Options{Now: clock.instant, Random: random.Float64, MaxEjection: time.Minute})
 	for i := range s.Workers {
 		f.Put(fleet.Endpoint{ID: fmt.Sprintf(workerName, i), Slots: workerSlots})
 	}
--- a/internal/fleet/advise.go
+++ b/internal/fleet/advise.go
@@ -178,7 +178,7 @@
 
 // judge takes in how an attempt at an endpoint went, for its health.
 func (f *Fleet) judge(m *member, o Outcome, now clock.Instant) {
-	m.health = m.health.with(o, now, f.options.EjectMost)
+	m.health = m.health.with(o, now, f.options.MaxEjection)
 	if now.Before(m.health.until) {
 		f.ejected[m.ID] = m
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,9 +33,9 @@
 	// SendingHosts counts the hosts that send to an endpoint of a service, this one
 	// included; nil where endpoints say in each answer how loaded they are.
 	SendingHosts func(service string) int
-	// EjectMost is the longest that an endpoint is left alone; 0 stands for a time
+	// MaxEjection is the longest that an endpoint is left alone; 0 stands for a time
 	// that suits endpoints whose list is brought up to date within seconds.
-	EjectMost time.Duration
+	MaxEjection time.Duration
 	// Regions are the data halls' regions, by hall; nil where nothing goes by them.
 	Regions map[string]string
 	// Warming tells what cold endpoints of a service bear; nil where they bear as much as
@@ -112,8 +112,8 @@
 
 // New returns a fleet without endpoints.
 func New(options Options) *Fleet {
-	if options.EjectMost == 0 {
-		options.EjectMost = ejectMost
+	if options.MaxEjection == 0 {
+		options.MaxEjection = ejectMost
 	}
 	if options.Now == nil {
 		options.Now = clock.Now
