--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -38,9 +38,9 @@
 	MaxEjection time.Duration
 	// Regions are the data halls' regions, by hall; nil where nothing goes by them.
 	Regions map[string]string
-	// Warming tells what cold endpoints of a service bear; nil where they bear as much as
+	// WarmUp tells what cold endpoints of a service bear; nil where they bear as much as
 	// others.
-	Warming func(service string) WarmUp
+	WarmUp func(service string) WarmUp
 	// Choosers counts those who choose endpoints; nil for this host alone.
 	Choosers func() Choosers
 	// Now and Random stand in for the runtime's clock and random numbers from 0 to
--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -81,10 +81,10 @@
 // warming returns what this host may send to cold endpoints of a service; the zero value
 // where they bear as much as others.
 func (f *Fleet) warming(service string) warming {
-	if f.options.Warming == nil {
+	if f.options.WarmUp == nil {
 		return warming{}
 	}
-	w := f.options.Warming(service)
+	w := f.options.WarmUp(service)
 	if w.Most <= 0 {
 		return warming{lasts: w.Lasts}
 	}
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -140,7 +140,7 @@
 func newFleet(s settings.Settings, h *route.Holder, w *spread.Watcher) *fleet.Fleet {
 	return fleet.New(fleet.Options{
 		Hall: s.DataHall, Regions: s.Gateway.Halls, Choosers: w.Choosers,
-		Warming: func(service string) fleet.WarmUp { return warming(s.Gateway, h.Table(), service) },
+		WarmUp: func(service string) fleet.WarmUp { return warming(s.Gateway, h.Table(), service) },
 	})
 }
 
