--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -8,7 +8,7 @@
 
 // WarmUp is what endpoints of a service bear while they are cold.
 type WarmUp struct {
-	Lasts time.Duration // after a start, where the endpoint does not tell
+	Duration time.Duration // after a start, where the endpoint does not tell
 	// Most is how many requests a second a cold endpoint may get, from all hosts
 	// together; 0 where it bears as many as others.
 	Most float64
@@ -86,7 +86,7 @@
 	}
 	w := f.options.WarmUp(service)
 	if w.Most <= 0 {
-		return warming{lasts: w.Lasts}
+		return warming{lasts: w.Duration}
 	}
 	c := Choosers{Hosts: 1, Advisers: 1}
 	if f.options.Choosers != nil {
@@ -101,7 +101,7 @@
 	}
 	each := func(part float64) time.Duration { return clock.Seconds(float64(c.Hosts) / (part * w.Most)) }
 	return warming{
-		lasts: w.Lasts, most: max(1, int(advised*w.Most/advisers)), busy: max(1, int(busyPart*w.Most/advisers)),
+		lasts: w.Duration, most: max(1, int(advised*w.Most/advisers)), busy: max(1, int(busyPart*w.Most/advisers)),
 		pause: each(unadvisedPart), pausing: each(plainPart),
 	}
 }
