--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -112,7 +112,7 @@
 
 	It("inherits nothing", func() {
 		suite.Paused(func() {
-			f := fleet.New(fleet.Options{Hall: "ikeja", WarmUp: func(string) fleet.WarmUp { return fleet.WarmUp{Duration: time.Second, Most: 100} }})
+			f := fleet.New(fleet.Options{Hall: "ikeja", WarmUp: func(string) fleet.WarmUp { return fleet.WarmUp{Duration: time.Second, MaxRate: 100} }})
 			f.Reset([]fleet.Endpoint{start(1)}, false)
 			sent, ok := f.Pick(prompt(7))
 			Expect(ok).To(BeTrue())
--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -9,9 +9,9 @@
 // WarmUp is what endpoints of a service bear while they are cold.
 type WarmUp struct {
 	Duration time.Duration // after a start, where the endpoint does not tell
-	// Most is how many requests a second a cold endpoint may get, from all hosts
+	// MaxRate is how many requests a second a cold endpoint may get, from all hosts
 	// together; 0 where it bears as many as others.
-	Most float64
+	MaxRate float64
 }
 
 // Choosers are those who choose endpoints at the same time.
@@ -85,7 +85,7 @@
 		return warming{}
 	}
 	w := f.options.WarmUp(service)
-	if w.Most <= 0 {
+	if w.MaxRate <= 0 {
 		return warming{lasts: w.Duration}
 	}
 	c := Choosers{Hosts: 1, Advisers: 1}
@@ -99,9 +99,9 @@
 	if c.Hosts > 1 && f.advises.isNew(f.options.Now()) {
 		advised = newPart
 	}
-	each := func(part float64) time.Duration { return clock.Seconds(float64(c.Hosts) / (part * w.Most)) }
+	each := func(part float64) time.Duration { return clock.Seconds(float64(c.Hosts) / (part * w.MaxRate)) }
 	return warming{
-		lasts: w.Duration, most: max(1, int(advised*w.Most/advisers)), busy: max(1, int(busyPart*w.Most/advisers)),
+		lasts: w.Duration, most: max(1, int(advised*w.MaxRate/advisers)), busy: max(1, int(busyPart*w.MaxRate/advisers)),
 		pause: each(unadvisedPart), pausing: each(plainPart),
 	}
 }
--- a/internal/fleet/warm_test.go
+++ b/internal/fleet/warm_test.go
@@ -42,7 +42,7 @@
 	for range hosts {
 		f := fleet.New(fleet.Options{
 			Hall:     "ikeja",
-			WarmUp:   func(string) fleet.WarmUp { return fleet.WarmUp{Duration: coldLasts, Most: coldMost} },
+			WarmUp:   func(string) fleet.WarmUp { return fleet.WarmUp{Duration: coldLasts, MaxRate: coldMost} },
 			Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: hosts, Advisers: advisers} },
 		})
 		f.Reset(endpointsOf(endpoints), false)
--- a/internal/gateway/halls_test.go
+++ b/internal/gateway/halls_test.go
@@ -130,7 +130,7 @@
 			defer r.stop()
 			f := fleet.New(fleet.Options{
 				Hall:     "ikeja",
-				WarmUp:   func(string) fleet.WarmUp { return fleet.WarmUp{Duration: 3 * time.Second, Most: 20} },
+				WarmUp:   func(string) fleet.WarmUp { return fleet.WarmUp{Duration: 3 * time.Second, MaxRate: 20} },
 				Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: 61, Advisers: 1} },
 			})
 			e, _ := r.fleet.Listed("model-1")
