--- a/internal/fleet/evacuate.go
+++ b/internal/fleet/evacuate.go
@@ -53,9 +53,9 @@
 	return list
 }
 
-// Away reports whether a service has endpoints, and all of them stand in evacuated data
+// AllEvacuated reports whether a service has endpoints, and all of them stand in evacuated data
 // halls: nobody runs its requests until one is taken back.
-func (f *Fleet) Away(service string) bool {
+func (f *Fleet) AllEvacuated(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := f.endpointsOf(service)
--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -74,10 +74,10 @@
 	It("leaves nobody to ask once all are", func() {
 		f := newFleet()
 		f.Evacuate([]string{"ikeja"})
-		Expect(f.Away("s")).To(BeFalse())
+		Expect(f.AllEvacuated("s")).To(BeFalse())
 		f.Evacuate([]string{"ikeja", "lekki"})
-		Expect(f.Away("s")).To(BeTrue())
-		Expect(f.Away("unknown")).To(BeFalse())
+		Expect(f.AllEvacuated("s")).To(BeTrue())
+		Expect(f.AllEvacuated("unknown")).To(BeFalse())
 	})
 })
 
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -71,7 +71,7 @@
 			return nil, errRefused
 		}
 		if hold == nil {
-			if x.g.Fleet.Away(x.service) {
+			if x.g.Fleet.AllEvacuated(x.service) {
 				return nil, errAway
 			}
 			x.stranded = true
