--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -99,7 +99,7 @@
 func (r Request) ask(avoid []string) fleet.Ask {
 	return fleet.Ask{
 		Service: endpoint.Engines, Model: r.Version.String(), Avoid: avoid, Key: r.Prefix,
-		Tokens: r.Tokens, Shared: r.Shared, Objective: usualFirst,
+		Tokens: r.Tokens, SharedTokens: r.Shared, Objective: usualFirst,
 	}
 }
 
--- a/internal/experiment/placement.go
+++ b/internal/experiment/placement.go
@@ -106,7 +106,7 @@
 // choose picks a worker as the router does.
 func (p *placement) choose(host int, prefix uint64) (int, *fleet.Hold) {
 	h, ok := p.fleets[host].Pick(fleet.Ask{
-		Key: prefix | 1, Model: "m", Tokens: promptTokens, Shared: prefixTokens, Objective: time.Second,
+		Key: prefix | 1, Model: "m", Tokens: promptTokens, SharedTokens: prefixTokens, Objective: time.Second,
 	})
 	if !ok {
 		return 0, nil
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -35,7 +35,7 @@
 var plain = fleet.Ask{Service: "s"}
 
 func prompt(key uint64) fleet.Ask {
-	return fleet.Ask{Service: "s", Key: key, Model: "m", Tokens: 6000, Shared: 5000, Objective: 2 * time.Second}
+	return fleet.Ask{Service: "s", Key: key, Model: "m", Tokens: 6000, SharedTokens: 5000, Objective: 2 * time.Second}
 }
 
 var _ = Describe("the choice of an endpoint", func() {
--- a/internal/fleet/memory_test.go
+++ b/internal/fleet/memory_test.go
@@ -13,7 +13,7 @@
 // document is a prompt of two shared parts and one of its own.
 func document(chapter, own uint64) fleet.Ask {
 	return fleet.Ask{
-		Service: "s", Key: chapter, Model: "m", Tokens: 10_000, Shared: 9_000, Objective: 4 * time.Second, Memory: 100_000,
+		Service: "s", Key: chapter, Model: "m", Tokens: 10_000, SharedTokens: 9_000, Objective: 4 * time.Second, Memory: 100_000,
 		Parts: []fleet.Part{{ID: 1, Tokens: 4_000}, {ID: chapter, Tokens: 5_000}, {ID: own, Tokens: 1_000}},
 	}
 }
@@ -66,7 +66,7 @@
 			f.Put(fleet.Endpoint{ID: "home", Service: "s", Hall: "ikeja", Slots: 4})
 			read(f, document(7, 100))
 			other := document(8, 300)
-			other.Shared = 0 // nobody else has it, so that its home tells nothing
+			other.SharedTokens = 0 // nobody else has it, so that its home tells nothing
 			h, _ := f.Pick(other)
 			Expect(h.Expected.Read).To(Equal(6_000))
 		})
@@ -78,7 +78,7 @@
 			f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 4})
 			read(f, document(7, 100))
 			other := document(7, 300)
-			other.Shared, other.Parts[0].ID = 0, 2 // another beginning before the same chapter
+			other.SharedTokens, other.Parts[0].ID = 0, 2 // another beginning before the same chapter
 			h, _ := f.Pick(other)
 			Expect(h.Expected.Read).To(Equal(10_000))
 		})
@@ -92,7 +92,7 @@
 			at := func(id string, parts ...fleet.Part) fleet.Ask {
 				avoid := map[string]string{"gap": "other", "other": "gap"}
 				ask := document(7, 100)
-				ask.Shared, ask.Parts, ask.Avoid = 0, parts, []string{avoid[id]}
+				ask.SharedTokens, ask.Parts, ask.Avoid = 0, parts, []string{avoid[id]}
 				return ask
 			}
 			first, second, third := fleet.Part{ID: 1, Tokens: 4_000}, fleet.Part{ID: 2, Tokens: 3_000}, fleet.Part{ID: 3, Tokens: 3_000}
@@ -111,7 +111,7 @@
 			put()
 			fresh := func(chapter uint64) int {
 				ask := document(chapter, chapter*1000)
-				ask.Shared = 0
+				ask.SharedTokens = 0
 				h, _ := f.Pick(ask)
 				h.Done(fleet.Result{Outcome: fleet.OutcomeNeutral})
 				return h.Expected.Read
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -10,18 +10,18 @@
 
 // Ask is what an attempt needs.
 type Ask struct {
-	Service   string
-	Hall      string            // of the host that asks; empty stands for this host's
-	Allowed   func(string) bool // versions it may run on; nil for any
-	Avoid     []string          // ids of endpoints that it has been to
-	Key       uint64            // requests with the same key share a prompt; 0 for none
-	Model     string
-	Tokens    int           // of the prompt
-	Shared    int           // of them, those that other requests with the key have too
-	Parts     []Part        // of the prompt, in order; nil where only the key is known
-	Memory    int           // tokens that an engine of the service keeps; 0 if not known
-	Objective time.Duration // by when the answer should begin
-	Urgency   int           // at endpoints, the lowest first; -1 if not said
+	Service      string
+	Hall         string            // of the host that asks; empty stands for this host's
+	Allowed      func(string) bool // versions it may run on; nil for any
+	Avoid        []string          // ids of endpoints that it has been to
+	Key          uint64            // requests with the same key share a prompt; 0 for none
+	Model        string
+	Tokens       int           // of the prompt
+	SharedTokens int           // of them, those that other requests with the key have too
+	Parts        []Part        // of the prompt, in order; nil where only the key is known
+	Memory       int           // tokens that an engine of the service keeps; 0 if not known
+	Objective    time.Duration // by when the answer should begin
+	Urgency      int           // at endpoints, the lowest first; -1 if not said
 	// Slack is what is left until the answer should begin, and Left until the caller has
 	// no use for it any more; 0 of both has the request sent in any case.
 	Slack, Left time.Duration
@@ -40,7 +40,7 @@
 	if a.Parts != nil || a.Key == 0 {
 		return a.Parts
 	}
-	return []Part{{ID: a.Key, Tokens: a.Shared}}
+	return []Part{{ID: a.Key, Tokens: a.SharedTokens}}
 }
 
 // Hold is a place at an endpoint.
@@ -284,7 +284,7 @@
 	queue := f.queue(m, ask.Urgency, m.load(c.now, f.sharers(ask.Service)), c.now)
 	return Expectation{
 		Head: queue + time.Duration(m.pace()*float64(r.head(c.unread))), Queue: queue, Work: r.tokens(c.unread), Read: c.unread,
-		Sure: c.unread <= ask.Tokens-ask.Shared && f.memory.known(m) >= ask.Shared, Price: f.prices[ask.Service].perSecond(), Overrun: f.overruns[ask.Service],
+		Sure: c.unread <= ask.Tokens-ask.SharedTokens && f.memory.known(m) >= ask.SharedTokens, Price: f.prices[ask.Service].perSecond(), Overrun: f.overruns[ask.Service],
 	}
 }
 
--- a/internal/fleet/report_test.go
+++ b/internal/fleet/report_test.go
@@ -169,7 +169,7 @@
 	for i := range count {
 		f.Put(fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "s", Slots: 10})
 	}
-	ask := fleet.Ask{Service: "s", Key: key, Model: "m", Tokens: 6000, Shared: 5000, Objective: 2 * time.Second}
+	ask := fleet.Ask{Service: "s", Key: key, Model: "m", Tokens: 6000, SharedTokens: 5000, Objective: 2 * time.Second}
 	b.ReportAllocs()
 	for b.Loop() {
 		h, ok := f.Pick(ask)
--- a/internal/fleet/score.go
+++ b/internal/fleet/score.go
@@ -72,7 +72,7 @@
 	}
 	known := t.memory.known(m)
 	if m == t.home && !m.warmth.cold(t.now) { // one that has just started keeps nothing
-		known = max(known, int((1-homeUnread)*float64(t.ask.Shared)))
+		known = max(known, int((1-homeUnread)*float64(t.ask.SharedTokens)))
 	}
 	return max(t.ask.Tokens-known, 0)
 }
@@ -87,7 +87,7 @@
 		score += t.hall
 	}
 	if t.ask.Key != 0 {
-		again := t.again * float64(max(unread-(t.ask.Tokens-t.ask.Shared), 0))
+		again := t.again * float64(max(unread-(t.ask.Tokens-t.ask.SharedTokens), 0))
 		own := f.queue(m, t.ask.Urgency, load, now).Seconds() + t.work*t.reading.tokens(unread).Seconds()
 		return score + loadSeconds*load + own*m.pace() + again
 	}
--- a/internal/fleet/warm_test.go
+++ b/internal/fleet/warm_test.go
@@ -139,7 +139,7 @@
 
 // fresh draws a prompt that nobody has.
 func (c *crew) fresh() fleet.Ask {
-	return fleet.Ask{Service: "s", Key: c.random.Uint64() | 1, Model: "m", Tokens: 600, Shared: 300, Objective: 1500 * time.Millisecond}
+	return fleet.Ask{Service: "s", Key: c.random.Uint64() | 1, Model: "m", Tokens: 600, SharedTokens: 300, Objective: 1500 * time.Millisecond}
 }
 
 var _ = Describe("a cold endpoint", func() {
@@ -299,7 +299,7 @@
 		paused(func() {
 			c := newCrew(61, 1, 40)
 			one := c.fresh() // a prompt that is dear to read again
-			one.Tokens, one.Shared, one.Parts = 20_000, 19_900, []fleet.Part{{ID: 7, Tokens: 19_900}, {ID: 8, Tokens: 100}}
+			one.Tokens, one.SharedTokens, one.Parts = 20_000, 19_900, []fleet.Part{{ID: 7, Tokens: 19_900}, {ID: 8, Tokens: 100}}
 			c.play(4*time.Second, 30, func() fleet.Ask { return one })
 			Expect(c.worstOf(func(string) bool { return true })).To(BeNumerically("<=", coldMost*3/5+1))
 		})
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -121,7 +121,7 @@
 func (x *exchange) fleetAsk(model string) fleet.Ask {
 	return fleet.Ask{
 		Service: x.service, Allowed: x.g.Upgrades.Allowed(x.service, x.versionKey), Avoid: x.tried,
-		Key: x.affinity(model), Model: model, Tokens: x.ask.TokensIn, Shared: x.ask.shared(),
+		Key: x.affinity(model), Model: model, Tokens: x.ask.TokensIn, SharedTokens: x.ask.shared(),
 		Parts: x.parts(model), Memory: x.memory(), Objective: x.route.Objective, Urgency: x.urgency,
 		Regions: x.regions,
 	}
