--- a/internal/fleet/memory_test.go
+++ b/internal/fleet/memory_test.go
@@ -13,7 +13,7 @@
 // document is a prompt of two shared parts and one of its own.
 func document(chapter, own uint64) fleet.Ask {
 	return fleet.Ask{
-		Service: "s", Key: chapter, Model: "m", Tokens: 10_000, SharedTokens: 9_000, Objective: 4 * time.Second, Memory: 100_000,
+		Service: "s", Key: chapter, Model: "m", Tokens: 10_000, SharedTokens: 9_000, Objective: 4 * time.Second, CacheTokens: 100_000,
 		Parts: []fleet.Part{{ID: 1, Tokens: 4_000}, {ID: chapter, Tokens: 5_000}, {ID: own, Tokens: 1_000}},
 	}
 }
--- a/internal/fleet/nominate_test.go
+++ b/internal/fleet/nominate_test.go
@@ -33,7 +33,7 @@
 	subject := uint64(random.IntN(manyPrompts))
 	parts := []Part{{ID: 1, Tokens: 512}, {ID: 1000 + subject, Tokens: 4870}, {ID: random.Uint64(), Tokens: 6600}}
 	return Ask{
-		Service: "s", Key: parts[0].ID, Model: "m", Tokens: 11_982, SharedTokens: 5382, Parts: parts, Memory: 600_000,
+		Service: "s", Key: parts[0].ID, Model: "m", Tokens: 11_982, SharedTokens: 5382, Parts: parts, CacheTokens: 600_000,
 		Objective: 2 * time.Second, Hall: fmt.Sprint("hall-", random.IntN(5)), Urgency: -1,
 	}
 }
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -19,7 +19,7 @@
 	Tokens       int           // of the prompt
 	SharedTokens int           // of them, those that other requests with the key have too
 	Parts        []Part        // of the prompt, in order; nil where only the key is known
-	Memory       int           // tokens that an engine of the service keeps; 0 if not known
+	CacheTokens  int           // tokens that an engine of the service keeps; 0 if not known
 	Objective    time.Duration // by when the answer should begin
 	Urgency      int           // at endpoints, the lowest first; -1 if not said
 	// Slack is what is left until the answer should begin, and Left until the caller has
@@ -303,7 +303,7 @@
 
 // note takes in that a prompt is read at an endpoint.
 func (f *Fleet) note(m *member, ask Ask) {
-	size := ask.Memory
+	size := ask.CacheTokens
 	if size == 0 {
 		size = memoryUnsaid
 	}
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -122,7 +122,7 @@
 	return fleet.Ask{
 		Service: x.service, Allowed: x.g.Upgrades.Allowed(x.service, x.versionKey), Avoid: x.tried,
 		Key: x.affinity(model), Model: model, Tokens: x.ask.TokensIn, SharedTokens: x.ask.shared(),
-		Parts: x.parts(model), Memory: x.memory(), Objective: x.route.Objective, Urgency: x.urgency,
+		Parts: x.parts(model), CacheTokens: x.memory(), Objective: x.route.Objective, Urgency: x.urgency,
 		Regions: x.regions,
 	}
 }
