--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -135,7 +135,7 @@
 			defer p.stop()
 			tight := func(key uint64) fleet.Ask {
 				q := ask(key)
-				q.Slack, q.Left = time.Second, 4*time.Second
+				q.Slack, q.Remaining = time.Second, 4*time.Second
 				return q
 			}
 			var advised []fleet.Advice
--- a/internal/fleet/await_test.go
+++ b/internal/fleet/await_test.go
@@ -90,7 +90,7 @@
 			held.Head(fleet.Load{Running: 1, Slots: 8})
 			held.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			ask := note(2)
-			ask.Slack, ask.Left = 2*time.Second, 3*time.Second
+			ask.Slack, ask.Remaining = 2*time.Second, 3*time.Second
 			h, d := f.Place(ask)
 			Expect(d).To(Equal(admission.Send{}))
 			Expect(h).NotTo(BeNil())
--- a/internal/fleet/overload_test.go
+++ b/internal/fleet/overload_test.go
@@ -126,7 +126,7 @@
 	for tries := 0; tries < 3; {
 		ask := fleet.Ask{Service: "s", Key: key << 8, Model: "m", Tokens: 300, Objective: playObjective, Waited: clock.Since(start), Turn: turn}
 		if p.decide {
-			ask.Slack, ask.Left = playObjective-clock.Since(start), 4*playObjective-clock.Since(start)
+			ask.Slack, ask.Remaining = playObjective-clock.Since(start), 4*playObjective-clock.Since(start)
 		}
 		h, decision := p.fleet.Place(ask)
 		if w, ok := decision.(admission.Wait); ok {
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -22,13 +22,13 @@
 	CacheTokens  int           // tokens that an engine of the service keeps; 0 if not known
 	Objective    time.Duration // by when the answer should begin
 	Urgency      int           // at endpoints, the lowest first; -1 if not said
-	// Slack is what is left until the answer should begin, and Left until the caller has
+	// Slack is what is left until the answer should begin, and Remaining until the caller has
 	// no use for it any more; 0 of both has the request sent in any case.
-	Slack, Left time.Duration
-	Begun       bool          // it may run already: it may go behind, but does not wait and is not refused
-	Waited      time.Duration // since its caller asked
-	Turn        int64         // of those that wait; 0 for none
-	Regions     []string      // whose endpoints may be used; nil for all
+	Slack, Remaining time.Duration
+	Begun            bool          // it may run already: it may go behind, but does not wait and is not refused
+	Waited           time.Duration // since its caller asked
+	Turn             int64         // of those that wait; 0 for none
+	Regions          []string      // whose endpoints may be used; nil for all
 	// Within is how long it may wait for endpoints whose limits are used up; 0 for not at all.
 	Within time.Duration
 	// Unadvised tells that other hosts choose at the same time without knowing of it.
@@ -262,7 +262,7 @@
 
 // Pick chooses an endpoint and holds a place there; false if none may be used.
 func (f *Fleet) Pick(ask Ask) (*Hold, bool) {
-	ask.Left = 0
+	ask.Remaining = 0
 	h, _ := f.Place(ask)
 	return h, h != nil
 }
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -46,13 +46,13 @@
 		return p
 	}
 	p.expected = f.expect(p.choice, ask)
-	if ask.Left == 0 {
+	if ask.Remaining == 0 {
 		if ask.Turn != 0 {
 			f.turnsOf(ask.Service).Leave(ask.Turn)
 		}
 		return p
 	}
-	o := admission.Outlook{InTime: p.expected.InTime(ask.Slack), Head: p.expected.Head, Waits: ask.Turn != 0, Left: ask.Left}
+	o := admission.Outlook{InTime: p.expected.InTime(ask.Slack), Head: p.expected.Head, Waits: ask.Turn != 0, Left: ask.Remaining}
 	if _, ok := admission.Order(o).(admission.Send); ok {
 		if ask.Turn != 0 {
 			f.turnsOf(ask.Service).Leave(ask.Turn)
