--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -122,7 +122,7 @@
 func (a *Advisor) request(ask fleet.Ask, versionKey uint64) *advicepb.ChooseRequest {
 	return &advicepb.ChooseRequest{
 		Service: ask.Service, Model: ask.Model, Key: ask.Key, VersionKey: versionKey, Tokens: int32(ask.Tokens), //nolint:gosec // prompts are far shorter
-		Shared: int32(ask.SharedTokens), ObjectiveMicros: ask.Objective.Microseconds(), SlackMicros: ask.Slack.Microseconds(), LeftMicros: ask.Remaining.Microseconds(), Begun: ask.Begun,
+		Shared: int32(ask.SharedTokens), ObjectiveMicros: ask.Objective.Microseconds(), SlackMicros: ask.Slack.Microseconds(), LeftMicros: ask.Remaining.Microseconds(), Begun: ask.MayHaveStarted,
 		WaitedMicros: ask.Waited.Microseconds(), Turn: ask.Turn, Urgency: int32(ask.Urgency), Avoid: ask.Avoid, //nolint:gosec // as above
 		Parts: partsToWire(ask.Parts), Memory: int32(ask.CacheTokens), Hall: a.options.Hall, Regions: ask.Regions, //nolint:gosec // as above
 		WithinMicros: ask.Within.Microseconds(),
@@ -302,7 +302,7 @@
 	learnLimits(f, r.GetLimits())
 	ask := fleet.Ask{
 		Service: r.GetService(), Model: r.GetModel(), Key: r.GetKey(), Tokens: int(r.GetTokens()), SharedTokens: int(r.GetShared()),
-		Objective: clock.Micros(r.GetObjectiveMicros()), Slack: clock.Micros(r.GetSlackMicros()), Remaining: clock.Micros(r.GetLeftMicros()), Begun: r.GetBegun(),
+		Objective: clock.Micros(r.GetObjectiveMicros()), Slack: clock.Micros(r.GetSlackMicros()), Remaining: clock.Micros(r.GetLeftMicros()), MayHaveStarted: r.GetBegun(),
 		Waited: clock.Micros(r.GetWaitedMicros()), Turn: r.GetTurn(), Urgency: int(r.GetUrgency()), Avoid: r.GetAvoid(),
 		Allowed: s.options.Allowed(r.GetService(), r.GetVersionKey()), Parts: partsFromWire(r.GetParts()), CacheTokens: int(r.GetMemory()), Hall: r.GetHall(),
 		Regions: r.GetRegions(), Within: clock.Micros(r.GetWithinMicros()),
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -25,7 +25,7 @@
 	// Slack is what is left until the answer should begin, and Remaining until the caller has
 	// no use for it any more; 0 of both has the request sent in any case.
 	Slack, Remaining time.Duration
-	Begun            bool          // it may run already: it may go behind, but does not wait and is not refused
+	MayHaveStarted   bool          // it may run already: it may go behind, but does not wait and is not refused
 	Waited           time.Duration // since its caller asked
 	Turn             int64         // of those that wait; 0 for none
 	Regions          []string      // whose endpoints may be used; nil for all
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -63,7 +63,7 @@
 	p.ask.Urgency = UrgencyLeast
 	p.choice = f.choose(p.ask)
 	p.expected = f.expect(p.choice, p.ask)
-	if !ask.Begun {
+	if !ask.MayHaveStarted {
 		p.decision = f.order(p, o)
 	}
 	return p
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -147,7 +147,7 @@
 	}
 	ask.Unadvised = x.g.Advice != nil && !x.g.Advice.Leads()
 	if x.first == 0 { // else the caller has a part of the answer, and the rest goes before others
-		ask.Slack, ask.Remaining, ask.Begun = x.slack(), x.useful(), x.mayRun
+		ask.Slack, ask.Remaining, ask.MayHaveStarted = x.slack(), x.useful(), x.mayRun
 	}
 	if x.g.Advice == nil {
 		return x.g.Fleet.Place(ask)
