--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -125,7 +125,7 @@
 		Shared: int32(ask.SharedTokens), ObjectiveMicros: ask.Objective.Microseconds(), SlackMicros: ask.Slack.Microseconds(), LeftMicros: ask.Remaining.Microseconds(), Begun: ask.MayHaveStarted,
 		WaitedMicros: ask.Waited.Microseconds(), Turn: ask.Turn, Urgency: int32(ask.Urgency), Avoid: ask.Avoid, //nolint:gosec // as above
 		Parts: partsToWire(ask.Parts), Memory: int32(ask.CacheTokens), Hall: a.options.Hall, Regions: ask.Regions, //nolint:gosec // as above
-		WithinMicros: ask.Within.Microseconds(),
+		WithinMicros: ask.MaxLimitWait.Microseconds(),
 	}
 }
 
@@ -305,7 +305,7 @@
 		Objective: clock.Micros(r.GetObjectiveMicros()), Slack: clock.Micros(r.GetSlackMicros()), Remaining: clock.Micros(r.GetLeftMicros()), MayHaveStarted: r.GetBegun(),
 		Waited: clock.Micros(r.GetWaitedMicros()), Turn: r.GetTurn(), Urgency: int(r.GetUrgency()), Avoid: r.GetAvoid(),
 		Allowed: s.options.Allowed(r.GetService(), r.GetVersionKey()), Parts: partsFromWire(r.GetParts()), CacheTokens: int(r.GetMemory()), Hall: r.GetHall(),
-		Regions: r.GetRegions(), Within: clock.Micros(r.GetWithinMicros()),
+		Regions: r.GetRegions(), MaxLimitWait: clock.Micros(r.GetWithinMicros()),
 	}
 	// The reply goes out even if there is no endpoint: it tells which ones fail.
 	reply := &advicepb.ChooseReply{Ejected: f.Ejected(), Limits: limitsToWire(f.LimitNews(limitsMost), clock.Now())}
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -152,7 +152,7 @@
 
 var _ = Describe("requests to endpoints that all name limits", func() {
 	ask := func(urgency int) fleet.Ask {
-		return fleet.Ask{Service: "s", Urgency: urgency, Within: 2 * time.Second}
+		return fleet.Ask{Service: "s", Urgency: urgency, MaxLimitWait: 2 * time.Second}
 	}
 	lend := func(f *fleet.Fleet, n int) {
 		f.Lent("e0", fleet.Loan{Requests: n, Until: clock.Now().Add(time.Second)})
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -29,8 +29,8 @@
 	Waited           time.Duration // since its caller asked
 	Turn             int64         // of those that wait; 0 for none
 	Regions          []string      // whose endpoints may be used; nil for all
-	// Within is how long it may wait for endpoints whose limits are used up; 0 for not at all.
-	Within time.Duration
+	// MaxLimitWait is how long it may wait for endpoints whose limits are used up; 0 for not at all.
+	MaxLimitWait time.Duration
 	// Unadvised tells that other hosts choose at the same time without knowing of it.
 	Unadvised bool
 }
--- a/internal/fleet/ration.go
+++ b/internal/fleet/ration.go
@@ -55,7 +55,7 @@
 // ration decides on a request while all endpoints that it may use name limits: with none of them in
 // hand, or with others that wait and go before it, it waits for its turn or is refused.
 func (f *Fleet) ration(p placement) placement {
-	if p.limits.open || !p.limits.some || (p.member != nil && p.ask.Within == 0) {
+	if p.limits.open || !p.limits.some || (p.member != nil && p.ask.MaxLimitWait == 0) {
 		return p
 	}
 	turns := f.turnsOf(p.ask.Service)
@@ -66,11 +66,11 @@
 		return p
 	}
 	p.member = nil
-	if p.ask.Within == 0 {
+	if p.ask.MaxLimitWait == 0 {
 		return p
 	}
 	turn := max(by, p.limits.next.Sub(p.now))
-	switch d := admission.Ration(turn, p.ask.Within, p.ask.Turn != 0).(type) {
+	switch d := admission.Ration(turn, p.ask.MaxLimitWait, p.ask.Turn != 0).(type) {
 	case admission.Wait:
 		d.Turn = turns.Wait(p.ask.Turn, urgency, asked, p.now, d.For)
 		p.decision = d
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -141,7 +141,7 @@
 // choose decides on the request. For one with a prompt hosts choose together.
 func (x *exchange) choose(ctx context.Context, model string, turn int64) (*fleet.Hold, admission.Decision) {
 	ask := x.fleetAsk(model)
-	ask.Waited, ask.Turn, ask.Within = clock.Since(x.start), turn, x.within()
+	ask.Waited, ask.Turn, ask.MaxLimitWait = clock.Since(x.start), turn, x.within()
 	if ask.Key == 0 {
 		return x.g.Fleet.Place(ask)
 	}
