--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -74,7 +74,7 @@
 		h, ok := f.PickAt(fleet.Advice{Endpoint: "e1"}, plain)
 		Expect(ok).To(BeTrue())
 		ended := 0
-		h.Ended = func() { ended++ }
+		h.OnDone = func() { ended++ }
 		h.Done(fleet.Result{Outcome: fleet.OutcomeLost})
 		Expect(ended).To(Equal(1))
 		_, ok = f.PickAt(fleet.Advice{Endpoint: "e1"}, plain)
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -45,8 +45,8 @@
 
 // Hold is a place at an endpoint.
 type Hold struct {
-	// Ended is called when the hold is done; nil if nobody minds.
-	Ended    func()
+	// OnDone is called when the hold is done; nil if nobody minds.
+	OnDone   func()
 	Endpoint Endpoint
 	fleet    *Fleet
 	member   *member
@@ -90,8 +90,8 @@
 
 // Done ends the hold and notes what the attempt told.
 func (h *Hold) Done(r Result) {
-	if h.Ended != nil {
-		defer h.Ended()
+	if h.OnDone != nil {
+		defer h.OnDone()
 	}
 	if h.fleet.observe != nil {
 		defer h.fleet.observe(h.Endpoint.ID, r.Outcome)
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -168,7 +168,7 @@
 		return x.g.Fleet.Place(ask)
 	}
 	x.countAdvice("followed")
-	hold.Ended = func() { x.g.Advice.Ended(advised) }
+	hold.OnDone = func() { x.g.Advice.Ended(advised) }
 	return hold, advised.Decision
 }
 
