--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -96,7 +96,7 @@
 
 // Choose returns what the first host of those that answer advises; false if nothing
 // was advised in time, or this host is the first.
-func (a *Advisor) Choose(ctx context.Context, ask fleet.Ask, versionKey uint64) (fleet.Advice, bool) {
+func (a *Advisor) Choose(ctx context.Context, ask fleet.Request, versionKey uint64) (fleet.Advice, bool) {
 	reply, ok := a.ask(ctx, a.request(ask, versionKey))
 	if !ok || (reply.GetEndpoint() == "" && !reply.GetRefused() && reply.GetWaitMicros() == 0) {
 		return fleet.Advice{}, false
@@ -109,7 +109,7 @@
 
 // Expect returns what the first host of those that answer expects of an attempt;
 // false if it tells nothing in time, or this host is the first.
-func (a *Advisor) Expect(ctx context.Context, ask fleet.Ask, versionKey uint64) (fleet.Expectation, bool) {
+func (a *Advisor) Expect(ctx context.Context, ask fleet.Request, versionKey uint64) (fleet.Expectation, bool) {
 	request := a.request(ask, versionKey)
 	request.Weigh = true
 	reply, ok := a.ask(ctx, request)
@@ -119,7 +119,7 @@
 	return expectationFromWire(reply.GetExpected()), true
 }
 
-func (a *Advisor) request(ask fleet.Ask, versionKey uint64) *advicepb.ChooseRequest {
+func (a *Advisor) request(ask fleet.Request, versionKey uint64) *advicepb.ChooseRequest {
 	return &advicepb.ChooseRequest{
 		Service: ask.Service, Model: ask.Model, Key: ask.Key, VersionKey: versionKey, Tokens: int32(ask.Tokens), //nolint:gosec // prompts are far shorter
 		Shared: int32(ask.SharedTokens), ObjectiveMicros: ask.Objective.Microseconds(), SlackMicros: ask.Slack.Microseconds(), LeftMicros: ask.Remaining.Microseconds(), Begun: ask.MayHaveStarted,
@@ -300,7 +300,7 @@
 		f.Learn(t.GetEndpoint(), fleet.Tally{Good: t.GetGood(), Failed: t.GetFailed(), Lost: t.GetLost()})
 	}
 	learnLimits(f, r.GetLimits())
-	ask := fleet.Ask{
+	ask := fleet.Request{
 		Service: r.GetService(), Model: r.GetModel(), Key: r.GetKey(), Tokens: int(r.GetTokens()), SharedTokens: int(r.GetShared()),
 		Objective: clock.Micros(r.GetObjectiveMicros()), Slack: clock.Micros(r.GetSlackMicros()), Remaining: clock.Micros(r.GetLeftMicros()), MayHaveStarted: r.GetBegun(),
 		Waited: clock.Micros(r.GetWaitedMicros()), Turn: r.GetTurn(), Urgency: int(r.GetUrgency()), Avoid: r.GetAvoid(),
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -78,8 +78,8 @@
 	time.Sleep(time.Minute)
 }
 
-func ask(key uint64) fleet.Ask {
-	return fleet.Ask{Service: "s", Key: key, Model: "m", Tokens: 10, Objective: time.Second}
+func ask(key uint64) fleet.Request {
+	return fleet.Request{Service: "s", Key: key, Model: "m", Tokens: 10, Objective: time.Second}
 }
 
 var _ = Describe("hosts of a data hall", func() {
@@ -133,7 +133,7 @@
 		suite.Paused(func() {
 			p := newPair()
 			defer p.stop()
-			tight := func(key uint64) fleet.Ask {
+			tight := func(key uint64) fleet.Request {
 				q := ask(key)
 				q.Slack, q.Remaining = time.Second, 4*time.Second
 				return q
@@ -196,7 +196,7 @@
 			defer p.stop()
 			_, ok := p.first.Choose(ctx, ask(1), 0)
 			Expect(ok).To(BeFalse())
-			_, ok = p.next.Choose(ctx, fleet.Ask{Service: "unknown", Key: 1}, 0)
+			_, ok = p.next.Choose(ctx, fleet.Request{Service: "unknown", Key: 1}, 0)
 			Expect(ok).To(BeFalse())
 		})
 	})
@@ -263,14 +263,14 @@
 			Expect(ok).To(BeTrue())
 			Expect(p.fleet.Ejected()).To(Equal([]string{"e1"}))
 			for range 40 {
-				h, ok := p.other.Pick(fleet.Ask{Service: "s"})
+				h, ok := p.other.Pick(fleet.Request{Service: "s"})
 				Expect(ok).To(BeTrue())
 				Expect(h.Endpoint.ID).NotTo(Equal("e1"))
 			}
 			for _, e := range []string{"e0", "e2", "e3"} {
 				p.other.Remove(e)
 			}
-			_, ok = p.other.Pick(fleet.Ask{Service: "s"})
+			_, ok = p.other.Pick(fleet.Request{Service: "s"})
 			Expect(ok).To(BeTrue(), "it is better than nothing")
 		})
 	})
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -80,7 +80,7 @@
 		if attempt > 0 && !d.budgets.Repeat(call.Service, 1) {
 			break
 		}
-		hold, ok := d.options.Fleet.Pick(fleet.Ask{Service: call.Service, Avoid: avoid})
+		hold, ok := d.options.Fleet.Pick(fleet.Request{Service: call.Service, Avoid: avoid})
 		if !ok {
 			break
 		}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -96,8 +96,8 @@
 }
 
 // ask is what the choice of an engine goes by.
-func (r Request) ask(avoid []string) fleet.Ask {
-	return fleet.Ask{
+func (r Request) ask(avoid []string) fleet.Request {
+	return fleet.Request{
 		Service: endpoint.Engines, Model: r.Version.String(), Avoid: avoid, Key: r.Prefix,
 		Tokens: r.Tokens, SharedTokens: r.Shared, Objective: usualFirst,
 	}
--- a/internal/experiment/placement.go
+++ b/internal/experiment/placement.go
@@ -105,7 +105,7 @@
 
 // choose picks a worker as the router does.
 func (p *placement) choose(host int, prefix uint64) (int, *fleet.Hold) {
-	h, ok := p.fleets[host].Pick(fleet.Ask{
+	h, ok := p.fleets[host].Pick(fleet.Request{
 		Key: prefix | 1, Model: "m", Tokens: promptTokens, SharedTokens: prefixTokens, Objective: time.Second,
 	})
 	if !ok {
--- a/internal/experiment/retries.go
+++ b/internal/experiment/retries.go
@@ -43,7 +43,7 @@
 			if judged && attempt > 0 && !h.mayRepeat(clock.now) {
 				return
 			}
-			hold, ok := h.fleet.Pick(fleet.Ask{Avoid: avoid})
+			hold, ok := h.fleet.Pick(fleet.Request{Avoid: avoid})
 			if !ok {
 				return
 			}
--- a/internal/fleet/advise.go
+++ b/internal/fleet/advise.go
@@ -29,7 +29,7 @@
 // PickAt holds a place at an endpoint that was advised; false if it may not be used.
 // The adviser has seen what other hosts sent there, so its expectation is taken, and its
 // word that there is room goes before a refusal that this host got a moment ago.
-func (f *Fleet) PickAt(a Advice, ask Ask) (*Hold, bool) {
+func (f *Fleet) PickAt(a Advice, ask Request) (*Hold, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Now()
@@ -50,7 +50,7 @@
 
 // Advise chooses an endpoint for another host and counts the request and the reading
 // of its prompt there; false if none may be used.
-func (f *Fleet) Advise(ask Ask) (Advice, bool) {
+func (f *Fleet) Advise(ask Request) (Advice, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.place(ask)
--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -15,7 +15,7 @@
 	advise := func(f *fleet.Fleet, count int, from uint64) map[string][]fleet.Advice {
 		counts := map[string][]fleet.Advice{}
 		for i := range count {
-			a, ok := f.Advise(fleet.Ask{Service: "s", Key: from + uint64(i)<<8, Model: "m", Tokens: 10, Objective: 2 * time.Second})
+			a, ok := f.Advise(fleet.Request{Service: "s", Key: from + uint64(i)<<8, Model: "m", Tokens: 10, Objective: 2 * time.Second})
 			Expect(ok).To(BeTrue())
 			counts[a.Endpoint] = append(counts[a.Endpoint], a)
 		}
@@ -63,11 +63,11 @@
 
 	It("is not followed where the endpoint may not be used", func() {
 		f := newFleet()
-		_, ok := f.PickAt(fleet.Advice{Endpoint: "e1"}, fleet.Ask{Service: "s", Avoid: []string{"e1"}})
+		_, ok := f.PickAt(fleet.Advice{Endpoint: "e1"}, fleet.Request{Service: "s", Avoid: []string{"e1"}})
 		Expect(ok).To(BeFalse())
-		_, ok = f.PickAt(fleet.Advice{Endpoint: "e1"}, fleet.Ask{Service: "s", Allowed: func(v string) bool { return v == "v2" }})
+		_, ok = f.PickAt(fleet.Advice{Endpoint: "e1"}, fleet.Request{Service: "s", Allowed: func(v string) bool { return v == "v2" }})
 		Expect(ok).To(BeFalse())
-		_, ok = f.PickAt(fleet.Advice{Endpoint: "e1"}, fleet.Ask{Service: "t"})
+		_, ok = f.PickAt(fleet.Advice{Endpoint: "e1"}, fleet.Request{Service: "t"})
 		Expect(ok).To(BeFalse())
 		_, ok = f.PickAt(fleet.Advice{Endpoint: "gone"}, plain)
 		Expect(ok).To(BeFalse())
--- a/internal/fleet/await_test.go
+++ b/internal/fleet/await_test.go
@@ -12,8 +12,8 @@
 )
 
 // note is a short prompt that has nothing in common with others.
-func note(key uint64) fleet.Ask {
-	return fleet.Ask{Service: "s", Key: key, Model: "m", Tokens: 300, Objective: 2 * time.Second}
+func note(key uint64) fleet.Request {
+	return fleet.Request{Service: "s", Key: key, Model: "m", Tokens: 300, Objective: 2 * time.Second}
 }
 
 // begin has the answer begin after a time.
--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("a data hall that is evacuated", func() {
 	// used lists the data halls that requests go to.
-	used := func(f *fleet.Fleet, ask fleet.Ask) map[string]int {
+	used := func(f *fleet.Fleet, ask fleet.Request) map[string]int {
 		halls := map[string]int{}
 		for range 12 {
 			if h, ok := f.Pick(ask); ok {
@@ -24,7 +24,7 @@
 	}
 
 	It("gets nothing until it is taken back", func() {
-		for name, ask := range map[string]fleet.Ask{"plain": plain, "prompt": prompt(7)} {
+		for name, ask := range map[string]fleet.Request{"plain": plain, "prompt": prompt(7)} {
 			f := newFleet()
 			f.Evacuate([]string{"ikeja"})
 			Expect(used(f, ask)).To(Equal(map[string]int{"lekki": 12}), name)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -335,7 +335,7 @@
 	defer f.mu.Unlock()
 	now := f.options.Now()
 	for _, m := range f.endpointsOf(service) {
-		if f.usable(m, Ask{Model: model}) && m.tier(now) < tierEjected {
+		if f.usable(m, Request{Model: model}) && m.tier(now) < tierEjected {
 			return true
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -32,10 +32,10 @@
 	return f
 }
 
-var plain = fleet.Ask{Service: "s"}
+var plain = fleet.Request{Service: "s"}
 
-func prompt(key uint64) fleet.Ask {
-	return fleet.Ask{Service: "s", Key: key, Model: "m", Tokens: 6000, SharedTokens: 5000, Objective: 2 * time.Second}
+func prompt(key uint64) fleet.Request {
+	return fleet.Request{Service: "s", Key: key, Model: "m", Tokens: 6000, SharedTokens: 5000, Objective: 2 * time.Second}
 }
 
 var _ = Describe("the choice of an endpoint", func() {
@@ -140,7 +140,7 @@
 			f.Put(fleet.Endpoint{ID: "bad", Service: "s", Hall: "ikeja", Slots: 4})
 			f.Put(fleet.Endpoint{ID: "far", Service: "s", Hall: "lekki", Slots: 4})
 			for range 6 {
-				h, _ := f.Pick(fleet.Ask{Service: "s", Avoid: []string{"far"}})
+				h, _ := f.Pick(fleet.Request{Service: "s", Avoid: []string{"far"}})
 				h.Done(fleet.Result{Outcome: fleet.OutcomeFailed})
 			}
 			h, _ := f.Pick(plain)
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -32,7 +32,7 @@
 func picks(f *fleet.Fleet, id string) int {
 	n := 0
 	for range tries {
-		h, ok := f.Pick(fleet.Ask{Service: "s"})
+		h, ok := f.Pick(fleet.Request{Service: "s"})
 		if !ok {
 			continue
 		}
@@ -142,17 +142,17 @@
 		suite.Paused(func() {
 			f := limitedFleet()
 			f.HearLimit("e0", named(2), clock.Now())
-			_, ok := f.PickAt(fleet.Advice{Endpoint: "e0"}, fleet.Ask{Service: "s"})
+			_, ok := f.PickAt(fleet.Advice{Endpoint: "e0"}, fleet.Request{Service: "s"})
 			Expect(ok).To(BeFalse())
-			_, ok = f.PickAt(fleet.Advice{Endpoint: "e0", Limited: true}, fleet.Ask{Service: "s"})
+			_, ok = f.PickAt(fleet.Advice{Endpoint: "e0", Limited: true}, fleet.Request{Service: "s"})
 			Expect(ok).To(BeTrue())
 		})
 	})
 })
 
 var _ = Describe("requests to endpoints that all name limits", func() {
-	ask := func(urgency int) fleet.Ask {
-		return fleet.Ask{Service: "s", Urgency: urgency, MaxLimitWait: 2 * time.Second}
+	ask := func(urgency int) fleet.Request {
+		return fleet.Request{Service: "s", Urgency: urgency, MaxLimitWait: 2 * time.Second}
 	}
 	lend := func(f *fleet.Fleet, n int) {
 		f.Lent("e0", fleet.Loan{Requests: n, Until: clock.Now().Add(time.Second)})
--- a/internal/fleet/memory_test.go
+++ b/internal/fleet/memory_test.go
@@ -11,15 +11,15 @@
 )
 
 // document is a prompt of two shared parts and one of its own.
-func document(chapter, own uint64) fleet.Ask {
-	return fleet.Ask{
+func document(chapter, own uint64) fleet.Request {
+	return fleet.Request{
 		Service: "s", Key: chapter, Model: "m", Tokens: 10_000, SharedTokens: 9_000, Objective: 4 * time.Second, CacheTokens: 100_000,
 		Parts: []fleet.Part{{ID: 1, Tokens: 4_000}, {ID: chapter, Tokens: 5_000}, {ID: own, Tokens: 1_000}},
 	}
 }
 
 // read has a prompt read where the fleet chooses, at the speed of 10,000 tokens a second.
-func read(f *fleet.Fleet, ask fleet.Ask) *fleet.Hold {
+func read(f *fleet.Fleet, ask fleet.Request) *fleet.Hold {
 	h, ok := f.Pick(ask)
 	Expect(ok).To(BeTrue())
 	time.Sleep(time.Duration(h.Expected.Read) * 100 * time.Microsecond)
@@ -89,7 +89,7 @@
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			f.Put(fleet.Endpoint{ID: "gap", Service: "s", Hall: "ikeja", Slots: 4})
 			f.Put(fleet.Endpoint{ID: "other", Service: "s", Hall: "ikeja", Slots: 4})
-			at := func(id string, parts ...fleet.Part) fleet.Ask {
+			at := func(id string, parts ...fleet.Part) fleet.Request {
 				avoid := map[string]string{"gap": "other", "other": "gap"}
 				ask := document(7, 100)
 				ask.SharedTokens, ask.Parts, ask.Avoid = 0, parts, []string{avoid[id]}
@@ -182,7 +182,7 @@
 	It("is not spoilt by a first answer that waited", func() {
 		suite.Paused(func() {
 			f := newFleet()
-			short := fleet.Ask{Service: "s", Key: 3, Model: "m", Tokens: 200, Objective: time.Second}
+			short := fleet.Request{Service: "s", Key: 3, Model: "m", Tokens: 200, Objective: time.Second}
 			h, _ := f.Pick(short)
 			time.Sleep(3 * time.Second)
 			h.Head(fleet.Load{})
--- a/internal/fleet/nominate.go
+++ b/internal/fleet/nominate.go
@@ -48,7 +48,7 @@
 
 // nominate returns the endpoints of a large service that are weighed; the caller holds mu, and has
 // looked up which ones keep the prompt.
-func (f *Fleet) nominate(p *pool, ask Ask, near string, now clock.Instant) nominees {
+func (f *Fleet) nominate(p *pool, ask Request, near string, now clock.Instant) nominees {
 	var n nominees
 	f.nominateLent(&n, ask, now)
 	if ask.Key != 0 {
@@ -61,7 +61,7 @@
 }
 
 // nominateLent nominates endpoints that name limits, and of which something is in hand.
-func (f *Fleet) nominateLent(n *nominees, ask Ask, now clock.Instant) {
+func (f *Fleet) nominateLent(n *nominees, ask Request, now clock.Instant) {
 	for _, m := range f.lent {
 		if n.n < lentMost && m.Service == ask.Service && m.limited.holds() && m.limited.inHand(now) > 0 && f.usable(m, ask) {
 			n.add(m)
@@ -71,7 +71,7 @@
 
 // nominateKeepers nominates endpoints that keep a prompt: some of those that keep the most of it,
 // and some that keep its beginning.
-func (f *Fleet) nominateKeepers(n *nominees, ask Ask, now clock.Instant) {
+func (f *Fleet) nominateKeepers(n *nominees, ask Request, now clock.Instant) {
 	parts := ask.Parts
 	if parts == nil {
 		f.drawOf(n, f.memory.holders[ask.Key], keepersMost, ask, now)
@@ -90,7 +90,7 @@
 }
 
 // drawOf nominates all of a few endpoints that may be used, or as many by chance.
-func (f *Fleet) drawOf(n *nominees, from []*member, most int, ask Ask, now clock.Instant) {
+func (f *Fleet) drawOf(n *nominees, from []*member, most int, ask Request, now clock.Instant) {
 	if len(from) > most {
 		f.draw(n, from, most, ask, now)
 		return
@@ -103,7 +103,7 @@
 }
 
 // draw nominates endpoints by chance that are well and may be used.
-func (f *Fleet) draw(n *nominees, from []*member, most int, ask Ask, now clock.Instant) {
+func (f *Fleet) draw(n *nominees, from []*member, most int, ask Request, now clock.Instant) {
 	if len(from) == 0 {
 		return
 	}
@@ -122,7 +122,7 @@
 
 // nominateHomes nominates the endpoints that come next to a prompt on the ring, which are the same
 // for all hosts.
-func (f *Fleet) nominateHomes(n *nominees, p *pool, ask Ask, now clock.Instant) {
+func (f *Fleet) nominateHomes(n *nominees, p *pool, ask Request, now clock.Instant) {
 	at, _ := p.find(ask.Key)
 	homes := 0
 	for i := range min(drawsPer*homesMost, len(p.ring)) {
--- a/internal/fleet/nominate_test.go
+++ b/internal/fleet/nominate_test.go
@@ -29,10 +29,10 @@
 }
 
 // manyAsk is a request of a kind that comes again: all share the first part, some the second.
-func manyAsk(random *rand.Rand) Ask {
+func manyAsk(random *rand.Rand) Request {
 	subject := uint64(random.IntN(manyPrompts))
 	parts := []Part{{ID: 1, Tokens: 512}, {ID: 1000 + subject, Tokens: 4870}, {ID: random.Uint64(), Tokens: 6600}}
-	return Ask{
+	return Request{
 		Service: "s", Key: parts[0].ID, Model: "m", Tokens: 11_982, SharedTokens: 5382, Parts: parts, CacheTokens: 600_000,
 		Objective: 2 * time.Second, Hall: fmt.Sprint("hall-", random.IntN(5)), Urgency: -1,
 	}
@@ -40,7 +40,7 @@
 
 // bestOf is the best score of all endpoints for an attempt, and that of the one chosen, both without
 // the tie-break of equal ones.
-func bestOf(f *Fleet, ask Ask, chosen *member) (best, got float64) {
+func bestOf(f *Fleet, ask Request, chosen *member) (best, got float64) {
 	now := f.options.Now()
 	t := f.terms(ask, now)
 	best = math.Inf(1)
@@ -138,7 +138,7 @@
 
 func benchmarkMany(b *testing.B, count int) {
 	f, random := manyFleet(count), rand.New(rand.NewPCG(2, 3))
-	asks := make([]Ask, 512)
+	asks := make([]Request, 512)
 	for i := range asks {
 		asks[i] = manyAsk(random)
 	}
--- a/internal/fleet/overload_test.go
+++ b/internal/fleet/overload_test.go
@@ -124,7 +124,7 @@
 func (p *play) request(key uint64) {
 	start, turn := clock.Now(), int64(0)
 	for tries := 0; tries < 3; {
-		ask := fleet.Ask{Service: "s", Key: key << 8, Model: "m", Tokens: 300, Objective: playObjective, Waited: clock.Since(start), Turn: turn}
+		ask := fleet.Request{Service: "s", Key: key << 8, Model: "m", Tokens: 300, Objective: playObjective, Waited: clock.Since(start), Turn: turn}
 		if p.decide {
 			ask.Slack, ask.Remaining = playObjective-clock.Since(start), 4*playObjective-clock.Since(start)
 		}
--- a/internal/fleet/pace_test.go
+++ b/internal/fleet/pace_test.go
@@ -19,7 +19,7 @@
 		}
 		for i, pace := range paces {
 			for other := range 4 {
-				h, ok := f.PickAt(fleet.Advice{Endpoint: fmt.Sprint("e", other)}, fleet.Ask{Service: "s", Key: key, Tokens: 4000})
+				h, ok := f.PickAt(fleet.Advice{Endpoint: fmt.Sprint("e", other)}, fleet.Request{Service: "s", Key: key, Tokens: 4000})
 				Expect(ok).To(BeTrue(), "word %d", i)
 				load := fleet.Load{Running: 1, Slots: 8, Pace: 1}
 				if other == 0 {
@@ -35,7 +35,7 @@
 	gets := func(f *fleet.Fleet, key uint64) int {
 		n := 0
 		for range 40 {
-			h, ok := f.Pick(fleet.Ask{Service: "s", Key: key, Tokens: 4000})
+			h, ok := f.Pick(fleet.Request{Service: "s", Key: key, Tokens: 4000})
 			Expect(ok).To(BeTrue())
 			if h.Endpoint.ID == "e0" {
 				n++
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -8,8 +8,8 @@
 	"quaybarrow/internal/clock"
 )
 
-// Ask is what an attempt needs.
-type Ask struct {
+// Request is what an attempt needs.
+type Request struct {
 	Service      string
 	Hall         string            // of the host that asks; empty stands for this host's
 	Allowed      func(string) bool // versions it may run on; nil for any
@@ -36,7 +36,7 @@
 }
 
 // parts are the prompt's, or one that stands for all that is shared.
-func (a Ask) parts() []Part {
+func (a Request) parts() []Part {
 	if a.Parts != nil || a.Key == 0 {
 		return a.Parts
 	}
@@ -50,7 +50,7 @@
 	Endpoint Endpoint
 	fleet    *Fleet
 	member   *member
-	ask      Ask
+	ask      Request
 	Expected Expectation // as the hold was taken
 	sent     clock.Instant
 	idle     time.Duration // until the head of the answer, if the endpoint were idle
@@ -163,7 +163,7 @@
 }
 
 // usable reports whether an endpoint may get the attempt at all.
-func (f *Fleet) usable(m *member, ask Ask) bool {
+func (f *Fleet) usable(m *member, ask Request) bool {
 	if m.Draining || m.leaving || f.away(m) || (ask.Allowed != nil && !ask.Allowed(m.Version)) {
 		return false
 	}
@@ -215,7 +215,7 @@
 }
 
 // choose finds it; the caller holds mu.
-func (f *Fleet) choose(ask Ask) choice {
+func (f *Fleet) choose(ask Request) choice {
 	c := choice{now: f.options.Now()}
 	p, ok := f.byService[ask.Service]
 	if !ok {
@@ -261,7 +261,7 @@
 }
 
 // Pick chooses an endpoint and holds a place there; false if none may be used.
-func (f *Fleet) Pick(ask Ask) (*Hold, bool) {
+func (f *Fleet) Pick(ask Request) (*Hold, bool) {
 	ask.Remaining = 0
 	h, _ := f.Place(ask)
 	return h, h != nil
@@ -269,7 +269,7 @@
 
 // Expect estimates what an attempt takes that is sent now; false if no endpoint takes
 // it.
-func (f *Fleet) Expect(ask Ask) (Expectation, bool) {
+func (f *Fleet) Expect(ask Request) (Expectation, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.choose(ask)
@@ -279,7 +279,7 @@
 	return f.expect(c, ask), true
 }
 
-func (f *Fleet) expect(c choice, ask Ask) Expectation {
+func (f *Fleet) expect(c choice, ask Request) Expectation {
 	m, r := c.member, f.readingOf(ask.Service, ask.Model)
 	queue := f.queue(m, ask.Urgency, m.load(c.now, f.sharers(ask.Service)), c.now)
 	return Expectation{
@@ -289,7 +289,7 @@
 }
 
 // hold takes a place at an endpoint.
-func (f *Fleet) hold(m *member, expected Expectation, ask Ask, now clock.Instant) *Hold {
+func (f *Fleet) hold(m *member, expected Expectation, ask Request, now clock.Instant) *Hold {
 	h := &Hold{Endpoint: m.Endpoint, Expected: expected, fleet: f, member: m, ask: ask, sent: now}
 	m.flying++
 	if ask.Key == 0 {
@@ -302,7 +302,7 @@
 }
 
 // note takes in that a prompt is read at an endpoint.
-func (f *Fleet) note(m *member, ask Ask) {
+func (f *Fleet) note(m *member, ask Request) {
 	size := ask.CacheTokens
 	if size == 0 {
 		size = memoryUnsaid
@@ -313,7 +313,7 @@
 // home finds the endpoint that most likely has the shared part of a prompt in memory
 // if other data halls have asked for it: the first by rendezvous; nil for requests
 // without a prompt.
-func (f *Fleet) home(ask Ask, now clock.Instant) *member {
+func (f *Fleet) home(ask Request, now clock.Instant) *member {
 	if ask.Key == 0 {
 		return nil
 	}
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -4,7 +4,7 @@
 
 // Place decides on a request, chooses an endpoint for it and holds a place there; nil if
 // it is refused or none may be used.
-func (f *Fleet) Place(ask Ask) (*Hold, admission.Decision) {
+func (f *Fleet) Place(ask Request) (*Hold, admission.Decision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.place(ask)
@@ -18,8 +18,8 @@
 // placement is a request with its endpoint, and what becomes of it.
 type placement struct {
 	choice
-	ask      Ask // with the urgency that it is sent with
-	urgency  int // its own
+	ask      Request // with the urgency that it is sent with
+	urgency  int     // its own
 	expected Expectation
 	decision admission.Decision
 }
@@ -36,7 +36,7 @@
 
 // place decides on a request and finds the endpoint that is best for it; the caller holds
 // mu. One that is not likely to be in time is placed as one behind all others.
-func (f *Fleet) place(ask Ask) placement {
+func (f *Fleet) place(ask Request) placement {
 	if !ask.unadvised() {
 		f.advises = f.advises.at(f.options.Now())
 	}
--- a/internal/fleet/report_test.go
+++ b/internal/fleet/report_test.go
@@ -23,7 +23,7 @@
 		f.Report(fmt.Sprint("e", i), fleet.Report{Load: fleet.Load{Slots: 10}, Models: []string{"m"}, Asked: clock.Now()})
 		others := avoid(len(flying), i)
 		for range n {
-			if _, ok := f.Pick(fleet.Ask{Service: "s", Avoid: others}); !ok {
+			if _, ok := f.Pick(fleet.Request{Service: "s", Avoid: others}); !ok {
 				panic("no endpoint")
 			}
 		}
@@ -42,7 +42,7 @@
 	return list
 }
 
-func picked(f *fleet.Fleet, ask fleet.Ask) string {
+func picked(f *fleet.Fleet, ask fleet.Request) string {
 	h, ok := f.Pick(ask)
 	if !ok {
 		return ""
@@ -51,7 +51,7 @@
 	return h.Endpoint.ID
 }
 
-var model = fleet.Ask{Service: "s", Model: "m"}
+var model = fleet.Request{Service: "s", Model: "m"}
 
 var _ = Describe("endpoints that report their load", func() {
 	It("get the attempt if they are the less loaded", func() {
@@ -96,7 +96,7 @@
 				s := f.View()[index(f, id)]
 				fits[id] = !s.Draining && len(report.Models) == 2 && i != 0
 			}
-			ask := fleet.Ask{Service: "s", Model: "m", Avoid: []string{"e0"}, Key: 7}
+			ask := fleet.Request{Service: "s", Model: "m", Avoid: []string{"e0"}, Key: 7}
 			id := picked(f, ask)
 			if id != "" && !fits[id] {
 				t.Fatalf("took %s", id)
@@ -169,7 +169,7 @@
 	for i := range count {
 		f.Put(fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "s", Slots: 10})
 	}
-	ask := fleet.Ask{Service: "s", Key: key, Model: "m", Tokens: 6000, SharedTokens: 5000, Objective: 2 * time.Second}
+	ask := fleet.Request{Service: "s", Key: key, Model: "m", Tokens: 6000, SharedTokens: 5000, Objective: 2 * time.Second}
 	b.ReportAllocs()
 	for b.Loop() {
 		h, ok := f.Pick(ask)
--- a/internal/fleet/score.go
+++ b/internal/fleet/score.go
@@ -32,7 +32,7 @@
 
 // terms are what the scores of all endpoints for an attempt have in common.
 type terms struct {
-	ask     Ask
+	ask     Request
 	near    string // the data hall of the host that asks
 	home    *member
 	memory  *memory
@@ -45,7 +45,7 @@
 	now     clock.Instant
 }
 
-func (f *Fleet) terms(ask Ask, now clock.Instant) terms {
+func (f *Fleet) terms(ask Request, now clock.Instant) terms {
 	t := terms{ask: ask, memory: &f.memory, sharers: f.sharers(ask.Service), hall: plainHall, warming: f.warming(ask.Service), now: now}
 	if ask.Unadvised || !f.alone() {
 		t.home = f.home(ask, now)
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -45,7 +45,7 @@
 		f := fleet.New(fleet.Options{Hall: "hall-0"})
 		f.Reset(list, false)
 		for i := range 200 {
-			h, ok := f.Pick(fleet.Ask{Service: "model-pool", Key: uint64(i + 1), Model: "m", Tokens: 6000, SharedTokens: 5000})
+			h, ok := f.Pick(fleet.Request{Service: "model-pool", Key: uint64(i + 1), Model: "m", Tokens: 6000, SharedTokens: 5000})
 			if !ok {
 				t.Fatal("no endpoint")
 			}
--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -108,7 +108,7 @@
 
 // pauseFor is the pause between two of a host's requests of a kind that others don't know
 // of.
-func (w warming) pauseFor(ask Ask) time.Duration {
+func (w warming) pauseFor(ask Request) time.Duration {
 	if ask.Key == 0 {
 		return w.pausing
 	}
@@ -130,7 +130,7 @@
 func (w *warmth) cold(now clock.Instant) bool { return w.lost || now.Before(w.until) }
 
 // takes reports whether an attempt may go to the endpoint now.
-func (w *warmth) takes(limits warming, ask Ask, now clock.Instant) bool {
+func (w *warmth) takes(limits warming, ask Request, now clock.Instant) bool {
 	if limits.most == 0 || !w.cold(now) {
 		return true
 	}
@@ -144,7 +144,7 @@
 
 // busy reports whether other endpoints are better used for an attempt, in case this one is
 // cold and nobody has said so yet.
-func (w *warmth) busy(limits warming, ask Ask, now clock.Instant) bool {
+func (w *warmth) busy(limits warming, ask Request, now clock.Instant) bool {
 	return limits.busy > 0 && !ask.unadvised() && w.count(now) >= limits.busy
 }
 
@@ -157,10 +157,10 @@
 }
 
 // unadvised reports whether other hosts may send the like at the same time.
-func (a Ask) unadvised() bool { return a.Unadvised || a.Key == 0 }
+func (a Request) unadvised() bool { return a.Unadvised || a.Key == 0 }
 
 // sends notes that an attempt goes to an endpoint, and uses a part of what may be sent there.
-func (f *Fleet) sends(m *member, ask Ask, now clock.Instant) {
+func (f *Fleet) sends(m *member, ask Request, now clock.Instant) {
 	if f.limited(m) {
 		m.limited.take(now)
 	}
--- a/internal/fleet/warm_test.go
+++ b/internal/fleet/warm_test.go
@@ -67,14 +67,14 @@
 }
 
 // play sends so many requests a second from hosts drawn by chance.
-func (c *crew) play(span time.Duration, perSecond float64, ask func() fleet.Ask) {
+func (c *crew) play(span time.Duration, perSecond float64, ask func() fleet.Request) {
 	for start := time.Now(); time.Since(start) < span; {
 		time.Sleep(time.Duration(c.random.ExpFloat64() / perSecond * float64(time.Second)))
 		c.send(c.random.IntN(len(c.hosts)), ask())
 	}
 }
 
-func (c *crew) send(host int, ask fleet.Ask) {
+func (c *crew) send(host int, ask fleet.Request) {
 	h := c.pick(host, ask)
 	if h == nil {
 		c.none++
@@ -92,7 +92,7 @@
 	}()
 }
 
-func (c *crew) pick(host int, ask fleet.Ask) *fleet.Hold {
+func (c *crew) pick(host int, ask fleet.Request) *fleet.Hold {
 	f := c.hosts[host]
 	adviser := c.asked(host)
 	if ask.Key == 0 || host == adviser {
@@ -138,8 +138,8 @@
 }
 
 // fresh draws a prompt that nobody has.
-func (c *crew) fresh() fleet.Ask {
-	return fleet.Ask{Service: "s", Key: c.random.Uint64() | 1, Model: "m", Tokens: 600, SharedTokens: 300, Objective: 1500 * time.Millisecond}
+func (c *crew) fresh() fleet.Request {
+	return fleet.Request{Service: "s", Key: c.random.Uint64() | 1, Model: "m", Tokens: 600, SharedTokens: 300, Objective: 1500 * time.Millisecond}
 }
 
 var _ = Describe("a cold endpoint", func() {
@@ -289,7 +289,7 @@
 					f.Put(e)
 				}
 			})
-			c.play(2900*time.Millisecond, 250, func() fleet.Ask { return fleet.Ask{Service: "s"} })
+			c.play(2900*time.Millisecond, 250, func() fleet.Request { return fleet.Request{Service: "s"} })
 			Expect(c.worstOf(func(id string) bool { return id < "e003" })).To(BeNumerically("<=", int(coldMost)))
 			Expect(len(c.got["e000"])).To(BeNumerically(">", 5), "in the hosts' data hall")
 		})
@@ -300,7 +300,7 @@
 			c := newCrew(61, 1, 40)
 			one := c.fresh() // a prompt that is dear to read again
 			one.Tokens, one.SharedTokens, one.Parts = 20_000, 19_900, []fleet.Part{{ID: 7, Tokens: 19_900}, {ID: 8, Tokens: 100}}
-			c.play(4*time.Second, 30, func() fleet.Ask { return one })
+			c.play(4*time.Second, 30, func() fleet.Request { return one })
 			Expect(c.worstOf(func(string) bool { return true })).To(BeNumerically("<=", coldMost*3/5+1))
 		})
 	})
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -95,7 +95,7 @@
 
 // expect is what an attempt is expected to take, as the host knows that advises; false
 // if no endpoint takes it.
-func (x *exchange) expect(ask fleet.Ask) (fleet.Expectation, bool) {
+func (x *exchange) expect(ask fleet.Request) (fleet.Expectation, bool) {
 	if x.g.Advice != nil {
 		if e, ok := x.g.Advice.Expect(x.ctx, ask, x.versionKey); ok {
 			return e, true
@@ -118,8 +118,8 @@
 }
 
 // fleetAsk is what the choice of an endpoint for a model goes by.
-func (x *exchange) fleetAsk(model string) fleet.Ask {
-	return fleet.Ask{
+func (x *exchange) fleetAsk(model string) fleet.Request {
+	return fleet.Request{
 		Service: x.service, Allowed: x.g.Upgrades.Allowed(x.service, x.versionKey), Avoid: x.tried,
 		Key: x.affinity(model), Model: model, Tokens: x.ask.TokensIn, SharedTokens: x.ask.shared(),
 		Parts: x.parts(model), CacheTokens: x.memory(), Objective: x.route.Objective, Urgency: x.urgency,
--- a/internal/gateway/halls_test.go
+++ b/internal/gateway/halls_test.go
@@ -142,7 +142,7 @@
 				Conn: func(string) (grpc.ClientConnInterface, error) { return nil, net.ErrClosed },
 			})
 			for range advised / (100 * time.Millisecond) {
-				f.Advise(fleet.Ask{Service: "another", Key: 1})
+				f.Advise(fleet.Request{Service: "another", Key: 1})
 				time.Sleep(100 * time.Millisecond)
 			}
 			var asked sync.WaitGroup
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -16,7 +16,7 @@
 func (r *rig) fill(count int) []*fleet.Hold {
 	var holds []*fleet.Hold
 	for i := range count {
-		h, ok := r.fleet.Pick(fleet.Ask{Service: "model", Key: uint64(i) + 1, Model: "small", Tokens: 300, Objective: time.Second})
+		h, ok := r.fleet.Pick(fleet.Request{Service: "model", Key: uint64(i) + 1, Model: "small", Tokens: 300, Objective: time.Second})
 		Expect(ok).To(BeTrue())
 		holds = append(holds, h)
 	}
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -195,7 +195,7 @@
 			defer r.stop()
 			// Both endpoints read a prompt for longer than the objective.
 			for _, other := range []string{"model-1", "model-2"} {
-				hold, ok := r.fleet.Pick(fleet.Ask{Service: "model", Key: 1, Model: "large", Tokens: 400_000, Avoid: []string{other}})
+				hold, ok := r.fleet.Pick(fleet.Request{Service: "model", Key: 1, Model: "large", Tokens: 400_000, Avoid: []string{other}})
 				Expect(ok).To(BeTrue())
 				defer hold.Done(fleet.Result{})
 			}
--- a/internal/measure/capacity.go
+++ b/internal/measure/capacity.go
@@ -182,7 +182,7 @@
 		started = time.Now()
 		const picks = 2000
 		for range picks {
-			if h, ok := watch.Fleet().Pick(fleet.Ask{Key: 7}); ok {
+			if h, ok := watch.Fleet().Pick(fleet.Request{Key: 7}); ok {
 				h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			}
 		}
--- a/internal/ratelimit/callers_test.go
+++ b/internal/ratelimit/callers_test.go
@@ -67,7 +67,7 @@
 	came, turn := clock.Now(), int64(0)
 	for {
 		waited := clock.Since(came)
-		hold, decision := f.Place(fleet.Ask{Service: simService, MaxLimitWait: max(simWithin-waited, 1), Waited: waited, Turn: turn, Urgency: -1})
+		hold, decision := f.Place(fleet.Request{Service: simService, MaxLimitWait: max(simWithin-waited, 1), Waited: waited, Turn: turn, Urgency: -1})
 		if hold != nil {
 			w.arrive(h, f, hold)
 			return
