--- a/internal/fleet/heard.go
+++ b/internal/fleet/heard.go
@@ -13,7 +13,7 @@
 	Expected                 time.Duration // as it was sent
 	Queue                    time.Duration // of that, the wait for others
 	Urgency                  int           // with which it was sent
-	Read                     int           // tokens that had to be read
+	PrefillTokens            int           // tokens that had to be read
 	Sure                     bool          // none of them can have been kept
 	Load                     Load          // zero Slots if it said nothing
 	Refused                  bool          // the endpoint did not run the request
@@ -50,12 +50,12 @@
 	f.echo(m, h.Load, m.flying)
 	r := f.readingOf(h.Service, h.Model)
 	if rank(h.Urgency) == UrgencyLeast {
-		m.deals().waits[UrgencyLeast] = observedWait{wait: max(0, h.Took-r.head(h.Read)), at: f.options.Now()}
+		m.deals().waits[UrgencyLeast] = observedWait{wait: max(0, h.Took-r.head(h.PrefillTokens)), at: f.options.Now()}
 		return // it waited for all others on purpose
 	}
-	wait := max(0, h.Took-r.head(h.Read))
+	wait := max(0, h.Took-r.head(h.PrefillTokens))
 	m.deals().waits[rank(h.Urgency)] = observedWait{wait: wait, at: f.options.Now()}
-	f.prices[h.Service] = f.prices[h.Service].with(wait, r.tokens(h.Read))
+	f.prices[h.Service] = f.prices[h.Service].with(wait, r.tokens(h.PrefillTokens))
 	f.overruns[h.Service] = f.overruns[h.Service].with(h.Took, h.Expected)
 	r.add(h)
 }
--- a/internal/fleet/reading.go
+++ b/internal/fleet/reading.go
@@ -60,10 +60,10 @@
 // read tell for long: after a restart a host knows of nothing that is kept, and would take
 // warm prompts for engines that read in no time.
 func (r *reading) add(h Heard) {
-	if !r.free(h) && r.known(h.Read) {
+	if !r.free(h) && r.known(h.PrefillTokens) {
 		return
 	}
-	tokens, sure, took := h.Read, h.Sure, h.Took
+	tokens, sure, took := h.PrefillTokens, h.Sure, h.Took
 	if tokens < readingShort {
 		r.short.Add(max(took.Seconds()-float64(tokens)*r.perToken, 0))
 		r.base = clock.Seconds(r.short.Quantile(readingQuantile))
@@ -85,7 +85,7 @@
 // free reports whether an answer most likely waited for no other: none was expected, and
 // none waited when it began.
 func (r *reading) free(h Heard) bool {
-	return h.Load.Waiting == 0 && h.Queue <= max(freeQueue, time.Duration(freePart*float64(r.tokens(h.Read))))
+	return h.Load.Waiting == 0 && h.Queue <= max(freeQueue, time.Duration(freePart*float64(r.tokens(h.PrefillTokens))))
 }
 
 // known reports whether answers have told how long prompts of a length take.
