--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -144,9 +144,9 @@
 			f := newFleet()
 			before, _ := f.Advise(document(7, 100))
 			for range 30 {
-				f.Hear(fleet.Heard{Endpoint: before.Endpoint, Service: "s", Model: "m", Took: 3 * time.Second, Expected: time.Second, PrefillTokens: 1_000, Sure: true,
+				f.Hear(fleet.Heard{Endpoint: before.Endpoint, Service: "s", Model: "m", Took: 3 * time.Second, Expected: time.Second, PrefillTokens: 1_000, Exact: true,
 					Load: fleet.Load{Running: 4, Waiting: 9, Slots: 4}})
-				f.Hear(fleet.Heard{Endpoint: "e5", Service: "s", Model: "m", Took: 100 * time.Millisecond, Expected: 100 * time.Millisecond, PrefillTokens: 1_000, Sure: true})
+				f.Hear(fleet.Heard{Endpoint: "e5", Service: "s", Model: "m", Took: 100 * time.Millisecond, Expected: 100 * time.Millisecond, PrefillTokens: 1_000, Exact: true})
 			}
 			f.Hear(fleet.Heard{Endpoint: "gone", Service: "s", Model: "m", Took: time.Second})
 			after, _ := f.Advise(document(7, 101))
--- a/internal/fleet/heard.go
+++ b/internal/fleet/heard.go
@@ -14,7 +14,7 @@
 	Queue                    time.Duration // of that, the wait for others
 	Urgency                  int           // with which it was sent
 	PrefillTokens            int           // tokens that had to be read
-	Sure                     bool          // none of them can have been kept
+	Exact                    bool          // none of them can have been kept
 	Load                     Load          // zero Slots if it said nothing
 	Refused                  bool          // the endpoint did not run the request
 }
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -84,7 +84,7 @@
 func (h *Hold) heard(l Load) Heard {
 	return Heard{
 		Endpoint: h.Endpoint.ID, Ticket: h.advice.Ticket, Service: h.ask.Service, Model: h.ask.Model, Load: l,
-		Took: h.took, Expected: h.Expected.Head, Queue: h.Expected.Queue, Urgency: h.ask.Urgency, PrefillTokens: h.Expected.Read, Sure: h.Expected.Sure,
+		Took: h.took, Expected: h.Expected.Head, Queue: h.Expected.Queue, Urgency: h.ask.Urgency, PrefillTokens: h.Expected.Read, Exact: h.Expected.Sure,
 	}
 }
 
--- a/internal/fleet/reading.go
+++ b/internal/fleet/reading.go
@@ -63,7 +63,7 @@
 	if !r.free(h) && r.known(h.PrefillTokens) {
 		return
 	}
-	tokens, sure, took := h.PrefillTokens, h.Sure, h.Took
+	tokens, sure, took := h.PrefillTokens, h.Exact, h.Took
 	if tokens < readingShort {
 		r.short.Add(max(took.Seconds()-float64(tokens)*r.perToken, 0))
 		r.base = clock.Seconds(r.short.Quantile(readingQuantile))
