--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -291,7 +291,7 @@
 func (s *server) Choose(_ context.Context, r *advicepb.ChooseRequest) (*advicepb.ChooseReply, error) {
 	f := s.options.Fleet
 	for _, h := range r.GetHeads() {
-		f.Hear(headFromWire(h))
+		f.ObserveHead(headFromWire(h))
 	}
 	for _, e := range r.GetEnded() {
 		f.Ended(fleet.Advice{Endpoint: e.GetEndpoint(), Ticket: e.GetTicket()})
--- a/internal/fleet/heard.go
+++ b/internal/fleet/heard.go
@@ -23,8 +23,8 @@
 // it is called before any attempt is made.
 func (f *Fleet) OnHead(heard func(Heard)) { f.heard = heard }
 
-// Hear takes in what another host heard.
-func (f *Fleet) Hear(h Heard) {
+// ObserveHead takes in what another host heard.
+func (f *Fleet) ObserveHead(h Heard) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[h.Endpoint]
