--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -75,7 +75,7 @@
 	pauses  map[string]pausing     // by address
 	ended   []*advicepb.Ended      // advised requests that have ended, not told yet
 	results map[string]fleet.Tally // how attempts have gone, not told yet, by endpoint
-	heads   []fleet.Heard          // not told yet
+	heads   []fleet.HeadReport     // not told yet
 }
 
 // pausing is how long a host is not asked.
@@ -187,7 +187,7 @@
 }
 
 // Heard notes what the head of an answer told.
-func (a *Advisor) Heard(h fleet.Heard) {
+func (a *Advisor) Heard(h fleet.HeadReport) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.heads) < headsMost {
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -226,7 +226,7 @@
 			p := newPair()
 			defer p.stop()
 			for range 40 {
-				p.next.Heard(fleet.Heard{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, PrefillTokens: 100, Expected: time.Second})
+				p.next.Heard(fleet.HeadReport{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, PrefillTokens: 100, Expected: time.Second})
 			}
 			e, ok := p.next.Expect(ctx, ask(1), 0)
 			Expect(ok).To(BeTrue())
@@ -240,7 +240,7 @@
 			defer p.stop()
 			p.before = nil
 			for range 40 {
-				p.next.Heard(fleet.Heard{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, PrefillTokens: 100, Expected: time.Second})
+				p.next.Heard(fleet.HeadReport{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, PrefillTokens: 100, Expected: time.Second})
 				_, ok := p.next.Choose(ctx, ask(1), 0)
 				Expect(ok).To(BeFalse())
 			}
--- a/internal/advice/wire.go
+++ b/internal/advice/wire.go
@@ -8,15 +8,15 @@
 )
 
 //nolint:gosec // requests at an endpoint and tokens of a prompt are far fewer
-func headToWire(h fleet.Heard) *advicepb.Head {
+func headToWire(h fleet.HeadReport) *advicepb.Head {
 	return &advicepb.Head{
 		Endpoint: h.Endpoint, Ticket: h.Ticket, Service: h.Service, Model: h.Model, TookMicros: h.Took.Microseconds(), ExpectedMicros: h.Expected.Microseconds(), QueueMicros: h.Queue.Microseconds(), Urgency: int32(h.Urgency), Refused: h.Refused,
 		Read: int32(h.PrefillTokens), Sure: h.Exact, Running: int32(h.Load.Running), Waiting: int32(h.Load.Waiting), Slots: int32(h.Load.Slots), Pace: h.Load.Pace,
 	}
 }
 
-func headFromWire(w *advicepb.Head) fleet.Heard {
-	return fleet.Heard{
+func headFromWire(w *advicepb.Head) fleet.HeadReport {
+	return fleet.HeadReport{
 		Endpoint: w.GetEndpoint(), Ticket: w.GetTicket(), Service: w.GetService(), Model: w.GetModel(), Took: clock.Micros(w.GetTookMicros()), Expected: clock.Micros(w.GetExpectedMicros()), Queue: clock.Micros(w.GetQueueMicros()), Urgency: int(w.GetUrgency()), Refused: w.GetRefused(),
 		PrefillTokens: int(w.GetRead()), Exact: w.GetSure(), Load: fleet.Load{Running: int(w.GetRunning()), Waiting: int(w.GetWaiting()), Slots: int(w.GetSlots()), Pace: w.GetPace()},
 	}
--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -98,7 +98,7 @@
 			f := newFleet()
 			for own := range uint64(300) {
 				a, _ := f.Advise(document(1_000+own, 5_000+own))
-				f.ObserveHead(fleet.Heard{Endpoint: a.Endpoint, Ticket: a.Ticket, Service: "s", Model: "m", Took: 60 * time.Millisecond, Expected: a.Expected.Head})
+				f.ObserveHead(fleet.HeadReport{Endpoint: a.Endpoint, Ticket: a.Ticket, Service: "s", Model: "m", Took: 60 * time.Millisecond, Expected: a.Expected.Head})
 				f.Ended(a)
 			}
 			a, _ := f.Advise(document(7, 100))
@@ -111,7 +111,7 @@
 			f := newFleet()
 			full := fleet.Load{Running: 4, Waiting: 12, Slots: 4}
 			for _, id := range []string{"e0", "e1", "e2", "e3", "e4"} {
-				f.ObserveHead(fleet.Heard{Endpoint: id, Service: "s", Model: "m", Load: full, Refused: true})
+				f.ObserveHead(fleet.HeadReport{Endpoint: id, Service: "s", Model: "m", Load: full, Refused: true})
 			}
 			for i := range uint64(4) {
 				a, _ := f.Advise(note(10 + i))
@@ -125,7 +125,7 @@
 			f := newFleet()
 			for range 60 {
 				for _, id := range []string{"e0", "e1", "e2", "e3", "e4"} {
-					f.ObserveHead(fleet.Heard{Endpoint: id, Service: "s", Model: "m", Load: fleet.Load{Running: 4, Waiting: 8, Slots: 4}, Refused: true})
+					f.ObserveHead(fleet.HeadReport{Endpoint: id, Service: "s", Model: "m", Load: fleet.Load{Running: 4, Waiting: 8, Slots: 4}, Refused: true})
 				}
 			}
 			a, _ := f.Advise(note(1))
@@ -144,11 +144,11 @@
 			f := newFleet()
 			before, _ := f.Advise(document(7, 100))
 			for range 30 {
-				f.ObserveHead(fleet.Heard{Endpoint: before.Endpoint, Service: "s", Model: "m", Took: 3 * time.Second, Expected: time.Second, PrefillTokens: 1_000, Exact: true,
+				f.ObserveHead(fleet.HeadReport{Endpoint: before.Endpoint, Service: "s", Model: "m", Took: 3 * time.Second, Expected: time.Second, PrefillTokens: 1_000, Exact: true,
 					Load: fleet.Load{Running: 4, Waiting: 9, Slots: 4}})
-				f.ObserveHead(fleet.Heard{Endpoint: "e5", Service: "s", Model: "m", Took: 100 * time.Millisecond, Expected: 100 * time.Millisecond, PrefillTokens: 1_000, Exact: true})
+				f.ObserveHead(fleet.HeadReport{Endpoint: "e5", Service: "s", Model: "m", Took: 100 * time.Millisecond, Expected: 100 * time.Millisecond, PrefillTokens: 1_000, Exact: true})
 			}
-			f.ObserveHead(fleet.Heard{Endpoint: "gone", Service: "s", Model: "m", Took: time.Second})
+			f.ObserveHead(fleet.HeadReport{Endpoint: "gone", Service: "s", Model: "m", Took: time.Second})
 			after, _ := f.Advise(document(7, 101))
 			Expect(after.Endpoint).NotTo(Equal(before.Endpoint), "answers wait there")
 			Expect(after.Expected.Price).To(BeNumerically(">", before.Expected.Price))
--- a/internal/fleet/await_test.go
+++ b/internal/fleet/await_test.go
@@ -105,7 +105,7 @@
 			for key := range uint64(20) {
 				a, _ := f.Advise(note(10 + key))
 				Expect(a.Endpoint).NotTo(Equal(stuck.Endpoint))
-				f.ObserveHead(fleet.Heard{Endpoint: a.Endpoint, Ticket: a.Ticket, Service: "s", Model: "m", Took: 50 * time.Millisecond, PrefillTokens: 300})
+				f.ObserveHead(fleet.HeadReport{Endpoint: a.Endpoint, Ticket: a.Ticket, Service: "s", Model: "m", Took: 50 * time.Millisecond, PrefillTokens: 300})
 				f.Ended(a)
 			}
 			f.Ended(stuck)
--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -135,7 +135,7 @@
 			f.Learn(start(1).ID, fleet.Tally{Lost: 1})
 			f.Shun([]string{start(1).ID})
 			f.Report(start(1).ID, fleet.Report{Load: fleet.Load{Running: 40, Slots: 4}, Draining: true})
-			f.ObserveHead(fleet.Heard{Endpoint: start(1).ID, Service: "s", Model: "m", Ticket: advice.Ticket, Load: fleet.Load{Running: 4, Waiting: 30, Slots: 4}})
+			f.ObserveHead(fleet.HeadReport{Endpoint: start(1).ID, Service: "s", Model: "m", Ticket: advice.Ticket, Load: fleet.Load{Running: 4, Waiting: 30, Slots: 4}})
 			_, ok = f.PickAt(advice, prompt(9))
 			Expect(ok).To(BeFalse(), "advice on the start before")
 			view := f.View()[0]
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -53,7 +53,7 @@
 type Fleet struct {
 	options Options
 	observe func(id string, o Outcome) // nil if nobody minds
-	heard   func(Heard)                // as observe
+	heard   func(HeadReport)           // as observe
 	wanted  func()                     // as observe
 	known   chan struct{}              // closed once an endpoint was listed
 
--- a/internal/fleet/heard.go
+++ b/internal/fleet/heard.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Heard is what the head of an answer to a request with a prompt told of an endpoint.
-type Heard struct {
+// HeadReport is what the head of an answer to a request with a prompt told of an endpoint.
+type HeadReport struct {
 	Endpoint, Service, Model string
 	Ticket                   int64         // of the advice, 0 if there was none
 	Took                     time.Duration // from the sending of the request
@@ -21,10 +21,10 @@
 
 // OnHead has a function told of the head of each answer to a request with a prompt;
 // it is called before any attempt is made.
-func (f *Fleet) OnHead(heard func(Heard)) { f.heard = heard }
+func (f *Fleet) OnHead(heard func(HeadReport)) { f.heard = heard }
 
 // ObserveHead takes in what another host heard.
-func (f *Fleet) ObserveHead(h Heard) {
+func (f *Fleet) ObserveHead(h HeadReport) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[h.Endpoint]
@@ -46,7 +46,7 @@
 
 // hear takes in the head of an answer: the endpoint's load and waits, and the time
 // that reading takes.
-func (f *Fleet) hear(m *member, h Heard) {
+func (f *Fleet) hear(m *member, h HeadReport) {
 	f.echo(m, h.Load, m.flying)
 	r := f.readingOf(h.Service, h.Model)
 	if rank(h.Urgency) == UrgencyLeast {
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -81,8 +81,8 @@
 func (h *Hold) Urgency() int { return h.ask.Urgency }
 
 // heard is what the head of the answer told.
-func (h *Hold) heard(l Load) Heard {
-	return Heard{
+func (h *Hold) heard(l Load) HeadReport {
+	return HeadReport{
 		Endpoint: h.Endpoint.ID, Ticket: h.advice.Ticket, Service: h.ask.Service, Model: h.ask.Model, Load: l,
 		Took: h.took, Expected: h.Expected.Head, Queue: h.Expected.Queue, Urgency: h.ask.Urgency, PrefillTokens: h.Expected.Read, Exact: h.Expected.Sure,
 	}
--- a/internal/fleet/reading.go
+++ b/internal/fleet/reading.go
@@ -59,7 +59,7 @@
 // add takes in an answer's head. Only answers of which all tokens are sure to have been
 // read tell for long: after a restart a host knows of nothing that is kept, and would take
 // warm prompts for engines that read in no time.
-func (r *reading) add(h Heard) {
+func (r *reading) add(h HeadReport) {
 	if !r.free(h) && r.known(h.PrefillTokens) {
 		return
 	}
@@ -84,7 +84,7 @@
 
 // free reports whether an answer most likely waited for no other: none was expected, and
 // none waited when it began.
-func (r *reading) free(h Heard) bool {
+func (r *reading) free(h HeadReport) bool {
 	return h.Load.Waiting == 0 && h.Queue <= max(freeQueue, time.Duration(freePart*float64(r.tokens(h.PrefillTokens))))
 }
 
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -107,8 +107,8 @@
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(standin.Reply{Status: 503, NotRun: true})})
 			defer r.stop()
-			var heard []fleet.Heard
-			r.fleet.OnHead(func(h fleet.Heard) { heard = append(heard, h) })
+			var heard []fleet.HeadReport
+			r.fleet.OnHead(func(h fleet.HeadReport) { heard = append(heard, h) })
 			Expect(r.ask(prompt("/stream/1")).Status).To(Equal(503))
 			Expect(heard).NotTo(BeEmpty())
 			for _, h := range heard {
