--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -86,7 +86,7 @@
 			f, other := newFleet(), newFleet()
 			_, _ = f.Advise(document(7, 100))
 			a, _ := f.Advise(document(7, 101))
-			Expect(a.Expected.Read).To(Equal(1_000))
+			Expect(a.Expected.PrefillTokens).To(Equal(1_000))
 			h, ok := other.PickAt(a, document(7, 101))
 			Expect(ok).To(BeTrue())
 			Expect(h.Expected).To(Equal(a.Expected))
--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -127,7 +127,7 @@
 			Expect(f.View()[0].InFlight).To(BeZero(), "its requests")
 			e, ok := f.Expect(prompt(7))
 			Expect(ok).To(BeTrue())
-			Expect(e.Read).To(Equal(6000), "its memory of prompts")
+			Expect(e.PrefillTokens).To(Equal(6000), "its memory of prompts")
 			Expect(e.Queue).To(BeZero(), "its awaited answers")
 
 			sent.Head(fleet.Load{Running: 4, Waiting: 30, Slots: 4}) // the connection was open
--- a/internal/fleet/expect.go
+++ b/internal/fleet/expect.go
@@ -7,12 +7,12 @@
 
 // Expectation is what an attempt is expected to take.
 type Expectation struct {
-	Head  time.Duration // until the head of the answer
-	Queue time.Duration // of it, the wait for others
-	Work  time.Duration // of the engine, to read the prompt
-	Read  int           // tokens of the prompt that have to be read
-	Sure  bool          // they can't be kept: all parts that others have too are known to be
-	Price float64       // seconds that others wait for a second of work
+	Head          time.Duration // until the head of the answer
+	Queue         time.Duration // of it, the wait for others
+	Work          time.Duration // of the engine, to read the prompt
+	PrefillTokens int           // tokens of the prompt that have to be read
+	Sure          bool          // they can't be kept: all parts that others have too are known to be
+	Price         float64       // seconds that others wait for a second of work
 	// Overrun is how much longer than expected heads take.
 	Overrun Overrun
 }
--- a/internal/fleet/memory_test.go
+++ b/internal/fleet/memory_test.go
@@ -22,7 +22,7 @@
 func read(f *fleet.Fleet, ask fleet.Request) *fleet.Hold {
 	h, ok := f.Pick(ask)
 	Expect(ok).To(BeTrue())
-	time.Sleep(time.Duration(h.Expected.Read) * 100 * time.Microsecond)
+	time.Sleep(time.Duration(h.Expected.PrefillTokens) * 100 * time.Microsecond)
 	h.Head(fleet.Load{})
 	h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 	return h
@@ -40,7 +40,7 @@
 			for own := range uint64(5) {
 				h := read(f, document(7, 200+own))
 				Expect(h.Endpoint.ID).To(Equal(second))
-				Expect(h.Expected.Read).To(Equal(1_000))
+				Expect(h.Expected.PrefillTokens).To(Equal(1_000))
 			}
 		})
 	})
@@ -53,7 +53,7 @@
 			ask.Unadvised = unadvised
 			e, ok := f.Expect(ask)
 			Expect(ok).To(BeTrue())
-			return e.Read
+			return e.PrefillTokens
 		}
 		Expect(home(1, false)).To(Equal(10_000), "this host knows all that was sent")
 		Expect(home(1, true)).To(Equal(3_250))
@@ -68,7 +68,7 @@
 			other := document(8, 300)
 			other.SharedTokens = 0 // nobody else has it, so that its home tells nothing
 			h, _ := f.Pick(other)
-			Expect(h.Expected.Read).To(Equal(6_000))
+			Expect(h.Expected.PrefillTokens).To(Equal(6_000))
 		})
 	})
 
@@ -80,7 +80,7 @@
 			other := document(7, 300)
 			other.SharedTokens, other.Parts[0].ID = 0, 2 // another beginning before the same chapter
 			h, _ := f.Pick(other)
-			Expect(h.Expected.Read).To(Equal(10_000))
+			Expect(h.Expected.PrefillTokens).To(Equal(10_000))
 		})
 	})
 
@@ -100,7 +100,7 @@
 			read(f, at("gap", third))
 			read(f, at("other", first, second))
 			h, _ := f.Pick(at("gap", first, second, third))
-			Expect(h.Expected.Read).To(Equal(6_000))
+			Expect(h.Expected.PrefillTokens).To(Equal(6_000))
 		})
 	})
 
@@ -114,7 +114,7 @@
 				ask.SharedTokens = 0
 				h, _ := f.Pick(ask)
 				h.Done(fleet.Result{Outcome: fleet.OutcomeNeutral})
-				return h.Expected.Read
+				return h.Expected.PrefillTokens
 			}
 			h, _ := f.Pick(document(7, 100))
 			h.Done(fleet.Result{Outcome: fleet.OutcomeRefused})
@@ -139,7 +139,7 @@
 				read(f, document(7+own, 100+own))
 			}
 			e, _ := f.Expect(document(99, 999))
-			Expect(e.Work).To(BeNumerically("~", time.Duration(e.Read)*100*time.Microsecond, 100*time.Millisecond))
+			Expect(e.Work).To(BeNumerically("~", time.Duration(e.PrefillTokens)*100*time.Microsecond, 100*time.Millisecond))
 		})
 	})
 
@@ -153,7 +153,7 @@
 				h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			}
 			e, _ := f.Expect(document(99, 999))
-			Expect(e.Work).To(BeNumerically(">=", time.Duration(e.Read)*10*time.Microsecond), "the prior")
+			Expect(e.Work).To(BeNumerically(">=", time.Duration(e.PrefillTokens)*10*time.Microsecond), "the prior")
 		})
 	})
 
@@ -170,12 +170,12 @@
 				burst = append(burst, h)
 			}
 			for _, h := range burst {
-				time.Sleep(time.Duration(h.Expected.Read) * 100 * time.Microsecond)
+				time.Sleep(time.Duration(h.Expected.PrefillTokens) * 100 * time.Microsecond)
 				h.Head(fleet.Load{})
 				h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			}
 			e, _ := f.Expect(document(999, 9999))
-			Expect(e.Work).To(BeNumerically("~", time.Duration(e.Read)*100*time.Microsecond, 200*time.Millisecond), "twelve times that before")
+			Expect(e.Work).To(BeNumerically("~", time.Duration(e.PrefillTokens)*100*time.Microsecond, 200*time.Millisecond), "twelve times that before")
 		})
 	})
 
@@ -191,7 +191,7 @@
 				read(f, document(7+own, 100+own))
 			}
 			e, _ := f.Expect(document(99, 999))
-			Expect(e.Work).To(BeNumerically(">", time.Duration(e.Read)*80*time.Microsecond))
+			Expect(e.Work).To(BeNumerically(">", time.Duration(e.PrefillTokens)*80*time.Microsecond))
 		})
 	})
 })
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -84,7 +84,7 @@
 func (h *Hold) heard(l Load) HeadReport {
 	return HeadReport{
 		Endpoint: h.Endpoint.ID, Ticket: h.advice.Ticket, Service: h.ask.Service, Model: h.ask.Model, Load: l,
-		Took: h.took, Expected: h.Expected.Head, Queue: h.Expected.Queue, Urgency: h.ask.Urgency, PrefillTokens: h.Expected.Read, Exact: h.Expected.Sure,
+		Took: h.took, Expected: h.Expected.Head, Queue: h.Expected.Queue, Urgency: h.ask.Urgency, PrefillTokens: h.Expected.PrefillTokens, Exact: h.Expected.Sure,
 	}
 }
 
@@ -283,7 +283,7 @@
 	m, r := c.member, f.readingOf(ask.Service, ask.Model)
 	queue := f.queue(m, ask.Urgency, m.load(c.now, f.sharers(ask.Service)), c.now)
 	return Expectation{
-		Head: queue + time.Duration(m.pace()*float64(r.head(c.unread))), Queue: queue, Work: r.tokens(c.unread), Read: c.unread,
+		Head: queue + time.Duration(m.pace()*float64(r.head(c.unread))), Queue: queue, Work: r.tokens(c.unread), PrefillTokens: c.unread,
 		Sure: c.unread <= ask.Tokens-ask.SharedTokens && f.memory.known(m) >= ask.SharedTokens, Price: f.prices[ask.Service].perSecond(), Overrun: f.overruns[ask.Service],
 	}
 }
@@ -295,7 +295,7 @@
 	if ask.Key == 0 {
 		return h
 	}
-	h.idle = f.readingOf(ask.Service, ask.Model).head(expected.Read)
+	h.idle = f.readingOf(ask.Service, ask.Model).head(expected.PrefillTokens)
 	h.ticket = f.await(m, expected, ask.Urgency, now)
 	f.note(m, ask)
 	return h
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -78,7 +78,7 @@
 func (x *exchange) logWeighing(w weighing, granted bool) {
 	x.g.Logger.Info("larger model weighed", "id", x.ask.ID, "model", w.model, "confidence", w.confidence, "kept", w.kept.Value(),
 		"larger", w.larger.Value(), "use", w.larger.Use, "delay", w.larger.Delay, "in_time", w.larger.InTime, "took_ms", w.took.Milliseconds(),
-		"expected_ms", w.expected.Head.Milliseconds(), "read", w.expected.Read, "price", w.expected.Price, "better", w.better(), "asked", granted)
+		"expected_ms", w.expected.Head.Milliseconds(), "read", w.expected.PrefillTokens, "price", w.expected.Price, "better", w.better(), "asked", granted)
 }
 
 // noteBeginning takes in how much better the request would have done if it had begun
