--- a/internal/advice/wire.go
+++ b/internal/advice/wire.go
@@ -50,14 +50,14 @@
 
 func expectationToWire(e fleet.Expectation) *advicepb.Expectation {
 	return &advicepb.Expectation{
-		HeadMicros: e.Head.Microseconds(), QueueMicros: e.Queue.Microseconds(), WorkMicros: e.Work.Microseconds(), Read: int32(e.PrefillTokens), Sure: e.Sure, Price: e.Price, //nolint:gosec // prompts are far shorter
+		HeadMicros: e.Head.Microseconds(), QueueMicros: e.Queue.Microseconds(), WorkMicros: e.PrefillTime.Microseconds(), Read: int32(e.PrefillTokens), Sure: e.Sure, Price: e.Price, //nolint:gosec // prompts are far shorter
 		OverrunMean: e.Overrun.Mean, OverrunVariance: e.Overrun.Variance,
 	}
 }
 
 func expectationFromWire(w *advicepb.Expectation) fleet.Expectation {
 	return fleet.Expectation{
-		Head: clock.Micros(w.GetHeadMicros()), Queue: clock.Micros(w.GetQueueMicros()), Work: clock.Micros(w.GetWorkMicros()),
+		Head: clock.Micros(w.GetHeadMicros()), Queue: clock.Micros(w.GetQueueMicros()), PrefillTime: clock.Micros(w.GetWorkMicros()),
 		PrefillTokens: int(w.GetRead()), Sure: w.GetSure(), Price: w.GetPrice(), Overrun: fleet.Overrun{Mean: w.GetOverrunMean(), Variance: w.GetOverrunVariance()},
 	}
 }
--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -102,7 +102,7 @@
 				f.Ended(a)
 			}
 			a, _ := f.Advise(document(7, 100))
-			Expect(a.Expected.Head).To(BeNumerically("<", a.Expected.Work+100*time.Millisecond), "5 s by what was booked")
+			Expect(a.Expected.Head).To(BeNumerically("<", a.Expected.PrefillTime+100*time.Millisecond), "5 s by what was booked")
 		})
 	})
 
--- a/internal/fleet/await.go
+++ b/internal/fleet/await.go
@@ -24,7 +24,7 @@
 // await notes a request of which the head is awaited, and returns its ticket.
 func (f *Fleet) await(m *member, expected Expectation, urgency int, now clock.Instant) int64 {
 	f.tickets++
-	a := awaited{ticket: f.tickets, sent: now, due: now.Add(expected.Head), rank: rank(urgency), work: expected.Work}
+	a := awaited{ticket: f.tickets, sent: now, due: now.Add(expected.Head), rank: rank(urgency), work: expected.PrefillTime}
 	m.booked = now.Add(m.readsFor(UrgencyLeast, now) + a.work)
 	m.deals().backlog.add(a.rank, 1, a.work)
 	m.awaiting = append(m.awaiting, a)
--- a/internal/fleet/expect.go
+++ b/internal/fleet/expect.go
@@ -9,7 +9,7 @@
 type Expectation struct {
 	Head          time.Duration // until the head of the answer
 	Queue         time.Duration // of it, the wait for others
-	Work          time.Duration // of the engine, to read the prompt
+	PrefillTime   time.Duration // of the engine, to read the prompt
 	PrefillTokens int           // tokens of the prompt that have to be read
 	Sure          bool          // they can't be kept: all parts that others have too are known to be
 	Price         float64       // seconds that others wait for a second of work
--- a/internal/fleet/memory_test.go
+++ b/internal/fleet/memory_test.go
@@ -139,7 +139,7 @@
 				read(f, document(7+own, 100+own))
 			}
 			e, _ := f.Expect(document(99, 999))
-			Expect(e.Work).To(BeNumerically("~", time.Duration(e.PrefillTokens)*100*time.Microsecond, 100*time.Millisecond))
+			Expect(e.PrefillTime).To(BeNumerically("~", time.Duration(e.PrefillTokens)*100*time.Microsecond, 100*time.Millisecond))
 		})
 	})
 
@@ -153,7 +153,7 @@
 				h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			}
 			e, _ := f.Expect(document(99, 999))
-			Expect(e.Work).To(BeNumerically(">=", time.Duration(e.PrefillTokens)*10*time.Microsecond), "the prior")
+			Expect(e.PrefillTime).To(BeNumerically(">=", time.Duration(e.PrefillTokens)*10*time.Microsecond), "the prior")
 		})
 	})
 
@@ -175,7 +175,7 @@
 				h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			}
 			e, _ := f.Expect(document(999, 9999))
-			Expect(e.Work).To(BeNumerically("~", time.Duration(e.PrefillTokens)*100*time.Microsecond, 200*time.Millisecond), "twelve times that before")
+			Expect(e.PrefillTime).To(BeNumerically("~", time.Duration(e.PrefillTokens)*100*time.Microsecond, 200*time.Millisecond), "twelve times that before")
 		})
 	})
 
@@ -191,7 +191,7 @@
 				read(f, document(7+own, 100+own))
 			}
 			e, _ := f.Expect(document(99, 999))
-			Expect(e.Work).To(BeNumerically(">", time.Duration(e.PrefillTokens)*80*time.Microsecond))
+			Expect(e.PrefillTime).To(BeNumerically(">", time.Duration(e.PrefillTokens)*80*time.Microsecond))
 		})
 	})
 })
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -283,7 +283,7 @@
 	m, r := c.member, f.readingOf(ask.Service, ask.Model)
 	queue := f.queue(m, ask.Urgency, m.load(c.now, f.sharers(ask.Service)), c.now)
 	return Expectation{
-		Head: queue + time.Duration(m.pace()*float64(r.head(c.unread))), Queue: queue, Work: r.tokens(c.unread), PrefillTokens: c.unread,
+		Head: queue + time.Duration(m.pace()*float64(r.head(c.unread))), Queue: queue, PrefillTime: r.tokens(c.unread), PrefillTokens: c.unread,
 		Sure: c.unread <= ask.Tokens-ask.SharedTokens && f.memory.known(m) >= ask.SharedTokens, Price: f.prices[ask.Service].perSecond(), Overrun: f.overruns[ask.Service],
 	}
 }
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -71,7 +71,7 @@
 	if x.route.Objective <= 0 {
 		return 0
 	}
-	return e.Price * e.Work.Seconds() / x.route.Objective.Seconds()
+	return e.Price * e.PrefillTime.Seconds() / x.route.Objective.Seconds()
 }
 
 // logWeighing writes the line about a small model's answer.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -213,7 +213,7 @@
 		"config", version, "config_age_ms", age.Milliseconds(),
 		"endpoint", x.endpoint, "version", x.version, "upgrade", x.g.Upgrades.Standing(x.service).String(), "model", x.model, "larger", x.larger, "urgency", x.urgency,
 		"sends", x.sends, "rejections", x.rejections, "crashes", x.crashes, "fingerprint", x.known(), "waits", x.waits, "advice", x.advice,
-		"tokens", x.ask.TokensIn, "read", x.expected.PrefillTokens, "work_ms", x.expected.Work.Milliseconds(), "price", x.expected.Price,
+		"tokens", x.ask.TokensIn, "read", x.expected.PrefillTokens, "work_ms", x.expected.PrefillTime.Milliseconds(), "price", x.expected.Price,
 		"first_ms", x.first.Milliseconds(), "objective_ms", x.route.Objective.Milliseconds(),
 		"head_ms", x.head.Milliseconds(), "expected_ms", x.expected.Head.Milliseconds(), "queue_ms", x.expected.Queue.Milliseconds(),
 		"events", x.events, "pause_ms", x.pause.Milliseconds(), "gap_ms", x.route.Gap.Milliseconds(), "shortest_us", x.shortest.Microseconds(),
