--- a/internal/advice/wire.go
+++ b/internal/advice/wire.go
@@ -50,7 +50,7 @@
 
 func expectationToWire(e fleet.Expectation) *advicepb.Expectation {
 	return &advicepb.Expectation{
-		HeadMicros: e.Head.Microseconds(), QueueMicros: e.Queue.Microseconds(), WorkMicros: e.PrefillTime.Microseconds(), Read: int32(e.PrefillTokens), Sure: e.Sure, Price: e.Price, //nolint:gosec // prompts are far shorter
+		HeadMicros: e.Head.Microseconds(), QueueMicros: e.Queue.Microseconds(), WorkMicros: e.PrefillTime.Microseconds(), Read: int32(e.PrefillTokens), Sure: e.Exact, Price: e.Price, //nolint:gosec // prompts are far shorter
 		OverrunMean: e.Overrun.Mean, OverrunVariance: e.Overrun.Variance,
 	}
 }
@@ -58,7 +58,7 @@
 func expectationFromWire(w *advicepb.Expectation) fleet.Expectation {
 	return fleet.Expectation{
 		Head: clock.Micros(w.GetHeadMicros()), Queue: clock.Micros(w.GetQueueMicros()), PrefillTime: clock.Micros(w.GetWorkMicros()),
-		PrefillTokens: int(w.GetRead()), Sure: w.GetSure(), Price: w.GetPrice(), Overrun: fleet.Overrun{Mean: w.GetOverrunMean(), Variance: w.GetOverrunVariance()},
+		PrefillTokens: int(w.GetRead()), Exact: w.GetSure(), Price: w.GetPrice(), Overrun: fleet.Overrun{Mean: w.GetOverrunMean(), Variance: w.GetOverrunVariance()},
 	}
 }
 
--- a/internal/fleet/expect.go
+++ b/internal/fleet/expect.go
@@ -11,7 +11,7 @@
 	Queue         time.Duration // of it, the wait for others
 	PrefillTime   time.Duration // of the engine, to read the prompt
 	PrefillTokens int           // tokens of the prompt that have to be read
-	Sure          bool          // they can't be kept: all parts that others have too are known to be
+	Exact         bool          // they can't be kept: all parts that others have too are known to be
 	Price         float64       // seconds that others wait for a second of work
 	// Overrun is how much longer than expected heads take.
 	Overrun Overrun
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -84,7 +84,7 @@
 func (h *Hold) heard(l Load) HeadReport {
 	return HeadReport{
 		Endpoint: h.Endpoint.ID, Ticket: h.advice.Ticket, Service: h.ask.Service, Model: h.ask.Model, Load: l,
-		Took: h.took, Expected: h.Expected.Head, Queue: h.Expected.Queue, Urgency: h.ask.Urgency, PrefillTokens: h.Expected.PrefillTokens, Exact: h.Expected.Sure,
+		Took: h.took, Expected: h.Expected.Head, Queue: h.Expected.Queue, Urgency: h.ask.Urgency, PrefillTokens: h.Expected.PrefillTokens, Exact: h.Expected.Exact,
 	}
 }
 
@@ -284,7 +284,7 @@
 	queue := f.queue(m, ask.Urgency, m.load(c.now, f.sharers(ask.Service)), c.now)
 	return Expectation{
 		Head: queue + time.Duration(m.pace()*float64(r.head(c.unread))), Queue: queue, PrefillTime: r.tokens(c.unread), PrefillTokens: c.unread,
-		Sure: c.unread <= ask.Tokens-ask.SharedTokens && f.memory.known(m) >= ask.SharedTokens, Price: f.prices[ask.Service].perSecond(), Overrun: f.overruns[ask.Service],
+		Exact: c.unread <= ask.Tokens-ask.SharedTokens && f.memory.known(m) >= ask.SharedTokens, Price: f.prices[ask.Service].perSecond(), Overrun: f.overruns[ask.Service],
 	}
 }
 
