--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -103,7 +103,7 @@
 	}
 	return fleet.Advice{
 		Endpoint: reply.GetEndpoint(), Ticket: reply.GetTicket(), Expected: expectationFromWire(reply.GetExpected()), Decision: decisionFromWire(reply),
-		Limited: reply.GetLimited(),
+		LimitCounted: reply.GetLimited(),
 	}, true
 }
 
@@ -317,7 +317,7 @@
 	}
 	if advised, ok := f.Advise(ask); ok {
 		reply.Endpoint, reply.Ticket, reply.Expected = advised.Endpoint, advised.Ticket, expectationToWire(advised.Expected)
-		reply.Limited = advised.Limited
+		reply.Limited = advised.LimitCounted
 		decisionToWire(advised.Decision, reply)
 	}
 	return reply, nil
--- a/internal/fleet/advise.go
+++ b/internal/fleet/advise.go
@@ -15,8 +15,8 @@
 	Expected Expectation
 	// Decision is what becomes of the request. One that waits or is refused has no endpoint.
 	Decision admission.Decision
-	// Limited tells that the adviser knows of the endpoint's limit, and has counted the request.
-	Limited bool
+	// LimitCounted tells that the adviser knows of the endpoint's limit, and has counted the request.
+	LimitCounted bool
 }
 
 // advised is a request of another host at an endpoint.
@@ -37,7 +37,7 @@
 	if !ok || m.Service != ask.Service || !f.usable(m, ask) || m.ejected(now) || !m.lapsed.IsZero() {
 		return nil, false
 	}
-	if f.limited(m) && m.limited.holds() && !a.Limited {
+	if f.limited(m) && m.limited.holds() && !a.LimitCounted {
 		return nil, false // the adviser has not heard of it
 	}
 	if _, behind := a.Decision.(admission.Behind); behind {
@@ -62,7 +62,7 @@
 	}
 	m := p.member
 	f.sends(m, ask, p.now)
-	a := Advice{Endpoint: m.ID, Expected: p.expected, Decision: p.decision, Limited: f.limited(m) && m.limited.holds()}
+	a := Advice{Endpoint: m.ID, Expected: p.expected, Decision: p.decision, LimitCounted: f.limited(m) && m.limited.holds()}
 	f.note(m, ask)
 	a.Ticket = f.await(m, a.Expected, p.ask.Urgency, p.now)
 	m.advised = append(m.advised, advised{ticket: a.Ticket, at: p.now})
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -144,7 +144,7 @@
 			f.HearLimit("e0", named(2), clock.Now())
 			_, ok := f.PickAt(fleet.Advice{Endpoint: "e0"}, fleet.Request{Service: "s"})
 			Expect(ok).To(BeFalse())
-			_, ok = f.PickAt(fleet.Advice{Endpoint: "e0", Limited: true}, fleet.Request{Service: "s"})
+			_, ok = f.PickAt(fleet.Advice{Endpoint: "e0", LimitCounted: true}, fleet.Request{Service: "s"})
 			Expect(ok).To(BeTrue())
 		})
 	})
