--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -294,7 +294,7 @@
 		f.ObserveHead(headFromWire(h))
 	}
 	for _, e := range r.GetEnded() {
-		f.Ended(fleet.Advice{Endpoint: e.GetEndpoint(), Ticket: e.GetTicket()})
+		f.EndAdvised(fleet.Advice{Endpoint: e.GetEndpoint(), Ticket: e.GetTicket()})
 	}
 	for _, t := range r.GetResults() {
 		f.Learn(t.GetEndpoint(), fleet.Tally{Good: t.GetGood(), Failed: t.GetFailed(), Lost: t.GetLost()})
--- a/internal/fleet/advise.go
+++ b/internal/fleet/advise.go
@@ -69,8 +69,8 @@
 	return a, true
 }
 
-// Ended takes a request of another host out of the count at its endpoint.
-func (f *Fleet) Ended(a Advice) {
+// EndAdvised takes a request of another host out of the count at its endpoint.
+func (f *Fleet) EndAdvised(a Advice) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[a.Endpoint]
--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -51,7 +51,7 @@
 			for id, list := range advise(f, 60, 1) {
 				for _, a := range list {
 					if id != "e0" {
-						f.Ended(a)
+						f.EndAdvised(a)
 					}
 				}
 			}
@@ -99,7 +99,7 @@
 			for own := range uint64(300) {
 				a, _ := f.Advise(document(1_000+own, 5_000+own))
 				f.ObserveHead(fleet.HeadReport{Endpoint: a.Endpoint, Ticket: a.Ticket, Service: "s", Model: "m", Took: 60 * time.Millisecond, Expected: a.Expected.Head})
-				f.Ended(a)
+				f.EndAdvised(a)
 			}
 			a, _ := f.Advise(document(7, 100))
 			Expect(a.Expected.Head).To(BeNumerically("<", a.Expected.PrefillTime+100*time.Millisecond), "5 s by what was booked")
--- a/internal/fleet/await_test.go
+++ b/internal/fleet/await_test.go
@@ -106,9 +106,9 @@
 				a, _ := f.Advise(note(10 + key))
 				Expect(a.Endpoint).NotTo(Equal(stuck.Endpoint))
 				f.ObserveHead(fleet.HeadReport{Endpoint: a.Endpoint, Ticket: a.Ticket, Service: "s", Model: "m", Took: 50 * time.Millisecond, PrefillTokens: 300})
-				f.Ended(a)
+				f.EndAdvised(a)
 			}
-			f.Ended(stuck)
+			f.EndAdvised(stuck)
 			again, _ := f.Advise(document(1, 2))
 			Expect(again.Endpoint).To(Equal(stuck.Endpoint), "the request has ended otherwise, and it is kept there")
 		})
--- a/internal/fleet/warm_test.go
+++ b/internal/fleet/warm_test.go
@@ -106,7 +106,7 @@
 		}
 		h, ok := f.PickAt(advised, ask)
 		Expect(ok).To(BeTrue())
-		h.OnDone = func() { c.hosts[adviser].Ended(advised) }
+		h.OnDone = func() { c.hosts[adviser].EndAdvised(advised) }
 		return h
 	}
 	ask.Unadvised = true
