--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -297,7 +297,7 @@
 		f.EndAdvised(fleet.Advice{Endpoint: e.GetEndpoint(), Ticket: e.GetTicket()})
 	}
 	for _, t := range r.GetResults() {
-		f.Learn(t.GetEndpoint(), fleet.Tally{Good: t.GetGood(), Failed: t.GetFailed(), Lost: t.GetLost()})
+		f.AddTally(t.GetEndpoint(), fleet.Tally{Good: t.GetGood(), Failed: t.GetFailed(), Lost: t.GetLost()})
 	}
 	learnLimits(f, r.GetLimits())
 	ask := fleet.Request{
--- a/internal/fleet/advise.go
+++ b/internal/fleet/advise.go
@@ -130,8 +130,8 @@
 	ejectedMost  = 32 // endpoints in a reply
 )
 
-// Learn takes in how another host's attempts at an endpoint have gone.
-func (f *Fleet) Learn(id string, t Tally) {
+// AddTally takes in how another host's attempts at an endpoint have gone.
+func (f *Fleet) AddTally(id string, t Tally) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[id]
--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -159,12 +159,12 @@
 		suite.Paused(func() {
 			f := newFleet()
 			for range 50 {
-				f.Learn("e1", fleet.Tally{Good: 6, Failed: 1}) // a seventh fails by itself
+				f.AddTally("e1", fleet.Tally{Good: 6, Failed: 1}) // a seventh fails by itself
 			}
 			Expect(f.Ejected()).To(BeEmpty())
-			f.Learn("e2", fleet.Tally{Failed: 9})
-			f.Learn("e3", fleet.Tally{Lost: 2})
-			f.Learn("gone", fleet.Tally{Lost: 2})
+			f.AddTally("e2", fleet.Tally{Failed: 9})
+			f.AddTally("e3", fleet.Tally{Lost: 2})
+			f.AddTally("gone", fleet.Tally{Lost: 2})
 			Expect(f.Ejected()).To(ConsistOf("e2", "e3"))
 			time.Sleep(10 * time.Second)
 			Expect(f.Ejected()).To(BeEmpty())
--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -116,7 +116,7 @@
 			f.Reset([]fleet.Endpoint{start(1)}, false)
 			sent, ok := f.Pick(prompt(7))
 			Expect(ok).To(BeTrue())
-			f.Learn(start(1).ID, fleet.Tally{Failed: 5})
+			f.AddTally(start(1).ID, fleet.Tally{Failed: 5})
 			Expect(f.Ejected()).To(Equal([]string{start(1).ID}))
 			advice, ok := f.Advise(prompt(9))
 			Expect(ok).To(BeTrue())
@@ -132,7 +132,7 @@
 
 			sent.Head(fleet.Load{Running: 4, Waiting: 30, Slots: 4}) // the connection was open
 			sent.Done(fleet.Result{Outcome: fleet.OutcomeFailed})
-			f.Learn(start(1).ID, fleet.Tally{Lost: 1})
+			f.AddTally(start(1).ID, fleet.Tally{Lost: 1})
 			f.Shun([]string{start(1).ID})
 			f.Report(start(1).ID, fleet.Report{Load: fleet.Load{Running: 40, Slots: 4}, Draining: true})
 			f.ObserveHead(fleet.HeadReport{Endpoint: start(1).ID, Service: "s", Model: "m", Ticket: advice.Ticket, Load: fleet.Load{Running: 4, Waiting: 30, Slots: 4}})
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -188,7 +188,7 @@
 		suite.Paused(func() {
 			f := limitedFleet()
 			f.HearLimit("e0", named(2), clock.Now())
-			f.Learn("e1", fleet.Tally{Lost: 1})
+			f.AddTally("e1", fleet.Tally{Lost: 1})
 			_, d := f.Place(ask(5))
 			wait, ok := d.(admission.Wait)
 			Expect(ok).To(BeTrue())
--- a/internal/fleet/warm_test.go
+++ b/internal/fleet/warm_test.go
@@ -87,7 +87,7 @@
 		time.Sleep(300 * time.Millisecond)
 		h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 		if host != 0 {
-			c.hosts[0].Learn(h.Endpoint.ID, fleet.Tally{Good: 1})
+			c.hosts[0].AddTally(h.Endpoint.ID, fleet.Tally{Good: 1})
 		}
 	}()
 }
@@ -247,7 +247,7 @@
 		"can't be reached": func(_ *fleet.Fleet, h *fleet.Hold) { h.Done(fleet.Result{Outcome: fleet.OutcomeLost}) },
 		"broke all that ran there": func(f *fleet.Fleet, h *fleet.Hold) {
 			h.Done(fleet.Result{Outcome: fleet.OutcomeFailed})
-			f.Learn(h.Endpoint.ID, fleet.Tally{Failed: 3})
+			f.AddTally(h.Endpoint.ID, fleet.Tally{Failed: 3})
 		},
 	}
 	for name, end := range ends {
@@ -273,8 +273,8 @@
 		paused(func() {
 			c := newCrew(1, 1, 1)
 			for range 10 {
-				c.hosts[0].Learn("e000", fleet.Tally{Failed: 3})
-				c.hosts[0].Learn("e000", fleet.Tally{Good: 2})
+				c.hosts[0].AddTally("e000", fleet.Tally{Failed: 3})
+				c.hosts[0].AddTally("e000", fleet.Tally{Good: 2})
 			}
 			Expect(c.hosts[0].View()[0].ColdSince.IsZero()).To(BeTrue())
 		})
