--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -155,7 +155,7 @@
 		return nil, false
 	}
 	a.answered(address)
-	a.options.Fleet.Shun(reply.GetEjected())
+	a.options.Fleet.ApplyEjections(reply.GetEjected())
 	learnLimits(a.options.Fleet, reply.GetLimits())
 	return reply, true
 }
--- a/internal/fleet/advise.go
+++ b/internal/fleet/advise.go
@@ -184,9 +184,9 @@
 	}
 }
 
-// Shun leaves endpoints alone that fail other hosts, for a moment and while others
+// ApplyEjections leaves endpoints alone that fail other hosts, for a moment and while others
 // are there.
-func (f *Fleet) Shun(ids []string) {
+func (f *Fleet) ApplyEjections(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	until := f.options.Now().Add(shunFor)
--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -133,7 +133,7 @@
 			sent.Head(fleet.Load{Running: 4, Waiting: 30, Slots: 4}) // the connection was open
 			sent.Done(fleet.Result{Outcome: fleet.OutcomeFailed})
 			f.AddTally(start(1).ID, fleet.Tally{Lost: 1})
-			f.Shun([]string{start(1).ID})
+			f.ApplyEjections([]string{start(1).ID})
 			f.Report(start(1).ID, fleet.Report{Load: fleet.Load{Running: 40, Slots: 4}, Draining: true})
 			f.ObserveHead(fleet.HeadReport{Endpoint: start(1).ID, Service: "s", Model: "m", Ticket: advice.Ticket, Load: fleet.Load{Running: 4, Waiting: 30, Slots: 4}})
 			_, ok = f.PickAt(advice, prompt(9))
