--- a/internal/fleet/advise.go
+++ b/internal/fleet/advise.go
@@ -197,6 +197,6 @@
 	}
 }
 
-// Observe has a function told of the outcome of each attempt; it is called before
+// OnOutcome has a function told of the outcome of each attempt; it is called before
 // any attempt is made.
-func (f *Fleet) Observe(observe func(id string, o Outcome)) { f.observe = observe }
+func (f *Fleet) OnOutcome(observe func(id string, o Outcome)) { f.observe = observe }
