--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -23,7 +23,7 @@
 }
 
 // named is what an answer says that names a limit.
-func named(rate float64) fleet.Limit { return fleet.Limit{Named: true, Rate: rate} }
+func named(rate float64) fleet.Limit { return fleet.Limit{Present: true, Rate: rate} }
 
 // tries are enough requests for each of two endpoints to get some.
 const tries = 50
