--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -8,9 +8,9 @@
 
 // Limit is what an answer says of how many requests its endpoint takes from all hosts together.
 type Limit struct {
-	Present bool    // false where it takes what comes
-	Rate    float64 // requests a second
-	Unread  string  // the beginning of what it says instead, if that can't be read
+	Present   bool    // false where it takes what comes
+	Rate      float64 // requests a second
+	Malformed string  // the beginning of what it says instead, if that can't be read
 }
 
 // LimitNews is what a host knows of an endpoint's limit, to be told to others. An immutable value.
@@ -94,7 +94,7 @@
 	switch {
 	case l.Present:
 		f.limit(m, LimitNews{Rate: max(l.Rate, limitLeast), Since: now, Heard: now})
-	case before > 0 && l.Unread == "" && sent.After(m.limited.heard):
+	case before > 0 && l.Malformed == "" && sent.After(m.limited.heard):
 		f.limit(m, LimitNews{Heard: now})
 		m.limited.untold = true
 		f.want(m, now)
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -91,7 +91,7 @@
 			time.Sleep(time.Second)
 			_, after := f.HearLimit("e0", fleet.Limit{}, early)
 			Expect(after).To(BeEquivalentTo(2), "the answer may have been made before")
-			_, after = f.HearLimit("e0", fleet.Limit{Unread: "abc"}, clock.Now())
+			_, after = f.HearLimit("e0", fleet.Limit{Malformed: "abc"}, clock.Now())
 			Expect(after).To(BeEquivalentTo(2), "what can't be read says nothing")
 			_, after = f.HearLimit("e0", fleet.Limit{}, clock.Now())
 			Expect(after).To(BeZero())
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -27,13 +27,13 @@
 // says nothing of this one.
 func (a *attempt) hearLimit() {
 	l, endpoint := a.said.Limit, a.hold.Endpoint.ID
-	if a.answer.StatusCode == http.StatusMisdirectedRequest || (!l.Present && l.Unread == "" && !a.said.Sealed) {
+	if a.answer.StatusCode == http.StatusMisdirectedRequest || (!l.Present && l.Malformed == "" && !a.said.Sealed) {
 		return
 	}
 	g := a.x.g
-	if l.Unread != "" {
+	if l.Malformed != "" {
 		g.unread.Do(func() {
-			g.Logger.Warn("limit of an endpoint can't be read", "endpoint", endpoint, "text", l.Unread)
+			g.Logger.Warn("limit of an endpoint can't be read", "endpoint", endpoint, "text", l.Malformed)
 		})
 	}
 	before, after := g.Fleet.HearLimit(endpoint, l, a.sentAt)
