--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -15,20 +15,20 @@
 
 // LimitNews is what a host knows of an endpoint's limit, to be told to others. An immutable value.
 type LimitNews struct {
-	Endpoint string        // its id
-	Rate     float64       // requests a second; 0 once the endpoint names none any more
-	Since    clock.Instant // when it was first heard of
-	Heard    clock.Instant // when an answer last told
+	Endpoint    string        // its id
+	Rate        float64       // requests a second; 0 once the endpoint names none any more
+	Since       clock.Instant // when it was first heard of
+	ConfirmedAt clock.Instant // when an answer last told
 }
 
 // LimitOf returns news of so long ago, as messages between hosts tell it.
 func LimitOf(endpoint string, rate float64, heard, since time.Duration, now clock.Instant) LimitNews {
-	return LimitNews{Endpoint: endpoint, Rate: rate, Heard: now.Add(-heard), Since: now.Add(-since)}
+	return LimitNews{Endpoint: endpoint, Rate: rate, ConfirmedAt: now.Add(-heard), Since: now.Add(-since)}
 }
 
 // Ages are how long ago an answer last told, and the limit was first heard of.
 func (n LimitNews) Ages(now clock.Instant) (heard, since time.Duration) {
-	return now.Sub(n.Heard), now.Sub(n.Since)
+	return now.Sub(n.ConfirmedAt), now.Sub(n.Since)
 }
 
 // Bounds of what is known of limits.
@@ -62,7 +62,7 @@
 func (l *limitation) holds() bool { return l != nil && l.rate > 0 }
 
 func (l *limitation) news(endpoint string) LimitNews {
-	return LimitNews{Endpoint: endpoint, Rate: l.rate, Since: l.since, Heard: l.heard}
+	return LimitNews{Endpoint: endpoint, Rate: l.rate, Since: l.since, ConfirmedAt: l.heard}
 }
 
 // hear takes in what an answer, or another host, tells.
@@ -73,7 +73,7 @@
 	case l.rate == 0:
 		l.since, l.untold = n.Since, false
 	}
-	l.rate, l.heard = n.Rate, n.Heard
+	l.rate, l.heard = n.Rate, n.ConfirmedAt
 }
 
 // HearLimit takes in what an answer to a request of this host says of the endpoint's limit, and
@@ -93,9 +93,9 @@
 	}
 	switch {
 	case l.Present:
-		f.limit(m, LimitNews{Rate: max(l.Rate, limitLeast), Since: now, Heard: now})
+		f.limit(m, LimitNews{Rate: max(l.Rate, limitLeast), Since: now, ConfirmedAt: now})
 	case before > 0 && l.Malformed == "" && sent.After(m.limited.heard):
-		f.limit(m, LimitNews{Heard: now})
+		f.limit(m, LimitNews{ConfirmedAt: now})
 		m.limited.untold = true
 		f.want(m, now)
 	}
@@ -110,7 +110,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[n.Endpoint]
-	if !ok || f.options.Now().Sub(n.Heard) > newsLife || (m.limited != nil && !n.Heard.After(m.limited.heard)) {
+	if !ok || f.options.Now().Sub(n.ConfirmedAt) > newsLife || (m.limited != nil && !n.ConfirmedAt.After(m.limited.heard)) {
 		return
 	}
 	if n.Rate > 0 || m.limited != nil {
--- a/internal/ratelimit/lender.go
+++ b/internal/ratelimit/lender.go
@@ -86,7 +86,7 @@
 		a = &account{limit: r.Limit}
 		l.accounts[r.Limit.Endpoint] = a
 	}
-	if r.Limit.Heard.After(a.limit.Heard) {
+	if r.Limit.ConfirmedAt.After(a.limit.ConfirmedAt) {
 		a.limit = r.Limit
 	}
 	if a.limit.Rate <= 0 || r.Requests <= 0 {
@@ -135,7 +135,7 @@
 // sweep drops accounts that nobody has asked for.
 func (l *Lender) sweep(now clock.Instant) {
 	for id, a := range l.accounts {
-		if now.Sub(a.last) > keptFor && now.Sub(a.limit.Heard) > keptFor {
+		if now.Sub(a.last) > keptFor && now.Sub(a.limit.ConfirmedAt) > keptFor {
 			delete(l.accounts, id)
 		}
 	}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -262,7 +262,7 @@
 // second; granted tells whether this host has it, and wait when to ask again if not.
 func (d *Desk) Turn(ctx context.Context, key string, rate float64) (wait time.Duration, granted bool) {
 	now := clock.Now()
-	reply, ok := d.borrow(ctx, Request{Requests: 1, From: d.options.Host, Unsaved: true, Limit: fleet.LimitNews{Endpoint: key, Rate: rate, Since: now, Heard: now}})
+	reply, ok := d.borrow(ctx, Request{Requests: 1, From: d.options.Host, Unsaved: true, Limit: fleet.LimitNews{Endpoint: key, Rate: rate, Since: now, ConfirmedAt: now}})
 	if !ok {
 		return nobodyPause, false
 	}
