--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -21,8 +21,8 @@
 	ConfirmedAt clock.Instant // when an answer last told
 }
 
-// LimitOf returns news of so long ago, as messages between hosts tell it.
-func LimitOf(endpoint string, rate float64, heard, since time.Duration, now clock.Instant) LimitNews {
+// NewLimitUpdate returns news of so long ago, as messages between hosts tell it.
+func NewLimitUpdate(endpoint string, rate float64, heard, since time.Duration, now clock.Instant) LimitNews {
 	return LimitNews{Endpoint: endpoint, Rate: rate, ConfirmedAt: now.Add(-heard), Since: now.Add(-since)}
 }
 
--- a/internal/ratelimit/grpc.go
+++ b/internal/ratelimit/grpc.go
@@ -125,5 +125,5 @@
 }
 
 func limitFromWire(endpoint string, w *ratelimitpb.Limit, now clock.Instant) fleet.LimitNews {
-	return fleet.LimitOf(endpoint, w.GetPerSecond(), clock.Micros(w.GetHeardMicros()), clock.Micros(w.GetSinceMicros()), now)
+	return fleet.NewLimitUpdate(endpoint, w.GetPerSecond(), clock.Micros(w.GetHeardMicros()), clock.Micros(w.GetSinceMicros()), now)
 }
