--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -137,9 +137,9 @@
 	return (l.rate == 0) != (l.told == 0) || l.rate > newsFactor*l.told || l.told > newsFactor*l.rate
 }
 
-// FreshNews returns limits of which all hosts are to be told, since they have begun, ended or changed;
+// TakeLimitUpdates returns limits of which all hosts are to be told, since they have begun, ended or changed;
 // each once, and no more than some at a time.
-func (f *Fleet) FreshNews(most int) []LimitNews {
+func (f *Fleet) TakeLimitUpdates(most int) []LimitNews {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []LimitNews
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -157,7 +157,7 @@
 	if !d.options.Known() {
 		return // it is told with the next news, or by others
 	}
-	news := d.options.Fleet.FreshNews(newsMost)
+	news := d.options.Fleet.TakeLimitUpdates(newsMost)
 	if len(news) == 0 {
 		return
 	}
