--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -143,7 +143,7 @@
 	}
 	asked := clock.Now()
 	request.Ended, request.Results, request.Heads = a.takeEnded(), a.takeResults(), a.takeHeads()
-	request.Limits = limitsToWire(a.options.Fleet.LimitNews(limitsMost), asked)
+	request.Limits = limitsToWire(a.options.Fleet.LimitUpdates(limitsMost), asked)
 	wait := max(patience, time.Duration(patiencePart*float64(clock.Micros(request.GetObjectiveMicros()))))
 	limited, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -308,7 +308,7 @@
 		Regions: r.GetRegions(), MaxLimitWait: clock.Micros(r.GetWithinMicros()),
 	}
 	// The reply goes out even if there is no endpoint: it tells which ones fail.
-	reply := &advicepb.ChooseReply{Ejected: f.Ejected(), Limits: limitsToWire(f.LimitNews(limitsMost), clock.Now())}
+	reply := &advicepb.ChooseReply{Ejected: f.Ejected(), Limits: limitsToWire(f.LimitUpdates(limitsMost), clock.Now())}
 	if r.GetWeigh() {
 		if expected, ok := f.Expect(ask); ok {
 			reply.Expected = expectationToWire(expected)
--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -162,8 +162,8 @@
 	delete(f.news, m.ID)
 }
 
-// LimitNews lists some of what this host knows of limits, to be told to another host.
-func (f *Fleet) LimitNews(most int) []LimitNews {
+// LimitUpdates lists some of what this host knows of limits, to be told to another host.
+func (f *Fleet) LimitUpdates(most int) []LimitNews {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.limits) == 0 {
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -214,7 +214,7 @@
 const learnPause = 20 * time.Millisecond
 
 // Limits lists the limits that this host knows of, for one that starts.
-func (d *Desk) Limits() []fleet.LimitNews { return d.options.Fleet.LimitNews(newsMost) }
+func (d *Desk) Limits() []fleet.LimitNews { return d.options.Fleet.LimitUpdates(newsMost) }
 
 // Hear takes in what another host tells.
 func (d *Desk) Hear(news []fleet.LimitNews) {
