--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -76,11 +76,11 @@
 	l.rate, l.heard = n.Rate, n.ConfirmedAt
 }
 
-// HearLimit takes in what an answer to a request of this host says of the endpoint's limit, and
+// ObserveLimit takes in what an answer to a request of this host says of the endpoint's limit, and
 // returns what was known before and is known now; 0 stands for none. Only the answer to a request
 // that was sent after the limit was last heard of tells that it has ended: an older one may have
 // been made before.
-func (f *Fleet) HearLimit(id string, l Limit, sent clock.Instant) (before, after float64) {
+func (f *Fleet) ObserveLimit(id string, l Limit, sent clock.Instant) (before, after float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[id]
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -48,7 +48,7 @@
 	It("gets only what was lent, and no longer than that lasts", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.HearLimit("e0", named(2), clock.Now())
+			f.ObserveLimit("e0", named(2), clock.Now())
 			Expect(picks(f, "e0")).To(BeZero())
 			f.Lent("e0", fleet.Loan{Requests: 3, Until: clock.Now().Add(time.Second)})
 			Expect(picks(f, "e0")).To(Equal(3))
@@ -61,7 +61,7 @@
 	It("is borrowed of as requests would go there", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.HearLimit("e0", named(2), clock.Now())
+			f.ObserveLimit("e0", named(2), clock.Now())
 			list, _ := f.Wanted()
 			Expect(list).To(BeEmpty())
 			picks(f, "e0")
@@ -87,13 +87,13 @@
 			f := limitedFleet()
 			early := clock.Now()
 			time.Sleep(time.Second)
-			f.HearLimit("e0", named(2), clock.Now())
+			f.ObserveLimit("e0", named(2), clock.Now())
 			time.Sleep(time.Second)
-			_, after := f.HearLimit("e0", fleet.Limit{}, early)
+			_, after := f.ObserveLimit("e0", fleet.Limit{}, early)
 			Expect(after).To(BeEquivalentTo(2), "the answer may have been made before")
-			_, after = f.HearLimit("e0", fleet.Limit{Malformed: "abc"}, clock.Now())
+			_, after = f.ObserveLimit("e0", fleet.Limit{Malformed: "abc"}, clock.Now())
 			Expect(after).To(BeEquivalentTo(2), "what can't be read says nothing")
-			_, after = f.HearLimit("e0", fleet.Limit{}, clock.Now())
+			_, after = f.ObserveLimit("e0", fleet.Limit{}, clock.Now())
 			Expect(after).To(BeZero())
 			Expect(picks(f, "e0")).To(BeNumerically(">", 10))
 			list, _ := f.Wanted()
@@ -105,7 +105,7 @@
 	It("that names nothing at all is asked now and then", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			_, after := f.HearLimit("e0", named(0), clock.Now())
+			_, after := f.ObserveLimit("e0", named(0), clock.Now())
 			Expect(after).To(BeNumerically(">", 0))
 		})
 	})
@@ -114,7 +114,7 @@
 		suite.Paused(func() {
 			f := limitedFleet()
 			e := fleet.Endpoint{ID: "e0", Service: "s", Hall: "ikeja", Version: "v1", Slots: 8}
-			f.HearLimit("e0", named(0), clock.Now())
+			f.ObserveLimit("e0", named(0), clock.Now())
 			f.Put(e.WithStart(7))
 			Expect(picks(f, "e0@7")).To(BeNumerically(">", 10))
 		})
@@ -141,7 +141,7 @@
 	It("is not taken from an adviser that has not heard of it", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.HearLimit("e0", named(2), clock.Now())
+			f.ObserveLimit("e0", named(2), clock.Now())
 			_, ok := f.PickAt(fleet.Advice{Endpoint: "e0"}, fleet.Request{Service: "s"})
 			Expect(ok).To(BeFalse())
 			_, ok = f.PickAt(fleet.Advice{Endpoint: "e0", LimitCounted: true}, fleet.Request{Service: "s"})
@@ -161,8 +161,8 @@
 	It("wait, and go in the order of their urgency", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.HearLimit("e0", named(2), clock.Now())
-			f.HearLimit("e1", named(2), clock.Now())
+			f.ObserveLimit("e0", named(2), clock.Now())
+			f.ObserveLimit("e1", named(2), clock.Now())
 			_, d := f.Place(ask(5))
 			later, ok := d.(admission.Wait)
 			Expect(ok).To(BeTrue())
@@ -187,7 +187,7 @@
 	It("do not go to an endpoint that fails instead", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.HearLimit("e0", named(2), clock.Now())
+			f.ObserveLimit("e0", named(2), clock.Now())
 			f.AddTally("e1", fleet.Tally{Lost: 1})
 			_, d := f.Place(ask(5))
 			wait, ok := d.(admission.Wait)
@@ -204,7 +204,7 @@
 		suite.Paused(func() {
 			f := limitedFleet()
 			for _, id := range []string{"e0", "e1"} {
-				f.HearLimit(id, named(0.2), clock.Now())
+				f.ObserveLimit(id, named(0.2), clock.Now())
 				f.Lent(id, fleet.Loan{Again: clock.Now().Add(5 * time.Second)})
 			}
 			_, d := f.Place(ask(5))
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -36,7 +36,7 @@
 			g.Logger.Warn("limit of an endpoint can't be read", "endpoint", endpoint, "text", l.Malformed)
 		})
 	}
-	before, after := g.Fleet.HearLimit(endpoint, l, a.sentAt)
+	before, after := g.Fleet.ObserveLimit(endpoint, l, a.sentAt)
 	switch {
 	case before == 0 && after > 0:
 		g.Logger.Info("endpoint names a limit", "id", a.x.ask.ID, "endpoint", endpoint, "per_second", after)
