--- a/internal/advice/wire.go
+++ b/internal/advice/wire.go
@@ -78,7 +78,7 @@
 func learnLimits(f *fleet.Fleet, wire []*advicepb.Limit) {
 	now := clock.Now()
 	for _, w := range wire {
-		f.LearnLimit(fleet.NewLimitUpdate(w.GetEndpoint(), w.GetPerSecond(), clock.Micros(w.GetHeardMicros()), clock.Micros(w.GetSinceMicros()), now))
+		f.MergeLimit(fleet.NewLimitUpdate(w.GetEndpoint(), w.GetPerSecond(), clock.Micros(w.GetHeardMicros()), clock.Micros(w.GetSinceMicros()), now))
 	}
 }
 
--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -105,8 +105,8 @@
 	return before, after
 }
 
-// LearnLimit takes in what another host knows; the latest answer counts.
-func (f *Fleet) LearnLimit(n LimitNews) {
+// MergeLimit takes in what another host knows; the latest answer counts.
+func (f *Fleet) MergeLimit(n LimitNews) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[n.Endpoint]
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -219,7 +219,7 @@
 // Hear takes in what another host tells.
 func (d *Desk) Hear(news []fleet.LimitNews) {
 	for _, n := range news {
-		d.options.Fleet.LearnLimit(n)
+		d.options.Fleet.MergeLimit(n)
 	}
 }
 
@@ -233,7 +233,7 @@
 		return
 	}
 	d.options.Telemetry.Count("limit_requests_borrowed", int64(reply.Requests))
-	d.options.Fleet.LearnLimit(reply.Limit)
+	d.options.Fleet.MergeLimit(reply.Limit)
 	d.options.Fleet.Lent(w.News.Endpoint, fleet.Loan{Requests: reply.Requests, Until: asked.Add(reply.Lasts), Again: clock.Now().Add(reply.Again)})
 }
 
