--- a/internal/advice/wire.go
+++ b/internal/advice/wire.go
@@ -63,7 +63,7 @@
 }
 
 // limitsToWire encodes what is known of limits; times are relative to the sending.
-func limitsToWire(list []fleet.LimitNews, now clock.Instant) []*advicepb.Limit {
+func limitsToWire(list []fleet.LimitUpdate, now clock.Instant) []*advicepb.Limit {
 	var wire []*advicepb.Limit
 	for _, n := range list {
 		heard, since := n.Ages(now)
--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -13,8 +13,8 @@
 	Malformed string  // the beginning of what it says instead, if that can't be read
 }
 
-// LimitNews is what a host knows of an endpoint's limit, to be told to others. An immutable value.
-type LimitNews struct {
+// LimitUpdate is what a host knows of an endpoint's limit, to be told to others. An immutable value.
+type LimitUpdate struct {
 	Endpoint    string        // its id
 	Rate        float64       // requests a second; 0 once the endpoint names none any more
 	Since       clock.Instant // when it was first heard of
@@ -22,12 +22,12 @@
 }
 
 // NewLimitUpdate returns news of so long ago, as messages between hosts tell it.
-func NewLimitUpdate(endpoint string, rate float64, heard, since time.Duration, now clock.Instant) LimitNews {
-	return LimitNews{Endpoint: endpoint, Rate: rate, ConfirmedAt: now.Add(-heard), Since: now.Add(-since)}
+func NewLimitUpdate(endpoint string, rate float64, heard, since time.Duration, now clock.Instant) LimitUpdate {
+	return LimitUpdate{Endpoint: endpoint, Rate: rate, ConfirmedAt: now.Add(-heard), Since: now.Add(-since)}
 }
 
 // Ages are how long ago an answer last told, and the limit was first heard of.
-func (n LimitNews) Ages(now clock.Instant) (heard, since time.Duration) {
+func (n LimitUpdate) Ages(now clock.Instant) (heard, since time.Duration) {
 	return now.Sub(n.ConfirmedAt), now.Sub(n.Since)
 }
 
@@ -61,12 +61,12 @@
 // holds reports whether an endpoint has a limit now.
 func (l *limitation) holds() bool { return l != nil && l.rate > 0 }
 
-func (l *limitation) news(endpoint string) LimitNews {
-	return LimitNews{Endpoint: endpoint, Rate: l.rate, Since: l.since, ConfirmedAt: l.heard}
+func (l *limitation) news(endpoint string) LimitUpdate {
+	return LimitUpdate{Endpoint: endpoint, Rate: l.rate, Since: l.since, ConfirmedAt: l.heard}
 }
 
 // hear takes in what an answer, or another host, tells.
-func (l *limitation) hear(n LimitNews) {
+func (l *limitation) hear(n LimitUpdate) {
 	switch {
 	case n.Rate == 0:
 		l.loans, l.wanted, l.used = nil, 0, 0
@@ -93,9 +93,9 @@
 	}
 	switch {
 	case l.Present:
-		f.limit(m, LimitNews{Rate: max(l.Rate, limitLeast), Since: now, ConfirmedAt: now})
+		f.limit(m, LimitUpdate{Rate: max(l.Rate, limitLeast), Since: now, ConfirmedAt: now})
 	case before > 0 && l.Malformed == "" && sent.After(m.limited.heard):
-		f.limit(m, LimitNews{ConfirmedAt: now})
+		f.limit(m, LimitUpdate{ConfirmedAt: now})
 		m.limited.untold = true
 		f.want(m, now)
 	}
@@ -106,7 +106,7 @@
 }
 
 // MergeLimit takes in what another host knows; the latest answer counts.
-func (f *Fleet) MergeLimit(n LimitNews) {
+func (f *Fleet) MergeLimit(n LimitUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[n.Endpoint]
@@ -119,7 +119,7 @@
 }
 
 // limit takes in the latest news of an endpoint's limit; the caller holds mu.
-func (f *Fleet) limit(m *member, n LimitNews) {
+func (f *Fleet) limit(m *member, n LimitUpdate) {
 	if m.limited == nil {
 		m.limited = &limitation{}
 		f.limits[m.ID] = m
@@ -139,10 +139,10 @@
 
 // TakeLimitUpdates returns limits of which all hosts are to be told, since they have begun, ended or changed;
 // each once, and no more than some at a time.
-func (f *Fleet) TakeLimitUpdates(most int) []LimitNews {
+func (f *Fleet) TakeLimitUpdates(most int) []LimitUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var list []LimitNews
+	var list []LimitUpdate
 	for id, m := range f.news {
 		if len(list) == most {
 			f.wanted()
@@ -163,14 +163,14 @@
 }
 
 // LimitUpdates lists some of what this host knows of limits, to be told to another host.
-func (f *Fleet) LimitUpdates(most int) []LimitNews {
+func (f *Fleet) LimitUpdates(most int) []LimitUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.limits) == 0 {
 		return nil
 	}
 	now := f.options.Now()
-	var list []LimitNews
+	var list []LimitUpdate
 	for id, m := range f.limits { // in an order that changes
 		switch old := now.Sub(m.limited.heard) > newsLife; {
 		case old && !m.limited.holds():
--- a/internal/fleet/loan.go
+++ b/internal/fleet/loan.go
@@ -17,7 +17,7 @@
 // Want is what this host would borrow of an endpoint's limit.
 type Want struct {
 	Requests int // 0 where only the limit's end is told
-	News     LimitNews
+	News     LimitUpdate
 }
 
 // wantedFor is how long a request that has found nothing to borrow counts; one that waits asks again
--- a/internal/ratelimit/desk_test.go
+++ b/internal/ratelimit/desk_test.go
@@ -58,7 +58,7 @@
 			Telemetry: telemetry.MetricsOnly(), Logger: log.New(io.Discard),
 		})
 		now := clock.Now()
-		limit := fleet.LimitNews{Endpoint: lentBy("host-0", "host-1", "host-2"), Rate: 2, Since: now, ConfirmedAt: now}
+		limit := fleet.LimitUpdate{Endpoint: lentBy("host-0", "host-1", "host-2"), Rate: 2, Since: now, ConfirmedAt: now}
 		return d.Borrow(context.Background(), ratelimit.Request{Requests: 1, From: "host-2", Relayed: relayed, Limit: limit})
 	}
 
--- a/internal/ratelimit/grpc.go
+++ b/internal/ratelimit/grpc.go
@@ -73,7 +73,7 @@
 }
 
 // Tell implements Caller.
-func (c grpcCaller) Tell(ctx context.Context, address string, news []fleet.LimitNews) error {
+func (c grpcCaller) Tell(ctx context.Context, address string, news []fleet.LimitUpdate) error {
 	connection, err := c.connect(address)
 	if err != nil {
 		return fmt.Errorf("tell %s: %w", address, err)
@@ -85,7 +85,7 @@
 }
 
 // Known implements Caller.
-func (c grpcCaller) Known(ctx context.Context, address string) ([]fleet.LimitNews, error) {
+func (c grpcCaller) Known(ctx context.Context, address string) ([]fleet.LimitUpdate, error) {
 	connection, err := c.connect(address)
 	if err != nil {
 		return nil, fmt.Errorf("ask %s for limits: %w", address, err)
@@ -97,7 +97,7 @@
 	return newsFromWire(reply.GetNews()), nil
 }
 
-func newsToWire(news []fleet.LimitNews) []*ratelimitpb.News {
+func newsToWire(news []fleet.LimitUpdate) []*ratelimitpb.News {
 	now := clock.Now()
 	wire := make([]*ratelimitpb.News, len(news))
 	for i, n := range news {
@@ -106,9 +106,9 @@
 	return wire
 }
 
-func newsFromWire(wire []*ratelimitpb.News) []fleet.LimitNews {
+func newsFromWire(wire []*ratelimitpb.News) []fleet.LimitUpdate {
 	now := clock.Now()
-	news := make([]fleet.LimitNews, len(wire))
+	news := make([]fleet.LimitUpdate, len(wire))
 	for i, n := range wire {
 		news[i] = limitFromWire(n.GetEndpoint(), n.GetLimit(), now)
 	}
@@ -119,11 +119,11 @@
 const requestsMost = 1 << 20
 
 // limitToWire encodes what is known of a limit; times are relative to the sending.
-func limitToWire(n fleet.LimitNews, now clock.Instant) *ratelimitpb.Limit {
+func limitToWire(n fleet.LimitUpdate, now clock.Instant) *ratelimitpb.Limit {
 	heard, since := n.Ages(now)
 	return &ratelimitpb.Limit{PerSecond: n.Rate, HeardMicros: heard.Microseconds(), SinceMicros: since.Microseconds()}
 }
 
-func limitFromWire(endpoint string, w *ratelimitpb.Limit, now clock.Instant) fleet.LimitNews {
+func limitFromWire(endpoint string, w *ratelimitpb.Limit, now clock.Instant) fleet.LimitUpdate {
 	return fleet.NewLimitUpdate(endpoint, w.GetPerSecond(), clock.Micros(w.GetHeardMicros()), clock.Micros(w.GetSinceMicros()), now)
 }
--- a/internal/ratelimit/lender.go
+++ b/internal/ratelimit/lender.go
@@ -39,7 +39,7 @@
 // Request asks for a part of an endpoint's limit.
 type Request struct {
 	Requests int // 0 only tells of the limit
-	Limit    fleet.LimitNews
+	Limit    fleet.LimitUpdate
 	From     string // name of the host that asks
 	Relayed  bool   // by a host that was asked
 	Unsaved  bool   // nothing is saved up while nobody asks, but one request
@@ -50,7 +50,7 @@
 	Requests int
 	Lasts    time.Duration // from the sending of the request on
 	Again    time.Duration // after which more may be asked for
-	Limit    fleet.LimitNews
+	Limit    fleet.LimitUpdate
 }
 
 // Lender lends parts of endpoints' limits; safe for use at once.
@@ -63,7 +63,7 @@
 
 // account is what has been lent of an endpoint's limit.
 type account struct {
-	limit  fleet.LimitNews
+	limit  fleet.LimitUpdate
 	level  float64       // requests that may be lent
 	at     clock.Instant // of the level
 	steady clock.Instant // from then on all of the limit is lent
--- a/internal/ratelimit/lender_test.go
+++ b/internal/ratelimit/lender_test.go
@@ -20,7 +20,7 @@
 // lend asks a lender for what a request says.
 func lend(l *ratelimit.Lender, first bool, since clock.Instant, rate float64, r ratelimit.Request) ratelimit.Reply {
 	now := clock.Now()
-	r.Limit = fleet.LimitNews{Endpoint: "e", Rate: rate, Since: since, ConfirmedAt: now}
+	r.Limit = fleet.LimitUpdate{Endpoint: "e", Rate: rate, Since: since, ConfirmedAt: now}
 	return l.Lend(r, first, now)
 }
 
@@ -117,7 +117,7 @@
 			want(l, true, since, 2, 1)
 			time.Sleep(time.Second)
 			want(l, true, clock.Instant{}, 0, 0)
-			old := ratelimit.Request{Requests: 1, Limit: fleet.LimitNews{Endpoint: "e", Rate: 2, Since: since, ConfirmedAt: since}}
+			old := ratelimit.Request{Requests: 1, Limit: fleet.LimitUpdate{Endpoint: "e", Rate: 2, Since: since, ConfirmedAt: since}}
 			r := l.Lend(old, true, clock.Now())
 			Expect(r.Requests).To(BeZero())
 			Expect(r.Limit.Rate).To(BeZero())
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -97,7 +97,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(play{hosts: 5})
 		time.Sleep(time.Second)
-		w.all[0].fleet.MergeLimit(fleet.LimitNews{Endpoint: endpointName(0), Rate: 2, Since: clock.Now(), ConfirmedAt: clock.Now()})
+		w.all[0].fleet.MergeLimit(fleet.LimitUpdate{Endpoint: endpointName(0), Rate: 2, Since: clock.Now(), ConfirmedAt: clock.Now()})
 		time.Sleep(time.Second)
 		w.killOne(w.all[1])
 		time.Sleep(learnedWithin)
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -66,9 +66,9 @@
 // Caller asks other hosts.
 type Caller interface {
 	Borrow(ctx context.Context, address string, r Request) (Reply, error)
-	Tell(ctx context.Context, address string, news []fleet.LimitNews) error
+	Tell(ctx context.Context, address string, news []fleet.LimitUpdate) error
 	// Known asks for the limits that a host knows of.
-	Known(ctx context.Context, address string) ([]fleet.LimitNews, error)
+	Known(ctx context.Context, address string) ([]fleet.LimitUpdate, error)
 }
 
 // Options set up a Desk.
@@ -214,10 +214,10 @@
 const learnPause = 20 * time.Millisecond
 
 // Limits lists the limits that this host knows of, for one that starts.
-func (d *Desk) Limits() []fleet.LimitNews { return d.options.Fleet.LimitUpdates(newsMost) }
+func (d *Desk) Limits() []fleet.LimitUpdate { return d.options.Fleet.LimitUpdates(newsMost) }
 
 // Hear takes in what another host tells.
-func (d *Desk) Hear(news []fleet.LimitNews) {
+func (d *Desk) Hear(news []fleet.LimitUpdate) {
 	for _, n := range news {
 		d.options.Fleet.MergeLimit(n)
 	}
@@ -262,7 +262,7 @@
 // second; granted tells whether this host has it, and wait when to ask again if not.
 func (d *Desk) Turn(ctx context.Context, key string, rate float64) (wait time.Duration, granted bool) {
 	now := clock.Now()
-	reply, ok := d.borrow(ctx, Request{Requests: 1, From: d.options.Host, Unsaved: true, Limit: fleet.LimitNews{Endpoint: key, Rate: rate, Since: now, ConfirmedAt: now}})
+	reply, ok := d.borrow(ctx, Request{Requests: 1, From: d.options.Host, Unsaved: true, Limit: fleet.LimitUpdate{Endpoint: key, Rate: rate, Since: now, ConfirmedAt: now}})
 	if !ok {
 		return nobodyPause, false
 	}
--- a/internal/ratelimit/rig_test.go
+++ b/internal/ratelimit/rig_test.go
@@ -190,7 +190,7 @@
 }
 
 // Tell implements ratelimit.Caller.
-func (h *simHost) Tell(ctx context.Context, address string, news []fleet.LimitNews) error {
+func (h *simHost) Tell(ctx context.Context, address string, news []fleet.LimitUpdate) error {
 	desk, err := h.reach(ctx, address)
 	if err == nil {
 		desk.Hear(news)
@@ -199,7 +199,7 @@
 }
 
 // Known implements ratelimit.Caller.
-func (h *simHost) Known(ctx context.Context, address string) ([]fleet.LimitNews, error) {
+func (h *simHost) Known(ctx context.Context, address string) ([]fleet.LimitUpdate, error) {
 	desk, err := h.reach(ctx, address)
 	if err != nil {
 		return nil, err
