--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -67,7 +67,7 @@
 			picks(f, "e0")
 			list, _ = f.Wanted()
 			Expect(list).To(HaveLen(1))
-			Expect(list[0].News.Rate).To(BeEquivalentTo(2))
+			Expect(list[0].Update.Rate).To(BeEquivalentTo(2))
 			Expect(list[0].Requests).To(BeNumerically(">", 1))
 			f.Remove("e1") // while others take requests nothing waits for this one
 			again := clock.Now().Add(100 * time.Millisecond)
@@ -98,7 +98,7 @@
 			Expect(picks(f, "e0")).To(BeNumerically(">", 10))
 			list, _ := f.Wanted()
 			Expect(list).To(HaveLen(1), "who lends is told")
-			Expect(list[0].News.Rate).To(BeZero())
+			Expect(list[0].Update.Rate).To(BeZero())
 		})
 	})
 
--- a/internal/fleet/loan.go
+++ b/internal/fleet/loan.go
@@ -17,7 +17,7 @@
 // Want is what this host would borrow of an endpoint's limit.
 type Want struct {
 	Requests int // 0 where only the limit's end is told
-	News     LimitUpdate
+	Update   LimitUpdate
 }
 
 // wantedFor is how long a request that has found nothing to borrow counts; one that waits asks again
@@ -87,7 +87,7 @@
 				next = l.again
 			}
 		default:
-			want := Want{News: l.news(id)}
+			want := Want{Update: l.news(id)}
 			if l.holds() {
 				want.Requests = max(1, l.wanted+l.used-l.inHand(now))
 			}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -225,16 +225,16 @@
 
 // ask borrows of an endpoint's limit.
 func (d *Desk) ask(ctx context.Context, w fleet.Want) {
-	r := Request{Requests: w.Requests, Limit: w.News, From: d.options.Host}
+	r := Request{Requests: w.Requests, Limit: w.Update, From: d.options.Host}
 	asked := clock.Now()
 	reply, ok := d.borrow(ctx, r)
 	if !ok {
-		d.options.Fleet.Lent(w.News.Endpoint, fleet.Loan{Again: clock.Now().Add(nobodyPause)})
+		d.options.Fleet.Lent(w.Update.Endpoint, fleet.Loan{Again: clock.Now().Add(nobodyPause)})
 		return
 	}
 	d.options.Telemetry.Count("limit_requests_borrowed", int64(reply.Requests))
 	d.options.Fleet.MergeLimit(reply.Limit)
-	d.options.Fleet.Lent(w.News.Endpoint, fleet.Loan{Requests: reply.Requests, Until: asked.Add(reply.Lasts), Again: clock.Now().Add(reply.Again)})
+	d.options.Fleet.Lent(w.Update.Endpoint, fleet.Loan{Requests: reply.Requests, Until: asked.Add(reply.Lasts), Again: clock.Now().Add(reply.Again)})
 }
 
 // borrow asks the host that lends; false if none is found.
--- a/internal/ratelimit/rig_test.go
+++ b/internal/ratelimit/rig_test.go
@@ -160,11 +160,11 @@
 		}
 		list, next := f.Wanted()
 		for _, w := range list {
-			part := w.News
+			part := w.Update
 			part.Rate /= float64(h.world.hosts)
 			now := clock.Now()
 			r := lender.Lend(ratelimit.Request{Requests: w.Requests, Limit: part}, true, now)
-			f.Lent(w.News.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.Lasts), Again: now.Add(r.Again)})
+			f.Lent(w.Update.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.Lasts), Again: now.Add(r.Again)})
 		}
 		if !next.IsZero() {
 			later.Reset(max(clock.Until(next), 0))
