--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -71,7 +71,7 @@
 			Expect(list[0].Requests).To(BeNumerically(">", 1))
 			f.Remove("e1") // while others take requests nothing waits for this one
 			again := clock.Now().Add(100 * time.Millisecond)
-			f.Lent("e0", fleet.Loan{Again: again})
+			f.Lent("e0", fleet.Loan{RetryAt: again})
 			picks(f, "e0")
 			list, next := f.Wanted()
 			Expect(list).To(BeEmpty(), "before the lender said")
@@ -205,7 +205,7 @@
 			f := limitedFleet()
 			for _, id := range []string{"e0", "e1"} {
 				f.ObserveLimit(id, named(0.2), clock.Now())
-				f.Lent(id, fleet.Loan{Again: clock.Now().Add(5 * time.Second)})
+				f.Lent(id, fleet.Loan{RetryAt: clock.Now().Add(5 * time.Second)})
 			}
 			_, d := f.Place(ask(5))
 			Expect(d).To(Equal(admission.Refuse{After: 5 * time.Second}))
--- a/internal/fleet/loan.go
+++ b/internal/fleet/loan.go
@@ -11,7 +11,7 @@
 type Loan struct {
 	Requests int
 	Until    clock.Instant
-	Again    clock.Instant // when more may be asked for
+	RetryAt  clock.Instant // when more may be asked for
 }
 
 // Want is what this host would borrow of an endpoint's limit.
@@ -107,7 +107,7 @@
 	if !ok || m.limited == nil {
 		return
 	}
-	m.limited.asking, m.limited.again = false, loan.Again
+	m.limited.asking, m.limited.again = false, loan.RetryAt
 	if loan.Requests > 0 && m.limited.holds() {
 		m.limited.loans = append(m.limited.loans, loan)
 		f.lent = append(f.stillLent(m), m)
