--- a/internal/fleet/loan.go
+++ b/internal/fleet/loan.go
@@ -69,9 +69,9 @@
 	f.wanted()
 }
 
-// Wanted returns what is to be borrowed now; each is to be followed by a call of Lent. Next is when
+// LoanRequests returns what is to be borrowed now; each is to be followed by a call of Lent. Next is when
 // to look again, zero if nothing is known to come.
-func (f *Fleet) Wanted() (list []Want, next clock.Instant) {
+func (f *Fleet) LoanRequests() (list []Want, next clock.Instant) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Now()
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -134,7 +134,7 @@
 		case <-d.wake:
 		}
 		d.tell(ctx, &working)
-		list, next := d.options.Fleet.Wanted()
+		list, next := d.options.Fleet.LoanRequests()
 		for _, w := range list {
 			select {
 			case d.asks <- struct{}{}:
--- a/internal/ratelimit/rig_test.go
+++ b/internal/ratelimit/rig_test.go
@@ -158,7 +158,7 @@
 			return
 		case <-signal:
 		}
-		list, next := f.Wanted()
+		list, next := f.LoanRequests()
 		for _, w := range list {
 			part := w.Update
 			part.Rate /= float64(h.world.hosts)
