--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -50,9 +50,9 @@
 			f := limitedFleet()
 			f.ObserveLimit("e0", named(2), clock.Now())
 			Expect(picks(f, "e0")).To(BeZero())
-			f.Lent("e0", fleet.Loan{Requests: 3, Until: clock.Now().Add(time.Second)})
+			f.FinishLoan("e0", fleet.Loan{Requests: 3, Until: clock.Now().Add(time.Second)})
 			Expect(picks(f, "e0")).To(Equal(3))
-			f.Lent("e0", fleet.Loan{Requests: 3, Until: clock.Now().Add(time.Second)})
+			f.FinishLoan("e0", fleet.Loan{Requests: 3, Until: clock.Now().Add(time.Second)})
 			time.Sleep(time.Second)
 			Expect(picks(f, "e0")).To(BeZero())
 		})
@@ -71,7 +71,7 @@
 			Expect(list[0].Requests).To(BeNumerically(">", 1))
 			f.Remove("e1") // while others take requests nothing waits for this one
 			again := clock.Now().Add(100 * time.Millisecond)
-			f.Lent("e0", fleet.Loan{RetryAt: again})
+			f.FinishLoan("e0", fleet.Loan{RetryAt: again})
 			picks(f, "e0")
 			list, next := f.LoanRequests()
 			Expect(list).To(BeEmpty(), "before the lender said")
@@ -155,7 +155,7 @@
 		return fleet.Request{Service: "s", Urgency: urgency, MaxLimitWait: 2 * time.Second}
 	}
 	lend := func(f *fleet.Fleet, n int) {
-		f.Lent("e0", fleet.Loan{Requests: n, Until: clock.Now().Add(time.Second)})
+		f.FinishLoan("e0", fleet.Loan{Requests: n, Until: clock.Now().Add(time.Second)})
 	}
 
 	It("wait, and go in the order of their urgency", func() {
@@ -205,7 +205,7 @@
 			f := limitedFleet()
 			for _, id := range []string{"e0", "e1"} {
 				f.ObserveLimit(id, named(0.2), clock.Now())
-				f.Lent(id, fleet.Loan{RetryAt: clock.Now().Add(5 * time.Second)})
+				f.FinishLoan(id, fleet.Loan{RetryAt: clock.Now().Add(5 * time.Second)})
 			}
 			_, d := f.Place(ask(5))
 			Expect(d).To(Equal(admission.Refuse{After: 5 * time.Second}))
--- a/internal/fleet/loan.go
+++ b/internal/fleet/loan.go
@@ -99,8 +99,8 @@
 	return list, next
 }
 
-// Lent takes in what came of a question.
-func (f *Fleet) Lent(id string, loan Loan) {
+// FinishLoan takes in what came of a question.
+func (f *Fleet) FinishLoan(id string, loan Loan) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[id]
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -229,12 +229,12 @@
 	asked := clock.Now()
 	reply, ok := d.borrow(ctx, r)
 	if !ok {
-		d.options.Fleet.Lent(w.Update.Endpoint, fleet.Loan{RetryAt: clock.Now().Add(nobodyPause)})
+		d.options.Fleet.FinishLoan(w.Update.Endpoint, fleet.Loan{RetryAt: clock.Now().Add(nobodyPause)})
 		return
 	}
 	d.options.Telemetry.Count("limit_requests_borrowed", int64(reply.Requests))
 	d.options.Fleet.MergeLimit(reply.Limit)
-	d.options.Fleet.Lent(w.Update.Endpoint, fleet.Loan{Requests: reply.Requests, Until: asked.Add(reply.Lasts), RetryAt: clock.Now().Add(reply.Again)})
+	d.options.Fleet.FinishLoan(w.Update.Endpoint, fleet.Loan{Requests: reply.Requests, Until: asked.Add(reply.Lasts), RetryAt: clock.Now().Add(reply.Again)})
 }
 
 // borrow asks the host that lends; false if none is found.
--- a/internal/ratelimit/rig_test.go
+++ b/internal/ratelimit/rig_test.go
@@ -164,7 +164,7 @@
 			part.Rate /= float64(h.world.hosts)
 			now := clock.Now()
 			r := lender.Lend(ratelimit.Request{Requests: w.Requests, Limit: part}, true, now)
-			f.Lent(w.Update.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.Lasts), RetryAt: now.Add(r.Again)})
+			f.FinishLoan(w.Update.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.Lasts), RetryAt: now.Add(r.Again)})
 		}
 		if !next.IsZero() {
 			later.Reset(max(clock.Until(next), 0))
