--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -15,7 +15,7 @@
 // limitedFleet is a fleet of two endpoints whose limits are kept, and what it would borrow.
 func limitedFleet() *fleet.Fleet {
 	f := fleet.New(fleet.Options{Hall: "ikeja"})
-	f.OnWanted(func() {})
+	f.OnLoanNeeded(func() {})
 	for _, id := range []string{"e0", "e1"} {
 		f.Put(fleet.Endpoint{ID: id, Service: "s", Hall: "ikeja", Version: "v1", Slots: 8})
 	}
--- a/internal/fleet/loan.go
+++ b/internal/fleet/loan.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// OnWanted has a function told that there is something to borrow. Without one no limit is kept: who
+// OnLoanNeeded has a function told that there is something to borrow. Without one no limit is kept: who
 // calls it lends.
-func (f *Fleet) OnWanted(wanted func()) { f.wanted = wanted }
+func (f *Fleet) OnLoanNeeded(wanted func()) { f.wanted = wanted }
 
 // want notes that a request would go to an endpoint but for its limit, or that there is news of it.
 func (f *Fleet) want(m *member, now clock.Instant) {
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -115,7 +115,7 @@
 		options: o, lender: NewLender(), wake: wake.NewSignal(), asks: make(chan struct{}, asksMost),
 		away: map[string]clock.Instant{}, failing: map[string]bool{},
 	}
-	o.Fleet.OnWanted(d.wake.Poke)
+	o.Fleet.OnLoanNeeded(d.wake.Poke)
 	return d
 }
 
--- a/internal/ratelimit/rig_test.go
+++ b/internal/ratelimit/rig_test.go
@@ -130,7 +130,7 @@
 		h.working.Go(func() { desk.Run(ctx) })
 	} else {
 		signal := wake.NewSignal()
-		f.OnWanted(signal.Poke)
+		f.OnLoanNeeded(signal.Poke)
 		h.working.Go(func() { h.split(ctx, f, signal) })
 	}
 }
