--- a/internal/fleet/loan.go
+++ b/internal/fleet/loan.go
@@ -14,8 +14,8 @@
 	RetryAt  clock.Instant // when more may be asked for
 }
 
-// Want is what this host would borrow of an endpoint's limit.
-type Want struct {
+// LoanRequest is what this host would borrow of an endpoint's limit.
+type LoanRequest struct {
 	Requests int // 0 where only the limit's end is told
 	Update   LimitUpdate
 }
@@ -71,7 +71,7 @@
 
 // LoanRequests returns what is to be borrowed now; each is to be followed by a call of Lent. Next is when
 // to look again, zero if nothing is known to come.
-func (f *Fleet) LoanRequests() (list []Want, next clock.Instant) {
+func (f *Fleet) LoanRequests() (list []LoanRequest, next clock.Instant) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Now()
@@ -87,7 +87,7 @@
 				next = l.again
 			}
 		default:
-			want := Want{Update: l.news(id)}
+			want := LoanRequest{Update: l.news(id)}
 			if l.holds() {
 				want.Requests = max(1, l.wanted+l.used-l.inHand(now))
 			}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -224,7 +224,7 @@
 }
 
 // ask borrows of an endpoint's limit.
-func (d *Desk) ask(ctx context.Context, w fleet.Want) {
+func (d *Desk) ask(ctx context.Context, w fleet.LoanRequest) {
 	r := Request{Requests: w.Requests, Limit: w.Update, From: d.options.Host}
 	asked := clock.Now()
 	reply, ok := d.borrow(ctx, r)
