--- a/internal/fleet/ration.go
+++ b/internal/fleet/ration.go
@@ -86,10 +86,10 @@
 
 // LimitStatus is what a host knows of an endpoint's limit, for operators.
 type LimitStatus struct {
-	Rate   float64 // requests a second; 0 where it names none
-	Since  time.Duration
-	InHand int // requests that this host may send there now
-	Wanted int // requests that have lately found none
+	Rate      float64 // requests a second; 0 where it names none
+	Since     time.Duration
+	Available int // requests that this host may send there now
+	Wanted    int // requests that have lately found none
 }
 
 // limitStatus tells operators of a member's limit.
@@ -97,7 +97,7 @@
 	if !m.limited.holds() {
 		return LimitStatus{}
 	}
-	return LimitStatus{Rate: m.limited.rate, Since: now.Sub(m.limited.since), InHand: m.limited.inHand(now), Wanted: m.limited.wanted}
+	return LimitStatus{Rate: m.limited.rate, Since: now.Sub(m.limited.since), Available: m.limited.inHand(now), Wanted: m.limited.wanted}
 }
 
 // Limited counts the endpoints that name limits.
