--- a/internal/fleet/ration.go
+++ b/internal/fleet/ration.go
@@ -89,7 +89,7 @@
 	Rate      float64 // requests a second; 0 where it names none
 	Since     time.Duration
 	Available int // requests that this host may send there now
-	Wanted    int // requests that have lately found none
+	Unmet     int // requests that have lately found none
 }
 
 // limitStatus tells operators of a member's limit.
@@ -97,7 +97,7 @@
 	if !m.limited.holds() {
 		return LimitStatus{}
 	}
-	return LimitStatus{Rate: m.limited.rate, Since: now.Sub(m.limited.since), Available: m.limited.inHand(now), Wanted: m.limited.wanted}
+	return LimitStatus{Rate: m.limited.rate, Since: now.Sub(m.limited.since), Available: m.limited.inHand(now), Unmet: m.limited.wanted}
 }
 
 // Limited counts the endpoints that name limits.
--- a/internal/gatewayd/endpointsview.go
+++ b/internal/gatewayd/endpointsview.go
@@ -63,7 +63,7 @@
 	v := EndpointView{
 		ID: s.ID, Service: s.Service, Hall: s.Hall, Version: s.Version, Ready: s.Ready, Draining: s.Draining,
 		Evacuated: s.Evacuated, ColdMs: s.ColdFor.Milliseconds(), Flying: s.InFlight,
-		Limit: s.Limit.Rate, LimitSinceMs: s.Limit.Since.Milliseconds(), InHand: s.Limit.Available, Wanted: s.Limit.Wanted,
+		Limit: s.Limit.Rate, LimitSinceMs: s.Limit.Since.Milliseconds(), InHand: s.Limit.Available, Wanted: s.Limit.Unmet,
 	}
 	if !s.ColdSince.IsZero() {
 		since := s.ColdSince.Time()
