--- a/internal/fleet/ration.go
+++ b/internal/fleet/ration.go
@@ -100,8 +100,8 @@
 	return LimitStatus{Rate: m.limited.rate, Since: now.Sub(m.limited.since), Available: m.limited.inHand(now), Unmet: m.limited.wanted}
 }
 
-// Limited counts the endpoints that name limits.
-func (f *Fleet) Limited() int {
+// LimitedCount counts the endpoints that name limits.
+func (f *Fleet) LimitedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -23,7 +23,7 @@
 			limitedAfter := func() int {
 				time.Sleep(time.Second)
 				r.ask(request("POST", "/once/1", "x"))
-				return r.fleet.Limited()
+				return r.fleet.LimitedCount()
 			}
 			r.endpoints["plain-1"].Limit(2)
 			Expect(limitedAfter()).To(Equal(1))
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -102,7 +102,7 @@
 		w.killOne(w.all[1])
 		time.Sleep(learnedWithin)
 		for _, h := range w.all {
-			if n := h.fleet.Limited(); n != 1 {
+			if n := h.fleet.LimitedCount(); n != 1 {
 				t.Errorf("%s knows of %d limits", h.name(), n)
 			}
 		}
