--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -329,7 +329,7 @@
 		if !f.usable(m, ask) || m.tier(now) > tierWell {
 			continue
 		}
-		if w := Weight(ask.Key, m.seed); w < least {
+		if w := RendezvousWeight(ask.Key, m.seed); w < least {
 			home, least = m, w
 		}
 	}
--- a/internal/fleet/score.go
+++ b/internal/fleet/score.go
@@ -97,9 +97,9 @@
 	return score + load + plainPace*(m.pace()-1)
 }
 
-// Weight is the rendezvous weight of an endpoint, or a host, for a key, 0 to 1; the least one is
+// RendezvousWeight is the rendezvous weight of an endpoint, or a host, for a key, 0 to 1; the least one is
 // chosen.
-func Weight(key, seed uint64) float64 {
+func RendezvousWeight(key, seed uint64) float64 {
 	x := key ^ seed
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -106,7 +106,7 @@
 
 // OrderOf is a host's place in an endpoint's order, 0 to 1; the one with the least lends.
 func OrderOf(endpoint, host string) float64 {
-	return fleet.Weight(xxhash.Sum64String(endpoint), xxhash.Sum64String(host))
+	return fleet.RendezvousWeight(xxhash.Sum64String(endpoint), xxhash.Sum64String(host))
 }
 
 // NewDesk returns a desk.
@@ -320,7 +320,7 @@
 	now, key := clock.Now(), xxhash.Sum64String(endpoint)
 	best, least := math.Inf(1), math.Inf(1)
 	for _, h := range d.hosts {
-		w := fleet.Weight(key, h.seed)
+		w := fleet.RendezvousWeight(key, h.seed)
 		least = min(least, w)
 		if w < best && h.Name != but && !now.Before(d.away[h.Name]) {
 			found, best = h, w
