--- a/internal/fleet/advise.go
+++ b/internal/fleet/advise.go
@@ -22,50 +22,50 @@
 // advised is a request of another host at an endpoint.
 type advised struct {
 	ticket int64
-	at     clock.Instant
-	begun  clock.Instant // when the head was heard of; zero before
+	sentAt clock.Instant
+	headAt clock.Instant // when the head was heard of; zero before
 }
 
 // PickAt holds a place at an endpoint that was advised; false if it may not be used.
 // The adviser has seen what other hosts sent there, so its expectation is taken, and its
 // word that there is room goes before a refusal that this host got a moment ago.
-func (f *Fleet) PickAt(a Advice, ask Request) (*Hold, bool) {
+func (f *Fleet) PickAt(a Advice, req Request) (*Hold, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Now()
 	m, ok := f.members[a.Endpoint]
-	if !ok || m.Service != ask.Service || !f.usable(m, ask) || m.ejected(now) || !m.lapsed.IsZero() {
+	if !ok || m.Service != req.Service || !f.usable(m, req) || m.ejected(now) || !m.lapsesAt.IsZero() {
 		return nil, false
 	}
-	if f.limited(m) && m.limited.holds() && !a.LimitCounted {
+	if f.enforcesLimit(m) && m.limit.active() && !a.LimitCounted {
 		return nil, false // the adviser has not heard of it
 	}
 	if _, behind := a.Decision.(admission.Behind); behind {
-		ask.Urgency = UrgencyLeast
+		req.Urgency = UrgencyLeast
 	}
-	h := f.hold(m, a.Expected, ask, now)
+	h := f.hold(m, a.Expected, req, now)
 	h.advice = a
 	return h, true
 }
 
 // Advise chooses an endpoint for another host and counts the request and the reading
 // of its prompt there; false if none may be used.
-func (f *Fleet) Advise(ask Request) (Advice, bool) {
+func (f *Fleet) Advise(req Request) (Advice, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := f.place(ask)
-	if !p.goes() {
+	p := f.place(req)
+	if !p.sent() {
 		if _, none := p.decision.(admission.Send); none {
 			return Advice{}, false
 		}
 		return Advice{Decision: p.decision}, true
 	}
 	m := p.member
-	f.sends(m, ask, p.now)
-	a := Advice{Endpoint: m.ID, Expected: p.expected, Decision: p.decision, LimitCounted: f.limited(m) && m.limited.holds()}
-	f.note(m, ask)
-	a.Ticket = f.await(m, a.Expected, p.ask.Urgency, p.now)
-	m.advised = append(m.advised, advised{ticket: a.Ticket, at: p.now})
+	f.recordSend(m, req, p.now)
+	a := Advice{Endpoint: m.ID, Expected: p.expected, Decision: p.decision, LimitCounted: f.enforcesLimit(m) && m.limit.active()}
+	f.notePrompt(m, req)
+	a.Ticket = f.await(m, a.Expected, p.req.Urgency, p.now)
+	m.advised = append(m.advised, advised{ticket: a.Ticket, sentAt: p.now})
 	return a, true
 }
 
@@ -79,21 +79,21 @@
 	}
 	now := f.options.Now()
 	m.advised = slices.DeleteFunc(m.advised, func(r advised) bool {
-		if r.ticket == a.Ticket && !r.begun.IsZero() {
-			f.stayed(m.Service, now.Sub(r.begun))
+		if r.ticket == a.Ticket && !r.headAt.IsZero() {
+			f.recordSlotTime(m.Service, now.Sub(r.headAt))
 		}
 		return r.ticket == a.Ticket
 	})
-	m.forgo(a.Ticket)
+	m.stopAwaiting(a.Ticket)
 }
 
-// advisedFor is how long a request of another host counts if its end is not told;
+// maxAdvisedAge is how long a request of another host counts if its end is not told;
 // nearly all have ended by then.
-const advisedFor = 8 * time.Second
+const maxAdvisedAge = 8 * time.Second
 
 // remote counts the requests that other hosts were advised to send here.
 func (m *member) remote(now clock.Instant) int {
-	for len(m.advised) > 0 && now.Sub(m.advised[0].at) > advisedFor {
+	for len(m.advised) > 0 && now.Sub(m.advised[0].sentAt) > maxAdvisedAge {
 		m.advised = m.advised[1:]
 	}
 	return len(m.advised)
@@ -119,15 +119,15 @@
 
 // Bounds of what hosts tell each other of endpoints.
 const (
-	// learnMost of a host's good results count at a time; more say nothing new.
-	learnMost = 5
-	// shunFor is how long an endpoint is left alone that fails other hosts; who
+	// maxTallied of a host's good results count at a time; more say nothing new.
+	maxTallied = 5
+	// peerEjection is how long an endpoint is left alone that fails other hosts; who
 	// goes on asking hears of it again several times a second.
-	shunFor = time.Second
-	// ejectedLeast is the rest of an ejection that is worth telling; shorter ones
+	peerEjection = time.Second
+	// minToldEjection is the rest of an ejection that is worth telling; shorter ones
 	// are pauses of full endpoints.
-	ejectedLeast = 200 * time.Millisecond
-	ejectedMost  = 32 // endpoints in a reply
+	minToldEjection = 200 * time.Millisecond
+	maxToldEjected  = 32 // endpoints in a reply
 )
 
 // AddTally takes in how another host's attempts at an endpoint have gone.
@@ -139,23 +139,23 @@
 		return
 	}
 	now := f.options.Now()
-	for range min(t.Good, learnMost) {
-		f.judge(m, OutcomeGood, now)
+	for range min(t.Good, maxTallied) {
+		f.recordHealth(m, OutcomeGood, now)
 	}
-	for range min(t.Failed, learnMost) {
-		f.judge(m, OutcomeFailed, now)
+	for range min(t.Failed, maxTallied) {
+		f.recordHealth(m, OutcomeFailed, now)
 	}
 	if t.Good > 0 {
-		f.met(m, OutcomeGood, now)
+		f.trackWarmUp(m, OutcomeGood, now)
 	}
-	for range min(t.Failed, learnMost) {
-		f.met(m, OutcomeFailed, now)
+	for range min(t.Failed, maxTallied) {
+		f.trackWarmUp(m, OutcomeFailed, now)
 	}
 	if t.Lost > 0 {
-		f.met(m, OutcomeLost, now)
+		f.trackWarmUp(m, OutcomeLost, now)
 	}
-	if t.Lost > 0 && !now.Before(m.health.until) {
-		f.judge(m, OutcomeLost, now)
+	if t.Lost > 0 && !now.Before(m.health.ejectedUntil) {
+		f.recordHealth(m, OutcomeLost, now)
 	}
 }
 
@@ -167,19 +167,19 @@
 	var ids []string
 	for id, m := range f.ejected {
 		switch {
-		case !now.Before(m.health.until):
+		case !now.Before(m.health.ejectedUntil):
 			delete(f.ejected, id)
-		case m.health.until.Sub(now) > ejectedLeast && len(ids) < ejectedMost:
+		case m.health.ejectedUntil.Sub(now) > minToldEjection && len(ids) < maxToldEjected:
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// judge takes in how an attempt at an endpoint went, for its health.
-func (f *Fleet) judge(m *member, o Outcome, now clock.Instant) {
+// recordHealth takes in how an attempt at an endpoint went, for its health.
+func (f *Fleet) recordHealth(m *member, o Outcome, now clock.Instant) {
 	m.health = m.health.with(o, now, f.options.MaxEjection)
-	if now.Before(m.health.until) {
+	if now.Before(m.health.ejectedUntil) {
 		f.ejected[m.ID] = m
 	}
 }
@@ -189,14 +189,14 @@
 func (f *Fleet) ApplyEjections(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	until := f.options.Now().Add(shunFor)
+	until := f.options.Now().Add(peerEjection)
 	for _, id := range ids {
 		if m, ok := f.members[id]; ok {
-			m.shunned = until
+			m.peerEjectedUntil = until
 		}
 	}
 }
 
 // OnOutcome has a function told of the outcome of each attempt; it is called before
 // any attempt is made.
-func (f *Fleet) OnOutcome(observe func(id string, o Outcome)) { f.observe = observe }
+func (f *Fleet) OnOutcome(observe func(id string, o Outcome)) { f.onOutcome = observe }
--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -84,10 +84,10 @@
 	It("tells what is expected there, and that is what the hold expects", func() {
 		suite.Paused(func() {
 			f, other := newFleet(), newFleet()
-			_, _ = f.Advise(document(7, 100))
-			a, _ := f.Advise(document(7, 101))
+			_, _ = f.Advise(documentPrompt(7, 100))
+			a, _ := f.Advise(documentPrompt(7, 101))
 			Expect(a.Expected.PrefillTokens).To(Equal(1_000))
-			h, ok := other.PickAt(a, document(7, 101))
+			h, ok := other.PickAt(a, documentPrompt(7, 101))
 			Expect(ok).To(BeTrue())
 			Expect(h.Expected).To(Equal(a.Expected))
 		})
@@ -97,11 +97,11 @@
 		suite.Paused(func() {
 			f := newFleet()
 			for own := range uint64(300) {
-				a, _ := f.Advise(document(1_000+own, 5_000+own))
+				a, _ := f.Advise(documentPrompt(1_000+own, 5_000+own))
 				f.ObserveHead(fleet.HeadReport{Endpoint: a.Endpoint, Ticket: a.Ticket, Service: "s", Model: "m", Took: 60 * time.Millisecond, Expected: a.Expected.Head})
 				f.EndAdvised(a)
 			}
-			a, _ := f.Advise(document(7, 100))
+			a, _ := f.Advise(documentPrompt(7, 100))
 			Expect(a.Expected.Head).To(BeNumerically("<", a.Expected.PrefillTime+100*time.Millisecond), "5 s by what was booked")
 		})
 	})
@@ -114,7 +114,7 @@
 				f.ObserveHead(fleet.HeadReport{Endpoint: id, Service: "s", Model: "m", Load: full, Refused: true})
 			}
 			for i := range uint64(4) {
-				a, _ := f.Advise(note(10 + i))
+				a, _ := f.Advise(shortPrompt(10 + i))
 				Expect(a.Endpoint).To(Equal("e5"))
 			}
 		})
@@ -128,28 +128,28 @@
 					f.ObserveHead(fleet.HeadReport{Endpoint: id, Service: "s", Model: "m", Load: fleet.Load{Running: 4, Waiting: 8, Slots: 4}, Refused: true})
 				}
 			}
-			a, _ := f.Advise(note(1))
+			a, _ := f.Advise(shortPrompt(1))
 			Expect(a.Expected.Queue).To(BeNumerically(">", time.Second), "nothing was expected of the one that was not heard of")
 		})
 	})
 
 	It("has tickets that no other adviser gives out", func() {
-		a, _ := newFleet().Advise(note(1))
-		b, _ := newFleet().Advise(note(1))
+		a, _ := newFleet().Advise(shortPrompt(1))
+		b, _ := newFleet().Advise(shortPrompt(1))
 		Expect(a.Ticket).NotTo(Equal(b.Ticket), "hosts tell the next adviser what the one before advised")
 	})
 
 	It("goes by what other hosts hear", func() {
 		suite.Paused(func() {
 			f := newFleet()
-			before, _ := f.Advise(document(7, 100))
+			before, _ := f.Advise(documentPrompt(7, 100))
 			for range 30 {
 				f.ObserveHead(fleet.HeadReport{Endpoint: before.Endpoint, Service: "s", Model: "m", Took: 3 * time.Second, Expected: time.Second, PrefillTokens: 1_000, Exact: true,
 					Load: fleet.Load{Running: 4, Waiting: 9, Slots: 4}})
 				f.ObserveHead(fleet.HeadReport{Endpoint: "e5", Service: "s", Model: "m", Took: 100 * time.Millisecond, Expected: 100 * time.Millisecond, PrefillTokens: 1_000, Exact: true})
 			}
 			f.ObserveHead(fleet.HeadReport{Endpoint: "gone", Service: "s", Model: "m", Took: time.Second})
-			after, _ := f.Advise(document(7, 101))
+			after, _ := f.Advise(documentPrompt(7, 101))
 			Expect(after.Endpoint).NotTo(Equal(before.Endpoint), "answers wait there")
 			Expect(after.Expected.Price).To(BeNumerically(">", before.Expected.Price))
 		})
--- a/internal/fleet/await.go
+++ b/internal/fleet/await.go
@@ -9,40 +9,40 @@
 
 // awaited is a request at an endpoint whose answer has not begun.
 type awaited struct {
-	ticket int64
-	sent   clock.Instant
-	due    clock.Instant // when the head was expected
-	rank   int           // of its urgency
-	work   time.Duration // of reading its prompt
-	passed bool          // the answer to one that was sent later has begun
+	ticket    int64
+	sent      clock.Instant
+	due       clock.Instant // when the head was expected
+	rank      int           // of its urgency
+	work      time.Duration // of reading its prompt
+	overtaken bool          // the answer to one that was sent later has begun
 }
 
-// awaitedFor bounds how long the head of an answer counts as outstanding; callers
+// maxAwait bounds how long the head of an answer counts as outstanding; callers
 // wait 20 seconds at most.
-const awaitedFor = 20 * time.Second
+const maxAwait = 20 * time.Second
 
 // await notes a request of which the head is awaited, and returns its ticket.
 func (f *Fleet) await(m *member, expected Expectation, urgency int, now clock.Instant) int64 {
-	f.tickets++
-	a := awaited{ticket: f.tickets, sent: now, due: now.Add(expected.Head), rank: rank(urgency), work: expected.PrefillTime}
-	m.booked = now.Add(m.readsFor(UrgencyLeast, now) + a.work)
-	m.deals().backlog.add(a.rank, 1, a.work)
+	f.lastTicket++
+	a := awaited{ticket: f.lastTicket, sent: now, due: now.Add(expected.Head), rank: rank(urgency), work: expected.PrefillTime}
+	m.prefillUntil = now.Add(m.prefillWait(UrgencyLeast, now) + a.work)
+	m.ensureQueue().backlog.add(a.rank, 1, a.work)
 	m.awaiting = append(m.awaiting, a)
-	return f.tickets
+	return f.lastTicket
 }
 
-// begun takes in the head of an answer. Requests that were sent before it say no more
+// answered takes in the head of an answer. Requests that were sent before it say no more
 // of the endpoint: it answers, if not these.
-func (m *member) begun(ticket int64) {
+func (m *member) answered(ticket int64) {
 	i := slices.IndexFunc(m.awaiting, func(a awaited) bool { return a.ticket == ticket })
 	for before := range max(i, 0) {
-		m.awaiting[before].passed = true
+		m.awaiting[before].overtaken = true
 	}
-	m.forgo(ticket)
+	m.stopAwaiting(ticket)
 }
 
-// forgo takes in that the head of an answer is there, or will not come.
-func (m *member) forgo(ticket int64) {
+// stopAwaiting takes in that the head of an answer is there, or will not come.
+func (m *member) stopAwaiting(ticket int64) {
 	m.dropAwaited(func(a awaited) bool { return a.ticket == ticket })
 }
 
@@ -51,7 +51,7 @@
 		if !drop(a) {
 			return false
 		}
-		m.deals().backlog.add(a.rank, -1, -a.work)
+		m.ensureQueue().backlog.add(a.rank, -1, -a.work)
 		return true
 	})
 }
@@ -60,11 +60,11 @@
 // none that was sent after it either: one that has fallen silent, or has far more to do
 // than is known. What comes next waits at least so long on average.
 func (m *member) overdue(now clock.Instant) time.Duration {
-	if len(m.awaiting) > 0 && now.Sub(m.awaiting[0].sent) > awaitedFor {
-		m.dropAwaited(func(a awaited) bool { return now.Sub(a.sent) > awaitedFor })
+	if len(m.awaiting) > 0 && now.Sub(m.awaiting[0].sent) > maxAwait {
+		m.dropAwaited(func(a awaited) bool { return now.Sub(a.sent) > maxAwait })
 	}
 	for _, a := range m.awaiting {
-		if !a.passed {
+		if !a.overtaken {
 			return max(0, now.Sub(a.due))
 		}
 	}
--- a/internal/fleet/endpoint.go
+++ b/internal/fleet/endpoint.go
@@ -107,49 +107,49 @@
 // Parameters of health. An endpoint that fails now and then stays in use: on
 // some services a seventh of the answers are failures of the request itself.
 const (
-	healthDecay  = 0.8             // weight of the past at each result, about the last five count
-	healthEject  = 0.62            // part of failures that ejects; three in a row from a clean start reach 0.49, five 0.67
-	ejectFirst   = 2 * time.Second // first ejection; doubles with each one in a row
-	ejectMost    = 8 * time.Second
-	lostEject    = 1 * time.Second // an endpoint that can't be reached rests at once
-	refusedPause = 150 * time.Millisecond
+	healthDecay         = 0.8             // weight of the past at each result, about the last five count
+	ejectThreshold      = 0.62            // part of failures that ejects; three in a row from a clean start reach 0.49, five 0.67
+	firstEjection       = 2 * time.Second // first ejection; doubles with each one in a row
+	defaultMaxEjection  = 8 * time.Second
+	unreachableEjection = 1 * time.Second // an endpoint that can't be reached rests at once
+	fullPause           = 150 * time.Millisecond
 )
 
 // health is what attempts told of an endpoint; an immutable value.
 type health struct {
-	failing float64       // smoothed part of failures
-	until   clock.Instant // not before, unless nothing else is there
-	full    clock.Instant // until then it is taken to be, as it has just refused a request
-	length  time.Duration // of the last ejection
+	failureRate  float64       // smoothed part of failures
+	ejectedUntil clock.Instant // not before, unless nothing else is there
+	fullUntil    clock.Instant // until then it is taken to be, as it has just refused a request
+	lastEjection time.Duration // of the last ejection
 }
 
 // with returns the health after an attempt; an ejection takes most at most.
-func (h health) with(o Outcome, now clock.Instant, most time.Duration) health {
+func (h health) with(o Outcome, now clock.Instant, maxEjection time.Duration) health {
 	switch o {
 	case OutcomeGood:
-		h.failing *= healthDecay
-		if now.After(h.until) {
-			h.length = 0
+		h.failureRate *= healthDecay
+		if now.After(h.ejectedUntil) {
+			h.lastEjection = 0
 		}
 	case OutcomeFailed:
-		h.failing = h.failing*healthDecay + (1 - healthDecay)
+		h.failureRate = h.failureRate*healthDecay + (1 - healthDecay)
 		// One that fails at its first attempt after an ejection has not recovered.
-		if h.failing >= healthEject || (h.length > 0 && now.After(h.until)) {
-			h = h.ejected(now, ejectFirst, most)
+		if h.failureRate >= ejectThreshold || (h.lastEjection > 0 && now.After(h.ejectedUntil)) {
+			h = h.ejected(now, firstEjection, maxEjection)
 		}
 	case OutcomeLost:
-		h = h.ejected(now, lostEject, most)
+		h = h.ejected(now, unreachableEjection, maxEjection)
 	case OutcomeRefused:
-		h.full = later(h.full, now.Add(refusedPause))
+		h.fullUntil = later(h.fullUntil, now.Add(fullPause))
 	case OutcomeNeutral:
 	}
 	return h
 }
 
-func (h health) ejected(now clock.Instant, least, most time.Duration) health {
-	h.length = min(max(h.length*2, least), most)
-	h.until = later(h.until, now.Add(h.length))
-	h.failing /= 2
+func (h health) ejected(now clock.Instant, shortest, longest time.Duration) health {
+	h.lastEjection = min(max(h.lastEjection*2, shortest), longest)
+	h.ejectedUntil = later(h.ejectedUntil, now.Add(h.lastEjection))
+	h.failureRate /= 2
 	return h
 }
 
--- a/internal/fleet/evacuate.go
+++ b/internal/fleet/evacuate.go
@@ -24,14 +24,14 @@
 		f.evacuated[hall] = since
 	}
 	for _, m := range f.members {
-		if _, was := before[m.Hall]; was && !f.away(m) {
-			f.cool(m, f.warming(m.Service).lasts, now)
+		if _, wasEvacuated := before[m.Hall]; wasEvacuated && !f.inEvacuatedHall(m) {
+			f.markCold(m, f.coldLimits(m.Service).duration, now)
 		}
 	}
 }
 
-// away reports whether an endpoint stands in an evacuated data hall; the caller holds mu.
-func (f *Fleet) away(m *member) bool {
+// inEvacuatedHall reports whether an endpoint stands in an evacuated data hall; the caller holds mu.
+func (f *Fleet) inEvacuatedHall(m *member) bool {
 	_, ok := f.evacuated[m.Hall]
 	return ok
 }
@@ -59,5 +59,5 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := f.endpointsOf(service)
-	return len(list) > 0 && !slices.ContainsFunc(list, func(m *member) bool { return !f.away(m) })
+	return len(list) > 0 && !slices.ContainsFunc(list, func(m *member) bool { return !f.inEvacuatedHall(m) })
 }
--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -11,11 +11,11 @@
 )
 
 var _ = Describe("a data hall that is evacuated", func() {
-	// used lists the data halls that requests go to.
-	used := func(f *fleet.Fleet, ask fleet.Request) map[string]int {
+	// hallsUsed lists the data halls that requests go to.
+	hallsUsed := func(f *fleet.Fleet, req fleet.Request) map[string]int {
 		halls := map[string]int{}
 		for range 12 {
-			if h, ok := f.Pick(ask); ok {
+			if h, ok := f.Pick(req); ok {
 				halls[h.Endpoint.Hall]++
 				defer h.Done(fleet.Result{})
 			}
@@ -24,14 +24,14 @@
 	}
 
 	It("gets nothing until it is taken back", func() {
-		for name, ask := range map[string]fleet.Request{"plain": plain, "prompt": prompt(7)} {
+		for name, req := range map[string]fleet.Request{"plain": plain, "prompt": prompt(7)} {
 			f := newFleet()
 			f.Evacuate([]string{"ikeja"})
-			Expect(used(f, ask)).To(Equal(map[string]int{"lekki": 12}), name)
+			Expect(hallsUsed(f, req)).To(Equal(map[string]int{"lekki": 12}), name)
 			Expect(f.Evacuations()).To(HaveLen(1))
 			Expect(f.Evacuations()[0].Hall).To(Equal("ikeja"))
 			f.Evacuate(nil)
-			Expect(used(f, ask)).To(HaveKey("ikeja"), name)
+			Expect(hallsUsed(f, req)).To(HaveKey("ikeja"), name)
 		}
 	})
 
@@ -55,9 +55,9 @@
 		f := newFleet()
 		f.Evacuate([]string{"ikeja", "lekki", "nowhere"})
 		f.Put(fleet.Endpoint{ID: "late", Service: "s", Hall: "ikeja", Slots: 4})
-		Expect(used(f, plain)).To(BeEmpty())
+		Expect(hallsUsed(f, plain)).To(BeEmpty())
 		f.Put(fleet.Endpoint{ID: "else", Service: "s", Hall: "yaba", Slots: 4})
-		Expect(used(f, plain)).To(Equal(map[string]int{"yaba": 12}))
+		Expect(hallsUsed(f, plain)).To(Equal(map[string]int{"yaba": 12}))
 	})
 
 	It("leaves what runs there alone, and its versions listed", func() {
@@ -84,23 +84,23 @@
 var _ = Describe("regions", func() {
 	It("bind every choice", func() {
 		f := fleet.New(fleet.Options{Hall: "ikeja", Regions: map[string]string{"ikeja": "lagos", "lekki": "abuja"}})
-		engines(f)
+		addEndpoints(f)
 		for range 24 {
-			ask := prompt(7)
-			ask.Regions = []string{"abuja"}
-			h, ok := f.Pick(ask)
+			req := prompt(7)
+			req.Regions = []string{"abuja"}
+			h, ok := f.Pick(req)
 			Expect(ok).To(BeTrue())
 			Expect(h.Endpoint.Hall).To(Equal("lekki"))
-			a, ok := f.Advise(ask)
+			a, ok := f.Advise(req)
 			Expect(ok).To(BeTrue())
-			_, ok = f.PickAt(fleet.Advice{Endpoint: "e0"}, ask)
+			_, ok = f.PickAt(fleet.Advice{Endpoint: "e0"}, req)
 			Expect(ok).To(BeFalse())
-			_, ok = f.PickAt(a, ask)
+			_, ok = f.PickAt(a, req)
 			Expect(ok).To(BeTrue())
 		}
-		ask := prompt(7)
-		ask.Regions = []string{"accra"}
-		_, ok := f.Pick(ask)
+		req := prompt(7)
+		req.Regions = []string{"accra"}
+		_, ok := f.Pick(req)
 		Expect(ok).To(BeFalse())
 	})
 })
--- a/internal/fleet/expect.go
+++ b/internal/fleet/expect.go
@@ -35,19 +35,19 @@
 
 // Parameters of the Overrun.
 const (
-	overrunStep = 0.02 // weight of an answer: some fifty count
+	overrunWeight = 0.02 // weight of an answer: some fifty count
 	// Priors: heads take half as long again as expected at the median, and three
 	// times as long once in seven.
-	overrunMean     = 0.4
-	overrunVariance = 0.6
-	// overrunMost bounds what one answer says: one that waited for a stuck endpoint
+	priorOverrunMean     = 0.4
+	priorOverrunVariance = 0.6
+	// maxLogOverrun bounds what one answer says: one that waited for a stuck endpoint
 	// says little about others.
-	overrunMost = 2.5
+	maxLogOverrun = 2.5
 )
 
 func (o Overrun) withPriors() Overrun {
 	if o == (Overrun{}) {
-		return Overrun{Mean: overrunMean, Variance: overrunVariance}
+		return Overrun{Mean: priorOverrunMean, Variance: priorOverrunVariance}
 	}
 	return o
 }
@@ -58,10 +58,10 @@
 	if took <= 0 || expected <= 0 {
 		return o
 	}
-	log := min(max(math.Log(float64(took)/float64(expected)), -overrunMost), overrunMost)
+	log := min(max(math.Log(float64(took)/float64(expected)), -maxLogOverrun), maxLogOverrun)
 	off := log - o.Mean
-	o.Mean += overrunStep * off
-	o.Variance += overrunStep * (off*off - o.Variance)
+	o.Mean += overrunWeight * off
+	o.Variance += overrunWeight * (off*off - o.Variance)
 	return o
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,16 +16,16 @@
 
 // Parameters of what is known of an endpoint's load.
 const (
-	// echoLife is how long what an endpoint said of its load counts for
+	// loadReportTTL is how long what an endpoint said of its load counts for
 	// something; requests last a few seconds at most.
-	echoLife = 2 * time.Second
-	// slotsUnsaid stands in for slots that an endpoint does not tell.
-	slotsUnsaid = 8
+	loadReportTTL = 2 * time.Second
+	// defaultSlots stands in for slots that an endpoint does not tell.
+	defaultSlots = 8
 )
 
-// lapseGrace is how long an endpoint whose entry vanished while the store was
+// lapseGracePeriod is how long an endpoint whose entry vanished while the store was
 // away stays in use; living ones are listed again within about two seconds.
-const lapseGrace = 2 * time.Second
+const lapseGracePeriod = 2 * time.Second
 
 // Options set up a Fleet.
 type Options struct {
@@ -51,69 +51,69 @@
 
 // Fleet is what a host knows of all endpoints; safe for use at once.
 type Fleet struct {
-	options Options
-	observe func(id string, o Outcome) // nil if nobody minds
-	heard   func(HeadReport)           // as observe
-	wanted  func()                     // as observe
-	known   chan struct{}              // closed once an endpoint was listed
-
-	mu        sync.Mutex               // guards all below
-	members   map[string]*member       // by ID
-	instances map[string]*member       // by what they call themselves
-	words     map[string]string        // what many endpoints tell alike
-	evacuated map[string]clock.Instant // data halls that get nothing, and since when
-	read      bool                     // the list was read whole; who comes after it has just started
-	byService map[string]*pool
-	ejected   map[string]*member // by ID, those that were lately; others may be among them
-	readings  map[serves]*reading
-	prices    map[string]price            // of an engine's second, by service
-	crowds    map[string]*crowd           // by service
-	overruns  map[string]Overrun          // by service
-	turns     map[string]*admission.Turns // requests that wait, by service
-	stays     map[string]time.Duration    // how long an answer holds a slot from its head on, by service
-	memory    memory
-	advises   tenure             // with prompts of which other hosts' choices are known
-	limits    map[string]*member // by ID, those that name a limit or lately did
-	wanting   map[string]*member // of these, those that something is to be borrowed of
-	news      map[string]*member // of these, those of which all hosts are to be told
-	lent      []*member          // of these, those of which something is in hand, and lately was
-	tickets   int64              // the last one given out; it begins by chance, so that those of another adviser mean nothing here
+	options      Options
+	onOutcome    func(id string, o Outcome) // nil if nobody minds
+	onHead       func(HeadReport)           // as observe
+	onLoanNeeded func()                     // as observe
+	populated    chan struct{}              // closed once an endpoint was listed
+
+	mu            sync.Mutex               // guards all below
+	members       map[string]*member       // by ID
+	instances     map[string]*member       // by what they call themselves
+	interned      map[string]string        // what many endpoints tell alike
+	evacuated     map[string]clock.Instant // data halls that get nothing, and since when
+	listRead      bool                     // the list was read whole; who comes after it has just started
+	byService     map[string]*pool
+	ejected       map[string]*member // by ID, those that were lately; others may be among them
+	prefillModels map[modelKey]*prefillModel
+	prices        map[string]price            // of an engine's second, by service
+	remoteLoads   map[string]*remoteLoad      // by service
+	overruns      map[string]Overrun          // by service
+	turns         map[string]*admission.Turns // requests that wait, by service
+	slotTimes     map[string]time.Duration    // how long an answer holds a slot from its head on, by service
+	prefixes      prefixIndex
+	adviserTenure tenure             // with prompts of which other hosts' choices are known
+	limits        map[string]*member // by ID, those that name a limit or lately did
+	needLoans     map[string]*member // of these, those that something is to be borrowed of
+	changedLimits map[string]*member // of these, those of which all hosts are to be told
+	withLoans     []*member          // of these, those of which something is in hand, and lately was
+	lastTicket    int64              // the last one given out; it begins by chance, so that those of another adviser mean nothing here
 }
 
 // member is an endpoint with what this host knows of it.
 type member struct {
 	Endpoint
-	seed     uint64   // hash of the id
-	place    place    // in the pool of its service
-	inHall   string   // by which it stands there
-	paced    float64  // how long work takes there, smoothed; 0 before it was heard of
-	models   []string // that it said it has loaded; nil if it did not say
-	leaving  bool     // it said so itself
-	flying   int      // this host's requests there
-	others   int      // others' requests there, when it last said
-	crowd    *crowd   // what endpoints of its service say; nil before it is listed
-	saidAt   clock.Instant
-	booked   clock.Instant // until when it should have read all prompts that were sent there
-	dealings *dealings     // nil before this host has sent there or heard of it
-	advised  []advised     // requests of other hosts there that have not ended
-	awaiting []awaited     // requests whose answers have not begun, in the order of their sending
-	health   health
-	shunned  clock.Instant // it fails other hosts; left alone until then
-	lapsed   clock.Instant // to be dropped then unless it is listed again; zero if listed
-	kept     kept          // what it is taken to keep of prompts
-	found    finding       // what of the prompt that is being placed
-	region   string        // of its data hall
-	warmth   warmth
-	limited  *limitation // nil while it names no limit
+	seed             uint64       // hash of the id
+	position         poolPosition // in the pool of its service
+	poolHall         string       // by which it stands there
+	smoothedPace     float64      // how long work takes there, smoothed; 0 before it was heard of
+	models           []string     // that it said it has loaded; nil if it did not say
+	reportedDraining bool         // it said so itself
+	inFlight         int          // this host's requests there
+	others           int          // others' requests there, when it last said
+	remoteLoad       *remoteLoad  // what endpoints of its service say; nil before it is listed
+	loadAt           clock.Instant
+	prefillUntil     clock.Instant // until when it should have read all prompts that were sent there
+	queue            *queueState   // nil before this host has sent there or heard of it
+	advised          []advised     // requests of other hosts there that have not ended
+	awaiting         []awaited     // requests whose answers have not begun, in the order of their sending
+	health           health
+	peerEjectedUntil clock.Instant // it fails other hosts; left alone until then
+	lapsesAt         clock.Instant // to be dropped then unless it is listed again; zero if listed
+	cache            prefixCache   // what it is taken to keep of prompts
+	match            prefixMatch   // what of the prompt that is being placed
+	region           string        // of its data hall
+	warmUp           warmUpState
+	limit            *limitState // nil while it names no limit
 }
 
-// ticketsFrom bounds the first ticket; it leaves as many again to be given out.
-const ticketsFrom = math.MaxInt64 / 2
+// maxFirstTicket bounds the first ticket; it leaves as many again to be given out.
+const maxFirstTicket = math.MaxInt64 / 2
 
 // New returns a fleet without endpoints.
 func New(options Options) *Fleet {
 	if options.MaxEjection == 0 {
-		options.MaxEjection = ejectMost
+		options.MaxEjection = defaultMaxEjection
 	}
 	if options.Now == nil {
 		options.Now = clock.Now
@@ -122,29 +122,29 @@
 		options.Random = rand.Float64
 	}
 	return &Fleet{
-		options: options, known: make(chan struct{}), members: map[string]*member{}, instances: map[string]*member{}, words: map[string]string{}, evacuated: map[string]clock.Instant{}, limits: map[string]*member{}, wanting: map[string]*member{}, news: map[string]*member{}, byService: map[string]*pool{}, ejected: map[string]*member{}, readings: map[serves]*reading{},
-		prices: map[string]price{}, overruns: map[string]Overrun{}, crowds: map[string]*crowd{}, stays: map[string]time.Duration{}, turns: map[string]*admission.Turns{}, memory: memory{holders: map[uint64][]*member{}}, tickets: rand.Int64N(ticketsFrom),
+		options: options, populated: make(chan struct{}), members: map[string]*member{}, instances: map[string]*member{}, interned: map[string]string{}, evacuated: map[string]clock.Instant{}, limits: map[string]*member{}, needLoans: map[string]*member{}, changedLimits: map[string]*member{}, byService: map[string]*pool{}, ejected: map[string]*member{}, prefillModels: map[modelKey]*prefillModel{},
+		prices: map[string]price{}, overruns: map[string]Overrun{}, remoteLoads: map[string]*remoteLoad{}, slotTimes: map[string]time.Duration{}, turns: map[string]*admission.Turns{}, prefixes: prefixIndex{holders: map[uint64][]*member{}}, lastTicket: rand.Int64N(maxFirstTicket),
 	}
 }
 
 // Populated returns a channel that is closed once an endpoint was listed.
-func (f *Fleet) Populated() <-chan struct{} { return f.known }
+func (f *Fleet) Populated() <-chan struct{} { return f.populated }
 
 // Put adds an endpoint or brings it up to date; it reports whether that is another start of
 // one that was listed. What an earlier start left behind is passed over.
-func (f *Fleet) Put(e Endpoint) (again bool) {
+func (f *Fleet) Put(e Endpoint) (restarted bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.put(e)
 }
 
-func (f *Fleet) put(e Endpoint) (again bool) {
+func (f *Fleet) put(e Endpoint) (restarted bool) {
 	select {
-	case <-f.known:
+	case <-f.populated:
 	default:
-		close(f.known)
+		close(f.populated)
 	}
-	e = f.alike(e)
+	e = f.intern(e)
 	old, listed := f.instances[e.Instance]
 	if listed && e.StartMillis == 0 {
 		e.ID, e.StartMillis = old.ID, old.StartMillis // it does not tell this time
@@ -155,7 +155,7 @@
 		return false
 	default:
 		f.remove(e.Instance)
-		again = true
+		restarted = true
 	}
 	m, ok := f.members[e.ID]
 	if !ok {
@@ -163,19 +163,19 @@
 		f.members[e.ID], f.instances[e.Instance] = m, m
 	}
 	if ok && (m.Service != e.Service || m.Hall != e.Hall) {
-		f.unlink(m)
+		f.removeFromPool(m)
 		ok = false
 	}
 	if e.Slots == 0 {
 		e.Slots = m.Slots // the endpoint's own word
 	}
-	m.Endpoint, m.lapsed, m.region = e, clock.Instant{}, f.options.Regions[e.Hall]
-	f.chill(m, !ok)
+	m.Endpoint, m.lapsesAt, m.region = e, clock.Instant{}, f.options.Regions[e.Hall]
+	f.applyCold(m, !ok)
 	if !ok {
 		f.poolOf(e.Service).add(m)
-		m.crowd = f.crowdOf(e.Service)
+		m.remoteLoad = f.remoteLoadOf(e.Service)
 	}
-	return again
+	return restarted
 }
 
 // Remove takes an endpoint out at once, by what it calls itself.
@@ -192,13 +192,13 @@
 	}
 	delete(f.members, m.ID)
 	delete(f.ejected, m.ID)
-	f.unlimit(m)
+	f.dropLimit(m)
 	delete(f.instances, instance)
-	f.unlink(m)
-	f.memory.drop(m)
+	f.removeFromPool(m)
+	f.prefixes.removeMember(m)
 }
 
-func (f *Fleet) unlink(m *member) {
+func (f *Fleet) removeFromPool(m *member) {
 	p := f.byService[m.Service]
 	p.remove(m)
 	if len(p.all) == 0 {
@@ -232,14 +232,14 @@
 }
 
 func (f *Fleet) lapse(instance string) {
-	if m, ok := f.instances[instance]; ok && m.lapsed.IsZero() {
-		m.lapsed = f.options.Now().Add(lapseGrace)
+	if m, ok := f.instances[instance]; ok && m.lapsesAt.IsZero() {
+		m.lapsesAt = f.options.Now().Add(lapseGracePeriod)
 	}
 }
 
 // Reset brings the fleet up to date with a whole list. Endpoints that it lacks
 // go at once, or after the grace if the store was away.
-func (f *Fleet) Reset(list []Endpoint, away bool) {
+func (f *Fleet) Reset(list []Endpoint, afterOutage bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	listed := map[string]bool{}
@@ -247,11 +247,11 @@
 		listed[e.name()] = true
 		f.put(e)
 	}
-	f.read = true
+	f.listRead = true
 	for instance := range f.instances {
 		switch {
 		case listed[instance]:
-		case away:
+		case afterOutage:
 			f.lapse(instance)
 		default:
 			f.remove(instance)
@@ -264,16 +264,16 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Now()
-	var gone []string
+	var removed []string
 	for instance, m := range f.instances {
-		if !m.lapsed.IsZero() && now.After(m.lapsed) {
-			gone = append(gone, instance)
+		if !m.lapsesAt.IsZero() && now.After(m.lapsesAt) {
+			removed = append(removed, instance)
 		}
 	}
-	for _, instance := range gone {
+	for _, instance := range removed {
 		f.remove(instance)
 	}
-	return gone
+	return removed
 }
 
 // Size counts the endpoints that take requests.
@@ -326,7 +326,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[id]
-	return ok && !m.Draining && !m.leaving
+	return ok && !m.Draining && !m.reportedDraining
 }
 
 // HasModel reports whether some endpoint of a service that is well has a model.
@@ -347,7 +347,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m, ok := f.members[id]; ok {
-		return m.flying
+		return m.inFlight
 	}
 	return 0
 }
@@ -360,11 +360,11 @@
 	if !ok {
 		return
 	}
-	m.models, m.leaving = r.Models, r.Draining
+	m.models, m.reportedDraining = r.Models, r.Draining
 	if r.Load.Slots > 0 {
 		m.Slots = r.Load.Slots
 	}
-	m.others, m.saidAt = max(0, r.Load.Running+r.Load.Waiting-r.InFlight), r.Asked
+	m.others, m.loadAt = max(0, r.Load.Running+r.Load.Waiting-r.InFlight), r.Asked
 }
 
 // View lists all endpoints by id, for operators.
@@ -374,16 +374,16 @@
 	now := f.options.Now()
 	list := make([]Status, 0, len(f.members))
 	for _, m := range f.members {
-		s := Status{Endpoint: m.Endpoint, Models: m.models, InFlight: m.flying, Others: m.others}
-		s.Draining = m.Draining || m.leaving
-		s.Evacuated = f.away(m)
-		if m.warmth.cold(now) {
-			s.ColdSince, s.ColdFor = m.warmth.since, max(0, m.warmth.until.Sub(now))
+		s := Status{Endpoint: m.Endpoint, Models: m.models, InFlight: m.inFlight, Others: m.others}
+		s.Draining = m.Draining || m.reportedDraining
+		s.Evacuated = f.inEvacuatedHall(m)
+		if m.warmUp.cold(now) {
+			s.ColdSince, s.ColdFor = m.warmUp.coldSince, max(0, m.warmUp.coldUntil.Sub(now))
 		}
 		s.Ready = !s.Draining && m.tier(now) < tierEjected
 		s.Limit = m.limitStatus(now)
-		if !m.saidAt.IsZero() {
-			s.Age = now.Sub(m.saidAt)
+		if !m.loadAt.IsZero() {
+			s.Age = now.Sub(m.loadAt)
 		}
 		list = append(list, s)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,8 +12,8 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// engines are six endpoints in two data halls.
-func engines(f *fleet.Fleet) {
+// addEndpoints are six endpoints in two data halls.
+func addEndpoints(f *fleet.Fleet) {
 	for i := range 6 {
 		hall := "ikeja"
 		if i >= 3 {
@@ -28,7 +28,7 @@
 // newFleetWith returns one whose chances are drawn from a source; nil for any.
 func newFleetWith(random func() float64) *fleet.Fleet {
 	f := fleet.New(fleet.Options{Hall: "ikeja", Random: random})
-	engines(f)
+	addEndpoints(f)
 	return f
 }
 
@@ -102,7 +102,7 @@
 	It("never takes one that is draining, avoided, of another version or gone", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			f := newFleet()
-			out := map[string]bool{}
+			excluded := map[string]bool{}
 			for i := range 6 {
 				id := fmt.Sprintf("e%d", i)
 				e := fleet.Endpoint{ID: id, Service: "s", Hall: "ikeja", Version: "v1", Slots: 4}
@@ -118,17 +118,17 @@
 				default:
 					continue
 				}
-				out[id] = true
+				excluded[id] = true
 			}
-			ask := prompt(rapid.Uint64Range(0, 3).Draw(t, "key"))
-			ask.Avoid = []string{"e0"}
-			ask.Allowed = func(v string) bool { return v == "v1" }
-			out["e0"] = true
-			h, ok := f.Pick(ask)
-			if ok != (len(out) < 6) {
-				t.Fatalf("picked %v with %d out", ok, len(out))
+			req := prompt(rapid.Uint64Range(0, 3).Draw(t, "key"))
+			req.Avoid = []string{"e0"}
+			req.Allowed = func(v string) bool { return v == "v1" }
+			excluded["e0"] = true
+			h, ok := f.Pick(req)
+			if ok != (len(excluded) < 6) {
+				t.Fatalf("picked %v with %d out", ok, len(excluded))
 			}
-			if ok && out[h.Endpoint.ID] {
+			if ok && excluded[h.Endpoint.ID] {
 				t.Fatalf("picked %s", h.Endpoint.ID)
 			}
 		})
--- a/internal/fleet/heard.go
+++ b/internal/fleet/heard.go
@@ -21,7 +21,7 @@
 
 // OnHead has a function told of the head of each answer to a request with a prompt;
 // it is called before any attempt is made.
-func (f *Fleet) OnHead(heard func(HeadReport)) { f.heard = heard }
+func (f *Fleet) OnHead(heard func(HeadReport)) { f.onHead = heard }
 
 // ObserveHead takes in what another host heard.
 func (f *Fleet) ObserveHead(h HeadReport) {
@@ -33,63 +33,63 @@
 	case h.Refused:
 		// Full endpoints of other data halls are known by this alone: by what began there
 		// an adviser would take them for empty.
-		m.forgo(h.Ticket)
-		f.echo(m, h.Load, m.flying)
+		m.stopAwaiting(h.Ticket)
+		f.updateLoad(m, h.Load, m.inFlight)
 	default:
-		m.begun(h.Ticket)
-		f.hear(m, h)
+		m.answered(h.Ticket)
+		f.observeHead(m, h)
 		if i := slices.IndexFunc(m.advised, func(r advised) bool { return r.ticket == h.Ticket }); i >= 0 {
-			m.advised[i].begun = f.options.Now()
+			m.advised[i].headAt = f.options.Now()
 		}
 	}
 }
 
-// hear takes in the head of an answer: the endpoint's load and waits, and the time
+// observeHead takes in the head of an answer: the endpoint's load and waits, and the time
 // that reading takes.
-func (f *Fleet) hear(m *member, h HeadReport) {
-	f.echo(m, h.Load, m.flying)
-	r := f.readingOf(h.Service, h.Model)
+func (f *Fleet) observeHead(m *member, h HeadReport) {
+	f.updateLoad(m, h.Load, m.inFlight)
+	r := f.prefillModelOf(h.Service, h.Model)
 	if rank(h.Urgency) == UrgencyLeast {
-		m.deals().waits[UrgencyLeast] = observedWait{wait: max(0, h.Took-r.head(h.PrefillTokens)), at: f.options.Now()}
+		m.ensureQueue().waits[UrgencyLeast] = observedWait{wait: max(0, h.Took-r.headTime(h.PrefillTokens)), at: f.options.Now()}
 		return // it waited for all others on purpose
 	}
-	wait := max(0, h.Took-r.head(h.PrefillTokens))
-	m.deals().waits[rank(h.Urgency)] = observedWait{wait: wait, at: f.options.Now()}
-	f.prices[h.Service] = f.prices[h.Service].with(wait, r.tokens(h.PrefillTokens))
+	wait := max(0, h.Took-r.headTime(h.PrefillTokens))
+	m.ensureQueue().waits[rank(h.Urgency)] = observedWait{wait: wait, at: f.options.Now()}
+	f.prices[h.Service] = f.prices[h.Service].with(wait, r.prefillTime(h.PrefillTokens))
 	f.overruns[h.Service] = f.overruns[h.Service].with(h.Took, h.Expected)
 	r.add(h)
 }
 
-// echo takes in an endpoint's own word of its load, of which this host's requests
+// updateLoad takes in an endpoint's own word of its load, of which this host's requests
 // are a part.
-func (f *Fleet) echo(m *member, l Load, own int) {
+func (f *Fleet) updateLoad(m *member, l Load, own int) {
 	if l.Slots == 0 {
 		return
 	}
-	m.heardPace(l.Pace)
+	m.updatePace(l.Pace)
 	now := f.options.Now()
 	m.others = max(0, l.Running+l.Waiting-own-m.remote(now))
-	m.saidAt = now
-	if m.crowd != nil {
-		m.crowd.add(m.others)
+	m.loadAt = now
+	if m.remoteLoad != nil {
+		m.remoteLoad.add(m.others)
 	}
 }
 
-// crowd is how many requests of hosts that this one does not advise endpoints of a
+// remoteLoad is how many requests of hosts that this one does not advise endpoints of a
 // service have, smoothed.
-type crowd struct{ mean float64 }
+type remoteLoad struct{ mean float64 }
 
-// crowdStep weighs an endpoint's word: some thirty count.
-const crowdStep = 0.03
+// remoteLoadWeight weighs an endpoint's word: some thirty count.
+const remoteLoadWeight = 0.03
 
-func (c *crowd) add(others int) { c.mean += crowdStep * (float64(others) - c.mean) }
+func (c *remoteLoad) add(others int) { c.mean += remoteLoadWeight * (float64(others) - c.mean) }
 
-// crowdOf returns a service's crowd.
-func (f *Fleet) crowdOf(service string) *crowd {
-	c, ok := f.crowds[service]
+// remoteLoadOf returns a service's crowd.
+func (f *Fleet) remoteLoadOf(service string) *remoteLoad {
+	c, ok := f.remoteLoads[service]
 	if !ok {
-		c = &crowd{}
-		f.crowds[service] = c
+		c = &remoteLoad{}
+		f.remoteLoads[service] = c
 	}
 	return c
 }
--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -33,47 +33,47 @@
 
 // Bounds of what is known of limits.
 const (
-	// limitLeast is what an endpoint gets at least that names a smaller limit, 0 included, in
+	// minLimit is what an endpoint gets at least that names a smaller limit, 0 included, in
 	// requests a second: without any request nobody would hear that its limit has ended.
-	limitLeast = 0.1
-	// newsLife is how old news of a limit may be that hosts tell each other.
-	newsLife = 10 * time.Second
-	// newsFactor is by how much a limit differs from what was told of it before it is told again.
-	newsFactor = 1.25
+	minLimit = 0.1
+	// limitUpdateTTL is how old news of a limit may be that hosts tell each other.
+	limitUpdateTTL = 10 * time.Second
+	// limitChangeFactor is by how much a limit differs from what was told of it before it is told again.
+	limitChangeFactor = 1.25
 )
 
-// limitation is what is known of the limit of an endpoint, and what this host may send there.
-type limitation struct {
-	rate   float64       // requests a second; 0 once the endpoint names none any more
-	since  clock.Instant // when the limit was first heard of
-	heard  clock.Instant // when an answer last told
-	untold bool          // its end was heard by this host, and who lends of it may not know
-	told   float64       // the rate when all were last told
-
-	loans    []Loan
-	used     int           // loans since the last question
-	wanted   int           // requests that have found none since
-	wantedAt clock.Instant // the last of them
-	asking   bool
-	again    clock.Instant // no question before
+// limitState is what is known of the limit of an endpoint, and what this host may send there.
+type limitState struct {
+	rate          float64       // requests a second; 0 once the endpoint names none any more
+	since         clock.Instant // when the limit was first heard of
+	confirmedAt   clock.Instant // when an answer last told
+	endUntold     bool          // its end was heard by this host, and who lends of it may not know
+	announcedRate float64       // the rate when all were last told
+
+	loans      []Loan
+	loansUsed  int           // loans since the last question
+	unmet      int           // requests that have found none since
+	unmetAt    clock.Instant // the last of them
+	requesting bool
+	retryAt    clock.Instant // no question before
 }
 
-// holds reports whether an endpoint has a limit now.
-func (l *limitation) holds() bool { return l != nil && l.rate > 0 }
+// active reports whether an endpoint has a limit now.
+func (l *limitState) active() bool { return l != nil && l.rate > 0 }
 
-func (l *limitation) news(endpoint string) LimitUpdate {
-	return LimitUpdate{Endpoint: endpoint, Rate: l.rate, Since: l.since, ConfirmedAt: l.heard}
+func (l *limitState) update(endpoint string) LimitUpdate {
+	return LimitUpdate{Endpoint: endpoint, Rate: l.rate, Since: l.since, ConfirmedAt: l.confirmedAt}
 }
 
-// hear takes in what an answer, or another host, tells.
-func (l *limitation) hear(n LimitUpdate) {
+// apply takes in what an answer, or another host, tells.
+func (l *limitState) apply(n LimitUpdate) {
 	switch {
 	case n.Rate == 0:
-		l.loans, l.wanted, l.used = nil, 0, 0
+		l.loans, l.unmet, l.loansUsed = nil, 0, 0
 	case l.rate == 0:
-		l.since, l.untold = n.Since, false
+		l.since, l.endUntold = n.Since, false
 	}
-	l.rate, l.heard = n.Rate, n.ConfirmedAt
+	l.rate, l.confirmedAt = n.Rate, n.ConfirmedAt
 }
 
 // ObserveLimit takes in what an answer to a request of this host says of the endpoint's limit, and
@@ -88,19 +88,19 @@
 		return 0, 0
 	}
 	now := f.options.Now()
-	if m.limited != nil {
-		before = m.limited.rate
+	if m.limit != nil {
+		before = m.limit.rate
 	}
 	switch {
 	case l.Present:
-		f.limit(m, LimitUpdate{Rate: max(l.Rate, limitLeast), Since: now, ConfirmedAt: now})
-	case before > 0 && l.Malformed == "" && sent.After(m.limited.heard):
-		f.limit(m, LimitUpdate{ConfirmedAt: now})
-		m.limited.untold = true
-		f.want(m, now)
+		f.applyLimit(m, LimitUpdate{Rate: max(l.Rate, minLimit), Since: now, ConfirmedAt: now})
+	case before > 0 && l.Malformed == "" && sent.After(m.limit.confirmedAt):
+		f.applyLimit(m, LimitUpdate{ConfirmedAt: now})
+		m.limit.endUntold = true
+		f.needLoan(m, now)
 	}
-	if m.limited != nil {
-		after = m.limited.rate
+	if m.limit != nil {
+		after = m.limit.rate
 	}
 	return before, after
 }
@@ -110,31 +110,31 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[n.Endpoint]
-	if !ok || f.options.Now().Sub(n.ConfirmedAt) > newsLife || (m.limited != nil && !n.ConfirmedAt.After(m.limited.heard)) {
+	if !ok || f.options.Now().Sub(n.ConfirmedAt) > limitUpdateTTL || (m.limit != nil && !n.ConfirmedAt.After(m.limit.confirmedAt)) {
 		return
 	}
-	if n.Rate > 0 || m.limited != nil {
-		f.limit(m, n)
+	if n.Rate > 0 || m.limit != nil {
+		f.applyLimit(m, n)
 	}
 }
 
-// limit takes in the latest news of an endpoint's limit; the caller holds mu.
-func (f *Fleet) limit(m *member, n LimitUpdate) {
-	if m.limited == nil {
-		m.limited = &limitation{}
+// applyLimit takes in the latest news of an endpoint's applyLimit; the caller holds mu.
+func (f *Fleet) applyLimit(m *member, n LimitUpdate) {
+	if m.limit == nil {
+		m.limit = &limitState{}
 		f.limits[m.ID] = m
 	}
-	m.limited.hear(n)
-	if m.limited.spreads() && f.wanted != nil {
-		m.limited.told = n.Rate
-		f.news[m.ID] = m
-		f.wanted()
+	m.limit.apply(n)
+	if m.limit.shouldAnnounce() && f.onLoanNeeded != nil {
+		m.limit.announcedRate = n.Rate
+		f.changedLimits[m.ID] = m
+		f.onLoanNeeded()
 	}
 }
 
-// spreads reports whether the limit is so unlike what was told of it that all are told again.
-func (l *limitation) spreads() bool {
-	return (l.rate == 0) != (l.told == 0) || l.rate > newsFactor*l.told || l.told > newsFactor*l.rate
+// shouldAnnounce reports whether the limit is so unlike what was told of it that all are told again.
+func (l *limitState) shouldAnnounce() bool {
+	return (l.rate == 0) != (l.announcedRate == 0) || l.rate > limitChangeFactor*l.announcedRate || l.announcedRate > limitChangeFactor*l.rate
 }
 
 // TakeLimitUpdates returns limits of which all hosts are to be told, since they have begun, ended or changed;
@@ -143,23 +143,23 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []LimitUpdate
-	for id, m := range f.news {
+	for id, m := range f.changedLimits {
 		if len(list) == most {
-			f.wanted()
+			f.onLoanNeeded()
 			break
 		}
-		delete(f.news, id)
-		list = append(list, m.limited.news(id))
+		delete(f.changedLimits, id)
+		list = append(list, m.limit.update(id))
 	}
 	return list
 }
 
-// unlimit drops what is known of a member's limit.
-func (f *Fleet) unlimit(m *member) {
-	m.limited = nil
+// dropLimit drops what is known of a member's limit.
+func (f *Fleet) dropLimit(m *member) {
+	m.limit = nil
 	delete(f.limits, m.ID)
-	delete(f.wanting, m.ID)
-	delete(f.news, m.ID)
+	delete(f.needLoans, m.ID)
+	delete(f.changedLimits, m.ID)
 }
 
 // LimitUpdates lists some of what this host knows of limits, to be told to another host.
@@ -172,11 +172,11 @@
 	now := f.options.Now()
 	var list []LimitUpdate
 	for id, m := range f.limits { // in an order that changes
-		switch old := now.Sub(m.limited.heard) > newsLife; {
-		case old && !m.limited.holds():
-			f.unlimit(m)
+		switch old := now.Sub(m.limit.confirmedAt) > limitUpdateTTL; {
+		case old && !m.limit.active():
+			f.dropLimit(m)
 		case !old && len(list) < most:
-			list = append(list, m.limited.news(id))
+			list = append(list, m.limit.update(id))
 		}
 	}
 	return list
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -22,14 +22,14 @@
 	return f
 }
 
-// named is what an answer says that names a limit.
-func named(rate float64) fleet.Limit { return fleet.Limit{Present: true, Rate: rate} }
+// statedLimit is what an answer says that names a limit.
+func statedLimit(rate float64) fleet.Limit { return fleet.Limit{Present: true, Rate: rate} }
 
 // tries are enough requests for each of two endpoints to get some.
 const tries = 50
 
-// picks counts how many of some plain requests go to an endpoint.
-func picks(f *fleet.Fleet, id string) int {
+// countPicks counts how many of some plain requests go to an endpoint.
+func countPicks(f *fleet.Fleet, id string) int {
 	n := 0
 	for range tries {
 		h, ok := f.Pick(fleet.Request{Service: "s"})
@@ -48,23 +48,23 @@
 	It("gets only what was lent, and no longer than that lasts", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.ObserveLimit("e0", named(2), clock.Now())
-			Expect(picks(f, "e0")).To(BeZero())
+			f.ObserveLimit("e0", statedLimit(2), clock.Now())
+			Expect(countPicks(f, "e0")).To(BeZero())
 			f.FinishLoan("e0", fleet.Loan{Requests: 3, Until: clock.Now().Add(time.Second)})
-			Expect(picks(f, "e0")).To(Equal(3))
+			Expect(countPicks(f, "e0")).To(Equal(3))
 			f.FinishLoan("e0", fleet.Loan{Requests: 3, Until: clock.Now().Add(time.Second)})
 			time.Sleep(time.Second)
-			Expect(picks(f, "e0")).To(BeZero())
+			Expect(countPicks(f, "e0")).To(BeZero())
 		})
 	})
 
 	It("is borrowed of as requests would go there", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.ObserveLimit("e0", named(2), clock.Now())
+			f.ObserveLimit("e0", statedLimit(2), clock.Now())
 			list, _ := f.LoanRequests()
 			Expect(list).To(BeEmpty())
-			picks(f, "e0")
+			countPicks(f, "e0")
 			list, _ = f.LoanRequests()
 			Expect(list).To(HaveLen(1))
 			Expect(list[0].Update.Rate).To(BeEquivalentTo(2))
@@ -72,7 +72,7 @@
 			f.Remove("e1") // while others take requests nothing waits for this one
 			again := clock.Now().Add(100 * time.Millisecond)
 			f.FinishLoan("e0", fleet.Loan{RetryAt: again})
-			picks(f, "e0")
+			countPicks(f, "e0")
 			list, next := f.LoanRequests()
 			Expect(list).To(BeEmpty(), "before the lender said")
 			Expect(next).To(Equal(again))
@@ -87,7 +87,7 @@
 			f := limitedFleet()
 			early := clock.Now()
 			time.Sleep(time.Second)
-			f.ObserveLimit("e0", named(2), clock.Now())
+			f.ObserveLimit("e0", statedLimit(2), clock.Now())
 			time.Sleep(time.Second)
 			_, after := f.ObserveLimit("e0", fleet.Limit{}, early)
 			Expect(after).To(BeEquivalentTo(2), "the answer may have been made before")
@@ -95,7 +95,7 @@
 			Expect(after).To(BeEquivalentTo(2), "what can't be read says nothing")
 			_, after = f.ObserveLimit("e0", fleet.Limit{}, clock.Now())
 			Expect(after).To(BeZero())
-			Expect(picks(f, "e0")).To(BeNumerically(">", 10))
+			Expect(countPicks(f, "e0")).To(BeNumerically(">", 10))
 			list, _ := f.LoanRequests()
 			Expect(list).To(HaveLen(1), "who lends is told")
 			Expect(list[0].Update.Rate).To(BeZero())
@@ -105,7 +105,7 @@
 	It("that names nothing at all is asked now and then", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			_, after := f.ObserveLimit("e0", named(0), clock.Now())
+			_, after := f.ObserveLimit("e0", statedLimit(0), clock.Now())
 			Expect(after).To(BeNumerically(">", 0))
 		})
 	})
@@ -114,9 +114,9 @@
 		suite.Paused(func() {
 			f := limitedFleet()
 			e := fleet.Endpoint{ID: "e0", Service: "s", Hall: "ikeja", Version: "v1", Slots: 8}
-			f.ObserveLimit("e0", named(0), clock.Now())
+			f.ObserveLimit("e0", statedLimit(0), clock.Now())
 			f.Put(e.WithStart(7))
-			Expect(picks(f, "e0@7")).To(BeNumerically(">", 10))
+			Expect(countPicks(f, "e0@7")).To(BeNumerically(">", 10))
 		})
 	})
 
@@ -127,21 +127,21 @@
 			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e0", Rate: 2, Since: now, ConfirmedAt: now})
 			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e0", Rate: 0, ConfirmedAt: now.Add(-time.Second)})
 			f.MergeLimit(fleet.LimitUpdate{Endpoint: "gone", Rate: 2, ConfirmedAt: now})
-			Expect(picks(f, "e0")).To(BeZero())
+			Expect(countPicks(f, "e0")).To(BeZero())
 			Expect(f.TakeLimitUpdates(8)).To(HaveLen(1), "it is told on")
 			Expect(f.TakeLimitUpdates(8)).To(BeEmpty(), "once")
 			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e0", Rate: 0, ConfirmedAt: now.Add(time.Millisecond)})
-			Expect(picks(f, "e0")).To(BeNumerically(">", 10))
+			Expect(countPicks(f, "e0")).To(BeNumerically(">", 10))
 			time.Sleep(time.Minute)
 			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e1", Rate: 2, Since: now, ConfirmedAt: now})
-			Expect(picks(f, "e1")).To(BeNumerically(">", 10), "old news says nothing")
+			Expect(countPicks(f, "e1")).To(BeNumerically(">", 10), "old news says nothing")
 		})
 	})
 
 	It("is not taken from an adviser that has not heard of it", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.ObserveLimit("e0", named(2), clock.Now())
+			f.ObserveLimit("e0", statedLimit(2), clock.Now())
 			_, ok := f.PickAt(fleet.Advice{Endpoint: "e0"}, fleet.Request{Service: "s"})
 			Expect(ok).To(BeFalse())
 			_, ok = f.PickAt(fleet.Advice{Endpoint: "e0", LimitCounted: true}, fleet.Request{Service: "s"})
@@ -151,7 +151,7 @@
 })
 
 var _ = Describe("requests to endpoints that all name limits", func() {
-	ask := func(urgency int) fleet.Request {
+	newRequest := func(urgency int) fleet.Request {
 		return fleet.Request{Service: "s", Urgency: urgency, MaxLimitWait: 2 * time.Second}
 	}
 	lend := func(f *fleet.Fleet, n int) {
@@ -161,20 +161,20 @@
 	It("wait, and go in the order of their urgency", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.ObserveLimit("e0", named(2), clock.Now())
-			f.ObserveLimit("e1", named(2), clock.Now())
-			_, d := f.Place(ask(5))
+			f.ObserveLimit("e0", statedLimit(2), clock.Now())
+			f.ObserveLimit("e1", statedLimit(2), clock.Now())
+			_, d := f.Place(newRequest(5))
 			later, ok := d.(admission.Wait)
 			Expect(ok).To(BeTrue())
-			_, d = f.Place(ask(1))
+			_, d = f.Place(newRequest(1))
 			first, ok := d.(admission.Wait)
 			Expect(ok).To(BeTrue())
 			lend(f, 1)
-			patient := ask(5)
+			patient := newRequest(5)
 			patient.Turn = later.Turn
 			h, _ := f.Place(patient)
 			Expect(h).To(BeNil(), "a more urgent one waits")
-			urgent := ask(1)
+			urgent := newRequest(1)
 			urgent.Turn = first.Turn
 			h, _ = f.Place(urgent)
 			Expect(h).NotTo(BeNil())
@@ -187,13 +187,13 @@
 	It("do not go to an endpoint that fails instead", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.ObserveLimit("e0", named(2), clock.Now())
+			f.ObserveLimit("e0", statedLimit(2), clock.Now())
 			f.AddTally("e1", fleet.Tally{Lost: 1})
-			_, d := f.Place(ask(5))
+			_, d := f.Place(newRequest(5))
 			wait, ok := d.(admission.Wait)
 			Expect(ok).To(BeTrue())
 			lend(f, 1)
-			again := ask(5)
+			again := newRequest(5)
 			again.Turn = wait.Turn
 			h, _ := f.Place(again)
 			Expect(h.Endpoint.ID).To(Equal("e0"))
@@ -204,10 +204,10 @@
 		suite.Paused(func() {
 			f := limitedFleet()
 			for _, id := range []string{"e0", "e1"} {
-				f.ObserveLimit(id, named(0.2), clock.Now())
+				f.ObserveLimit(id, statedLimit(0.2), clock.Now())
 				f.FinishLoan(id, fleet.Loan{RetryAt: clock.Now().Add(5 * time.Second)})
 			}
-			_, d := f.Place(ask(5))
+			_, d := f.Place(newRequest(5))
 			Expect(d).To(Equal(admission.Refuse{After: 5 * time.Second}))
 		})
 	})
--- a/internal/fleet/loan.go
+++ b/internal/fleet/loan.go
@@ -20,12 +20,12 @@
 	Update   LimitUpdate
 }
 
-// wantedFor is how long a request that has found nothing to borrow counts; one that waits asks again
+// unmetTTL is how long a request that has found nothing to borrow counts; one that waits asks again
 // before.
-const wantedFor = 600 * time.Millisecond
+const unmetTTL = 600 * time.Millisecond
 
-// inHand is how many requests may be sent now.
-func (l *limitation) inHand(now clock.Instant) int {
+// available is how many requests may be sent now.
+func (l *limitState) available(now clock.Instant) int {
 	n := 0
 	for len(l.loans) > 0 && (l.loans[0].Requests == 0 || !now.Before(l.loans[0].Until)) {
 		l.loans = l.loans[1:]
@@ -36,37 +36,37 @@
 	return n
 }
 
-// stillLent lists the endpoints but one of which something is in hand; the caller holds mu.
-func (f *Fleet) stillLent(but *member) []*member {
+// membersWithLoans lists the endpoints but one of which something is in hand; the caller holds mu.
+func (f *Fleet) membersWithLoans(except *member) []*member {
 	now := f.options.Now()
-	return slices.DeleteFunc(f.lent, func(m *member) bool {
-		return m == but || m.limited == nil || m.limited.inHand(now) == 0
+	return slices.DeleteFunc(f.withLoans, func(m *member) bool {
+		return m == except || m.limit == nil || m.limit.available(now) == 0
 	})
 }
 
 // take uses a part of what is in hand.
-func (l *limitation) take(now clock.Instant) {
-	if l.inHand(now) > 0 {
+func (l *limitState) take(now clock.Instant) {
+	if l.available(now) > 0 {
 		l.loans[0].Requests--
-		l.used++
+		l.loansUsed++
 	}
 }
 
 // OnLoanNeeded has a function told that there is something to borrow. Without one no limit is kept: who
 // calls it lends.
-func (f *Fleet) OnLoanNeeded(wanted func()) { f.wanted = wanted }
+func (f *Fleet) OnLoanNeeded(wanted func()) { f.onLoanNeeded = wanted }
 
-// want notes that a request would go to an endpoint but for its limit, or that there is news of it.
-func (f *Fleet) want(m *member, now clock.Instant) {
-	if f.wanted == nil {
+// needLoan notes that a request would go to an endpoint but for its limit, or that there is news of it.
+func (f *Fleet) needLoan(m *member, now clock.Instant) {
+	if f.onLoanNeeded == nil {
 		return
 	}
-	if m.limited.holds() {
-		m.limited.wanted++
-		m.limited.wantedAt = now
+	if m.limit.active() {
+		m.limit.unmet++
+		m.limit.unmetAt = now
 	}
-	f.wanting[m.ID] = m
-	f.wanted()
+	f.needLoans[m.ID] = m
+	f.onLoanNeeded()
 }
 
 // LoanRequests returns what is to be borrowed now; each is to be followed by a call of Lent. Next is when
@@ -75,24 +75,24 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Now()
-	for id, m := range f.wanting {
-		l := m.limited
+	for id, m := range f.needLoans {
+		l := m.limit
 		switch {
-		case l.asking:
-		case !l.holds() && !l.untold, l.holds() && now.Sub(l.wantedAt) > wantedFor:
-			l.wanted, l.used = 0, 0
-			delete(f.wanting, id)
-		case now.Before(l.again):
-			if next.IsZero() || l.again.Before(next) {
-				next = l.again
+		case l.requesting:
+		case !l.active() && !l.endUntold, l.active() && now.Sub(l.unmetAt) > unmetTTL:
+			l.unmet, l.loansUsed = 0, 0
+			delete(f.needLoans, id)
+		case now.Before(l.retryAt):
+			if next.IsZero() || l.retryAt.Before(next) {
+				next = l.retryAt
 			}
 		default:
-			want := LoanRequest{Update: l.news(id)}
-			if l.holds() {
-				want.Requests = max(1, l.wanted+l.used-l.inHand(now))
+			want := LoanRequest{Update: l.update(id)}
+			if l.active() {
+				want.Requests = max(1, l.unmet+l.loansUsed-l.available(now))
 			}
-			l.asking, l.untold, l.wanted, l.used = true, false, 0, 0
-			delete(f.wanting, id)
+			l.requesting, l.endUntold, l.unmet, l.loansUsed = true, false, 0, 0
+			delete(f.needLoans, id)
 			list = append(list, want)
 		}
 	}
@@ -104,15 +104,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[id]
-	if !ok || m.limited == nil {
+	if !ok || m.limit == nil {
 		return
 	}
-	m.limited.asking, m.limited.again = false, loan.RetryAt
-	if loan.Requests > 0 && m.limited.holds() {
-		m.limited.loans = append(m.limited.loans, loan)
-		f.lent = append(f.stillLent(m), m)
+	m.limit.requesting, m.limit.retryAt = false, loan.RetryAt
+	if loan.Requests > 0 && m.limit.active() {
+		m.limit.loans = append(m.limit.loans, loan)
+		f.withLoans = append(f.membersWithLoans(m), m)
 	}
-	if _, more := f.wanting[id]; more {
-		f.wanted()
+	if _, more := f.needLoans[id]; more {
+		f.onLoanNeeded()
 	}
 }
--- a/internal/fleet/memory.go
+++ b/internal/fleet/memory.go
@@ -15,97 +15,97 @@
 
 // Bounds of what is known of engines' memory.
 const (
-	// memoryUnsaid stands in for the tokens that an engine's memory holds where
+	// defaultCacheTokens stands in for the tokens that an engine's memory holds where
 	// nobody tells.
-	memoryUnsaid = 200_000
-	// memoryPart of an engine's memory is taken to keep parts; requests that run
+	defaultCacheTokens = 200_000
+	// cacheShare of an engine's memory is taken to keep parts; requests that run
 	// there fill the rest.
-	memoryPart = 0.5
-	// memoryEntries bounds the parts that are known of an endpoint.
-	memoryEntries = 1024
+	cacheShare = 0.5
+	// maxCachedParts bounds the parts that are known of an endpoint.
+	maxCachedParts = 1024
 )
 
-// kept is what an endpoint is taken to keep, of what this host has seen sent there,
+// prefixCache is what an endpoint is taken to keep, of what this host has seen sent there,
 // least recently used first.
-type kept struct {
+type prefixCache struct {
 	parts  *simplelru.LRU[uint64, int] // tokens by part
 	tokens int
 }
 
-// ready makes room for parts: most endpoints of a large service never get a prompt from a host,
+// init makes room for parts: most endpoints of a large service never get a prompt from a host,
 // and have none.
-func (k *kept) ready() {
+func (k *prefixCache) init() {
 	if k.parts != nil {
 		return
 	}
-	parts, err := simplelru.NewLRU[uint64, int](memoryEntries, nil)
+	parts, err := simplelru.NewLRU[uint64, int](maxCachedParts, nil)
 	if err != nil {
 		panic(err) // only a size below one is refused
 	}
 	k.parts = parts
 }
 
-// memory is where parts of prompts are kept; the fleet's lock guards it.
-type memory struct {
+// prefixIndex is where parts of prompts are kept; the fleet's lock guards it.
+type prefixIndex struct {
 	holders map[uint64][]*member // by part
-	round   int64                // of look-ups
+	lookup  int64                // of look-ups
 }
 
-// note takes in that a prompt is read at an endpoint.
-func (y *memory) note(m *member, parts []Part, budget int) {
-	m.kept.ready()
+// add takes in that a prompt is read at an endpoint.
+func (y *prefixIndex) add(m *member, parts []Part, budget int) {
+	m.cache.init()
 	for _, p := range parts {
-		old, known := m.kept.parts.Get(p.ID)
-		m.kept.tokens += p.Tokens - old
+		old, known := m.cache.parts.Get(p.ID)
+		m.cache.tokens += p.Tokens - old
 		if !known {
-			if m.kept.parts.Len() == memoryEntries {
+			if m.cache.parts.Len() == maxCachedParts {
 				y.evict(m)
 			}
 			y.holders[p.ID] = append(y.holders[p.ID], m)
 		}
-		m.kept.parts.Add(p.ID, p.Tokens)
+		m.cache.parts.Add(p.ID, p.Tokens)
 	}
-	for m.kept.tokens > budget && m.kept.parts.Len() > len(parts) {
+	for m.cache.tokens > budget && m.cache.parts.Len() > len(parts) {
 		y.evict(m)
 	}
 }
 
 // evict takes the part out that was unused the longest.
-func (y *memory) evict(m *member) {
-	if id, tokens, ok := m.kept.parts.RemoveOldest(); ok {
-		m.kept.tokens -= tokens
-		y.release(id, m)
+func (y *prefixIndex) evict(m *member) {
+	if id, tokens, ok := m.cache.parts.RemoveOldest(); ok {
+		m.cache.tokens -= tokens
+		y.removeHolder(id, m)
 	}
 }
 
 // forget takes in that an endpoint has not read a prompt after all.
-func (y *memory) forget(m *member, parts []Part) {
-	if m.kept.parts == nil {
+func (y *prefixIndex) forget(m *member, parts []Part) {
+	if m.cache.parts == nil {
 		return
 	}
 	for _, p := range parts {
-		tokens, ok := m.kept.parts.Peek(p.ID)
+		tokens, ok := m.cache.parts.Peek(p.ID)
 		if !ok {
 			continue
 		}
-		m.kept.parts.Remove(p.ID)
-		m.kept.tokens -= tokens
-		y.release(p.ID, m)
+		m.cache.parts.Remove(p.ID)
+		m.cache.tokens -= tokens
+		y.removeHolder(p.ID, m)
 	}
 }
 
-// drop takes in that an endpoint is gone.
-func (y *memory) drop(m *member) {
-	if m.kept.parts == nil {
+// removeMember takes in that an endpoint is gone.
+func (y *prefixIndex) removeMember(m *member) {
+	if m.cache.parts == nil {
 		return
 	}
-	for _, id := range m.kept.parts.Keys() {
-		y.release(id, m)
+	for _, id := range m.cache.parts.Keys() {
+		y.removeHolder(id, m)
 	}
-	m.kept = kept{}
+	m.cache = prefixCache{}
 }
 
-func (y *memory) release(id uint64, m *member) {
+func (y *prefixIndex) removeHolder(id uint64, m *member) {
 	left := slices.DeleteFunc(y.holders[id], func(other *member) bool { return other == m })
 	if len(left) == 0 {
 		delete(y.holders, id)
@@ -114,19 +114,19 @@
 	y.holders[id] = left
 }
 
-// find marks the endpoints that keep the beginning of a prompt.
-func (y *memory) find(parts []Part) {
-	y.round++
+// lookUp marks the endpoints that keep the beginning of a prompt.
+func (y *prefixIndex) lookUp(parts []Part) {
+	y.lookup++
 	for i, p := range parts {
 		found := false
 		for _, m := range y.holders[p.ID] {
 			if i == 0 {
-				m.found = finding{round: y.round}
+				m.match = prefixMatch{lookup: y.lookup}
 			}
-			if m.found.round != y.round || m.found.parts != i {
+			if m.match.lookup != y.lookup || m.match.parts != i {
 				continue
 			}
-			m.found.parts, m.found.tokens, found = i+1, m.found.tokens+p.Tokens, true
+			m.match.parts, m.match.tokens, found = i+1, m.match.tokens+p.Tokens, true
 		}
 		if !found {
 			return
@@ -134,16 +134,16 @@
 	}
 }
 
-// finding is how much of a prompt an endpoint keeps, as of a look-up.
-type finding struct {
-	round         int64
+// prefixMatch is how much of a prompt an endpoint keeps, as of a look-up.
+type prefixMatch struct {
+	lookup        int64
 	parts, tokens int
 }
 
-// known is how many of the prompt's tokens of the last look-up an endpoint keeps.
-func (y *memory) known(m *member) int {
-	if m.found.round != y.round {
+// cachedTokens is how many of the prompt's tokens of the last look-up an endpoint keeps.
+func (y *prefixIndex) cachedTokens(m *member) int {
+	if m.match.lookup != y.lookup {
 		return 0
 	}
-	return m.found.tokens
+	return m.match.tokens
 }
--- a/internal/fleet/memory_test.go
+++ b/internal/fleet/memory_test.go
@@ -10,17 +10,17 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// document is a prompt of two shared parts and one of its own.
-func document(chapter, own uint64) fleet.Request {
+// documentPrompt is a prompt of two shared parts and one of its own.
+func documentPrompt(chapter, own uint64) fleet.Request {
 	return fleet.Request{
 		Service: "s", Key: chapter, Model: "m", Tokens: 10_000, SharedTokens: 9_000, Objective: 4 * time.Second, CacheTokens: 100_000,
 		Parts: []fleet.Part{{ID: 1, Tokens: 4_000}, {ID: chapter, Tokens: 5_000}, {ID: own, Tokens: 1_000}},
 	}
 }
 
-// read has a prompt read where the fleet chooses, at the speed of 10,000 tokens a second.
-func read(f *fleet.Fleet, ask fleet.Request) *fleet.Hold {
-	h, ok := f.Pick(ask)
+// pickAndPrefill has a prompt pickAndPrefill where the fleet chooses, at the speed of 10,000 tokens a second.
+func pickAndPrefill(f *fleet.Fleet, req fleet.Request) *fleet.Hold {
+	h, ok := f.Pick(req)
 	Expect(ok).To(BeTrue())
 	time.Sleep(time.Duration(h.Expected.PrefillTokens) * 100 * time.Microsecond)
 	h.Head(fleet.Load{})
@@ -32,13 +32,13 @@
 	It("brings a prompt back to where it was read, though that is not its home", func() {
 		suite.Paused(func() {
 			f := newFleet()
-			home := read(f, document(7, 100)).Endpoint.ID
-			away := document(7, 101)
+			home := pickAndPrefill(f, documentPrompt(7, 100)).Endpoint.ID
+			away := documentPrompt(7, 101)
 			away.Avoid = []string{home}
-			second := read(f, away).Endpoint.ID
+			second := pickAndPrefill(f, away).Endpoint.ID
 			f.Remove(home)
 			for own := range uint64(5) {
-				h := read(f, document(7, 200+own))
+				h := pickAndPrefill(f, documentPrompt(7, 200+own))
 				Expect(h.Endpoint.ID).To(Equal(second))
 				Expect(h.Expected.PrefillTokens).To(Equal(1_000))
 			}
@@ -49,9 +49,9 @@
 		home := func(advisers int, unadvised bool) int {
 			f := fleet.New(fleet.Options{Hall: "ikeja", Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: 3, Advisers: advisers} }})
 			f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 4})
-			ask := document(7, 100)
-			ask.Unadvised = unadvised
-			e, ok := f.Expect(ask)
+			req := documentPrompt(7, 100)
+			req.Unadvised = unadvised
+			e, ok := f.Expect(req)
 			Expect(ok).To(BeTrue())
 			return e.PrefillTokens
 		}
@@ -64,8 +64,8 @@
 		suite.Paused(func() {
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			f.Put(fleet.Endpoint{ID: "home", Service: "s", Hall: "ikeja", Slots: 4})
-			read(f, document(7, 100))
-			other := document(8, 300)
+			pickAndPrefill(f, documentPrompt(7, 100))
+			other := documentPrompt(8, 300)
 			other.SharedTokens = 0 // nobody else has it, so that its home tells nothing
 			h, _ := f.Pick(other)
 			Expect(h.Expected.PrefillTokens).To(Equal(6_000))
@@ -76,8 +76,8 @@
 		suite.Paused(func() {
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 4})
-			read(f, document(7, 100))
-			other := document(7, 300)
+			pickAndPrefill(f, documentPrompt(7, 100))
+			other := documentPrompt(7, 300)
 			other.SharedTokens, other.Parts[0].ID = 0, 2 // another beginning before the same chapter
 			h, _ := f.Pick(other)
 			Expect(h.Expected.PrefillTokens).To(Equal(10_000))
@@ -91,14 +91,14 @@
 			f.Put(fleet.Endpoint{ID: "other", Service: "s", Hall: "ikeja", Slots: 4})
 			at := func(id string, parts ...fleet.Part) fleet.Request {
 				avoid := map[string]string{"gap": "other", "other": "gap"}
-				ask := document(7, 100)
-				ask.SharedTokens, ask.Parts, ask.Avoid = 0, parts, []string{avoid[id]}
-				return ask
+				req := documentPrompt(7, 100)
+				req.SharedTokens, req.Parts, req.Avoid = 0, parts, []string{avoid[id]}
+				return req
 			}
 			first, second, third := fleet.Part{ID: 1, Tokens: 4_000}, fleet.Part{ID: 2, Tokens: 3_000}, fleet.Part{ID: 3, Tokens: 3_000}
-			read(f, at("gap", first))
-			read(f, at("gap", third))
-			read(f, at("other", first, second))
+			pickAndPrefill(f, at("gap", first))
+			pickAndPrefill(f, at("gap", third))
+			pickAndPrefill(f, at("other", first, second))
 			h, _ := f.Pick(at("gap", first, second, third))
 			Expect(h.Expected.PrefillTokens).To(Equal(6_000))
 		})
@@ -110,13 +110,13 @@
 			put := func() { f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 4}) }
 			put()
 			fresh := func(chapter uint64) int {
-				ask := document(chapter, chapter*1000)
-				ask.SharedTokens = 0
-				h, _ := f.Pick(ask)
+				req := documentPrompt(chapter, chapter*1000)
+				req.SharedTokens = 0
+				h, _ := f.Pick(req)
 				h.Done(fleet.Result{Outcome: fleet.OutcomeNeutral})
 				return h.Expected.PrefillTokens
 			}
-			h, _ := f.Pick(document(7, 100))
+			h, _ := f.Pick(documentPrompt(7, 100))
 			h.Done(fleet.Result{Outcome: fleet.OutcomeRefused})
 			Expect(fresh(7)).To(Equal(10_000))
 			Expect(fresh(7)).To(BeZero())
@@ -136,9 +136,9 @@
 		suite.Paused(func() {
 			f := newFleet()
 			for own := range uint64(12) {
-				read(f, document(7+own, 100+own))
+				pickAndPrefill(f, documentPrompt(7+own, 100+own))
 			}
-			e, _ := f.Expect(document(99, 999))
+			e, _ := f.Expect(documentPrompt(99, 999))
 			Expect(e.PrefillTime).To(BeNumerically("~", time.Duration(e.PrefillTokens)*100*time.Microsecond, 100*time.Millisecond))
 		})
 	})
@@ -147,12 +147,12 @@
 		suite.Paused(func() {
 			f := newFleet()
 			for own := range uint64(20) {
-				h, _ := f.Pick(document(7+own, 100+own)) // the engines read it before this host started
+				h, _ := f.Pick(documentPrompt(7+own, 100+own)) // the engines read it before this host started
 				time.Sleep(20 * time.Millisecond)
 				h.Head(fleet.Load{})
 				h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			}
-			e, _ := f.Expect(document(99, 999))
+			e, _ := f.Expect(documentPrompt(99, 999))
 			Expect(e.PrefillTime).To(BeNumerically(">=", time.Duration(e.PrefillTokens)*10*time.Microsecond), "the prior")
 		})
 	})
@@ -162,11 +162,11 @@
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 64})
 			for own := range uint64(12) {
-				read(f, document(7+own, 100+own))
+				pickAndPrefill(f, documentPrompt(7+own, 100+own))
 			}
 			var burst []*fleet.Hold
 			for own := range uint64(60) {
-				h, _ := f.Pick(document(100+own, 200+own))
+				h, _ := f.Pick(documentPrompt(100+own, 200+own))
 				burst = append(burst, h)
 			}
 			for _, h := range burst {
@@ -174,7 +174,7 @@
 				h.Head(fleet.Load{})
 				h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			}
-			e, _ := f.Expect(document(999, 9999))
+			e, _ := f.Expect(documentPrompt(999, 9999))
 			Expect(e.PrefillTime).To(BeNumerically("~", time.Duration(e.PrefillTokens)*100*time.Microsecond, 200*time.Millisecond), "twelve times that before")
 		})
 	})
@@ -188,9 +188,9 @@
 			h.Head(fleet.Load{})
 			h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			for own := range uint64(6) {
-				read(f, document(7+own, 100+own))
+				pickAndPrefill(f, documentPrompt(7+own, 100+own))
 			}
-			e, _ := f.Expect(document(99, 999))
+			e, _ := f.Expect(documentPrompt(99, 999))
 			Expect(e.PrefillTime).To(BeNumerically(">", time.Duration(e.PrefillTokens)*80*time.Microsecond))
 		})
 	})
@@ -201,12 +201,12 @@
 		suite.Paused(func() {
 			f := newFleet()
 			for own := range uint64(20) {
-				read(f, document(7, 100+own))
+				pickAndPrefill(f, documentPrompt(7, 100+own))
 			}
-			before, _ := f.Expect(document(7, 99))
+			before, _ := f.Expect(documentPrompt(7, 99))
 			Expect(before.Price).To(BeNumerically("<", 0.1))
 			for own := range uint64(60) {
-				h, _ := f.Pick(document(7, 200+own))
+				h, _ := f.Pick(documentPrompt(7, 200+own))
 				time.Sleep(100 * time.Millisecond)
 				if own%4 != 0 {
 					time.Sleep(2 * time.Second)
@@ -214,7 +214,7 @@
 				h.Head(fleet.Load{})
 				h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			}
-			after, _ := f.Expect(document(7, 98))
+			after, _ := f.Expect(documentPrompt(7, 98))
 			Expect(after.Price).To(BeNumerically(">", 0.5))
 		})
 	})
--- a/internal/fleet/nominate.go
+++ b/internal/fleet/nominate.go
@@ -14,103 +14,103 @@
 // whose shared beginning many keep go to some of those, so that the endpoints in use are as many as
 // the load asks for, whatever their number.
 const (
-	// weighAll is up to how many endpoints all are weighed.
-	weighAll = 256
-	// keepersMost endpoints that keep the most of a prompt are weighed, and beginnersMost that
+	// scoreAllUpTo is up to how many endpoints all are weighed.
+	scoreAllUpTo = 256
+	// maxHolders endpoints that keep the most of a prompt are weighed, and beginnersMost that
 	// keep only its beginning.
-	keepersMost   = 6
-	beginnersMost = 8
-	// homesMost endpoints are weighed at which other hosts most likely have had it read.
-	homesMost = 2
-	// nearMost and anyMost are drawn by chance from the data hall of the host that asks and
+	maxHolders          = 6
+	maxBeginningHolders = 8
+	// maxHomes endpoints are weighed at which other hosts most likely have had it read.
+	maxHomes = 2
+	// maxLocal and anyMost are drawn by chance from the data hall of the host that asks and
 	// from all.
-	nearMost = 8
-	anyMost  = 4
-	// drawsPer is how many draws one that may be used takes at most.
-	drawsPer = 3
-	// lentMost endpoints are weighed of whose limits this host has something in hand.
-	lentMost = 8
+	maxLocal    = 8
+	maxAnywhere = 4
+	// drawsPerCandidate is how many draws one that may be used takes at most.
+	drawsPerCandidate = 3
+	// maxWithLoans endpoints are weighed of whose limits this host has something in hand.
+	maxWithLoans = 8
 )
 
-// nominees are the endpoints that are weighed for an attempt.
-type nominees struct {
-	list [keepersMost + beginnersMost + homesMost + nearMost + anyMost + lentMost]*member
+// candidates are the endpoints that are weighed for an attempt.
+type candidates struct {
+	list [maxHolders + maxBeginningHolders + maxHomes + maxLocal + maxAnywhere + maxWithLoans]*member
 	n    int
 }
 
 // add nominates an endpoint once.
-func (n *nominees) add(m *member) {
+func (n *candidates) add(m *member) {
 	if n.n < len(n.list) && !slices.Contains(n.list[:n.n], m) {
 		n.list[n.n] = m
 		n.n++
 	}
 }
 
-// nominate returns the endpoints of a large service that are weighed; the caller holds mu, and has
+// candidates returns the endpoints of a large service that are weighed; the caller holds mu, and has
 // looked up which ones keep the prompt.
-func (f *Fleet) nominate(p *pool, ask Request, near string, now clock.Instant) nominees {
-	var n nominees
-	f.nominateLent(&n, ask, now)
-	if ask.Key != 0 {
-		f.nominateKeepers(&n, ask, now)
-		f.nominateHomes(&n, p, ask, now)
+func (f *Fleet) candidates(p *pool, req Request, near string, now clock.Instant) candidates {
+	var n candidates
+	f.addWithLoans(&n, req, now)
+	if req.Key != 0 {
+		f.addHolders(&n, req, now)
+		f.addHomes(&n, p, req, now)
 	}
-	f.draw(&n, p.halls[near], nearMost, ask, now)
-	f.draw(&n, p.all, anyMost, ask, now)
+	f.sample(&n, p.byHall[near], maxLocal, req, now)
+	f.sample(&n, p.all, maxAnywhere, req, now)
 	return n
 }
 
-// nominateLent nominates endpoints that name limits, and of which something is in hand.
-func (f *Fleet) nominateLent(n *nominees, ask Request, now clock.Instant) {
-	for _, m := range f.lent {
-		if n.n < lentMost && m.Service == ask.Service && m.limited.holds() && m.limited.inHand(now) > 0 && f.usable(m, ask) {
+// addWithLoans nominates endpoints that name limits, and of which something is in hand.
+func (f *Fleet) addWithLoans(n *candidates, req Request, now clock.Instant) {
+	for _, m := range f.withLoans {
+		if n.n < maxWithLoans && m.Service == req.Service && m.limit.active() && m.limit.available(now) > 0 && f.usable(m, req) {
 			n.add(m)
 		}
 	}
 }
 
-// nominateKeepers nominates endpoints that keep a prompt: some of those that keep the most of it,
+// addHolders nominates endpoints that keep a prompt: some of those that keep the most of it,
 // and some that keep its beginning.
-func (f *Fleet) nominateKeepers(n *nominees, ask Request, now clock.Instant) {
-	parts := ask.Parts
+func (f *Fleet) addHolders(n *candidates, req Request, now clock.Instant) {
+	parts := req.Parts
 	if parts == nil {
-		f.drawOf(n, f.memory.holders[ask.Key], keepersMost, ask, now)
+		f.sampleHolders(n, f.prefixes.holders[req.Key], maxHolders, req, now)
 		return
 	}
 	for i := len(parts) - 1; i > 0; i-- {
 		before := n.n
-		f.drawOf(n, f.memory.holders[parts[i].ID], keepersMost, ask, now)
+		f.sampleHolders(n, f.prefixes.holders[parts[i].ID], maxHolders, req, now)
 		if n.n > before {
 			break
 		}
 	}
 	if len(parts) > 0 {
-		f.drawOf(n, f.memory.holders[parts[0].ID], beginnersMost, ask, now)
+		f.sampleHolders(n, f.prefixes.holders[parts[0].ID], maxBeginningHolders, req, now)
 	}
 }
 
-// drawOf nominates all of a few endpoints that may be used, or as many by chance.
-func (f *Fleet) drawOf(n *nominees, from []*member, most int, ask Request, now clock.Instant) {
+// sampleHolders nominates all of a few endpoints that may be used, or as many by chance.
+func (f *Fleet) sampleHolders(n *candidates, from []*member, most int, req Request, now clock.Instant) {
 	if len(from) > most {
-		f.draw(n, from, most, ask, now)
+		f.sample(n, from, most, req, now)
 		return
 	}
 	for _, m := range from {
-		if m.Service == ask.Service && f.usable(m, ask) {
+		if m.Service == req.Service && f.usable(m, req) {
 			n.add(m)
 		}
 	}
 }
 
-// draw nominates endpoints by chance that are well and may be used.
-func (f *Fleet) draw(n *nominees, from []*member, most int, ask Request, now clock.Instant) {
+// sample nominates endpoints by chance that are well and may be used.
+func (f *Fleet) sample(n *candidates, from []*member, most int, req Request, now clock.Instant) {
 	if len(from) == 0 {
 		return
 	}
 	drawn := 0
-	for range drawsPer * most {
+	for range drawsPerCandidate * most {
 		m := from[int(f.options.Random()*float64(len(from)))%len(from)]
-		if m.Service != ask.Service || !f.usable(m, ask) || m.tier(now) > tierWell {
+		if m.Service != req.Service || !f.usable(m, req) || m.tier(now) > tierHealthy {
 			continue
 		}
 		n.add(m)
@@ -120,18 +120,18 @@
 	}
 }
 
-// nominateHomes nominates the endpoints that come next to a prompt on the ring, which are the same
+// addHomes nominates the endpoints that come next to a prompt on the ring, which are the same
 // for all hosts.
-func (f *Fleet) nominateHomes(n *nominees, p *pool, ask Request, now clock.Instant) {
-	at, _ := p.find(ask.Key)
+func (f *Fleet) addHomes(n *candidates, p *pool, req Request, now clock.Instant) {
+	at, _ := p.find(req.Key)
 	homes := 0
-	for i := range min(drawsPer*homesMost, len(p.ring)) {
+	for i := range min(drawsPerCandidate*maxHomes, len(p.ring)) {
 		m := p.ring[(at+i)%len(p.ring)]
-		if !f.usable(m, ask) || m.tier(now) > tierWell {
+		if !f.usable(m, req) || m.tier(now) > tierHealthy {
 			continue
 		}
 		n.add(m)
-		if homes++; homes == homesMost {
+		if homes++; homes == maxHomes {
 			return
 		}
 	}
--- a/internal/fleet/nominate_test.go
+++ b/internal/fleet/nominate_test.go
@@ -13,11 +13,11 @@
 	manyEndpoints = 10_000
 	manyPrompts   = 400
 	manySteps     = 4_000
-	lookEvery     = 16 // steps
+	compareEvery  = 16 // steps
 )
 
-// manyFleet is a fleet with many endpoints in five data halls.
-func manyFleet(count int) *Fleet {
+// largeFleet is a fleet with many endpoints in five data halls.
+func largeFleet(count int) *Fleet {
 	random := rand.New(rand.NewPCG(1, 1))
 	f := New(Options{Hall: "hall-0", Random: random.Float64})
 	list := make([]Endpoint, count)
@@ -28,8 +28,8 @@
 	return f
 }
 
-// manyAsk is a request of a kind that comes again: all share the first part, some the second.
-func manyAsk(random *rand.Rand) Request {
+// randomRequest is a request of a kind that comes again: all share the first part, some the second.
+func randomRequest(random *rand.Rand) Request {
 	subject := uint64(random.IntN(manyPrompts))
 	parts := []Part{{ID: 1, Tokens: 512}, {ID: 1000 + subject, Tokens: 4870}, {ID: random.Uint64(), Tokens: 6600}}
 	return Request{
@@ -38,17 +38,17 @@
 	}
 }
 
-// bestOf is the best score of all endpoints for an attempt, and that of the one chosen, both without
+// bestScore is the best score of all endpoints for an attempt, and that of the one chosen, both without
 // the tie-break of equal ones.
-func bestOf(f *Fleet, ask Request, chosen *member) (best, got float64) {
+func bestScore(f *Fleet, req Request, chosen *member) (best, got float64) {
 	now := f.options.Now()
-	t := f.terms(ask, now)
+	t := f.terms(req, now)
 	best = math.Inf(1)
-	for _, m := range f.endpointsOf(ask.Service) {
-		if !f.usable(m, ask) {
+	for _, m := range f.endpointsOf(req.Service) {
+		if !f.usable(m, req) {
 			continue
 		}
-		s := f.score(m, t, m.load(now, t.sharers), t.unread(m), now)
+		s := f.score(m, t, m.load(now, t.sharers), t.prefillTokens(m), now)
 		best = min(best, s)
 		if m == chosen {
 			got = s
@@ -57,26 +57,26 @@
 	return best, got
 }
 
-// scoreOff is how far the score of an endpoint that is chosen among a few may be from the best, on
+// maxScoreGap is how far the score of an endpoint that is chosen among a few may be from the best, on
 // average, in seconds.
-const scoreOff = 0.01
+const maxScoreGap = 0.01
 
 // TestChoiceAmongMany plays a load on a service with many endpoints: where a few are weighed, callers
 // get on average what they would get if all were.
 func TestChoiceAmongMany(t *testing.T) {
-	f, random := manyFleet(manyEndpoints), rand.New(rand.NewPCG(2, 3))
+	f, random := largeFleet(manyEndpoints), rand.New(rand.NewPCG(2, 3))
 	var held []*Hold
-	sum, looks, used := 0.0, 0.0, map[string]bool{}
+	sum, compared, used := 0.0, 0.0, map[string]bool{}
 	for i := range manySteps {
-		ask := manyAsk(random)
+		req := randomRequest(random)
 		f.mu.Lock()
-		c := f.choose(ask)
-		if i%lookEvery == 0 {
-			best, got := bestOf(f, ask, c.member)
-			sum, looks = sum+got-best, looks+1
+		c := f.choose(req)
+		if i%compareEvery == 0 {
+			best, got := bestScore(f, req, c.member)
+			sum, compared = sum+got-best, compared+1
 		}
 		f.mu.Unlock()
-		h, ok := f.PickAt(Advice{Endpoint: c.member.ID}, ask)
+		h, ok := f.PickAt(Advice{Endpoint: c.member.ID}, req)
 		if !ok {
 			t.Fatal("the endpoint may not be used")
 		}
@@ -88,19 +88,19 @@
 			held = held[1:]
 		}
 	}
-	t.Logf("%.4f s off on average, %d endpoints used", sum/looks, len(used))
-	if off := sum / looks; off > scoreOff {
-		t.Errorf("%.4f s off on average, %.4f at most", off, scoreOff)
+	t.Logf("%.4f s off on average, %d endpoints used", sum/compared, len(used))
+	if gap := sum / compared; gap > maxScoreGap {
+		t.Errorf("%.4f s off on average, %.4f at most", gap, maxScoreGap)
 	}
 }
 
 // TestChoiceOfARareVersion: of many endpoints few run the version that a request may run on.
 func TestChoiceOfARareVersion(t *testing.T) {
-	f := manyFleet(manyEndpoints)
+	f := largeFleet(manyEndpoints)
 	f.Put(Endpoint{ID: "new", Service: "s", Hall: "hall-3", Slots: 24, Version: "v2"})
-	ask := manyAsk(rand.New(rand.NewPCG(2, 3)))
-	ask.Allowed = func(v string) bool { return v == "v2" }
-	h, ok := f.Pick(ask)
+	req := randomRequest(rand.New(rand.NewPCG(2, 3)))
+	req.Allowed = func(v string) bool { return v == "v2" }
+	h, ok := f.Pick(req)
 	if !ok || h.Endpoint.ID != "new" {
 		t.Fatal("the only endpoint that may be used was not found")
 	}
@@ -108,7 +108,7 @@
 
 // TestPoolOfMany adds and removes endpoints, also while lists are read whole.
 func TestPoolOfMany(t *testing.T) {
-	f, random := manyFleet(1_000), rand.New(rand.NewPCG(4, 5))
+	f, random := largeFleet(1_000), rand.New(rand.NewPCG(4, 5))
 	for i := range 3_000 {
 		switch random.IntN(3) {
 		case 0:
@@ -116,17 +116,17 @@
 		case 1:
 			f.Remove(fmt.Sprint("e", random.IntN(1_000)))
 		default:
-			if h, ok := f.Pick(manyAsk(random)); ok {
+			if h, ok := f.Pick(randomRequest(random)); ok {
 				h.Done(Result{Outcome: OutcomeGood})
 			}
 		}
 		p := f.byService["s"]
 		inHalls := 0
-		for hall, list := range p.halls {
+		for hall, list := range p.byHall {
 			inHalls += len(list)
 			for j, m := range list {
-				if m.Hall != hall || m.place.hall != j {
-					t.Fatalf("%s stands in %s at %d, in the list of %s at %d", m.ID, m.Hall, m.place.hall, hall, j)
+				if m.Hall != hall || m.position.hall != j {
+					t.Fatalf("%s stands in %s at %d, in the list of %s at %d", m.ID, m.Hall, m.position.hall, hall, j)
 				}
 			}
 		}
@@ -136,16 +136,16 @@
 	}
 }
 
-func benchmarkMany(b *testing.B, count int) {
-	f, random := manyFleet(count), rand.New(rand.NewPCG(2, 3))
-	asks := make([]Request, 512)
-	for i := range asks {
-		asks[i] = manyAsk(random)
+func benchmarkChoose(b *testing.B, count int) {
+	f, random := largeFleet(count), rand.New(rand.NewPCG(2, 3))
+	requests := make([]Request, 512)
+	for i := range requests {
+		requests[i] = randomRequest(random)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		f.mu.Lock()
-		c := f.choose(asks[i%len(asks)])
+		c := f.choose(requests[i%len(requests)])
 		f.mu.Unlock()
 		if c.member == nil {
 			b.Fatal("none")
@@ -154,6 +154,6 @@
 }
 
 // A choice among 10,000 endpoints took 2.6 ms where all were weighed, and takes 6.6 us.
-func BenchmarkChoose1000(b *testing.B)  { benchmarkMany(b, 1_000) }
-func BenchmarkChoose10000(b *testing.B) { benchmarkMany(b, 10_000) }
-func BenchmarkChoose20000(b *testing.B) { benchmarkMany(b, 20_000) }
+func BenchmarkChoose1000(b *testing.B)  { benchmarkChoose(b, 1_000) }
+func BenchmarkChoose10000(b *testing.B) { benchmarkChoose(b, 10_000) }
+func BenchmarkChoose20000(b *testing.B) { benchmarkChoose(b, 20_000) }
--- a/internal/fleet/overload_test.go
+++ b/internal/fleet/overload_test.go
@@ -30,11 +30,11 @@
 type engine struct {
 	mu      sync.Mutex
 	running int
-	waiting []*place
+	waiting []*queuedRequest
 }
 
-// place is a request that waits at an engine.
-type place struct {
+// queuedRequest is a request that waits at an engine.
+type queuedRequest struct {
 	urgency int
 	turn    chan struct{}
 }
@@ -51,12 +51,12 @@
 		e.mu.Unlock()
 		return false
 	}
-	p := &place{urgency: urgency, turn: make(chan struct{})}
+	p := &queuedRequest{urgency: urgency, turn: make(chan struct{})}
 	i := 0
 	for i < len(e.waiting) && e.waiting[i].urgency <= urgency {
 		i++
 	}
-	e.waiting = append(e.waiting[:i:i], append([]*place{p}, e.waiting[i:]...)...)
+	e.waiting = append(e.waiting[:i:i], append([]*queuedRequest{p}, e.waiting[i:]...)...)
 	e.mu.Unlock()
 	<-p.turn
 	return true
@@ -79,28 +79,28 @@
 	return fleet.Load{Running: e.running, Waiting: len(e.waiting), Slots: engineSlots}
 }
 
-// received is what callers got.
-type received struct {
+// callerResults is what callers got.
+type callerResults struct {
 	inTime, late, refused, vanished int
 	longestUntilRefused             time.Duration
 }
 
-// play is a load on six engines whose callers want answers to begin within an objective
+// simulation is a load on six engines whose callers want answers to begin within an objective
 // and leave after four of them.
-type play struct {
-	decide  bool // order among requests; without, all are sent at once
+type simulation struct {
+	ordered bool // order among requests; without, all are sent at once
 	engines map[string]*engine
 	fleet   *fleet.Fleet
 	mu      sync.Mutex
-	got     received
+	got     callerResults
 }
 
-const playObjective = time.Second
+const simObjective = time.Second
 
-// newPlay returns a play all of whose chances are drawn from a seed.
-func newPlay(decide bool, seed uint64) *play {
+// newSimulation returns a play all of whose chances are drawn from a seed.
+func newSimulation(decide bool, seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, 1))
-	p := &play{decide: decide, engines: map[string]*engine{}, fleet: newFleetWith(random.Float64)}
+	p := &simulation{ordered: decide, engines: map[string]*engine{}, fleet: newFleetWith(random.Float64)}
 	for i := range 6 {
 		p.engines[fmt.Sprintf("e%d", i)] = &engine{}
 	}
@@ -108,7 +108,7 @@
 }
 
 // burst has requests come at a rate for a time, one by one, and waits for all of them.
-func (p *play) burst(perSecond int, d time.Duration) {
+func (p *simulation) burst(perSecond int, d time.Duration) {
 	var all sync.WaitGroup
 	for i := range int(d.Seconds() * float64(perSecond)) {
 		all.Go(func() {
@@ -121,14 +121,14 @@
 }
 
 // request serves one caller. Who finds an engine full tries elsewhere, three times.
-func (p *play) request(key uint64) {
+func (p *simulation) request(key uint64) {
 	start, turn := clock.Now(), int64(0)
 	for tries := 0; tries < 3; {
-		ask := fleet.Request{Service: "s", Key: key << 8, Model: "m", Tokens: 300, Objective: playObjective, Waited: clock.Since(start), Turn: turn}
-		if p.decide {
-			ask.Slack, ask.Remaining = playObjective-clock.Since(start), 4*playObjective-clock.Since(start)
+		req := fleet.Request{Service: "s", Key: key << 8, Model: "m", Tokens: 300, Objective: simObjective, Waited: clock.Since(start), Turn: turn}
+		if p.ordered {
+			req.Slack, req.Remaining = simObjective-clock.Since(start), 4*simObjective-clock.Since(start)
 		}
-		h, decision := p.fleet.Place(ask)
+		h, decision := p.fleet.Place(req)
 		if w, ok := decision.(admission.Wait); ok {
 			turn = w.Turn
 			time.Sleep(w.For)
@@ -142,14 +142,14 @@
 		}
 		tries++
 	}
-	p.note(func(r *received) {
+	p.record(func(r *callerResults) {
 		r.refused++
 		r.longestUntilRefused = max(r.longestUntilRefused, clock.Since(start))
 	})
 }
 
 // run sends a request to its engine; false if that is full.
-func (p *play) run(h *fleet.Hold, start clock.Instant) bool {
+func (p *simulation) run(h *fleet.Hold, start clock.Instant) bool {
 	e := p.engines[h.Endpoint.ID]
 	if !e.enter(h.Urgency()) {
 		h.Done(fleet.Result{Outcome: fleet.OutcomeRefused, Load: e.load()})
@@ -158,11 +158,11 @@
 	time.Sleep(engineRead)
 	h.Head(e.load())
 	took := clock.Since(start)
-	p.note(func(r *received) {
+	p.record(func(r *callerResults) {
 		switch {
-		case took <= playObjective:
+		case took <= simObjective:
 			r.inTime++
-		case took <= 4*playObjective:
+		case took <= 4*simObjective:
 			r.late++
 		default:
 			r.vanished++
@@ -174,23 +174,23 @@
 	return true
 }
 
-func (p *play) note(change func(r *received)) {
+func (p *simulation) record(change func(r *callerResults)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change(&p.got)
 }
 
-// asked is a load, and what callers get of it.
-type asked struct {
+// loadCase is a load, and what callers get of it.
+type loadCase struct {
 	perSecond int
 	inTime    float64
 	vanished  float64
 }
 
-// loads on engines that serve some 28 requests a second, with what callers get at least:
+// loadCases on engines that serve some 28 requests a second, with what callers get at least:
 // the part that is answered in time, of what could be, and at most: the part of callers
 // that nobody told anything before they left.
-var loads = map[string]asked{
+var loadCases = map[string]loadCase{
 	"half of what engines serve": {14, 0.99, 0},
 	"as much as engines serve":   {26, 0.90, 0},
 	"half as much again":         {42, 0.70, 0.01},
@@ -199,7 +199,7 @@
 }
 
 var _ = Describe("callers of engines under load", func() {
-	for name, l := range loads {
+	for name, l := range loadCases {
 		It("get what engines can give: "+name, func() {
 			suite.Paused(func() { l.check(GinkgoWriter.Printf, 1) })
 		})
@@ -215,24 +215,24 @@
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				RegisterTestingT(t)
-				asked{112, 0.70, 0.01}.check(t.Logf, seed+1)
+				loadCase{112, 0.70, 0.01}.check(t.Logf, seed+1)
 			})
 		})
 	}
 }
 
 // check plays the load, with an order of requests and without one.
-func (l asked) check(logf func(format string, args ...any), seed uint64) {
+func (l loadCase) check(logf func(format string, args ...any), seed uint64) {
 	const seconds = 10
 	capacity := 6 * engineSlots / (engineRead + engineStay).Seconds()
-	could := min(float64(l.perSecond), capacity) * seconds
-	ordered, plain := newPlay(true, seed), newPlay(false, seed)
+	servable := min(float64(l.perSecond), capacity) * seconds
+	ordered, plain := newSimulation(true, seed), newSimulation(false, seed)
 	ordered.burst(l.perSecond, seconds*time.Second)
 	plain.burst(l.perSecond, seconds*time.Second)
 	time.Sleep(time.Minute)
 	got := ordered.got
-	logf("%d a second: %+v; without an order %+v; could %.0f\n", l.perSecond, got, plain.got, could)
-	Expect(float64(got.inTime)).To(BeNumerically(">=", l.inTime*could))
+	logf("%d a second: %+v; without an order %+v; could %.0f\n", l.perSecond, got, plain.got, servable)
+	Expect(float64(got.inTime)).To(BeNumerically(">=", l.inTime*servable))
 	Expect(float64(got.vanished)).To(BeNumerically("<=", l.vanished*float64(l.perSecond*seconds)))
 	if l.perSecond > 50 {
 		Expect(got.inTime).To(BeNumerically(">=", 2*plain.got.inTime), "without an order nearly all are late")
--- a/internal/fleet/pace_test.go
+++ b/internal/fleet/pace_test.go
@@ -11,8 +11,8 @@
 )
 
 var _ = Describe("endpoints that share their machines with others", func() {
-	// shared has an endpoint say some times how long work takes there, others that it is as usual.
-	shared := func(key uint64, paces ...float64) *fleet.Fleet {
+	// fleetWithPaces has an endpoint say some times how long work takes there, others that it is as usual.
+	fleetWithPaces := func(key uint64, paces ...float64) *fleet.Fleet {
 		f := fleet.New(fleet.Options{Hall: "h"})
 		for i := range 4 {
 			f.Put(fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "s", Hall: "h", Slots: 8})
@@ -31,8 +31,8 @@
 		}
 		return f
 	}
-	// gets is how many of some requests an endpoint gets.
-	gets := func(f *fleet.Fleet, key uint64) int {
+	// countAtFirst is how many of some requests an endpoint countAtFirst.
+	countAtFirst := func(f *fleet.Fleet, key uint64) int {
 		n := 0
 		for range 40 {
 			h, ok := f.Pick(fleet.Request{Service: "s", Key: key, Tokens: 4000})
@@ -51,7 +51,7 @@
 
 	for name, key := range map[string]uint64{"requests without a prompt": 0, "requests with a prompt": 7} {
 		It("get fewer "+name+" while work takes long there", func() {
-			Expect(gets(shared(key, slow...), key)).To(BeZero())
+			Expect(countAtFirst(fleetWithPaces(key, slow...), key)).To(BeZero())
 		})
 	}
 
@@ -60,6 +60,6 @@
 		for i := len(slow); i < len(back); i++ {
 			back[i] = 1
 		}
-		Expect(gets(shared(0, back...), 0)).To(BeNumerically(">", 0))
+		Expect(countAtFirst(fleetWithPaces(0, back...), 0)).To(BeNumerically(">", 0))
 	})
 })
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -46,45 +46,45 @@
 // Hold is a place at an endpoint.
 type Hold struct {
 	// OnDone is called when the hold is done; nil if nobody minds.
-	OnDone   func()
-	Endpoint Endpoint
-	fleet    *Fleet
-	member   *member
-	ask      Request
-	Expected Expectation // as the hold was taken
-	sent     clock.Instant
-	idle     time.Duration // until the head of the answer, if the endpoint were idle
-	took     time.Duration // until the head was there
-	ticket   int64         // of the awaited head
-	advice   Advice        // that was followed, if any
-	begun    bool          // the head is there
+	OnDone      func()
+	Endpoint    Endpoint
+	fleet       *Fleet
+	member      *member
+	req         Request
+	Expected    Expectation // as the hold was taken
+	sent        clock.Instant
+	idleHead    time.Duration // until the head of the answer, if the endpoint were idle
+	untilHead   time.Duration // until the head was there
+	ticket      int64         // of the awaited head
+	advice      Advice        // that was followed, if any
+	headArrived bool          // the head is there
 }
 
 // Head notes that the head of the answer is there, and the load that it tells.
 func (h *Hold) Head(l Load) {
-	if heard := h.fleet.heard; heard != nil && h.ask.Key != 0 {
-		defer func() { heard(h.heard(l)) }()
+	if heard := h.fleet.onHead; heard != nil && h.req.Key != 0 {
+		defer func() { heard(h.headReport(l)) }()
 	}
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
-	h.begun = true
-	h.took = h.fleet.options.Now().Sub(h.sent)
-	if h.ask.Key == 0 {
-		h.fleet.echo(h.member, l, h.member.flying)
+	h.headArrived = true
+	h.untilHead = h.fleet.options.Now().Sub(h.sent)
+	if h.req.Key == 0 {
+		h.fleet.updateLoad(h.member, l, h.member.inFlight)
 		return
 	}
-	h.member.begun(h.ticket)
-	h.fleet.hear(h.member, h.heard(l))
+	h.member.answered(h.ticket)
+	h.fleet.observeHead(h.member, h.headReport(l))
 }
 
 // Urgency is that with which the request is sent.
-func (h *Hold) Urgency() int { return h.ask.Urgency }
+func (h *Hold) Urgency() int { return h.req.Urgency }
 
-// heard is what the head of the answer told.
-func (h *Hold) heard(l Load) HeadReport {
+// headReport is what the head of the answer told.
+func (h *Hold) headReport(l Load) HeadReport {
 	return HeadReport{
-		Endpoint: h.Endpoint.ID, Ticket: h.advice.Ticket, Service: h.ask.Service, Model: h.ask.Model, Load: l,
-		Took: h.took, Expected: h.Expected.Head, Queue: h.Expected.Queue, Urgency: h.ask.Urgency, PrefillTokens: h.Expected.PrefillTokens, Exact: h.Expected.Exact,
+		Endpoint: h.Endpoint.ID, Ticket: h.advice.Ticket, Service: h.req.Service, Model: h.req.Model, Load: l,
+		Took: h.untilHead, Expected: h.Expected.Head, Queue: h.Expected.Queue, Urgency: h.req.Urgency, PrefillTokens: h.Expected.PrefillTokens, Exact: h.Expected.Exact,
 	}
 }
 
@@ -93,35 +93,35 @@
 	if h.OnDone != nil {
 		defer h.OnDone()
 	}
-	if h.fleet.observe != nil {
-		defer h.fleet.observe(h.Endpoint.ID, r.Outcome)
+	if h.fleet.onOutcome != nil {
+		defer h.fleet.onOutcome(h.Endpoint.ID, r.Outcome)
 	}
-	if h.fleet.heard != nil && h.ask.Key != 0 && r.Outcome == OutcomeRefused {
-		refused := h.heard(r.Load)
+	if h.fleet.onHead != nil && h.req.Key != 0 && r.Outcome == OutcomeRefused {
+		refused := h.headReport(r.Load)
 		refused.Refused = true
-		defer h.fleet.heard(refused)
+		defer h.fleet.onHead(refused)
 	}
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	now := h.fleet.options.Now()
 	m := h.member
-	m.forgo(h.ticket)
+	m.stopAwaiting(h.ticket)
 	switch {
-	case h.ask.Key == 0:
-	case h.begun:
-		h.fleet.stayed(m.Service, now.Sub(h.sent)-h.took)
+	case h.req.Key == 0:
+	case h.headArrived:
+		h.fleet.recordSlotTime(m.Service, now.Sub(h.sent)-h.untilHead)
 	default: // no head came: the wait was at least so long
-		m.deals().waits[rank(h.ask.Urgency)] = observedWait{wait: max(0, now.Sub(h.sent)-h.idle), at: now}
+		m.ensureQueue().waits[rank(h.req.Urgency)] = observedWait{wait: max(0, now.Sub(h.sent)-h.idleHead), at: now}
 	}
-	m.flying--
+	m.inFlight--
 	if r.Outcome == OutcomeRefused || r.Outcome == OutcomeLost {
-		h.fleet.memory.forget(m, h.ask.parts())
+		h.fleet.prefixes.forget(m, h.req.parts())
 	}
-	h.fleet.judge(m, r.Outcome, now)
-	h.fleet.met(m, r.Outcome, now)
+	h.fleet.recordHealth(m, r.Outcome, now)
+	h.fleet.trackWarmUp(m, r.Outcome, now)
 	if r.Load.Slots > 0 {
 		// The answered request itself may still be counted in what it says.
-		h.fleet.echo(m, r.Load, m.flying+1)
+		h.fleet.updateLoad(m, r.Load, m.inFlight+1)
 	}
 }
 
@@ -130,23 +130,23 @@
 // own count says of the hosts that it shares the endpoint with, and what other endpoints
 // of the service said: the one of which nothing was heard would look like the emptiest.
 func (m *member) load(now clock.Instant, sharers int) float64 {
-	mine := m.flying + m.remote(now)
-	trust := 0.0
-	if age := now.Sub(m.saidAt); age < echoLife {
-		trust = 1 - float64(age)/float64(echoLife)
+	known := m.inFlight + m.remote(now)
+	reportWeight := 0.0
+	if age := now.Sub(m.loadAt); age < loadReportTTL {
+		reportWeight = 1 - float64(age)/float64(loadReportTTL)
 	}
-	usual := float64(m.flying * (sharers - 1))
-	if m.crowd != nil {
-		usual = max(usual, m.crowd.mean)
+	assumed := float64(m.inFlight * (sharers - 1))
+	if m.remoteLoad != nil {
+		assumed = max(assumed, m.remoteLoad.mean)
 	}
-	others := trust*float64(m.others) + (1-trust)*usual
-	return (float64(mine) + others) / float64(m.slots())
+	others := reportWeight*float64(m.others) + (1-reportWeight)*assumed
+	return (float64(known) + others) / float64(m.slots())
 }
 
 // slots are how many requests an endpoint runs at once.
 func (m *member) slots() int {
 	if m.Slots <= 0 {
-		return slotsUnsaid
+		return defaultSlots
 	}
 	return m.Slots
 }
@@ -163,17 +163,17 @@
 }
 
 // usable reports whether an endpoint may get the attempt at all.
-func (f *Fleet) usable(m *member, ask Request) bool {
-	if m.Draining || m.leaving || f.away(m) || (ask.Allowed != nil && !ask.Allowed(m.Version)) {
+func (f *Fleet) usable(m *member, req Request) bool {
+	if m.Draining || m.reportedDraining || f.inEvacuatedHall(m) || (req.Allowed != nil && !req.Allowed(m.Version)) {
 		return false
 	}
-	if ask.Regions != nil && !slices.Contains(ask.Regions, m.region) {
+	if req.Regions != nil && !slices.Contains(req.Regions, m.region) {
 		return false
 	}
-	if m.models != nil && ask.Model != "" && !slices.Contains(m.models, ask.Model) {
+	if m.models != nil && req.Model != "" && !slices.Contains(m.models, req.Model) {
 		return false
 	}
-	for _, id := range ask.Avoid {
+	for _, id := range req.Avoid {
 		if id == m.ID {
 			return false
 		}
@@ -183,153 +183,153 @@
 
 // Tiers of endpoints, by how sure it is that they answer.
 const (
-	tierWell = iota
+	tierHealthy = iota
 	tierLapsed
 	tierEjected
 )
 
 // ejected reports whether an endpoint has lately failed this host, or others.
 func (m *member) ejected(now clock.Instant) bool {
-	return now.Before(m.health.until) || now.Before(m.shunned)
+	return now.Before(m.health.ejectedUntil) || now.Before(m.peerEjectedUntil)
 }
 
 func (m *member) tier(now clock.Instant) int {
 	switch {
-	case m.ejected(now), now.Before(m.health.full):
+	case m.ejected(now), now.Before(m.health.fullUntil):
 		return tierEjected
-	case !m.lapsed.IsZero():
+	case !m.lapsesAt.IsZero():
 		return tierLapsed
 	default:
-		return tierWell
+		return tierHealthy
 	}
 }
 
 // choice is the endpoint that is best for an attempt now.
 type choice struct {
-	member *member // nil if none may be used
-	room   int     // slots of endpoints that are free
-	unread int     // tokens of the prompt that it is expected to read
-	score  float64 // its own
-	limits limits  // of the endpoints that were weighed
-	now    clock.Instant
+	member        *member   // nil if none may be used
+	freeSlots     int       // slots of endpoints that are free
+	prefillTokens int       // tokens of the prompt that it is expected to read
+	score         float64   // its own
+	limits        limitScan // of the endpoints that were weighed
+	now           clock.Instant
 }
 
 // choose finds it; the caller holds mu.
-func (f *Fleet) choose(ask Request) choice {
+func (f *Fleet) choose(req Request) choice {
 	c := choice{now: f.options.Now()}
-	p, ok := f.byService[ask.Service]
+	p, ok := f.byService[req.Service]
 	if !ok {
 		return c
 	}
-	t := f.terms(ask, c.now)
-	if len(p.all) <= weighAll {
-		f.weigh(&c, p.all, t)
+	t := f.terms(req, c.now)
+	if len(p.all) <= scoreAllUpTo {
+		f.scoreAll(&c, p.all, t)
 		return c
 	}
-	n := f.nominate(p, ask, t.near, c.now)
-	f.weigh(&c, n.list[:n.n], t)
-	if (c.member == nil && !c.limits.some) || (c.member != nil && c.member.tier(c.now) > tierWell) {
+	n := f.candidates(p, req, t.localHall, c.now)
+	f.scoreAll(&c, n.list[:n.n], t)
+	if (c.member == nil && !c.limits.anyLimited) || (c.member != nil && c.member.tier(c.now) > tierHealthy) {
 		// What may be used is rare, as one of a few endpoints of a version.
 		c = choice{now: c.now}
-		f.weigh(&c, p.all, t)
+		f.scoreAll(&c, p.all, t)
 		return c
 	}
-	c.room = int(float64(c.room) * float64(len(p.all)) / float64(n.n))
+	c.freeSlots = int(float64(c.freeSlots) * float64(len(p.all)) / float64(n.n))
 	return c
 }
 
-// weigh finds the best of some endpoints.
-func (f *Fleet) weigh(c *choice, list []*member, t terms) {
+// scoreAll finds the best of some endpoints.
+func (f *Fleet) scoreAll(c *choice, list []*member, t scoreTerms) {
 	best := math.Inf(1)
 	for _, m := range list {
-		if !f.usable(m, t.ask) || !m.warmth.takes(t.warming, t.ask, c.now) {
+		if !f.usable(m, t.req) || !m.warmUp.admits(t.coldLimits, t.req, c.now) {
 			continue
 		}
-		load, unread := m.load(c.now, t.sharers), t.unread(m)
+		load, unread := m.load(c.now, t.sharers), t.prefillTokens(m)
 		s := f.score(m, t, load, unread, c.now)
-		if !f.limited(m) {
-			c.limits.open = c.limits.open || !m.ejected(c.now)
-		} else if !c.limits.takes(m, s, c.now) {
+		if !f.enforcesLimit(m) {
+			c.limits.anyUnlimited = c.limits.anyUnlimited || !m.ejected(c.now)
+		} else if !c.limits.consider(m, s, c.now) {
 			continue
 		}
-		c.room += m.free(load)
+		c.freeSlots += m.free(load)
 		if s < best {
-			c.member, c.unread, best = m, unread, s
+			c.member, c.prefillTokens, best = m, unread, s
 		}
 	}
 	c.score = best
 }
 
 // Pick chooses an endpoint and holds a place there; false if none may be used.
-func (f *Fleet) Pick(ask Request) (*Hold, bool) {
-	ask.Remaining = 0
-	h, _ := f.Place(ask)
+func (f *Fleet) Pick(req Request) (*Hold, bool) {
+	req.Remaining = 0
+	h, _ := f.Place(req)
 	return h, h != nil
 }
 
 // Expect estimates what an attempt takes that is sent now; false if no endpoint takes
 // it.
-func (f *Fleet) Expect(ask Request) (Expectation, bool) {
+func (f *Fleet) Expect(req Request) (Expectation, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c := f.choose(ask)
+	c := f.choose(req)
 	if c.member == nil {
 		return Expectation{}, false
 	}
-	return f.expect(c, ask), true
+	return f.expect(c, req), true
 }
 
-func (f *Fleet) expect(c choice, ask Request) Expectation {
-	m, r := c.member, f.readingOf(ask.Service, ask.Model)
-	queue := f.queue(m, ask.Urgency, m.load(c.now, f.sharers(ask.Service)), c.now)
+func (f *Fleet) expect(c choice, req Request) Expectation {
+	m, r := c.member, f.prefillModelOf(req.Service, req.Model)
+	queue := f.queueWait(m, req.Urgency, m.load(c.now, f.sharers(req.Service)), c.now)
 	return Expectation{
-		Head: queue + time.Duration(m.pace()*float64(r.head(c.unread))), Queue: queue, PrefillTime: r.tokens(c.unread), PrefillTokens: c.unread,
-		Exact: c.unread <= ask.Tokens-ask.SharedTokens && f.memory.known(m) >= ask.SharedTokens, Price: f.prices[ask.Service].perSecond(), Overrun: f.overruns[ask.Service],
+		Head: queue + time.Duration(m.pace()*float64(r.headTime(c.prefillTokens))), Queue: queue, PrefillTime: r.prefillTime(c.prefillTokens), PrefillTokens: c.prefillTokens,
+		Exact: c.prefillTokens <= req.Tokens-req.SharedTokens && f.prefixes.cachedTokens(m) >= req.SharedTokens, Price: f.prices[req.Service].perSecond(), Overrun: f.overruns[req.Service],
 	}
 }
 
 // hold takes a place at an endpoint.
-func (f *Fleet) hold(m *member, expected Expectation, ask Request, now clock.Instant) *Hold {
-	h := &Hold{Endpoint: m.Endpoint, Expected: expected, fleet: f, member: m, ask: ask, sent: now}
-	m.flying++
-	if ask.Key == 0 {
+func (f *Fleet) hold(m *member, expected Expectation, req Request, now clock.Instant) *Hold {
+	h := &Hold{Endpoint: m.Endpoint, Expected: expected, fleet: f, member: m, req: req, sent: now}
+	m.inFlight++
+	if req.Key == 0 {
 		return h
 	}
-	h.idle = f.readingOf(ask.Service, ask.Model).head(expected.PrefillTokens)
-	h.ticket = f.await(m, expected, ask.Urgency, now)
-	f.note(m, ask)
+	h.idleHead = f.prefillModelOf(req.Service, req.Model).headTime(expected.PrefillTokens)
+	h.ticket = f.await(m, expected, req.Urgency, now)
+	f.notePrompt(m, req)
 	return h
 }
 
-// note takes in that a prompt is read at an endpoint.
-func (f *Fleet) note(m *member, ask Request) {
-	size := ask.CacheTokens
+// notePrompt takes in that a prompt is read at an endpoint.
+func (f *Fleet) notePrompt(m *member, req Request) {
+	size := req.CacheTokens
 	if size == 0 {
-		size = memoryUnsaid
+		size = defaultCacheTokens
 	}
-	f.memory.note(m, ask.parts(), int(memoryPart*float64(size)))
+	f.prefixes.add(m, req.parts(), int(cacheShare*float64(size)))
 }
 
 // home finds the endpoint that most likely has the shared part of a prompt in memory
 // if other data halls have asked for it: the first by rendezvous; nil for requests
 // without a prompt.
-func (f *Fleet) home(ask Request, now clock.Instant) *member {
-	if ask.Key == 0 {
+func (f *Fleet) home(req Request, now clock.Instant) *member {
+	if req.Key == 0 {
 		return nil
 	}
-	p := f.byService[ask.Service]
-	if len(p.all) > weighAll {
-		var n nominees
-		f.nominateHomes(&n, p, ask, now)
+	p := f.byService[req.Service]
+	if len(p.all) > scoreAllUpTo {
+		var n candidates
+		f.addHomes(&n, p, req, now)
 		return n.list[0]
 	}
 	var home *member
 	least := math.Inf(1)
 	for _, m := range p.all {
-		if !f.usable(m, ask) || m.tier(now) > tierWell {
+		if !f.usable(m, req) || m.tier(now) > tierHealthy {
 			continue
 		}
-		if w := RendezvousWeight(ask.Key, m.seed); w < least {
+		if w := RendezvousWeight(req.Key, m.seed); w < least {
 			home, least = m, w
 		}
 	}
--- a/internal/fleet/pool.go
+++ b/internal/fleet/pool.go
@@ -8,39 +8,39 @@
 // pool is the endpoints of a service, in the orders in which they are looked up; the fleet's lock
 // guards it.
 type pool struct {
-	all   []*member
-	halls map[string][]*member
-	ring  []*member // by seed
-	dirty bool      // the ring is out of order
+	all      []*member
+	byHall   map[string][]*member
+	ring     []*member // by seed
+	unsorted bool      // the ring is out of order
 }
 
-// place is where a member stands in its pool.
-type place struct{ all, hall int }
+// poolPosition is where a member stands in its pool.
+type poolPosition struct{ all, hall int }
 
-func newPool() *pool { return &pool{halls: map[string][]*member{}} }
+func newPool() *pool { return &pool{byHall: map[string][]*member{}} }
 
 // add lists a member.
 func (p *pool) add(m *member) {
-	m.place = place{all: len(p.all), hall: len(p.halls[m.Hall])}
-	m.inHall = m.Hall
+	m.position = poolPosition{all: len(p.all), hall: len(p.byHall[m.Hall])}
+	m.poolHall = m.Hall
 	p.all = append(p.all, m)
-	p.halls[m.Hall] = append(p.halls[m.Hall], m)
-	p.ring, p.dirty = append(p.ring, m), true
+	p.byHall[m.Hall] = append(p.byHall[m.Hall], m)
+	p.ring, p.unsorted = append(p.ring, m), true
 }
 
 // remove takes a member out; the last ones take its places.
 func (p *pool) remove(m *member) {
 	last := p.all[len(p.all)-1]
-	p.all[m.place.all], last.place.all = last, m.place.all
-	p.all = cut(p.all)
-	hall := p.halls[m.inHall]
+	p.all[m.position.all], last.position.all = last, m.position.all
+	p.all = dropLast(p.all)
+	hall := p.byHall[m.poolHall]
 	last = hall[len(hall)-1]
-	hall[m.place.hall], last.place.hall = last, m.place.hall
-	p.halls[m.inHall] = cut(hall)
+	hall[m.position.hall], last.position.hall = last, m.position.hall
+	p.byHall[m.poolHall] = dropLast(hall)
 	if len(hall) == 1 {
-		delete(p.halls, m.inHall)
+		delete(p.byHall, m.poolHall)
 	}
-	if p.dirty {
+	if p.unsorted {
 		p.ring = slices.DeleteFunc(p.ring, func(other *member) bool { return other == m })
 		return
 	}
@@ -52,8 +52,8 @@
 	}
 }
 
-// cut drops the last of a list.
-func cut(list []*member) []*member {
+// dropLast drops the last of a list.
+func dropLast(list []*member) []*member {
 	list[len(list)-1] = nil
 	return list[:len(list)-1]
 }
@@ -66,9 +66,9 @@
 
 // sort brings the ring into order. Lists are read whole, so that is done once for many members.
 func (p *pool) sort() {
-	if !p.dirty {
+	if !p.unsorted {
 		return
 	}
 	slices.SortFunc(p.ring, func(a, b *member) int { return cmp.Compare(a.seed, b.seed) })
-	p.dirty = false
+	p.unsorted = false
 }
--- a/internal/fleet/price.go
+++ b/internal/fleet/price.go
@@ -11,21 +11,21 @@
 
 // Parameters of the price.
 const (
-	// priceStep weighs an answer: some forty count, a few seconds of a host.
-	priceStep = 0.025
-	// priceMost bounds it: beyond, requests are late whatever is chosen.
-	priceMost = 4.0
-	// priceWork is the prior: no waits in a second of work.
-	priceWork = 1.0
+	// priceWeight weighs an answer: some forty count, a few seconds of a host.
+	priceWeight = 0.025
+	// maxPrice bounds it: beyond, requests are late whatever is chosen.
+	maxPrice = 4.0
+	// priorWork is the prior: no waits in a second of work.
+	priorWork = 1.0
 )
 
 // with returns the price after an answer that waited beyond its own work.
 func (p price) with(wait, work time.Duration) price {
 	if p.work == 0 {
-		p.work = priceWork
+		p.work = priorWork
 	}
-	p.wait += priceStep * (wait.Seconds() - p.wait)
-	p.work += priceStep * (work.Seconds() - p.work)
+	p.wait += priceWeight * (wait.Seconds() - p.wait)
+	p.work += priceWeight * (work.Seconds() - p.work)
 	return p
 }
 
@@ -34,5 +34,5 @@
 	if p.work == 0 {
 		return 0
 	}
-	return min(p.wait/p.work, priceMost)
+	return min(p.wait/p.work, maxPrice)
 }
--- a/internal/fleet/ration.go
+++ b/internal/fleet/ration.go
@@ -7,78 +7,78 @@
 	"quaybarrow/internal/clock"
 )
 
-// laterScore puts endpoints of which nothing can be borrowed yet after all others.
-const laterScore = 1e6
+// retryLaterScore puts endpoints of which nothing can be borrowed yet after all others.
+const retryLaterScore = 1e6
 
-// limits are what a choice has seen of endpoints that name limits.
-type limits struct {
-	passed *member       // the best one that was passed over since nothing of its limit is in hand; nil for none
-	score  float64       // its own
-	some   bool          // there are such
-	inHand int           // requests that this host may send there now
-	next   clock.Instant // when something of the first of them can be borrowed
-	open   bool          // some endpoint that may be used names none, and is not ejected
+// limitScan are what a choice has seen of endpoints that name limitScan.
+type limitScan struct {
+	skipped      *member       // the best one that was passed over since nothing of its limit is in hand; nil for none
+	skippedScore float64       // its own
+	anyLimited   bool          // there are such
+	available    int           // requests that this host may send there now
+	nextLoan     clock.Instant // when something of the first of them can be borrowed
+	anyUnlimited bool          // some endpoint that may be used names none, and is not ejected
 }
 
-// takes notes an endpoint of a score and reports whether it takes a request.
-func (l *limits) takes(m *member, score float64, now clock.Instant) bool {
-	if !m.limited.holds() {
-		l.open = l.open || !m.ejected(now)
+// consider notes an endpoint of a score and reports whether it consider a request.
+func (l *limitScan) consider(m *member, score float64, now clock.Instant) bool {
+	if !m.limit.active() {
+		l.anyUnlimited = l.anyUnlimited || !m.ejected(now)
 		return true
 	}
-	n := m.limited.inHand(now)
-	if again := later(m.limited.again, now); !l.some || again.Before(l.next) {
-		l.next = again
+	n := m.limit.available(now)
+	if again := later(m.limit.retryAt, now); !l.anyLimited || again.Before(l.nextLoan) {
+		l.nextLoan = again
 	}
-	l.some = true
-	l.inHand += n
-	if m.limited.asking || now.Before(m.limited.again) {
-		score += laterScore
+	l.anyLimited = true
+	l.available += n
+	if m.limit.requesting || now.Before(m.limit.retryAt) {
+		score += retryLaterScore
 	}
-	if n == 0 && (l.passed == nil || score < l.score) {
-		l.passed, l.score = m, score
+	if n == 0 && (l.skipped == nil || score < l.skippedScore) {
+		l.skipped, l.skippedScore = m, score
 	}
 	return n > 0
 }
 
-// limited reports whether an endpoint's limit is kept.
-func (f *Fleet) limited(m *member) bool { return m.limited != nil && f.wanted != nil }
+// enforcesLimit reports whether an endpoint's limit is kept.
+func (f *Fleet) enforcesLimit(m *member) bool { return m.limit != nil && f.onLoanNeeded != nil }
 
-// borrow has a part of the limit asked for of an endpoint that was passed over, if it is better than
+// borrowForSkipped has a part of the limit asked for of an endpoint that was passed over, if it is better than
 // the one that is chosen.
-func (f *Fleet) borrow(c choice) {
-	if c.limits.passed != nil && (c.member == nil || c.limits.score < c.score) {
-		f.want(c.limits.passed, c.now)
+func (f *Fleet) borrowForSkipped(c choice) {
+	if c.limits.skipped != nil && (c.member == nil || c.limits.skippedScore < c.score) {
+		f.needLoan(c.limits.skipped, c.now)
 	}
 }
 
-// ration decides on a request while all endpoints that it may use name limits: with none of them in
+// decideLimited decides on a request while all endpoints that it may use name limits: with none of them in
 // hand, or with others that wait and go before it, it waits for its turn or is refused.
-func (f *Fleet) ration(p placement) placement {
-	if p.limits.open || !p.limits.some || (p.member != nil && p.ask.MaxLimitWait == 0) {
+func (f *Fleet) decideLimited(p placement) placement {
+	if p.limits.anyUnlimited || !p.limits.anyLimited || (p.member != nil && p.req.MaxLimitWait == 0) {
 		return p
 	}
-	turns := f.turnsOf(p.ask.Service)
-	asked, urgency := p.now.Add(-p.ask.Waited), rank(p.urgency)
-	ahead, by := turns.Ahead(p.ask.Turn, urgency, asked, p.now)
-	if p.member != nil && ahead < p.limits.inHand {
-		turns.Granted(p.ask.Turn, p.now)
+	turns := f.turnsOf(p.req.Service)
+	asked, urgency := p.now.Add(-p.req.Waited), rank(p.urgency)
+	ahead, by := turns.Ahead(p.req.Turn, urgency, asked, p.now)
+	if p.member != nil && ahead < p.limits.available {
+		turns.Granted(p.req.Turn, p.now)
 		return p
 	}
 	p.member = nil
-	if p.ask.MaxLimitWait == 0 {
+	if p.req.MaxLimitWait == 0 {
 		return p
 	}
-	turn := max(by, p.limits.next.Sub(p.now))
-	switch d := admission.Ration(turn, p.ask.MaxLimitWait, p.ask.Turn != 0).(type) {
+	turn := max(by, p.limits.nextLoan.Sub(p.now))
+	switch d := admission.Ration(turn, p.req.MaxLimitWait, p.req.Turn != 0).(type) {
 	case admission.Wait:
-		d.Turn = turns.Wait(p.ask.Turn, urgency, asked, p.now, d.For)
+		d.Turn = turns.Wait(p.req.Turn, urgency, asked, p.now, d.For)
 		p.decision = d
 		if d.Turn == 0 {
 			p.decision = admission.Refuse{After: turn}
 		}
 	default:
-		turns.Leave(p.ask.Turn)
+		turns.Leave(p.req.Turn)
 		p.decision = d
 	}
 	return p
@@ -94,10 +94,10 @@
 
 // limitStatus tells operators of a member's limit.
 func (m *member) limitStatus(now clock.Instant) LimitStatus {
-	if !m.limited.holds() {
+	if !m.limit.active() {
 		return LimitStatus{}
 	}
-	return LimitStatus{Rate: m.limited.rate, Since: now.Sub(m.limited.since), Available: m.limited.inHand(now), Unmet: m.limited.wanted}
+	return LimitStatus{Rate: m.limit.rate, Since: now.Sub(m.limit.since), Available: m.limit.available(now), Unmet: m.limit.unmet}
 }
 
 // LimitedCount counts the endpoints that name limits.
@@ -106,7 +106,7 @@
 	defer f.mu.Unlock()
 	n := 0
 	for _, m := range f.limits {
-		if m.limited.holds() {
+		if m.limit.active() {
 			n++
 		}
 	}
--- a/internal/fleet/reading.go
+++ b/internal/fleet/reading.go
@@ -9,49 +9,49 @@
 
 // Parameters of the estimate of reading times.
 const (
-	// readingKept answers tell how long an engine takes; some are enough, and the
+	// prefillSamples answers tell how long an engine takes; some are enough, and the
 	// oldest ones count as much as the newest.
-	readingKept = 32
-	// readingQuantile of the answers is taken for an engine that does nothing else:
+	prefillSamples = 32
+	// idleQuantile of the answers is taken for an engine that does nothing else:
 	// what is above it was spent waiting.
-	readingQuantile = 0.2
-	readingShort    = 1000 // prompts of fewer tokens tell the time that any answer takes
-	// freeQueue and freePart of a prompt's own time are the longest expected waits with
+	idleQuantile = 0.2
+	shortPrompt  = 1000 // prompts of fewer tokens tell the time that any answer takes
+	// maxIdleQueue and freePart of a prompt's own time are the longest expected waits with
 	// which an answer tells how long reading takes: under a load even the fastest answers
 	// waited, and the larger models would be taken for slow long after it.
-	freeQueue = 30 * time.Millisecond
-	freePart  = 0.25
-	// readingSure such answers stand for themselves; until then the median of the
+	maxIdleQueue      = 30 * time.Millisecond
+	maxIdleQueueShare = 0.25
+	// minSamples such answers stand for themselves; until then the median of the
 	// others does, with the prior as its least.
-	readingSure     = 4
-	guessedQuantile = 0.5
+	minSamples      = 4
+	inexactQuantile = 0.5
 	// Priors, which stand until the first answers: what a short prompt takes, and the
 	// reading of a token.
-	readingBase     = 60 * time.Millisecond
-	readingPerToken = 10 * time.Microsecond
+	priorBase     = 60 * time.Millisecond
+	priorPerToken = 10 * time.Microsecond
 )
 
-// reading estimates how long an engine that does nothing else takes until the
+// prefillModel estimates how long an engine that does nothing else takes until the
 // head of an answer, for one model.
-type reading struct {
+type prefillModel struct {
 	short    *recent.Values // seconds
-	long     *recent.Values // seconds for each token, of prompts whose shared parts were known to be kept
-	guessed  *recent.Values // the same, of others: some may have been kept unknown to this host
+	exact    *recent.Values // seconds for each token, of prompts whose shared parts were known to be kept
+	inexact  *recent.Values // the same, of others: some may have been kept unknown to this host
 	base     time.Duration
 	perToken float64 // seconds
 }
 
-// readingPriors is how many answers the prior of the base counts as: a first answer
+// priorSamples is how many answers the prior of the base counts as: a first answer
 // that waited would otherwise stand for the time that every answer takes.
-const readingPriors = 4
+const priorSamples = 4
 
-func newReading() *reading {
-	r := &reading{
-		short: recent.New(readingKept), long: recent.New(readingKept), guessed: recent.New(readingKept),
-		base: readingBase, perToken: readingPerToken.Seconds(),
+func newPrefillModel() *prefillModel {
+	r := &prefillModel{
+		short: recent.New(prefillSamples), exact: recent.New(prefillSamples), inexact: recent.New(prefillSamples),
+		base: priorBase, perToken: priorPerToken.Seconds(),
 	}
-	for range readingPriors {
-		r.short.Add(readingBase.Seconds())
+	for range priorSamples {
+		r.short.Add(priorBase.Seconds())
 	}
 	return r
 }
@@ -59,59 +59,61 @@
 // add takes in an answer's head. Only answers of which all tokens are sure to have been
 // read tell for long: after a restart a host knows of nothing that is kept, and would take
 // warm prompts for engines that read in no time.
-func (r *reading) add(h HeadReport) {
-	if !r.free(h) && r.known(h.PrefillTokens) {
+func (r *prefillModel) add(h HeadReport) {
+	if !r.unqueued(h) && r.hasSamples(h.PrefillTokens) {
 		return
 	}
 	tokens, sure, took := h.PrefillTokens, h.Exact, h.Took
-	if tokens < readingShort {
+	if tokens < shortPrompt {
 		r.short.Add(max(took.Seconds()-float64(tokens)*r.perToken, 0))
-		r.base = clock.Seconds(r.short.Quantile(readingQuantile))
+		r.base = clock.Seconds(r.short.Quantile(idleQuantile))
 		return
 	}
 	perToken := max(took-r.base, 0).Seconds() / float64(tokens)
 	if sure {
-		r.long.Add(perToken)
+		r.exact.Add(perToken)
 	} else {
-		r.guessed.Add(perToken)
+		r.inexact.Add(perToken)
 	}
-	if r.long.Seen() >= readingSure {
-		r.perToken = r.long.Quantile(readingQuantile)
+	if r.exact.Seen() >= minSamples {
+		r.perToken = r.exact.Quantile(idleQuantile)
 		return
 	}
-	r.perToken = max(r.guessed.Quantile(guessedQuantile), readingPerToken.Seconds())
+	r.perToken = max(r.inexact.Quantile(inexactQuantile), priorPerToken.Seconds())
 }
 
-// free reports whether an answer most likely waited for no other: none was expected, and
+// unqueued reports whether an answer most likely waited for no other: none was expected, and
 // none waited when it began.
-func (r *reading) free(h HeadReport) bool {
-	return h.Load.Waiting == 0 && h.Queue <= max(freeQueue, time.Duration(freePart*float64(r.tokens(h.PrefillTokens))))
+func (r *prefillModel) unqueued(h HeadReport) bool {
+	return h.Load.Waiting == 0 && h.Queue <= max(maxIdleQueue, time.Duration(maxIdleQueueShare*float64(r.prefillTime(h.PrefillTokens))))
 }
 
-// known reports whether answers have told how long prompts of a length take.
-func (r *reading) known(tokens int) bool {
-	if tokens < readingShort {
-		return r.short.Seen() >= readingPriors+readingSure
+// hasSamples reports whether answers have told how long prompts of a length take.
+func (r *prefillModel) hasSamples(tokens int) bool {
+	if tokens < shortPrompt {
+		return r.short.Seen() >= priorSamples+minSamples
 	}
-	return r.long.Seen() >= readingSure || r.guessed.Seen() >= readingSure
+	return r.exact.Seen() >= minSamples || r.inexact.Seen() >= minSamples
 }
 
-// tokens returns the time that tokens take to be read.
-func (r *reading) tokens(n int) time.Duration { return clock.Seconds(float64(n) * r.perToken) }
+// prefillTime returns the time that prefillTime take to be read.
+func (r *prefillModel) prefillTime(n int) time.Duration {
+	return clock.Seconds(float64(n) * r.perToken)
+}
 
-// head returns the time until an answer's head when n tokens have to be read.
-func (r *reading) head(n int) time.Duration { return r.base + r.tokens(n) }
+// headTime returns the time until an answer's headTime when n tokens have to be read.
+func (r *prefillModel) headTime(n int) time.Duration { return r.base + r.prefillTime(n) }
 
-// serves is a model of a service.
-type serves struct{ service, model string }
+// modelKey is a model of a service.
+type modelKey struct{ service, model string }
 
-// readingOf returns the estimate of reading times for a model.
-func (f *Fleet) readingOf(service, model string) *reading {
-	name := serves{service, model}
-	r, ok := f.readings[name]
+// prefillModelOf returns the estimate of reading times for a model.
+func (f *Fleet) prefillModelOf(service, model string) *prefillModel {
+	name := modelKey{service, model}
+	r, ok := f.prefillModels[name]
 	if !ok {
-		r = newReading()
-		f.readings[name] = r
+		r = newPrefillModel()
+		f.prefillModels[name] = r
 	}
 	return r
 }
--- a/internal/fleet/report_test.go
+++ b/internal/fleet/report_test.go
@@ -14,14 +14,14 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// reported is a fleet of endpoints without answers that tell their load; flying
+// reportingFleet is a fleet of endpoints without answers that tell their load; flying
 // requests of this host are at each.
-func reported(o fleet.Options, flying ...int) *fleet.Fleet {
+func reportingFleet(o fleet.Options, flying ...int) *fleet.Fleet {
 	f := fleet.New(o)
 	for i, n := range flying {
 		f.Put(fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "s"})
 		f.Report(fmt.Sprint("e", i), fleet.Report{Load: fleet.Load{Slots: 10}, Models: []string{"m"}, Asked: clock.Now()})
-		others := avoid(len(flying), i)
+		others := allExcept(len(flying), i)
 		for range n {
 			if _, ok := f.Pick(fleet.Request{Service: "s", Avoid: others}); !ok {
 				panic("no endpoint")
@@ -31,19 +31,19 @@
 	return f
 }
 
-// avoid lists all endpoints but one.
-func avoid(count, but int) []string {
+// allExcept lists all endpoints but one.
+func allExcept(count, except int) []string {
 	var list []string
 	for i := range count {
-		if i != but {
+		if i != except {
 			list = append(list, fmt.Sprint("e", i))
 		}
 	}
 	return list
 }
 
-func picked(f *fleet.Fleet, ask fleet.Request) string {
-	h, ok := f.Pick(ask)
+func pickID(f *fleet.Fleet, req fleet.Request) string {
+	h, ok := f.Pick(req)
 	if !ok {
 		return ""
 	}
@@ -51,32 +51,32 @@
 	return h.Endpoint.ID
 }
 
-var model = fleet.Request{Service: "s", Model: "m"}
+var modelRequest = fleet.Request{Service: "s", Model: "m"}
 
 var _ = Describe("endpoints that report their load", func() {
 	It("get the attempt if they are the less loaded", func() {
-		Expect(picked(reported(fleet.Options{}, 9, 1), model)).To(Equal("e1"))
-		Expect(picked(reported(fleet.Options{}, 1, 9), model)).To(Equal("e0"))
+		Expect(pickID(reportingFleet(fleet.Options{}, 9, 1), modelRequest)).To(Equal("e1"))
+		Expect(pickID(reportingFleet(fleet.Options{}, 1, 9), modelRequest)).To(Equal("e0"))
 	})
 
 	It("are trusted less the older the report is, and this host's own count always", func() {
 		suite.Paused(func() {
-			f := reported(fleet.Options{}, 0, 3)
+			f := reportingFleet(fleet.Options{}, 0, 3)
 			f.Report("e0", fleet.Report{Load: fleet.Load{Running: 8, Slots: 10}, Asked: clock.Now()})
-			Expect(picked(f, model)).To(Equal("e1"))
+			Expect(pickID(f, modelRequest)).To(Equal("e1"))
 			time.Sleep(time.Minute)
-			Expect(picked(f, model)).To(Equal("e0"))
+			Expect(pickID(f, modelRequest)).To(Equal("e0"))
 		})
 	})
 
 	It("are taken to be as loaded by other hosts as by this one where reports are old", func() {
 		suite.Paused(func() {
-			f := reported(fleet.Options{SendingHosts: func(string) int { return 5 }}, 2, 0)
+			f := reportingFleet(fleet.Options{SendingHosts: func(string) int { return 5 }}, 2, 0)
 			f.Report("e1", fleet.Report{Load: fleet.Load{Running: 9, Slots: 10}, Asked: clock.Now()})
 			time.Sleep(time.Minute)
 			f.Report("e1", fleet.Report{Load: fleet.Load{Running: 9, Slots: 10}, Asked: clock.Now()})
 			// Two of its own stand for ten at the first, against nine at the second.
-			Expect(picked(f, model)).To(Equal("e1"))
+			Expect(pickID(f, modelRequest)).To(Equal("e1"))
 		})
 	})
 
@@ -96,8 +96,8 @@
 				s := f.View()[index(f, id)]
 				fits[id] = !s.Draining && len(report.Models) == 2 && i != 0
 			}
-			ask := fleet.Request{Service: "s", Model: "m", Avoid: []string{"e0"}, Key: 7}
-			id := picked(f, ask)
+			req := fleet.Request{Service: "s", Model: "m", Avoid: []string{"e0"}, Key: 7}
+			id := pickID(f, req)
 			if id != "" && !fits[id] {
 				t.Fatalf("took %s", id)
 			}
@@ -110,14 +110,14 @@
 	})
 
 	It("serve a model if one that is well has it", func() {
-		f := reported(fleet.Options{}, 0, 0)
+		f := reportingFleet(fleet.Options{}, 0, 0)
 		Expect(f.HasModel("s", "m")).To(BeTrue())
 		Expect(f.HasModel("s", "x")).To(BeFalse())
 		Expect(f.HasModel("t", "m")).To(BeFalse())
 		f.Report("e0", fleet.Report{Draining: true, Models: []string{"m"}, Asked: clock.Now()})
 		Expect(f.HasModel("s", "m")).To(BeTrue())
 		for range 4 {
-			h, _ := f.Pick(model)
+			h, _ := f.Pick(modelRequest)
 			h.Done(fleet.Result{Outcome: fleet.OutcomeLost})
 		}
 		Expect(f.HasModel("s", "m")).To(BeFalse())
@@ -125,9 +125,9 @@
 
 	It("are left alone longer each time if they fail at once after an ejection", func() {
 		suite.Paused(func() {
-			f := reported(fleet.Options{}, 0, 0)
+			f := reportingFleet(fleet.Options{}, 0, 0)
 			fail := func() {
-				h, ok := f.PickAt(fleet.Advice{Endpoint: "e0"}, model)
+				h, ok := f.PickAt(fleet.Advice{Endpoint: "e0"}, modelRequest)
 				Expect(ok).To(BeTrue())
 				h.Done(fleet.Result{Outcome: fleet.OutcomeFailed})
 			}
@@ -135,10 +135,10 @@
 				fail()
 			}
 			for _, length := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second} {
-				_, ok := f.PickAt(fleet.Advice{Endpoint: "e0"}, model)
+				_, ok := f.PickAt(fleet.Advice{Endpoint: "e0"}, modelRequest)
 				Expect(ok).To(BeFalse())
 				time.Sleep(length - time.Millisecond)
-				_, ok = f.PickAt(fleet.Advice{Endpoint: "e0"}, model)
+				_, ok = f.PickAt(fleet.Advice{Endpoint: "e0"}, modelRequest)
 				Expect(ok).To(BeFalse(), length.String())
 				time.Sleep(2 * time.Millisecond)
 				fail()
@@ -147,7 +147,7 @@
 	})
 
 	It("keep the slots that they told when the list is read again", func() {
-		f := reported(fleet.Options{}, 0)
+		f := reportingFleet(fleet.Options{}, 0)
 		f.Reset([]fleet.Endpoint{{ID: "e0", Service: "s"}}, false)
 		Expect(f.View()[0].Slots).To(Equal(10))
 		Expect(f.View()[0].Models).To(Equal([]string{"m"}))
@@ -169,10 +169,10 @@
 	for i := range count {
 		f.Put(fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "s", Slots: 10})
 	}
-	ask := fleet.Request{Service: "s", Key: key, Model: "m", Tokens: 6000, SharedTokens: 5000, Objective: 2 * time.Second}
+	req := fleet.Request{Service: "s", Key: key, Model: "m", Tokens: 6000, SharedTokens: 5000, Objective: 2 * time.Second}
 	b.ReportAllocs()
 	for b.Loop() {
-		h, ok := f.Pick(ask)
+		h, ok := f.Pick(req)
 		if !ok {
 			b.Fatal("none")
 		}
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -8,9 +8,9 @@
 	"quaybarrow/internal/fleet"
 )
 
-// listed is a list of endpoints in five data halls, each entry with words of its own as it is
+// endpointList is a list of endpoints in five data halls, each entry with words of its own as it is
 // when it was read.
-func listed(count int) []fleet.Endpoint {
+func endpointList(count int) []fleet.Endpoint {
 	list := make([]fleet.Endpoint, count)
 	for i := range list {
 		name := fmt.Sprintf("i-%010x", i)
@@ -22,8 +22,8 @@
 	return list
 }
 
-// heapOf is what a value takes of the heap, in bytes.
-func heapOf(make func() any) uint64 {
+// heapSize is what a value takes of the heap, in bytes.
+func heapSize(make func() any) uint64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -34,14 +34,14 @@
 	return after.HeapAlloc - before.HeapAlloc
 }
 
-// heapMost is what all that a usual host knows of 10,000 endpoints may take of its heap, in
+// maxHeap is what all that a usual host knows of 10,000 endpoints may take of its heap, in
 // bytes.
-const heapMost = 8 << 20
+const maxHeap = 8 << 20
 
 // TestHeapOfManyEndpoints lists 10,000 endpoints, of which a host uses some.
 func TestHeapOfManyEndpoints(t *testing.T) {
-	list := listed(10_000)
-	took := heapOf(func() any {
+	list := endpointList(10_000)
+	took := heapSize(func() any {
 		f := fleet.New(fleet.Options{Hall: "hall-0"})
 		f.Reset(list, false)
 		for i := range 200 {
@@ -55,7 +55,7 @@
 		return f
 	})
 	t.Logf("%.1f MB", float64(took)/(1<<20))
-	if took > heapMost {
-		t.Errorf("%d bytes, %d at most", took, heapMost)
+	if took > maxHeap {
+		t.Errorf("%d bytes, %d at most", took, maxHeap)
 	}
 }
--- a/internal/fleet/stock.go
+++ b/internal/fleet/stock.go
@@ -16,7 +16,7 @@
 	for _, m := range f.endpointsOf(service) {
 		s := stocks[m.Hall]
 		switch {
-		case m.Draining || m.leaving || !m.lapsed.IsZero():
+		case m.Draining || m.reportedDraining || !m.lapsesAt.IsZero():
 		case m.Spot:
 			s.Spot++
 		case inForce != "" && m.Version != inForce:
--- a/internal/fleet/urgency.go
+++ b/internal/fleet/urgency.go
@@ -8,8 +8,8 @@
 
 // Urgencies of requests at endpoints, which let the more urgent ones in first.
 const (
-	urgencies     = 10
-	urgencyUnsaid = 5 // of requests that say none
+	urgencies      = 10
+	defaultUrgency = 5 // of requests that say none
 	// UrgencyLeast is that of requests that take what others leave.
 	UrgencyLeast = urgencies - 1
 )
@@ -17,7 +17,7 @@
 // rank is the place of an urgency in order, the most urgent first.
 func rank(urgency int) int {
 	if urgency < 0 {
-		return urgencyUnsaid
+		return defaultUrgency
 	}
 	return min(urgency, UrgencyLeast)
 }
@@ -60,41 +60,41 @@
 	at   clock.Instant
 }
 
-// faded is what it says of a request that is sent now.
-func (w observedWait) faded(now clock.Instant) time.Duration {
+// decayed is what it says of a request that is sent now.
+func (w observedWait) decayed(now clock.Instant) time.Duration {
 	age := now.Sub(w.at)
-	if age >= echoLife {
+	if age >= loadReportTTL {
 		return 0
 	}
-	return time.Duration(float64(w.wait) * (1 - float64(age)/float64(echoLife)))
+	return time.Duration(float64(w.wait) * (1 - float64(age)/float64(loadReportTTL)))
 }
 
-// waiting is how long requests that go before a newcomer of a rank, or with it, have
+// recentWait is how long requests that go before a newcomer of a rank, or with it, have
 // lately waited at an endpoint of a load beyond what their prompts took; it fades as nothing more
 // is heard. Where by the endpoint's own word nothing runs there is nobody to wait for: those were held up
 // on their way.
-func (m *member) waiting(rank int, load float64, now clock.Instant) time.Duration {
-	idle := now.Sub(m.saidAt) < echoLife && load*float64(m.slots()) < 1
-	if m.dealings == nil || idle {
+func (m *member) recentWait(rank int, load float64, now clock.Instant) time.Duration {
+	idle := now.Sub(m.loadAt) < loadReportTTL && load*float64(m.slots()) < 1
+	if m.queue == nil || idle {
 		return 0
 	}
 	longest := time.Duration(0)
-	for _, w := range m.dealings.waits[:rank+1] {
-		longest = max(longest, w.faded(now))
+	for _, w := range m.queue.waits[:rank+1] {
+		longest = max(longest, w.decayed(now))
 	}
 	return longest
 }
 
-// readsFor is how long an endpoint reads prompts that go before a newcomer of a rank:
+// prefillWait is how long an endpoint reads prompts that go before a newcomer of a rank:
 // until it should be done with all, but no more than what has not begun takes: by the
 // clock alone a host that thinks engines slower than they are would take them for busy long after
 // a load.
-func (m *member) readsFor(rank int, now clock.Instant) time.Duration {
-	if m.dealings == nil {
+func (m *member) prefillWait(rank int, now clock.Instant) time.Duration {
+	if m.queue == nil {
 		return 0
 	}
-	before, behind := m.dealings.backlog.before(rank)
-	all := max(0, min(m.booked.Sub(now), before+behind))
+	before, behind := m.queue.backlog.before(rank)
+	all := max(0, min(m.prefillUntil.Sub(now), before+behind))
 	return max(0, all-behind)
 }
 
@@ -103,37 +103,37 @@
 func (m *member) slotWait(rank int, load float64, stay time.Duration) time.Duration {
 	slots := float64(m.slots())
 	over := load*slots + 1 - slots
-	if m.dealings != nil {
-		over -= float64(m.dealings.backlog.behind(rank))
+	if m.queue != nil {
+		over -= float64(m.queue.backlog.behind(rank))
 	}
 	return max(0, time.Duration(over/slots*float64(stay)))
 }
 
-// queue is how long a request of an urgency is expected to wait for others at an endpoint
+// queueWait is how long a request of an urgency is expected to wait for others at an endpoint
 // of a load: the longest of what is worked out and of what was seen, which tell of the same wait.
-func (f *Fleet) queue(m *member, urgency int, load float64, now clock.Instant) time.Duration {
+func (f *Fleet) queueWait(m *member, urgency int, load float64, now clock.Instant) time.Duration {
 	r := rank(urgency)
-	full := m.slotWait(r, load, f.stay(m.Service))
-	return max(m.readsFor(r, now), full, m.waiting(r, load, now), m.overdue(now))
+	full := m.slotWait(r, load, f.slotTime(m.Service))
+	return max(m.prefillWait(r, now), full, m.recentWait(r, load, now), m.overdue(now))
 }
 
 // Parameters of the time that requests hold a slot, from the answer's head on.
 const (
-	stayStep = 0.02 // weight of an answer: some fifty count
-	// stayPrior is for hosts that have seen no answer end.
-	stayPrior = 1500 * time.Millisecond
+	slotTimeWeight = 0.02 // weight of an answer: some fifty count
+	// priorSlotTime is for hosts that have seen no answer end.
+	priorSlotTime = 1500 * time.Millisecond
 )
 
-// stayed takes in how long an answer took from its head to its end.
-func (f *Fleet) stayed(service string, d time.Duration) {
-	old := f.stay(service)
-	f.stays[service] = old + time.Duration(stayStep*float64(d-old))
+// recordSlotTime takes in how long an answer took from its head to its end.
+func (f *Fleet) recordSlotTime(service string, d time.Duration) {
+	old := f.slotTime(service)
+	f.slotTimes[service] = old + time.Duration(slotTimeWeight*float64(d-old))
 }
 
-// stay is how long requests of a service hold a slot.
-func (f *Fleet) stay(service string) time.Duration {
-	if d, ok := f.stays[service]; ok {
+// slotTime is how long requests of a service hold a slot.
+func (f *Fleet) slotTime(service string) time.Duration {
+	if d, ok := f.slotTimes[service]; ok {
 		return d
 	}
-	return stayPrior
+	return priorSlotTime
 }
--- a/internal/fleet/warm_test.go
+++ b/internal/fleet/warm_test.go
@@ -14,8 +14,8 @@
 
 // Load of the specs: a cold endpoint bears 10 requests a second and may get 20, for 3 s.
 const (
-	coldMost  = 20.0
-	coldLasts = 3 * time.Second
+	coldRate     = 20.0
+	coldDuration = 3 * time.Second
 )
 
 // paused runs a body under the paused clock, until what it has sent has ended.
@@ -26,23 +26,23 @@
 	})
 }
 
-// crew is hosts that send to the same endpoints; the first advises as many of the others as
+// hostGroup is hosts that send to the same endpoints; the first advises as many of the others as
 // hear of it.
-type crew struct {
-	hosts  []*fleet.Fleet
-	deaf   func(host int) bool // it gets no advice now
-	asked  func(host int) int  // whom it asks for advice
-	random *rand.Rand
-	got    map[string][]time.Time // by endpoint
-	none   int                    // requests for which there was no endpoint
+type hostGroup struct {
+	hosts     []*fleet.Fleet
+	unadvised func(host int) bool // it gets no advice now
+	adviserOf func(host int) int  // whom it asks for advice
+	random    *rand.Rand
+	sent      map[string][]time.Time // by endpoint
+	unplaced  int                    // requests for which there was no endpoint
 }
 
-func newCrew(hosts, advisers, endpoints int) *crew {
-	c := &crew{random: rand.New(rand.NewPCG(1, uint64(hosts))), got: map[string][]time.Time{}, deaf: func(int) bool { return false }, asked: func(int) int { return 0 }}
+func newHostGroup(hosts, advisers, endpoints int) *hostGroup {
+	c := &hostGroup{random: rand.New(rand.NewPCG(1, uint64(hosts))), sent: map[string][]time.Time{}, unadvised: func(int) bool { return false }, adviserOf: func(int) int { return 0 }}
 	for range hosts {
 		f := fleet.New(fleet.Options{
 			Hall:     "ikeja",
-			WarmUp:   func(string) fleet.WarmUp { return fleet.WarmUp{Duration: coldLasts, MaxRate: coldMost} },
+			WarmUp:   func(string) fleet.WarmUp { return fleet.WarmUp{Duration: coldDuration, MaxRate: coldRate} },
 			Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: hosts, Advisers: advisers} },
 		})
 		f.Reset(endpointsOf(endpoints), false)
@@ -60,27 +60,27 @@
 }
 
 // each does something on every host.
-func (c *crew) each(do func(f *fleet.Fleet)) {
+func (c *hostGroup) each(do func(f *fleet.Fleet)) {
 	for _, f := range c.hosts {
 		do(f)
 	}
 }
 
-// play sends so many requests a second from hosts drawn by chance.
-func (c *crew) play(span time.Duration, perSecond float64, ask func() fleet.Request) {
+// sendFor sends so many requests a second from hosts drawn by chance.
+func (c *hostGroup) sendFor(span time.Duration, perSecond float64, newRequest func() fleet.Request) {
 	for start := time.Now(); time.Since(start) < span; {
 		time.Sleep(time.Duration(c.random.ExpFloat64() / perSecond * float64(time.Second)))
-		c.send(c.random.IntN(len(c.hosts)), ask())
+		c.send(c.random.IntN(len(c.hosts)), newRequest())
 	}
 }
 
-func (c *crew) send(host int, ask fleet.Request) {
-	h := c.pick(host, ask)
+func (c *hostGroup) send(host int, req fleet.Request) {
+	h := c.pick(host, req)
 	if h == nil {
-		c.none++
+		c.unplaced++
 		return
 	}
-	c.got[h.Endpoint.ID] = append(c.got[h.Endpoint.ID], time.Now())
+	c.sent[h.Endpoint.ID] = append(c.sent[h.Endpoint.ID], time.Now())
 	go func() {
 		time.Sleep(80 * time.Millisecond)
 		h.Head(fleet.Load{})
@@ -92,30 +92,30 @@
 	}()
 }
 
-func (c *crew) pick(host int, ask fleet.Request) *fleet.Hold {
+func (c *hostGroup) pick(host int, req fleet.Request) *fleet.Hold {
 	f := c.hosts[host]
-	adviser := c.asked(host)
-	if ask.Key == 0 || host == adviser {
-		h, _ := f.Pick(ask)
+	adviser := c.adviserOf(host)
+	if req.Key == 0 || host == adviser {
+		h, _ := f.Pick(req)
 		return h
 	}
-	if !c.deaf(host) {
-		advised, ok := c.hosts[adviser].Advise(ask)
+	if !c.unadvised(host) {
+		advised, ok := c.hosts[adviser].Advise(req)
 		if !ok {
 			return nil
 		}
-		h, ok := f.PickAt(advised, ask)
+		h, ok := f.PickAt(advised, req)
 		Expect(ok).To(BeTrue())
 		h.OnDone = func() { c.hosts[adviser].EndAdvised(advised) }
 		return h
 	}
-	ask.Unadvised = true
-	h, _ := f.Pick(ask)
+	req.Unadvised = true
+	h, _ := f.Pick(req)
 	return h
 }
 
-// most is the largest number of requests that an endpoint got in a second.
-func most(times []time.Time) int {
+// maxPerSecond is the largest number of requests that an endpoint got in a second.
+func maxPerSecond(times []time.Time) int {
 	worst, from := 0, 0
 	for i, t := range times {
 		for t.Sub(times[from]) >= time.Second {
@@ -126,27 +126,27 @@
 	return worst
 }
 
-// worstOf is the largest number that one of some endpoints got in a second.
-func (c *crew) worstOf(concerns func(id string) bool) int {
+// maxRateOf is the largest number that one of some endpoints got in a second.
+func (c *hostGroup) maxRateOf(concerns func(id string) bool) int {
 	worst := 0
-	for id, times := range c.got {
+	for id, times := range c.sent {
 		if concerns(id) {
-			worst = max(worst, most(times))
+			worst = max(worst, maxPerSecond(times))
 		}
 	}
 	return worst
 }
 
-// fresh draws a prompt that nobody has.
-func (c *crew) fresh() fleet.Request {
+// newPrompt draws a prompt that nobody has.
+func (c *hostGroup) newPrompt() fleet.Request {
 	return fleet.Request{Service: "s", Key: c.random.Uint64() | 1, Model: "m", Tokens: 600, SharedTokens: 300, Objective: 1500 * time.Millisecond}
 }
 
 var _ = Describe("a cold endpoint", func() {
-	some := func(id string) bool { return id < "e030" }
-	chill := func(f *fleet.Fleet) {
+	isCold := func(id string) bool { return id < "e030" }
+	makeCold := func(f *fleet.Fleet) {
 		for _, e := range endpointsOf(30) {
-			e.Cold = coldLasts
+			e.Cold = coldDuration
 			f.Put(e)
 		}
 	}
@@ -161,17 +161,17 @@
 		"the first is new": func(host int) bool { return host > 3 },
 	}
 	for size, n := range sizes {
-		for name, deaf := range advice {
+		for name, unadvised := range advice {
 			It("gets no more than it may: "+size+", "+name, func() {
 				paused(func() {
-					c := newCrew(n.hosts, n.advisers, n.endpoints)
-					c.deaf = deaf
-					c.play(time.Second, 600, c.fresh)
-					c.each(chill)
-					clear(c.got)
-					c.play(2900*time.Millisecond, 600, c.fresh)
-					Expect(c.worstOf(some)).To(BeNumerically("<=", int(coldMost)))
-					Expect(c.none).To(BeZero(), "warm ones had room")
+					c := newHostGroup(n.hosts, n.advisers, n.endpoints)
+					c.unadvised = unadvised
+					c.sendFor(time.Second, 600, c.newPrompt)
+					c.each(makeCold)
+					clear(c.sent)
+					c.sendFor(2900*time.Millisecond, 600, c.newPrompt)
+					Expect(c.maxRateOf(isCold)).To(BeNumerically("<=", int(coldRate)))
+					Expect(c.unplaced).To(BeZero(), "warm ones had room")
 				})
 			})
 		}
@@ -181,97 +181,97 @@
 	for _, hosts := range []int{4, 7, 60, 345} {
 		It(fmt.Sprintf("gets no more than it may while advisers are lost one after the other: %d hosts", hosts), func() {
 			paused(func() {
-				c := newCrew(hosts, 1, 60)
-				c.play(time.Second, 600, c.fresh)
-				c.each(chill)
-				clear(c.got)
+				c := newHostGroup(hosts, 1, 60)
+				c.sendFor(time.Second, 600, c.newPrompt)
+				c.each(makeCold)
+				clear(c.sent)
 				began := time.Now()
-				c.asked = func(int) int { return min(int(time.Since(began)/(300*time.Millisecond)), 2) }
-				c.deaf = func(host int) bool {
+				c.adviserOf = func(int) int { return min(int(time.Since(began)/(300*time.Millisecond)), 2) }
+				c.unadvised = func(host int) bool {
 					return host%3 == 0 && time.Since(began)%(300*time.Millisecond) < 100*time.Millisecond
 				}
-				c.play(2900*time.Millisecond, 600, c.fresh)
-				Expect(c.worstOf(some)).To(BeNumerically("<=", int(coldMost)))
-				Expect(c.none).To(BeZero(), "warm ones had room")
+				c.sendFor(2900*time.Millisecond, 600, c.newPrompt)
+				Expect(c.maxRateOf(isCold)).To(BeNumerically("<=", int(coldRate)))
+				Expect(c.unplaced).To(BeZero(), "warm ones had room")
 			})
 		})
 	}
 
 	It("is used meanwhile, and as others once it is warm", func() {
 		paused(func() {
-			c := newCrew(61, 1, 60)
-			c.each(chill)
-			c.play(2900*time.Millisecond, 900, c.fresh)
+			c := newHostGroup(61, 1, 60)
+			c.each(makeCold)
+			c.sendFor(2900*time.Millisecond, 900, c.newPrompt)
 			counts := map[bool]int{}
-			for id, times := range c.got {
-				counts[some(id)] += len(times)
+			for id, times := range c.sent {
+				counts[isCold(id)] += len(times)
 			}
 			Expect(counts[true]).To(BeNumerically(">", counts[false]/5))
-			clear(c.got)
+			clear(c.sent)
 			time.Sleep(2 * time.Second)
-			clear(c.got)
-			c.play(2*time.Second, 1200, c.fresh)
-			Expect(c.worstOf(some)).To(BeNumerically(">", 15))
-			Expect(c.none).To(BeZero())
+			clear(c.sent)
+			c.sendFor(2*time.Second, 1200, c.newPrompt)
+			Expect(c.maxRateOf(isCold)).To(BeNumerically(">", 15))
+			Expect(c.unplaced).To(BeZero())
 		})
 	})
 
 	It("is one that is listed while requests run, whatever it says", func() {
 		paused(func() {
-			c := newCrew(61, 1, 5)
-			c.play(time.Second, 60, c.fresh)
+			c := newHostGroup(61, 1, 5)
+			c.sendFor(time.Second, 60, c.newPrompt)
 			c.each(func(f *fleet.Fleet) {
 				f.Put(fleet.Endpoint{ID: "new", Service: "s", Hall: "ikeja", Version: "v1", Slots: 12})
 			})
-			c.play(2900*time.Millisecond, 150, c.fresh)
-			Expect(most(c.got["new"])).To(BeNumerically("<=", coldMost*2/5+1))
+			c.sendFor(2900*time.Millisecond, 150, c.newPrompt)
+			Expect(maxPerSecond(c.sent["new"])).To(BeNumerically("<=", coldRate*2/5+1))
 		})
 	})
 
 	It("is one of a hall that is taken back", func() {
 		paused(func() {
-			c := newCrew(61, 1, 90)
-			hall := func(id string) bool { e, _ := c.hosts[0].Listed(id); return e.Hall == "lekki" }
+			c := newHostGroup(61, 1, 90)
+			inLekki := func(id string) bool { e, _ := c.hosts[0].Listed(id); return e.Hall == "lekki" }
 			c.each(func(f *fleet.Fleet) { f.Evacuate([]string{"lekki"}) })
-			c.play(2*time.Second, 900, c.fresh)
-			Expect(c.worstOf(hall)).To(BeZero())
+			c.sendFor(2*time.Second, 900, c.newPrompt)
+			Expect(c.maxRateOf(inLekki)).To(BeZero())
 			c.each(func(f *fleet.Fleet) { f.Evacuate(nil) })
-			clear(c.got)
-			c.play(2900*time.Millisecond, 1300, c.fresh)
-			Expect(c.worstOf(hall)).To(BeNumerically("<=", coldMost*2/5+2))
-			Expect(c.none).To(BeZero())
+			clear(c.sent)
+			c.sendFor(2900*time.Millisecond, 1300, c.newPrompt)
+			Expect(c.maxRateOf(inLekki)).To(BeNumerically("<=", coldRate*2/5+2))
+			Expect(c.unplaced).To(BeZero())
 		})
 	})
 
-	ends := map[string]func(f *fleet.Fleet, h *fleet.Hold){
+	failureModes := map[string]func(f *fleet.Fleet, h *fleet.Hold){
 		"can't be reached": func(_ *fleet.Fleet, h *fleet.Hold) { h.Done(fleet.Result{Outcome: fleet.OutcomeLost}) },
 		"broke all that ran there": func(f *fleet.Fleet, h *fleet.Hold) {
 			h.Done(fleet.Result{Outcome: fleet.OutcomeFailed})
 			f.AddTally(h.Endpoint.ID, fleet.Tally{Failed: 3})
 		},
 	}
-	for name, end := range ends {
+	for name, fail := range failureModes {
 		It("is one that "+name+", until some time after it has answered", func() {
 			paused(func() {
-				c := newCrew(61, 1, 6)
-				h, _ := c.hosts[0].Pick(c.fresh())
+				c := newHostGroup(61, 1, 6)
+				h, _ := c.hosts[0].Pick(c.newPrompt())
 				id := h.Endpoint.ID
-				end(c.hosts[0], h)
+				fail(c.hosts[0], h)
 				time.Sleep(2100 * time.Millisecond) // of its ejection
-				c.play(2500*time.Millisecond, 200, c.fresh)
-				Expect(most(c.got[id])).To(BeNumerically("<=", coldMost*2/5+1))
-				Expect(c.got[id]).NotTo(BeEmpty())
+				c.sendFor(2500*time.Millisecond, 200, c.newPrompt)
+				Expect(maxPerSecond(c.sent[id])).To(BeNumerically("<=", coldRate*2/5+1))
+				Expect(c.sent[id]).NotTo(BeEmpty())
 				time.Sleep(2 * time.Second)
-				delete(c.got, id)
-				c.play(2*time.Second, 100, c.fresh)
-				Expect(most(c.got[id])).To(BeNumerically(">", 10))
+				delete(c.sent, id)
+				c.sendFor(2*time.Second, 100, c.newPrompt)
+				Expect(maxPerSecond(c.sent[id])).To(BeNumerically(">", 10))
 			})
 		})
 	}
 
 	It("is not one that fails now and then", func() {
 		paused(func() {
-			c := newCrew(1, 1, 1)
+			c := newHostGroup(1, 1, 1)
 			for range 10 {
 				c.hosts[0].AddTally("e000", fleet.Tally{Failed: 3})
 				c.hosts[0].AddTally("e000", fleet.Tally{Good: 2})
@@ -282,26 +282,26 @@
 
 	It("gets no more than it may of requests that nobody advises on", func() {
 		paused(func() {
-			c := newCrew(61, 1, 6)
+			c := newHostGroup(61, 1, 6)
 			c.each(func(f *fleet.Fleet) {
 				for _, e := range endpointsOf(3) {
-					e.Cold = coldLasts
+					e.Cold = coldDuration
 					f.Put(e)
 				}
 			})
-			c.play(2900*time.Millisecond, 250, func() fleet.Request { return fleet.Request{Service: "s"} })
-			Expect(c.worstOf(func(id string) bool { return id < "e003" })).To(BeNumerically("<=", int(coldMost)))
-			Expect(len(c.got["e000"])).To(BeNumerically(">", 5), "in the hosts' data hall")
+			c.sendFor(2900*time.Millisecond, 250, func() fleet.Request { return fleet.Request{Service: "s"} })
+			Expect(c.maxRateOf(func(id string) bool { return id < "e003" })).To(BeNumerically("<=", int(coldRate)))
+			Expect(len(c.sent["e000"])).To(BeNumerically(">", 5), "in the hosts' data hall")
 		})
 	})
 
 	It("that nobody knows of gets no more from an adviser than it may", func() {
 		paused(func() {
-			c := newCrew(61, 1, 40)
-			one := c.fresh() // a prompt that is dear to read again
-			one.Tokens, one.SharedTokens, one.Parts = 20_000, 19_900, []fleet.Part{{ID: 7, Tokens: 19_900}, {ID: 8, Tokens: 100}}
-			c.play(4*time.Second, 30, func() fleet.Request { return one })
-			Expect(c.worstOf(func(string) bool { return true })).To(BeNumerically("<=", coldMost*3/5+1))
+			c := newHostGroup(61, 1, 40)
+			prompt := c.newPrompt() // a prompt that is dear to read again
+			prompt.Tokens, prompt.SharedTokens, prompt.Parts = 20_000, 19_900, []fleet.Part{{ID: 7, Tokens: 19_900}, {ID: 8, Tokens: 100}}
+			c.sendFor(4*time.Second, 30, func() fleet.Request { return prompt })
+			Expect(c.maxRateOf(func(string) bool { return true })).To(BeNumerically("<=", coldRate*3/5+1))
 		})
 	})
 })
