--- a/internal/fleet/advise.go
+++ b/internal/fleet/advise.go
@@ -8,14 +8,15 @@
 	"quaybarrow/internal/clock"
 )
 
-// Advice is an endpoint for an attempt, and what that is expected to take there.
+// Advice is an endpoint for an attempt, with the estimate of the attempt there.
 type Advice struct {
-	Endpoint string // its id
-	Ticket   int64  // by which the adviser knows the attempt
+	Endpoint string // its ID
+	Ticket   int64  // by which the adviser identifies the attempt
 	Expected Expectation
-	// Decision is what becomes of the request. One that waits or is refused has no endpoint.
+	// Decision is what happens to the request. A request that waits or is refused has no endpoint.
 	Decision admission.Decision
-	// LimitCounted tells that the adviser knows of the endpoint's limit, and has counted the request.
+	// LimitCounted means that the adviser knows of the endpoint's limit and has counted the request
+	// against it.
 	LimitCounted bool
 }
 
@@ -23,12 +24,12 @@
 type advised struct {
 	ticket int64
 	sentAt clock.Instant
-	headAt clock.Instant // when the head was heard of; zero before
+	headAt clock.Instant // when its response head was reported; zero before
 }
 
-// PickAt holds a place at an endpoint that was advised; false if it may not be used.
-// The adviser has seen what other hosts sent there, so its expectation is taken, and its
-// word that there is room goes before a refusal that this host got a moment ago.
+// PickAt holds a slot at an advised endpoint; false if the endpoint may not be used. The adviser
+// has seen what other hosts sent there, so its estimate is used, and its advice that there is room
+// overrides a refusal that this host got a moment ago.
 func (f *Fleet) PickAt(a Advice, req Request) (*Hold, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,7 +39,7 @@
 		return nil, false
 	}
 	if f.enforcesLimit(m) && m.limit.active() && !a.LimitCounted {
-		return nil, false // the adviser has not heard of it
+		return nil, false // the adviser does not know of the limit
 	}
 	if _, behind := a.Decision.(admission.Behind); behind {
 		req.Urgency = UrgencyLeast
@@ -48,8 +49,8 @@
 	return h, true
 }
 
-// Advise chooses an endpoint for another host and counts the request and the reading
-// of its prompt there; false if none may be used.
+// Advise chooses an endpoint for another host and counts the request and the prefill of its prompt
+// there; false if none may be used.
 func (f *Fleet) Advise(req Request) (Advice, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,7 +70,7 @@
 	return a, true
 }
 
-// EndAdvised takes a request of another host out of the count at its endpoint.
+// EndAdvised removes a request of another host from the count of its endpoint.
 func (f *Fleet) EndAdvised(a Advice) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,11 +88,11 @@
 	m.stopAwaiting(a.Ticket)
 }
 
-// maxAdvisedAge is how long a request of another host counts if its end is not told;
-// nearly all have ended by then.
+// maxAdvisedAge is how long a request of another host counts if its end is not reported; nearly all
+// have ended by then.
 const maxAdvisedAge = 8 * time.Second
 
-// remote counts the requests that other hosts were advised to send here.
+// remote returns the number of requests that other hosts were advised to send to the endpoint.
 func (m *member) remote(now clock.Instant) int {
 	for len(m.advised) > 0 && now.Sub(m.advised[0].sentAt) > maxAdvisedAge {
 		m.advised = m.advised[1:]
@@ -99,11 +100,11 @@
 	return len(m.advised)
 }
 
-// Tally counts how attempts at an endpoint have gone; an immutable value.
+// Tally counts the outcomes of attempts at an endpoint. It is immutable.
 type Tally struct{ Good, Failed, Lost int32 }
 
-// With returns the tally after an attempt. Refusals and what was not the endpoint's
-// doing do not count.
+// With returns the tally after an attempt. Refusals, and failures that the endpoint did not cause,
+// are not counted.
 func (t Tally) With(o Outcome) Tally {
 	switch o {
 	case OutcomeGood:
@@ -117,20 +118,20 @@
 	return t
 }
 
-// Bounds of what hosts tell each other of endpoints.
+// Bounds of what hosts tell each other about endpoints.
 const (
-	// maxTallied of a host's good results count at a time; more say nothing new.
+	// maxTallied bounds the results of a tally that are applied at a time; more add no information.
 	maxTallied = 5
-	// peerEjection is how long an endpoint is left alone that fails other hosts; who
-	// goes on asking hears of it again several times a second.
+	// peerEjection is how long an endpoint that fails other hosts is ejected; a host that keeps
+	// asking for advice is told of it again several times a second.
 	peerEjection = time.Second
-	// minToldEjection is the rest of an ejection that is worth telling; shorter ones
-	// are pauses of full endpoints.
+	// minToldEjection is the shortest remaining ejection that is reported to other hosts; shorter
+	// ones are pauses of full endpoints.
 	minToldEjection = 200 * time.Millisecond
 	maxToldEjected  = 32 // endpoints in a reply
 )
 
-// AddTally takes in how another host's attempts at an endpoint have gone.
+// AddTally records the outcomes of another host's attempts at an endpoint.
 func (f *Fleet) AddTally(id string, t Tally) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -159,7 +160,7 @@
 	}
 }
 
-// Ejected lists endpoints that other hosts should leave alone.
+// Ejected lists endpoints that other hosts should not use.
 func (f *Fleet) Ejected() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -176,7 +177,7 @@
 	return ids
 }
 
-// recordHealth takes in how an attempt at an endpoint went, for its health.
+// recordHealth records the outcome of an attempt in the health of an endpoint.
 func (f *Fleet) recordHealth(m *member, o Outcome, now clock.Instant) {
 	m.health = m.health.with(o, now, f.options.MaxEjection)
 	if now.Before(m.health.ejectedUntil) {
@@ -184,8 +185,8 @@
 	}
 }
 
-// ApplyEjections leaves endpoints alone that fail other hosts, for a moment and while others
-// are there.
+// ApplyEjections ejects endpoints that fail other hosts for a short time. They are still used if no
+// other endpoint is available.
 func (f *Fleet) ApplyEjections(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -197,6 +198,6 @@
 	}
 }
 
-// OnOutcome has a function told of the outcome of each attempt; it is called before
+// OnOutcome sets a function that is called with the outcome of each attempt. It must be set before
 // any attempt is made.
 func (f *Fleet) OnOutcome(observe func(id string, o Outcome)) { f.onOutcome = observe }
--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -22,9 +22,9 @@
 		return counts
 	}
 
-	It("fills the slots of all endpoints before any has to wait", func() {
+	It("fills the slots of all endpoints before a request has to wait", func() {
 		suite.Paused(func() {
-			f := newFleet() // six endpoints of four slots
+			f := newFleet() // six endpoints with four slots each
 			counts := advise(f, 24, 1)
 			Expect(counts).To(HaveLen(6))
 			for id, list := range counts {
@@ -33,7 +33,7 @@
 		})
 	})
 
-	It("counts requests until they have ended, or for a while if nobody says so", func() {
+	It("counts requests until they have ended, or for a while if their end is not reported", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			load := func() int {
@@ -61,7 +61,7 @@
 		})
 	})
 
-	It("is not followed where the endpoint may not be used", func() {
+	It("is not followed if the endpoint may not be used", func() {
 		f := newFleet()
 		_, ok := f.PickAt(fleet.Advice{Endpoint: "e1"}, fleet.Request{Service: "s", Avoid: []string{"e1"}})
 		Expect(ok).To(BeFalse())
@@ -81,7 +81,7 @@
 		Expect(ok).To(BeFalse(), "it could not be reached a moment ago")
 	})
 
-	It("tells what is expected there, and that is what the hold expects", func() {
+	It("contains the estimate that the hold uses", func() {
 		suite.Paused(func() {
 			f, other := newFleet(), newFleet()
 			_, _ = f.Advise(documentPrompt(7, 100))
@@ -93,7 +93,7 @@
 		})
 	})
 
-	It("expects no wait after a load that was read faster than was thought", func() {
+	It("expects no wait after a load that was prefilled faster than estimated", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			for own := range uint64(300) {
@@ -102,11 +102,11 @@
 				f.EndAdvised(a)
 			}
 			a, _ := f.Advise(documentPrompt(7, 100))
-			Expect(a.Expected.Head).To(BeNumerically("<", a.Expected.PrefillTime+100*time.Millisecond), "5 s by what was booked")
+			Expect(a.Expected.Head).To(BeNumerically("<", a.Expected.PrefillTime+100*time.Millisecond), "5 s by prefillUntil alone")
 		})
 	})
 
-	It("knows that endpoints are full by what they refused other hosts", func() {
+	It("recognizes full endpoints by their refusals of other hosts' requests", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			full := fleet.Load{Running: 4, Waiting: 12, Slots: 4}
@@ -120,7 +120,7 @@
 		})
 	})
 
-	It("takes endpoints of which nothing was heard lately for as full as others are", func() {
+	It("assumes that endpoints without recent reports are as full as the others", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			for range 60 {
@@ -129,17 +129,17 @@
 				}
 			}
 			a, _ := f.Advise(shortPrompt(1))
-			Expect(a.Expected.Queue).To(BeNumerically(">", time.Second), "nothing was expected of the one that was not heard of")
+			Expect(a.Expected.Queue).To(BeNumerically(">", time.Second), "no wait was expected at the endpoint without reports")
 		})
 	})
 
-	It("has tickets that no other adviser gives out", func() {
+	It("has tickets that differ from those of other advisers", func() {
 		a, _ := newFleet().Advise(shortPrompt(1))
 		b, _ := newFleet().Advise(shortPrompt(1))
-		Expect(a.Ticket).NotTo(Equal(b.Ticket), "hosts tell the next adviser what the one before advised")
+		Expect(a.Ticket).NotTo(Equal(b.Ticket), "hosts report tickets of the previous adviser to the next one")
 	})
 
-	It("goes by what other hosts hear", func() {
+	It("uses the head reports of other hosts", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			before, _ := f.Advise(documentPrompt(7, 100))
@@ -150,16 +150,16 @@
 			}
 			f.ObserveHead(fleet.HeadReport{Endpoint: "gone", Service: "s", Model: "m", Took: time.Second})
 			after, _ := f.Advise(documentPrompt(7, 101))
-			Expect(after.Endpoint).NotTo(Equal(before.Endpoint), "answers wait there")
+			Expect(after.Endpoint).NotTo(Equal(before.Endpoint), "responses wait there")
 			Expect(after.Expected.Price).To(BeNumerically(">", before.Expected.Price))
 		})
 	})
 
-	It("ejects what fails other hosts, and not what fails now and then", func() {
+	It("ejects endpoints that fail other hosts, and not those that fail occasionally", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			for range 50 {
-				f.AddTally("e1", fleet.Tally{Good: 6, Failed: 1}) // a seventh fails by itself
+				f.AddTally("e1", fleet.Tally{Good: 6, Failed: 1}) // a seventh of the requests fail by themselves
 			}
 			Expect(f.Ejected()).To(BeEmpty())
 			f.AddTally("e2", fleet.Tally{Failed: 9})
--- a/internal/fleet/await.go
+++ b/internal/fleet/await.go
@@ -7,21 +7,20 @@
 	"quaybarrow/internal/clock"
 )
 
-// awaited is a request at an endpoint whose answer has not begun.
+// awaited is a request at an endpoint whose response head has not arrived.
 type awaited struct {
 	ticket    int64
 	sent      clock.Instant
-	due       clock.Instant // when the head was expected
+	due       clock.Instant // when the response head was expected
 	rank      int           // of its urgency
-	work      time.Duration // of reading its prompt
-	overtaken bool          // the answer to one that was sent later has begun
+	work      time.Duration // of prefilling its prompt
+	overtaken bool          // the response to a request that was sent later has begun
 }
 
-// maxAwait bounds how long the head of an answer counts as outstanding; callers
-// wait 20 seconds at most.
+// maxAwait bounds how long a response head counts as outstanding; callers wait 20 seconds at most.
 const maxAwait = 20 * time.Second
 
-// await notes a request of which the head is awaited, and returns its ticket.
+// await records a request whose response head is awaited, and returns its ticket.
 func (f *Fleet) await(m *member, expected Expectation, urgency int, now clock.Instant) int64 {
 	f.lastTicket++
 	a := awaited{ticket: f.lastTicket, sent: now, due: now.Add(expected.Head), rank: rank(urgency), work: expected.PrefillTime}
@@ -31,8 +30,8 @@
 	return f.lastTicket
 }
 
-// answered takes in the head of an answer. Requests that were sent before it say no more
-// of the endpoint: it answers, if not these.
+// answered records a response head. Requests that were sent before this one no longer indicate that
+// the endpoint is stuck: it responds, if not to these.
 func (m *member) answered(ticket int64) {
 	i := slices.IndexFunc(m.awaiting, func(a awaited) bool { return a.ticket == ticket })
 	for before := range max(i, 0) {
@@ -41,7 +40,7 @@
 	m.stopAwaiting(ticket)
 }
 
-// stopAwaiting takes in that the head of an answer is there, or will not come.
+// stopAwaiting removes a request whose response head has arrived or will not arrive.
 func (m *member) stopAwaiting(ticket int64) {
 	m.dropAwaited(func(a awaited) bool { return a.ticket == ticket })
 }
@@ -56,9 +55,9 @@
 	})
 }
 
-// overdue is for how long an endpoint has not begun an answer that was expected, and
-// none that was sent after it either: one that has fallen silent, or has far more to do
-// than is known. What comes next waits at least so long on average.
+// overdue returns for how long an endpoint has neither begun a response that was expected nor any
+// to a request that was sent after it. Such an endpoint has stopped responding, or has far more
+// work than is known. The next request waits at least that long on average.
 func (m *member) overdue(now clock.Instant) time.Duration {
 	if len(m.awaiting) > 0 && now.Sub(m.awaiting[0].sent) > maxAwait {
 		m.dropAwaited(func(a awaited) bool { return now.Sub(a.sent) > maxAwait })
--- a/internal/fleet/await_test.go
+++ b/internal/fleet/await_test.go
@@ -11,19 +11,19 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// shortPrompt is a short prompt that has nothing in common with others.
+// shortPrompt returns a request with a short prompt that shares nothing with others.
 func shortPrompt(key uint64) fleet.Request {
 	return fleet.Request{Service: "s", Key: key, Model: "m", Tokens: 300, Objective: 2 * time.Second}
 }
 
-// beginResponse has the answer beginResponse after a time.
+// beginResponse delivers the response head after a delay.
 func beginResponse(h *fleet.Hold, after time.Duration) {
 	time.Sleep(after)
 	h.Head(fleet.Load{})
 }
 
-var _ = Describe("endpoints whose answers are overdue", func() {
-	It("get nothing more while none begins, though few requests are there", func() {
+var _ = Describe("endpoints with overdue responses", func() {
+	It("get no further requests while none begins, even with few requests there", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			stuck, _ := f.Pick(shortPrompt(1))
@@ -48,7 +48,7 @@
 		})
 	})
 
-	It("lose to an endpoint of another data hall, which is taken for nothing else", func() {
+	It("are passed over for an endpoint of another data hall, which is used for no other reason", func() {
 		suite.Paused(func() {
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			f.Put(fleet.Endpoint{ID: "near", Service: "s", Hall: "ikeja", Slots: 64})
@@ -63,25 +63,25 @@
 		})
 	})
 
-	It("are not those that answer what was sent later", func() {
+	It("are not those that respond to requests sent later", func() {
 		suite.Paused(func() {
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 8})
-			_, _ = f.Pick(shortPrompt(1)) // never begins
+			_, _ = f.Pick(shortPrompt(1)) // its response never begins
 			for key := range uint64(5) {
 				h, _ := f.Pick(shortPrompt(10 + key))
 				beginResponse(h, 50*time.Millisecond)
 				h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			}
-			time.Sleep(2500 * time.Millisecond) // the wait of the last answer has faded
+			time.Sleep(2500 * time.Millisecond) // the observed wait of the last response has decayed
 			e, ok := f.Expect(shortPrompt(99))
 			Expect(ok).To(BeTrue())
 			Expect(e.Head).To(BeNumerically("<", 200*time.Millisecond))
 		})
 	})
 
-	// Answers that a silent link held up for seconds had requests refused at endpoints with nothing to do.
-	It("are no wait of what comes once they are there and nothing else is", func() {
+	// Responses that a stalled link delayed for seconds led to refusals at idle endpoints.
+	It("add no wait once the responses have begun and nothing else runs", func() {
 		suite.Paused(func() {
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 8})
@@ -97,7 +97,7 @@
 		})
 	})
 
-	It("are known by what other hosts were advised to send there", func() {
+	It("are recognized by requests that other hosts were advised to send there", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			stuck, _ := f.Advise(documentPrompt(1, 1))
@@ -110,7 +110,7 @@
 			}
 			f.EndAdvised(stuck)
 			again, _ := f.Advise(documentPrompt(1, 2))
-			Expect(again.Endpoint).To(Equal(stuck.Endpoint), "the request has ended otherwise, and it is kept there")
+			Expect(again.Endpoint).To(Equal(stuck.Endpoint), "the request has ended otherwise, and the prompt is cached there")
 		})
 	})
 })
--- a/internal/fleet/dealings.go
+++ b/internal/fleet/dealings.go
@@ -1,13 +1,14 @@
 package fleet
 
-// queueState are what this host knows of an endpoint only once it has had to do with it. Of
-// thousands of endpoints a host uses a few; the others take no room for this.
+// queueState is what this host knows of the queue of an endpoint. It is allocated once this host
+// sends there or receives a report of the endpoint: of thousands of endpoints a host uses a few,
+// and the others need no memory for it.
 type queueState struct {
 	backlog backlog
-	waits   [urgencies]observedWait // of the last answer of each rank
+	waits   [urgencies]observedWait // of the last response of each rank
 }
 
-// ensureQueue returns the member's dealings, to be changed.
+// ensureQueue returns the member's queue state, allocated if needed, for changes.
 func (m *member) ensureQueue() *queueState {
 	if m.queue == nil {
 		m.queue = &queueState{}
@@ -15,8 +16,8 @@
 	return m.queue
 }
 
-// intern returns an endpoint whose words are shared with those of others that tell the same: each
-// entry is read into strings of its own.
+// intern returns an endpoint that shares its strings with other endpoints that have equal ones:
+// each entry is decoded into strings of its own.
 func (f *Fleet) intern(e Endpoint) Endpoint {
 	e.Instance = e.name()
 	if e.ID == e.Instance {
@@ -26,7 +27,7 @@
 	return e
 }
 
-// maxInterned bounds the words that are kept; there are a few services, data halls and versions.
+// maxInterned bounds the interned strings; there are only a few services, data halls and versions.
 const maxInterned = 1024
 
 func (f *Fleet) internString(text string) string {
--- a/internal/fleet/endpoint.go
+++ b/internal/fleet/endpoint.go
@@ -1,17 +1,17 @@
-// Package fleet knows the endpoints of every service: which are listed, which
-// are leaving, how loaded and how well they are, and picks one for an attempt.
+// Package fleet keeps track of the endpoints of every service: which are listed, which are
+// draining, and their load and health. It picks an endpoint for each attempt.
 //
 // # Usage
 //
 //	f := fleet.New(fleet.Options{Hall: "ikeja"})
 //	f.Reset(endpoints)
-//	hold, ok := f.Pick(fleet.Ask{Service: "tagger", Key: key})
+//	hold, ok := f.Pick(fleet.Request{Service: "tagger", Key: key})
 //	...send the request to hold.Endpoint...
 //	hold.Done(fleet.Result{Outcome: fleet.OutcomeGood, Load: load})
 //
-// Nothing here sends messages. Load is what this host has in flight at an
-// endpoint, plus what the endpoint's own answers said of the others' a moment
-// ago. Health is judged by live requests alone.
+// The package sends no messages. Load is what this host has in flight at an endpoint, plus the
+// load of other hosts that the endpoint's own responses have recently reported. Health is derived
+// from live requests alone.
 package fleet
 
 import (
@@ -21,31 +21,31 @@
 	"quaybarrow/internal/clock"
 )
 
-// Endpoint is a listed endpoint; an immutable value.
+// Endpoint is a listed endpoint. It is immutable.
 type Endpoint struct {
-	ID          string // of this start of the endpoint; no other start has it
-	Instance    string // what the endpoint calls itself, in all its starts; empty stands for the ID
-	StartMillis int64  // Unix ms of this start; 0 if it does not tell
+	ID          string // unique to this start of the endpoint
+	Instance    string // name of the endpoint, the same in all its starts; empty means the ID
+	StartMillis int64  // Unix time of this start in ms; 0 if not stated
 	Service     string
 	Address     string // ip:port
 	Hall        string
 	Version     string        // of its software
-	Slots       int           // requests it runs at once
-	Draining    bool          // it takes nothing new
-	Cold        time.Duration // until it bears its usual load, by its own word
-	Spot        bool          // the platform may take it away at short notice
+	Slots       int           // requests that it runs at the same time
+	Draining    bool          // it takes no new requests
+	Cold        time.Duration // time until it takes its usual load, as stated by its entry
+	Spot        bool          // the platform may reclaim it at short notice
 }
 
-// WithStart returns the endpoint as one that started at a moment, in Unix ms. What is known
-// of an endpoint (its memory, load, health, awaited answers) is kept by ID, so nothing of
-// it falls on a later start, which knows nothing of before.
+// WithStart returns the endpoint as one that started at a time, in Unix ms. All knowledge of an
+// endpoint (cached prompts, load, health, awaited responses) is stored by ID, so none of it applies
+// to a later start, whose process has kept nothing of an earlier one.
 func (e Endpoint) WithStart(born int64) Endpoint {
 	e.Instance, e.StartMillis = e.name(), born
 	e.ID = e.Instance + "@" + strconv.FormatInt(born, 10)
 	return e
 }
 
-// name is what the endpoint calls itself.
+// name returns the instance name.
 func (e Endpoint) name() string {
 	if e.Instance == "" {
 		return e.ID
@@ -53,77 +53,77 @@
 	return e.Instance
 }
 
-// Report is an endpoint's own account of its load.
+// Report is an endpoint's report of its load.
 type Report struct {
 	Load     Load
 	Draining bool
-	Models   []string      // that it has loaded; nil if it does not say
-	Asked    clock.Instant // when it was asked for
-	InFlight int           // this host's requests there at that moment
+	Models   []string      // that it has loaded; nil if it does not report them
+	Asked    clock.Instant // when the report was requested
+	InFlight int           // this host's requests there when the report was requested
 }
 
-// Status is what a host knows of an endpoint, for operators.
+// Status is a host's knowledge of an endpoint, for operators.
 type Status struct {
 	Endpoint
 	Models   []string
 	InFlight int           // this host's requests there
-	Others   int           // others' requests there, when it last said
-	Age      time.Duration // since it said so; 0 if it never did
-	Ready    bool          // it is not ejected
-	// Evacuated tells that its data hall is, ColdSince since when it is taken to be cold
-	// (zero if it is not), and ColdFor for how much longer.
+	Others   int           // other hosts' requests there, by its last report
+	Age      time.Duration // of the last load report; 0 if there was none
+	Ready    bool          // it is not draining and not ejected
+	// Evacuated reports whether its data hall is evacuated. ColdSince is when the endpoint became
+	// cold (zero if it is not cold), and ColdFor is the time until it is warm.
 	Evacuated bool
 	ColdSince clock.Instant
 	ColdFor   time.Duration
 	Limit     LimitStatus
 }
 
-// Load is what an endpoint says of itself in an answer.
+// Load is the load that an endpoint reports in a response.
 type Load struct {
 	Running, Waiting, Slots int
-	// Pace is how long work takes on its machine now, which it shares with others, 1 as usual; 0
-	// if it does not say.
+	// Pace is how long work currently takes on the endpoint's shared machine, relative to the usual
+	// time (1); 0 if not reported.
 	Pace float64
 }
 
-// Outcome is how an attempt went, for judging the endpoint.
+// Outcome is the result of an attempt, for the health of the endpoint.
 type Outcome int
 
 // Outcomes of an attempt.
 const (
-	OutcomeNeutral Outcome = iota // the caller left, or the fault was ours
+	OutcomeNeutral Outcome = iota // the caller disconnected, or this host caused the failure
 	OutcomeGood
-	OutcomeFailed  // it answered with a failure, wrongly or not at all
-	OutcomeRefused // it refused before any work
+	OutcomeFailed  // it responded with a failure or an invalid response, or not at all
+	OutcomeRefused // it refused the request before any work
 	OutcomeLost    // it could not be reached
 )
 
-// Result is what an attempt told of an endpoint.
+// Result is the result of an attempt at an endpoint.
 type Result struct {
 	Outcome Outcome
-	Load    Load // zero Slots if it said nothing
+	Load    Load // zero Slots if not reported
 }
 
-// Parameters of health. An endpoint that fails now and then stays in use: on
-// some services a seventh of the answers are failures of the request itself.
+// Parameters of health. An endpoint that fails occasionally stays in use: on some services a
+// seventh of the responses are failures of the request itself.
 const (
-	healthDecay         = 0.8             // weight of the past at each result, about the last five count
-	ejectThreshold      = 0.62            // part of failures that ejects; three in a row from a clean start reach 0.49, five 0.67
-	firstEjection       = 2 * time.Second // first ejection; doubles with each one in a row
+	healthDecay         = 0.8             // weight of the past at each result; about the last five results count
+	ejectThreshold      = 0.62            // failure rate that ejects; three failures in a row from a rate of 0 reach 0.49, five 0.67
+	firstEjection       = 2 * time.Second // first ejection; doubles with each further one in a row
 	defaultMaxEjection  = 8 * time.Second
-	unreachableEjection = 1 * time.Second // an endpoint that can't be reached rests at once
+	unreachableEjection = 1 * time.Second // an endpoint that can't be reached is ejected at once
 	fullPause           = 150 * time.Millisecond
 )
 
-// health is what attempts told of an endpoint; an immutable value.
+// health is derived from the outcomes of attempts. It is immutable.
 type health struct {
 	failureRate  float64       // smoothed part of failures
-	ejectedUntil clock.Instant // not before, unless nothing else is there
-	fullUntil    clock.Instant // until then it is taken to be, as it has just refused a request
-	lastEjection time.Duration // of the last ejection
+	ejectedUntil clock.Instant // not used before then, unless no other endpoint is available
+	fullUntil    clock.Instant // assumed to be full until then, since it has just refused a request
+	lastEjection time.Duration // duration of the last ejection
 }
 
-// with returns the health after an attempt; an ejection takes most at most.
+// with returns the health after an attempt; maxEjection bounds an ejection.
 func (h health) with(o Outcome, now clock.Instant, maxEjection time.Duration) health {
 	switch o {
 	case OutcomeGood:
@@ -133,7 +133,7 @@
 		}
 	case OutcomeFailed:
 		h.failureRate = h.failureRate*healthDecay + (1 - healthDecay)
-		// One that fails at its first attempt after an ejection has not recovered.
+		// An endpoint that fails its first attempt after an ejection has not recovered.
 		if h.failureRate >= ejectThreshold || (h.lastEjection > 0 && now.After(h.ejectedUntil)) {
 			h = h.ejected(now, firstEjection, maxEjection)
 		}
--- a/internal/fleet/evacuate.go
+++ b/internal/fleet/evacuate.go
@@ -7,9 +7,9 @@
 	"quaybarrow/internal/clock"
 )
 
-// Evacuate takes in which data halls are evacuated: nothing new goes to their endpoints,
-// also to those that are listed later. What runs there ends there. Endpoints of halls that
-// are taken back are cold: they may have been so since before, and were not asked.
+// Evacuate sets the evacuated data halls. No new requests go to their endpoints, including those
+// that are listed later; running requests end there. Endpoints of halls that return to use are
+// cold: they may have been cold since before, and no request was sent to them meanwhile.
 func (f *Fleet) Evacuate(halls []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -30,19 +30,19 @@
 	}
 }
 
-// inEvacuatedHall reports whether an endpoint stands in an evacuated data hall; the caller holds mu.
+// inEvacuatedHall reports whether an endpoint is in an evacuated data hall; the caller holds mu.
 func (f *Fleet) inEvacuatedHall(m *member) bool {
 	_, ok := f.evacuated[m.Hall]
 	return ok
 }
 
-// Evacuation is a data hall that is evacuated, and when this host heard of it.
+// Evacuation is an evacuated data hall, and when this host learned of the evacuation.
 type Evacuation struct {
 	Hall  string
 	Since clock.Instant
 }
 
-// Evacuations lists the data halls that are evacuated, in order.
+// Evacuations lists the evacuated data halls in order.
 func (f *Fleet) Evacuations() []Evacuation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,8 +53,8 @@
 	return list
 }
 
-// AllEvacuated reports whether a service has endpoints, and all of them stand in evacuated data
-// halls: nobody runs its requests until one is taken back.
+// AllEvacuated reports whether a service has endpoints and all of them are in evacuated data halls:
+// no endpoint runs its requests until a hall returns to use.
 func (f *Fleet) AllEvacuated(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -10,8 +10,8 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-var _ = Describe("a data hall that is evacuated", func() {
-	// hallsUsed lists the data halls that requests go to.
+var _ = Describe("an evacuated data hall", func() {
+	// hallsUsed counts the data halls that requests go to.
 	hallsUsed := func(f *fleet.Fleet, req fleet.Request) map[string]int {
 		halls := map[string]int{}
 		for range 12 {
@@ -23,7 +23,7 @@
 		return halls
 	}
 
-	It("gets nothing until it is taken back", func() {
+	It("gets no requests until it returns to use", func() {
 		for name, req := range map[string]fleet.Request{"plain": plain, "prompt": prompt(7)} {
 			f := newFleet()
 			f.Evacuate([]string{"ikeja"})
@@ -35,7 +35,7 @@
 		}
 	})
 
-	It("gets nothing by advice either, given before or after", func() {
+	It("gets no requests by advice from before or after the evacuation", func() {
 		f := newFleet()
 		before, ok := f.Advise(prompt(7))
 		Expect(ok).To(BeTrue())
@@ -51,7 +51,7 @@
 		}
 	})
 
-	It("covers endpoints that are listed meanwhile", func() {
+	It("covers endpoints that are listed later", func() {
 		f := newFleet()
 		f.Evacuate([]string{"ikeja", "lekki", "nowhere"})
 		f.Put(fleet.Endpoint{ID: "late", Service: "s", Hall: "ikeja", Slots: 4})
@@ -60,7 +60,7 @@
 		Expect(hallsUsed(f, plain)).To(Equal(map[string]int{"yaba": 12}))
 	})
 
-	It("leaves what runs there alone, and its versions listed", func() {
+	It("keeps its running requests, and its versions stay listed", func() {
 		f := newFleet()
 		h, _ := f.Pick(plain)
 		f.Evacuate([]string{"ikeja"})
@@ -71,7 +71,7 @@
 		Expect(f.InFlight(h.Endpoint.ID)).To(BeZero())
 	})
 
-	It("leaves nobody to ask once all are", func() {
+	It("leaves no endpoint to a service once all its halls are evacuated", func() {
 		f := newFleet()
 		f.Evacuate([]string{"ikeja"})
 		Expect(f.AllEvacuated("s")).To(BeFalse())
@@ -82,7 +82,7 @@
 })
 
 var _ = Describe("regions", func() {
-	It("bind every choice", func() {
+	It("restrict every choice", func() {
 		f := fleet.New(fleet.Options{Hall: "ikeja", Regions: map[string]string{"ikeja": "lagos", "lekki": "abuja"}})
 		addEndpoints(f)
 		for range 24 {
@@ -105,7 +105,7 @@
 	})
 })
 
-var _ = Describe("an endpoint that starts again under its name", func() {
+var _ = Describe("a restarted endpoint with the same instance name", func() {
 	start := func(born int64) fleet.Endpoint {
 		return fleet.Endpoint{ID: "e", Service: "s", Hall: "ikeja", Version: "v1", Slots: 4}.WithStart(born)
 	}
@@ -127,29 +127,29 @@
 			Expect(f.View()[0].InFlight).To(BeZero(), "its requests")
 			e, ok := f.Expect(prompt(7))
 			Expect(ok).To(BeTrue())
-			Expect(e.PrefillTokens).To(Equal(6000), "its memory of prompts")
-			Expect(e.Queue).To(BeZero(), "its awaited answers")
+			Expect(e.PrefillTokens).To(Equal(6000), "its cached prompts")
+			Expect(e.Queue).To(BeZero(), "its awaited responses")
 
-			sent.Head(fleet.Load{Running: 4, Waiting: 30, Slots: 4}) // the connection was open
+			sent.Head(fleet.Load{Running: 4, Waiting: 30, Slots: 4}) // over the connection that was still open
 			sent.Done(fleet.Result{Outcome: fleet.OutcomeFailed})
 			f.AddTally(start(1).ID, fleet.Tally{Lost: 1})
 			f.ApplyEjections([]string{start(1).ID})
 			f.Report(start(1).ID, fleet.Report{Load: fleet.Load{Running: 40, Slots: 4}, Draining: true})
 			f.ObserveHead(fleet.HeadReport{Endpoint: start(1).ID, Service: "s", Model: "m", Ticket: advice.Ticket, Load: fleet.Load{Running: 4, Waiting: 30, Slots: 4}})
 			_, ok = f.PickAt(advice, prompt(9))
-			Expect(ok).To(BeFalse(), "advice on the start before")
+			Expect(ok).To(BeFalse(), "advice on the earlier start")
 			view := f.View()[0]
 			Expect(view.InFlight).To(BeZero())
 			Expect(view.Others).To(BeZero())
 			Expect(view.Ready).To(BeTrue())
-			time.Sleep(2 * time.Second) // it is warm
+			time.Sleep(2 * time.Second) // until it is warm
 			h, ok := f.Pick(plain)
 			Expect(ok).To(BeTrue())
 			Expect(h.Endpoint.Instance).To(Equal("e"))
 		})
 	})
 
-	It("is not undone by an entry of the start before that comes late", func() {
+	It("is not replaced by a late entry of the earlier start", func() {
 		f := fleet.New(fleet.Options{Hall: "ikeja"})
 		f.Put(start(2))
 		f.Put(start(1))
@@ -159,7 +159,7 @@
 		Expect(now.StartMillis).To(Equal(int64(2)))
 	})
 
-	It("stays the same start when its entry does not tell", func() {
+	It("stays the same start if its entry does not state the start", func() {
 		f := fleet.New(fleet.Options{Hall: "ikeja"})
 		f.Put(start(2))
 		again := f.Put(fleet.Endpoint{ID: "e", Service: "s", Hall: "ikeja", Draining: true})
@@ -167,10 +167,10 @@
 		now, _ := f.Listed("e")
 		Expect(now.StartMillis).To(Equal(int64(2)))
 		_, ok := f.Pick(plain)
-		Expect(ok).To(BeFalse(), "it drains")
+		Expect(ok).To(BeFalse(), "it is draining")
 	})
 
-	It("goes when its entry does, whatever it is called by", func() {
+	It("is removed with its entry, whatever its ID", func() {
 		for name, gone := range map[string]func(*fleet.Fleet){
 			"removed":        func(f *fleet.Fleet) { f.Remove("e") },
 			"not in a list":  func(f *fleet.Fleet) { f.Reset(nil, false) },
--- a/internal/fleet/expect.go
+++ b/internal/fleet/expect.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Expectation is what an attempt is expected to take.
+// Expectation is the estimate of an attempt.
 type Expectation struct {
-	Head          time.Duration // until the head of the answer
-	Queue         time.Duration // of it, the wait for others
-	PrefillTime   time.Duration // of the engine, to read the prompt
-	PrefillTokens int           // tokens of the prompt that have to be read
-	Exact         bool          // they can't be kept: all parts that others have too are known to be
-	Price         float64       // seconds that others wait for a second of work
-	// Overrun is how much longer than expected heads take.
+	Head          time.Duration // until the response head
+	Queue         time.Duration // part of Head: the wait for other requests
+	PrefillTime   time.Duration // time in which the engine prefills the prompt
+	PrefillTokens int           // tokens of the prompt that have to be prefilled
+	Exact         bool          // none of these tokens can be cached: all parts that other requests share are known to be cached
+	Price         float64       // seconds that other requests wait for a second of work
+	// Overrun is how much longer than expected response heads take.
 	Overrun Overrun
 }
 
-// InTime is the chance that the head comes within a time.
+// InTime returns the probability that the response head arrives within a time.
 func (e Expectation) InTime(within time.Duration) float64 {
 	switch {
 	case within <= 0:
@@ -28,20 +28,20 @@
 	return e.Overrun.below(float64(within) / float64(e.Head))
 }
 
-// Overrun is how much longer than expected heads take: mean and variance of the
-// logarithm, smoothed. Work of other hosts, and what runs beside, is not known when a
-// request is sent. An immutable value.
+// Overrun is how much longer than expected response heads take: smoothed mean and variance of the
+// logarithm. Work of other hosts, and what else runs on the machine, is not known when a request is
+// sent. It is immutable.
 type Overrun struct{ Mean, Variance float64 }
 
 // Parameters of the Overrun.
 const (
-	overrunWeight = 0.02 // weight of an answer: some fifty count
-	// Priors: heads take half as long again as expected at the median, and three
-	// times as long once in seven.
+	overrunWeight = 0.02 // weight of a response: about fifty responses count
+	// Priors: response heads take half as long again as expected at the median, and three times as
+	// long once in seven.
 	priorOverrunMean     = 0.4
 	priorOverrunVariance = 0.6
-	// maxLogOverrun bounds what one answer says: one that waited for a stuck endpoint
-	// says little about others.
+	// maxLogOverrun bounds the effect of a response: one that waited for a stuck endpoint indicates
+	// little about others.
 	maxLogOverrun = 2.5
 )
 
@@ -52,7 +52,7 @@
 	return o
 }
 
-// with returns the overrun after a head.
+// with returns the overrun after a response head.
 func (o Overrun) with(took, expected time.Duration) Overrun {
 	o = o.withPriors()
 	if took <= 0 || expected <= 0 {
@@ -65,7 +65,8 @@
 	return o
 }
 
-// below is the chance that a head takes less than a factor times what is expected.
+// below returns the probability that a response head takes less than a factor times the expected
+// time.
 func (o Overrun) below(factor float64) float64 {
 	o = o.withPriors()
 	z := (math.Log(factor) - o.Mean) / math.Sqrt(max(o.Variance, 1e-6))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -14,100 +14,100 @@
 	"quaybarrow/internal/clock"
 )
 
-// Parameters of what is known of an endpoint's load.
+// Parameters of the load estimate of an endpoint.
 const (
-	// loadReportTTL is how long what an endpoint said of its load counts for
-	// something; requests last a few seconds at most.
+	// loadReportTTL is the age at which an endpoint's load report has lost all weight; requests
+	// last a few seconds at most.
 	loadReportTTL = 2 * time.Second
-	// defaultSlots stands in for slots that an endpoint does not tell.
+	// defaultSlots is used for endpoints that do not report their slots.
 	defaultSlots = 8
 )
 
-// lapseGracePeriod is how long an endpoint whose entry vanished while the store was
-// away stays in use; living ones are listed again within about two seconds.
+// lapseGracePeriod is how long an endpoint stays in use after its entry disappeared during a store
+// outage; running endpoints are listed again within about two seconds.
 const lapseGracePeriod = 2 * time.Second
 
-// Options set up a Fleet.
+// Options configure a Fleet.
 type Options struct {
-	Hall string // the host's own data hall
-	// SendingHosts counts the hosts that send to an endpoint of a service, this one
-	// included; nil where endpoints say in each answer how loaded they are.
+	Hall string // this host's data hall
+	// SendingHosts returns the number of hosts that send to an endpoint of a service, this host
+	// included; nil if endpoints report their load in each response.
 	SendingHosts func(service string) int
-	// MaxEjection is the longest that an endpoint is left alone; 0 stands for a time
-	// that suits endpoints whose list is brought up to date within seconds.
+	// MaxEjection is the longest ejection of an endpoint; 0 selects a default that suits endpoints
+	// whose list is updated within seconds.
 	MaxEjection time.Duration
-	// Regions are the data halls' regions, by hall; nil where nothing goes by them.
+	// Regions maps data halls to regions; nil if regions are not used.
 	Regions map[string]string
-	// WarmUp tells what cold endpoints of a service bear; nil where they bear as much as
-	// others.
+	// WarmUp returns the limits of cold endpoints of a service; nil if cold endpoints take as much
+	// as others.
 	WarmUp func(service string) WarmUp
-	// Choosers counts those who choose endpoints; nil for this host alone.
+	// Choosers returns the number of hosts that choose endpoints; nil if only this host does.
 	Choosers func() Choosers
-	// Now and Random stand in for the runtime's clock and random numbers from 0 to
-	// 1 in experiments, which play virtual time; nil outside of them.
+	// Now and Random replace the runtime's clock and random numbers from 0 to 1 in experiments that
+	// run in virtual time; nil elsewhere.
 	Now    func() clock.Instant
 	Random func() float64
 }
 
-// Fleet is what a host knows of all endpoints; safe for use at once.
+// Fleet holds what a host knows of all endpoints. It is safe for concurrent use.
 type Fleet struct {
 	options      Options
-	onOutcome    func(id string, o Outcome) // nil if nobody minds
-	onHead       func(HeadReport)           // as observe
-	onLoanNeeded func()                     // as observe
+	onOutcome    func(id string, o Outcome) // nil if not set
+	onHead       func(HeadReport)           // nil if not set
+	onLoanNeeded func()                     // nil if not set
 	populated    chan struct{}              // closed once an endpoint was listed
 
-	mu            sync.Mutex               // guards all below
+	mu            sync.Mutex               // guards all fields below
 	members       map[string]*member       // by ID
-	instances     map[string]*member       // by what they call themselves
-	interned      map[string]string        // what many endpoints tell alike
-	evacuated     map[string]clock.Instant // data halls that get nothing, and since when
-	listRead      bool                     // the list was read whole; who comes after it has just started
+	instances     map[string]*member       // by instance name
+	interned      map[string]string        // strings that many endpoints have in common
+	evacuated     map[string]clock.Instant // data halls that get no new requests, and since when
+	listRead      bool                     // the list was read in full; endpoints added later have just started
 	byService     map[string]*pool
-	ejected       map[string]*member // by ID, those that were lately; others may be among them
+	ejected       map[string]*member // by ID, recently ejected endpoints; may hold some that are no longer ejected
 	prefillModels map[modelKey]*prefillModel
-	prices        map[string]price            // of an engine's second, by service
+	prices        map[string]price            // of a second of prefill, by service
 	remoteLoads   map[string]*remoteLoad      // by service
 	overruns      map[string]Overrun          // by service
-	turns         map[string]*admission.Turns // requests that wait, by service
-	slotTimes     map[string]time.Duration    // how long an answer holds a slot from its head on, by service
+	turns         map[string]*admission.Turns // waiting requests, by service
+	slotTimes     map[string]time.Duration    // how long a response holds a slot from its head on, by service
 	prefixes      prefixIndex
-	adviserTenure tenure             // with prompts of which other hosts' choices are known
-	limits        map[string]*member // by ID, those that name a limit or lately did
-	needLoans     map[string]*member // of these, those that something is to be borrowed of
-	changedLimits map[string]*member // of these, those of which all hosts are to be told
-	withLoans     []*member          // of these, those of which something is in hand, and lately was
-	lastTicket    int64              // the last one given out; it begins by chance, so that those of another adviser mean nothing here
+	adviserTenure tenure             // of choosing endpoints for prompts with knowledge of other hosts' choices
+	limits        map[string]*member // by ID, endpoints that state a limit or recently did
+	needLoans     map[string]*member // subset of limits: loans are to be requested
+	changedLimits map[string]*member // subset of limits: to be announced to all hosts
+	withLoans     []*member          // subset of limits: loans are available, or recently were
+	lastTicket    int64              // starts at a random number, so that tickets of another adviser match nothing here
 }
 
-// member is an endpoint with what this host knows of it.
+// member is an endpoint with this host's knowledge of it.
 type member struct {
 	Endpoint
-	seed             uint64       // hash of the id
+	seed             uint64       // hash of the instance name
 	position         poolPosition // in the pool of its service
-	poolHall         string       // by which it stands there
-	smoothedPace     float64      // how long work takes there, smoothed; 0 before it was heard of
-	models           []string     // that it said it has loaded; nil if it did not say
-	reportedDraining bool         // it said so itself
+	poolHall         string       // hall under which the pool lists it
+	smoothedPace     float64      // smoothed pace that it reports; 0 before its first report
+	models           []string     // that it reported as loaded; nil if it does not report them
+	reportedDraining bool         // it reported that it is draining
 	inFlight         int          // this host's requests there
-	others           int          // others' requests there, when it last said
-	remoteLoad       *remoteLoad  // what endpoints of its service say; nil before it is listed
+	others           int          // other hosts' requests there, by its last report
+	remoteLoad       *remoteLoad  // load that endpoints of its service report; nil before it is listed
 	loadAt           clock.Instant
-	prefillUntil     clock.Instant // until when it should have read all prompts that were sent there
-	queue            *queueState   // nil before this host has sent there or heard of it
-	advised          []advised     // requests of other hosts there that have not ended
-	awaiting         []awaited     // requests whose answers have not begun, in the order of their sending
+	prefillUntil     clock.Instant // when it should have prefilled all prompts that were sent there
+	queue            *queueState   // nil before this host has sent there or received a report of it
+	advised          []advised     // other hosts' requests there that have not ended
+	awaiting         []awaited     // requests without a response head, in the order in which they were sent
 	health           health
-	peerEjectedUntil clock.Instant // it fails other hosts; left alone until then
-	lapsesAt         clock.Instant // to be dropped then unless it is listed again; zero if listed
-	cache            prefixCache   // what it is taken to keep of prompts
-	match            prefixMatch   // what of the prompt that is being placed
+	peerEjectedUntil clock.Instant // ejected until then because it fails other hosts
+	lapsesAt         clock.Instant // removed then unless it is listed again; zero if listed
+	cache            prefixCache   // prompt parts that it is assumed to have cached
+	match            prefixMatch   // its cached parts of the prompt that is being placed
 	region           string        // of its data hall
 	warmUp           warmUpState
-	limit            *limitState // nil while it names no limit
+	limit            *limitState // nil if it states no limit
 }
 
-// maxFirstTicket bounds the first ticket; it leaves as many again to be given out.
+// maxFirstTicket bounds the first ticket; as many tickets again remain to be issued.
 const maxFirstTicket = math.MaxInt64 / 2
 
 // New returns a fleet without endpoints.
@@ -130,8 +130,8 @@
 // Populated returns a channel that is closed once an endpoint was listed.
 func (f *Fleet) Populated() <-chan struct{} { return f.populated }
 
-// Put adds an endpoint or brings it up to date; it reports whether that is another start of
-// one that was listed. What an earlier start left behind is passed over.
+// Put adds or updates an endpoint. It reports whether the entry is of a later start of an instance
+// that was listed. An entry of an earlier start is ignored.
 func (f *Fleet) Put(e Endpoint) (restarted bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,7 +147,7 @@
 	e = f.intern(e)
 	old, listed := f.instances[e.Instance]
 	if listed && e.StartMillis == 0 {
-		e.ID, e.StartMillis = old.ID, old.StartMillis // it does not tell this time
+		e.ID, e.StartMillis = old.ID, old.StartMillis // the entry does not state the start
 	}
 	switch {
 	case !listed || old.ID == e.ID:
@@ -167,7 +167,7 @@
 		ok = false
 	}
 	if e.Slots == 0 {
-		e.Slots = m.Slots // the endpoint's own word
+		e.Slots = m.Slots // the slots that the endpoint reported
 	}
 	m.Endpoint, m.lapsesAt, m.region = e, clock.Instant{}, f.options.Regions[e.Hall]
 	f.applyCold(m, !ok)
@@ -178,7 +178,7 @@
 	return restarted
 }
 
-// Remove takes an endpoint out at once, by what it calls itself.
+// Remove removes an endpoint at once, by its instance name.
 func (f *Fleet) Remove(instance string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -215,7 +215,6 @@
 	return p
 }
 
-// endpointsOf lists the endpoints of a service.
 func (f *Fleet) endpointsOf(service string) []*member {
 	if p, ok := f.byService[service]; ok {
 		return p.all
@@ -223,8 +222,8 @@
 	return nil
 }
 
-// Lapse notes that an endpoint's entry vanished while the store was away: it
-// stays in use for a short grace.
+// Lapse notes that an endpoint's entry disappeared during a store outage. The endpoint stays in use
+// for a grace period.
 func (f *Fleet) Lapse(instance string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -237,8 +236,8 @@
 	}
 }
 
-// Reset brings the fleet up to date with a whole list. Endpoints that it lacks
-// go at once, or after the grace if the store was away.
+// Reset replaces the list of endpoints. Endpoints that are missing from it are removed at once, or
+// after the grace period if the list follows a store outage.
 func (f *Fleet) Reset(list []Endpoint, afterOutage bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -259,7 +258,7 @@
 	}
 }
 
-// Sweep drops endpoints whose grace is over and returns what they call themselves.
+// Sweep removes endpoints whose grace period is over and returns their instance names.
 func (f *Fleet) Sweep() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -276,7 +275,7 @@
 	return removed
 }
 
-// Size counts the endpoints that take requests.
+// Size returns the number of endpoints that take requests.
 func (f *Fleet) Size() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -289,7 +288,7 @@
 	return n
 }
 
-// Count counts the listed endpoints of a service.
+// Count returns the number of listed endpoints of a service.
 func (f *Fleet) Count(service string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -309,7 +308,7 @@
 	return counts
 }
 
-// Listed returns the endpoint that calls itself so.
+// Listed returns the listed endpoint of an instance.
 func (f *Fleet) Listed(instance string) (Endpoint, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -320,8 +319,8 @@
 	return m.Endpoint, true
 }
 
-// Serves reports whether an endpoint's start is listed, and neither it nor its entry says that
-// it leaves.
+// Serves reports whether this start of an endpoint is listed and draining neither by its entry nor
+// by its own report.
 func (f *Fleet) Serves(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -329,7 +328,7 @@
 	return ok && !m.Draining && !m.reportedDraining
 }
 
-// HasModel reports whether some endpoint of a service that is well has a model.
+// HasModel reports whether a healthy endpoint of a service has a model.
 func (f *Fleet) HasModel(service, model string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -342,7 +341,7 @@
 	return false
 }
 
-// InFlight counts this host's requests at an endpoint.
+// InFlight returns the number of this host's requests at an endpoint.
 func (f *Fleet) InFlight(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -352,7 +351,7 @@
 	return 0
 }
 
-// Report takes in an endpoint's own account of its load.
+// Report records an endpoint's report of its load.
 func (f *Fleet) Report(id string, r Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -367,7 +366,7 @@
 	m.others, m.loadAt = max(0, r.Load.Running+r.Load.Waiting-r.InFlight), r.Asked
 }
 
-// View lists all endpoints by id, for operators.
+// View lists all endpoints by ID, for operators.
 func (f *Fleet) View() []Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// addEndpoints are six endpoints in two data halls.
+// addEndpoints adds six endpoints in two data halls.
 func addEndpoints(f *fleet.Fleet) {
 	for i := range 6 {
 		hall := "ikeja"
@@ -25,7 +25,7 @@
 
 func newFleet() *fleet.Fleet { return newFleetWith(nil) }
 
-// newFleetWith returns one whose chances are drawn from a source; nil for any.
+// newFleetWith returns a fleet with a source of random numbers; nil for the default.
 func newFleetWith(random func() float64) *fleet.Fleet {
 	f := fleet.New(fleet.Options{Hall: "ikeja", Random: random})
 	addEndpoints(f)
@@ -39,7 +39,7 @@
 }
 
 var _ = Describe("the choice of an endpoint", func() {
-	It("stays in the data hall while there is room, and then spreads", func() {
+	It("stays in the data hall while there are free slots, and then uses others", func() {
 		f := newFleet()
 		halls := map[string]int{}
 		for range 24 {
@@ -53,7 +53,7 @@
 		Expect(halls).To(Equal(map[string]int{"ikeja": 12, "lekki": 12}))
 	})
 
-	It("sends what shares a prompt to one endpoint, and elsewhere once that is behind", func() {
+	It("sends requests with the same prompt to one endpoint, and elsewhere once that one has a backlog", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			seen := map[string]int{}
@@ -74,7 +74,7 @@
 		})
 	})
 
-	It("keeps away from an endpoint whose answers wait", func() {
+	It("avoids an endpoint whose responses wait", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			for key := range uint64(8) {
@@ -93,13 +93,13 @@
 			time.Sleep(3 * time.Second)
 			for range 20 {
 				again, _ := f.Pick(prompt(7))
-				Expect(again.Endpoint.ID).To(BeElementOf(home.Endpoint.ID, other.Endpoint.ID), "both keep the prompt")
+				Expect(again.Endpoint.ID).To(BeElementOf(home.Endpoint.ID, other.Endpoint.ID), "both have the prompt cached")
 				again.Done(fleet.Result{})
 			}
 		})
 	})
 
-	It("never takes one that is draining, avoided, of another version or gone", func() {
+	It("never takes an endpoint that is draining, avoided, of another version or removed", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			f := newFleet()
 			excluded := map[string]bool{}
@@ -126,7 +126,7 @@
 			excluded["e0"] = true
 			h, ok := f.Pick(req)
 			if ok != (len(excluded) < 6) {
-				t.Fatalf("picked %v with %d out", ok, len(excluded))
+				t.Fatalf("picked %v with %d excluded", ok, len(excluded))
 			}
 			if ok && excluded[h.Endpoint.ID] {
 				t.Fatalf("picked %s", h.Endpoint.ID)
@@ -134,7 +134,7 @@
 		})
 	})
 
-	It("passes over one that fails, and tries it again after a while", func() {
+	It("passes over an endpoint that fails, and tries it again after a while", func() {
 		suite.Paused(func() {
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			f.Put(fleet.Endpoint{ID: "bad", Service: "s", Hall: "ikeja", Slots: 4})
@@ -152,7 +152,7 @@
 		})
 	})
 
-	It("uses one that fails if nothing else is there", func() {
+	It("uses an endpoint that fails if there is no other", func() {
 		f := fleet.New(fleet.Options{Hall: "ikeja"})
 		f.Put(fleet.Endpoint{ID: "bad", Service: "s", Hall: "ikeja", Slots: 4})
 		for range 9 {
@@ -164,7 +164,7 @@
 })
 
 var _ = Describe("the list of endpoints", func() {
-	It("drops at once what is gone, and after a grace what lapsed", func() {
+	It("removes entries at once if removed, and after a grace period if lapsed", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			f.Remove("e0")
@@ -177,7 +177,7 @@
 		})
 	})
 
-	It("keeps what is listed again within the grace", func() {
+	It("keeps an endpoint that is listed again within the grace period", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			f.Lapse("e1")
@@ -188,7 +188,7 @@
 		})
 	})
 
-	It("is replaced whole, at once or with a grace after an outage", func() {
+	It("is replaced in full, at once or with a grace period after an outage", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			one := []fleet.Endpoint{{ID: "e5", Service: "s", Hall: "lekki", Version: "v1", Slots: 4}}
@@ -199,7 +199,7 @@
 		})
 	})
 
-	It("counts versions of what is not draining", func() {
+	It("counts the versions of endpoints that are not draining", func() {
 		f := newFleet()
 		f.Put(fleet.Endpoint{ID: "new", Service: "s", Version: "v2"})
 		f.Put(fleet.Endpoint{ID: "e0", Service: "s", Version: "v1", Draining: true})
--- a/internal/fleet/heard.go
+++ b/internal/fleet/heard.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// HeadReport is what the head of an answer to a request with a prompt told of an endpoint.
+// HeadReport is what the response head of a request with a prompt reports of an endpoint.
 type HeadReport struct {
 	Endpoint, Service, Model string
-	Ticket                   int64         // of the advice, 0 if there was none
-	Took                     time.Duration // from the sending of the request
-	Expected                 time.Duration // as it was sent
-	Queue                    time.Duration // of that, the wait for others
-	Urgency                  int           // with which it was sent
-	PrefillTokens            int           // tokens that had to be read
-	Exact                    bool          // none of them can have been kept
-	Load                     Load          // zero Slots if it said nothing
+	Ticket                   int64         // of the advice; 0 if there was none
+	Took                     time.Duration // time from the sending of the request to the head
+	Expected                 time.Duration // estimate of Took from when the request was sent
+	Queue                    time.Duration // part of Expected: the wait for other requests
+	Urgency                  int           // with which the request was sent
+	PrefillTokens            int           // that had to be prefilled
+	Exact                    bool          // none of these tokens can have been cached
+	Load                     Load          // zero Slots if not reported
 	Refused                  bool          // the endpoint did not run the request
 }
 
-// OnHead has a function told of the head of each answer to a request with a prompt;
-// it is called before any attempt is made.
+// OnHead sets a function that is called with the report of each response head of a request with a
+// prompt. It must be set before any attempt is made.
 func (f *Fleet) OnHead(heard func(HeadReport)) { f.onHead = heard }
 
-// ObserveHead takes in what another host heard.
+// ObserveHead records a head report of another host.
 func (f *Fleet) ObserveHead(h HeadReport) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -31,8 +31,8 @@
 	switch {
 	case !ok:
 	case h.Refused:
-		// Full endpoints of other data halls are known by this alone: by what began there
-		// an adviser would take them for empty.
+		// Only refusals reveal full endpoints of other data halls: going by the responses that
+		// began there, an adviser would take them for empty.
 		m.stopAwaiting(h.Ticket)
 		f.updateLoad(m, h.Load, m.inFlight)
 	default:
@@ -44,14 +44,14 @@
 	}
 }
 
-// observeHead takes in the head of an answer: the endpoint's load and waits, and the time
-// that reading takes.
+// observeHead records a response head: the endpoint's load and waits, and the time that prefill
+// takes.
 func (f *Fleet) observeHead(m *member, h HeadReport) {
 	f.updateLoad(m, h.Load, m.inFlight)
 	r := f.prefillModelOf(h.Service, h.Model)
 	if rank(h.Urgency) == UrgencyLeast {
 		m.ensureQueue().waits[UrgencyLeast] = observedWait{wait: max(0, h.Took-r.headTime(h.PrefillTokens)), at: f.options.Now()}
-		return // it waited for all others on purpose
+		return // requests of this urgency wait for all others by design
 	}
 	wait := max(0, h.Took-r.headTime(h.PrefillTokens))
 	m.ensureQueue().waits[rank(h.Urgency)] = observedWait{wait: wait, at: f.options.Now()}
@@ -60,8 +60,7 @@
 	r.add(h)
 }
 
-// updateLoad takes in an endpoint's own word of its load, of which this host's requests
-// are a part.
+// updateLoad records an endpoint's report of its load, which includes this host's requests.
 func (f *Fleet) updateLoad(m *member, l Load, own int) {
 	if l.Slots == 0 {
 		return
@@ -75,16 +74,15 @@
 	}
 }
 
-// remoteLoad is how many requests of hosts that this one does not advise endpoints of a
-// service have, smoothed.
+// remoteLoad is the smoothed number of requests that the endpoints of a service have from hosts
+// that this host does not advise.
 type remoteLoad struct{ mean float64 }
 
-// remoteLoadWeight weighs an endpoint's word: some thirty count.
+// remoteLoadWeight is the weight of a load report: about thirty reports count.
 const remoteLoadWeight = 0.03
 
 func (c *remoteLoad) add(others int) { c.mean += remoteLoadWeight * (float64(others) - c.mean) }
 
-// remoteLoadOf returns a service's crowd.
 func (f *Fleet) remoteLoadOf(service string) *remoteLoad {
 	c, ok := f.remoteLoads[service]
 	if !ok {
--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -6,56 +6,61 @@
 	"quaybarrow/internal/clock"
 )
 
-// Limit is what an answer says of how many requests its endpoint takes from all hosts together.
+// Limit is what a response states about how many requests its endpoint takes from all hosts
+// together.
 type Limit struct {
-	Present   bool    // false where it takes what comes
+	Present   bool    // false if the endpoint takes any number of requests
 	Rate      float64 // requests a second
-	Malformed string  // the beginning of what it says instead, if that can't be read
+	Malformed string  // the beginning of the limit's text if it can't be parsed
 }
 
-// LimitUpdate is what a host knows of an endpoint's limit, to be told to others. An immutable value.
+// LimitUpdate is a host's knowledge of an endpoint's limit, to be sent to other hosts. It is
+// immutable.
 type LimitUpdate struct {
-	Endpoint    string        // its id
-	Rate        float64       // requests a second; 0 once the endpoint names none any more
-	Since       clock.Instant // when it was first heard of
-	ConfirmedAt clock.Instant // when an answer last told
+	Endpoint    string        // its ID
+	Rate        float64       // requests a second; 0 once the endpoint states no limit any more
+	Since       clock.Instant // when the limit was first observed
+	ConfirmedAt clock.Instant // when a response last stated it
 }
 
-// NewLimitUpdate returns news of so long ago, as messages between hosts tell it.
+// NewLimitUpdate returns an update from ages, which messages between hosts contain instead of
+// times.
 func NewLimitUpdate(endpoint string, rate float64, heard, since time.Duration, now clock.Instant) LimitUpdate {
 	return LimitUpdate{Endpoint: endpoint, Rate: rate, ConfirmedAt: now.Add(-heard), Since: now.Add(-since)}
 }
 
-// Ages are how long ago an answer last told, and the limit was first heard of.
+// Ages returns how long ago a response last stated the limit, and how long ago it was first
+// observed.
 func (n LimitUpdate) Ages(now clock.Instant) (heard, since time.Duration) {
 	return now.Sub(n.ConfirmedAt), now.Sub(n.Since)
 }
 
 // Bounds of what is known of limits.
 const (
-	// minLimit is what an endpoint gets at least that names a smaller limit, 0 included, in
-	// requests a second: without any request nobody would hear that its limit has ended.
+	// minLimit is the least rate in requests a second that an endpoint gets if it states a smaller
+	// limit, 0 included: without any request no host would learn that the limit has ended.
 	minLimit = 0.1
-	// limitUpdateTTL is how old news of a limit may be that hosts tell each other.
+	// limitUpdateTTL is the largest age of updates that hosts send to each other.
 	limitUpdateTTL = 10 * time.Second
-	// limitChangeFactor is by how much a limit differs from what was told of it before it is told again.
+	// limitChangeFactor is the factor by which a limit differs from the announced one before it is
+	// announced again.
 	limitChangeFactor = 1.25
 )
 
 // limitState is what is known of the limit of an endpoint, and what this host may send there.
 type limitState struct {
-	rate          float64       // requests a second; 0 once the endpoint names none any more
-	since         clock.Instant // when the limit was first heard of
-	confirmedAt   clock.Instant // when an answer last told
-	endUntold     bool          // its end was heard by this host, and who lends of it may not know
-	announcedRate float64       // the rate when all were last told
+	rate          float64       // requests a second; 0 once the endpoint states no limit any more
+	since         clock.Instant // when the limit was first observed
+	confirmedAt   clock.Instant // when a response last stated it
+	endUntold     bool          // this host observed the limit's end, which the lender may not know
+	announcedRate float64       // rate of the last announcement to all hosts
 
 	loans      []Loan
-	loansUsed  int           // loans since the last question
-	unmet      int           // requests that have found none since
-	unmetAt    clock.Instant // the last of them
+	loansUsed  int           // requests sent on loans since the last loan request
+	unmet      int           // requests that have found no loan since the last loan request
+	unmetAt    clock.Instant // when the last of them came
 	requesting bool
-	retryAt    clock.Instant // no question before
+	retryAt    clock.Instant // no loan request before then
 }
 
 // active reports whether an endpoint has a limit now.
@@ -65,7 +70,7 @@
 	return LimitUpdate{Endpoint: endpoint, Rate: l.rate, Since: l.since, ConfirmedAt: l.confirmedAt}
 }
 
-// apply takes in what an answer, or another host, tells.
+// apply applies a limit from a response or from another host.
 func (l *limitState) apply(n LimitUpdate) {
 	switch {
 	case n.Rate == 0:
@@ -76,10 +81,10 @@
 	l.rate, l.confirmedAt = n.Rate, n.ConfirmedAt
 }
 
-// ObserveLimit takes in what an answer to a request of this host says of the endpoint's limit, and
-// returns what was known before and is known now; 0 stands for none. Only the answer to a request
-// that was sent after the limit was last heard of tells that it has ended: an older one may have
-// been made before.
+// ObserveLimit records the limit in a response to a request of this host, and returns the rates
+// known before and after; 0 means no limit. A response without a limit ends it only if its request
+// was sent after the limit was last confirmed: an older response may have been made before the
+// limit began.
 func (f *Fleet) ObserveLimit(id string, l Limit, sent clock.Instant) (before, after float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,7 +110,7 @@
 	return before, after
 }
 
-// MergeLimit takes in what another host knows; the latest answer counts.
+// MergeLimit applies an update of another host; the latest response counts.
 func (f *Fleet) MergeLimit(n LimitUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,7 +123,7 @@
 	}
 }
 
-// applyLimit takes in the latest news of an endpoint's applyLimit; the caller holds mu.
+// applyLimit applies the latest update of an endpoint's limit; the caller holds mu.
 func (f *Fleet) applyLimit(m *member, n LimitUpdate) {
 	if m.limit == nil {
 		m.limit = &limitState{}
@@ -132,13 +137,14 @@
 	}
 }
 
-// shouldAnnounce reports whether the limit is so unlike what was told of it that all are told again.
+// shouldAnnounce reports whether the limit differs so much from the announced one that it is
+// announced to all hosts again.
 func (l *limitState) shouldAnnounce() bool {
 	return (l.rate == 0) != (l.announcedRate == 0) || l.rate > limitChangeFactor*l.announcedRate || l.announcedRate > limitChangeFactor*l.rate
 }
 
-// TakeLimitUpdates returns limits of which all hosts are to be told, since they have begun, ended or changed;
-// each once, and no more than some at a time.
+// TakeLimitUpdates returns limits to announce to all hosts since they have begun, ended or changed.
+// It returns each once, and at most a given number per call.
 func (f *Fleet) TakeLimitUpdates(most int) []LimitUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -154,7 +160,7 @@
 	return list
 }
 
-// dropLimit drops what is known of a member's limit.
+// dropLimit removes what is known of a member's limit.
 func (f *Fleet) dropLimit(m *member) {
 	m.limit = nil
 	delete(f.limits, m.ID)
@@ -162,7 +168,7 @@
 	delete(f.changedLimits, m.ID)
 }
 
-// LimitUpdates lists some of what this host knows of limits, to be told to another host.
+// LimitUpdates lists some of the limits that this host knows, to be sent to another host.
 func (f *Fleet) LimitUpdates(most int) []LimitUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -171,7 +177,7 @@
 	}
 	now := f.options.Now()
 	var list []LimitUpdate
-	for id, m := range f.limits { // in an order that changes
+	for id, m := range f.limits { // in random order
 		switch old := now.Sub(m.limit.confirmedAt) > limitUpdateTTL; {
 		case old && !m.limit.active():
 			f.dropLimit(m)
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -12,7 +12,7 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// limitedFleet is a fleet of two endpoints whose limits are kept, and what it would borrow.
+// limitedFleet returns a fleet of two endpoints that enforces limits.
 func limitedFleet() *fleet.Fleet {
 	f := fleet.New(fleet.Options{Hall: "ikeja"})
 	f.OnLoanNeeded(func() {})
@@ -22,10 +22,10 @@
 	return f
 }
 
-// statedLimit is what an answer says that names a limit.
+// statedLimit returns the limit in a response that states one.
 func statedLimit(rate float64) fleet.Limit { return fleet.Limit{Present: true, Rate: rate} }
 
-// tries are enough requests for each of two endpoints to get some.
+// tries is enough requests for each of two endpoints to get some.
 const tries = 50
 
 // countPicks counts how many of some plain requests go to an endpoint.
@@ -44,8 +44,8 @@
 	return n
 }
 
-var _ = Describe("an endpoint that names a limit", func() {
-	It("gets only what was lent, and no longer than that lasts", func() {
+var _ = Describe("an endpoint that states a limit", func() {
+	It("gets only as many requests as loans allow, and only until they expire", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			f.ObserveLimit("e0", statedLimit(2), clock.Now())
@@ -58,7 +58,7 @@
 		})
 	})
 
-	It("is borrowed of as requests would go there", func() {
+	It("needs loans as requests would go there", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			f.ObserveLimit("e0", statedLimit(2), clock.Now())
@@ -69,20 +69,20 @@
 			Expect(list).To(HaveLen(1))
 			Expect(list[0].Update.Rate).To(BeEquivalentTo(2))
 			Expect(list[0].Requests).To(BeNumerically(">", 1))
-			f.Remove("e1") // while others take requests nothing waits for this one
+			f.Remove("e1") // while other endpoints take requests, no request waits for this one
 			again := clock.Now().Add(100 * time.Millisecond)
 			f.FinishLoan("e0", fleet.Loan{RetryAt: again})
 			countPicks(f, "e0")
 			list, next := f.LoanRequests()
-			Expect(list).To(BeEmpty(), "before the lender said")
+			Expect(list).To(BeEmpty(), "before the lender's retry time")
 			Expect(next).To(Equal(again))
 			time.Sleep(time.Second)
 			list, _ = f.LoanRequests()
-			Expect(list).To(BeEmpty(), "the requests are long gone")
+			Expect(list).To(BeEmpty(), "the requests are too old")
 		})
 	})
 
-	It("is free again once an answer to a later request names none", func() {
+	It("has no limit once the response to a later request states none", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			early := clock.Now()
@@ -90,19 +90,19 @@
 			f.ObserveLimit("e0", statedLimit(2), clock.Now())
 			time.Sleep(time.Second)
 			_, after := f.ObserveLimit("e0", fleet.Limit{}, early)
-			Expect(after).To(BeEquivalentTo(2), "the answer may have been made before")
+			Expect(after).To(BeEquivalentTo(2), "the response may be older than the limit")
 			_, after = f.ObserveLimit("e0", fleet.Limit{Malformed: "abc"}, clock.Now())
-			Expect(after).To(BeEquivalentTo(2), "what can't be read says nothing")
+			Expect(after).To(BeEquivalentTo(2), "a malformed limit changes nothing")
 			_, after = f.ObserveLimit("e0", fleet.Limit{}, clock.Now())
 			Expect(after).To(BeZero())
 			Expect(countPicks(f, "e0")).To(BeNumerically(">", 10))
 			list, _ := f.LoanRequests()
-			Expect(list).To(HaveLen(1), "who lends is told")
+			Expect(list).To(HaveLen(1), "the lender is informed")
 			Expect(list[0].Update.Rate).To(BeZero())
 		})
 	})
 
-	It("that names nothing at all is asked now and then", func() {
+	It("still gets occasional requests with a limit of zero", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			_, after := f.ObserveLimit("e0", statedLimit(0), clock.Now())
@@ -110,7 +110,7 @@
 		})
 	})
 
-	It("has no limit at its next start", func() {
+	It("has no limit after its next start", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			e := fleet.Endpoint{ID: "e0", Service: "s", Hall: "ikeja", Version: "v1", Slots: 8}
@@ -120,7 +120,7 @@
 		})
 	})
 
-	It("is known by what other hosts tell, the latest answer first", func() {
+	It("is known from other hosts' updates, of which the latest response counts", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			now := clock.Now()
@@ -128,17 +128,17 @@
 			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e0", Rate: 0, ConfirmedAt: now.Add(-time.Second)})
 			f.MergeLimit(fleet.LimitUpdate{Endpoint: "gone", Rate: 2, ConfirmedAt: now})
 			Expect(countPicks(f, "e0")).To(BeZero())
-			Expect(f.TakeLimitUpdates(8)).To(HaveLen(1), "it is told on")
+			Expect(f.TakeLimitUpdates(8)).To(HaveLen(1), "it is announced")
 			Expect(f.TakeLimitUpdates(8)).To(BeEmpty(), "once")
 			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e0", Rate: 0, ConfirmedAt: now.Add(time.Millisecond)})
 			Expect(countPicks(f, "e0")).To(BeNumerically(">", 10))
 			time.Sleep(time.Minute)
 			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e1", Rate: 2, Since: now, ConfirmedAt: now})
-			Expect(countPicks(f, "e1")).To(BeNumerically(">", 10), "old news says nothing")
+			Expect(countPicks(f, "e1")).To(BeNumerically(">", 10), "an old update changes nothing")
 		})
 	})
 
-	It("is not taken from an adviser that has not heard of it", func() {
+	It("is not used on the advice of an adviser that does not know the limit", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			f.ObserveLimit("e0", statedLimit(2), clock.Now())
@@ -150,7 +150,7 @@
 	})
 })
 
-var _ = Describe("requests to endpoints that all name limits", func() {
+var _ = Describe("requests to endpoints that all state limits", func() {
 	newRequest := func(urgency int) fleet.Request {
 		return fleet.Request{Service: "s", Urgency: urgency, MaxLimitWait: 2 * time.Second}
 	}
@@ -158,7 +158,7 @@
 		f.FinishLoan("e0", fleet.Loan{Requests: n, Until: clock.Now().Add(time.Second)})
 	}
 
-	It("wait, and go in the order of their urgency", func() {
+	It("wait, and are sent in the order of their urgency", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			f.ObserveLimit("e0", statedLimit(2), clock.Now())
@@ -173,7 +173,7 @@
 			patient := newRequest(5)
 			patient.Turn = later.Turn
 			h, _ := f.Place(patient)
-			Expect(h).To(BeNil(), "a more urgent one waits")
+			Expect(h).To(BeNil(), "a more urgent request waits")
 			urgent := newRequest(1)
 			urgent.Turn = first.Turn
 			h, _ = f.Place(urgent)
@@ -184,7 +184,7 @@
 		})
 	})
 
-	It("do not go to an endpoint that fails instead", func() {
+	It("do not go to a failing endpoint instead", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			f.ObserveLimit("e0", statedLimit(2), clock.Now())
@@ -200,7 +200,7 @@
 		})
 	})
 
-	It("are refused at once, and told when there is room, if that is too late for them", func() {
+	It("are refused at once with the time of the next loan if that is too late for them", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			for _, id := range []string{"e0", "e1"} {
--- a/internal/fleet/loan.go
+++ b/internal/fleet/loan.go
@@ -11,20 +11,19 @@
 type Loan struct {
 	Requests int
 	Until    clock.Instant
-	RetryAt  clock.Instant // when more may be asked for
+	RetryAt  clock.Instant // when the next loan may be requested
 }
 
-// LoanRequest is what this host would borrow of an endpoint's limit.
+// LoanRequest is a request to borrow a part of an endpoint's limit.
 type LoanRequest struct {
-	Requests int // 0 where only the limit's end is told
+	Requests int // 0 if the request only reports the limit's end
 	Update   LimitUpdate
 }
 
-// unmetTTL is how long a request that has found nothing to borrow counts; one that waits asks again
-// before.
+// unmetTTL is how long a request that found no loan counts; a waiting request asks again sooner.
 const unmetTTL = 600 * time.Millisecond
 
-// available is how many requests may be sent now.
+// available returns how many requests may be sent now.
 func (l *limitState) available(now clock.Instant) int {
 	n := 0
 	for len(l.loans) > 0 && (l.loans[0].Requests == 0 || !now.Before(l.loans[0].Until)) {
@@ -36,7 +35,7 @@
 	return n
 }
 
-// membersWithLoans lists the endpoints but one of which something is in hand; the caller holds mu.
+// membersWithLoans lists the endpoints with available loans, except one; the caller holds mu.
 func (f *Fleet) membersWithLoans(except *member) []*member {
 	now := f.options.Now()
 	return slices.DeleteFunc(f.withLoans, func(m *member) bool {
@@ -44,7 +43,7 @@
 	})
 }
 
-// take uses a part of what is in hand.
+// take uses one request of the available loans.
 func (l *limitState) take(now clock.Instant) {
 	if l.available(now) > 0 {
 		l.loans[0].Requests--
@@ -52,11 +51,12 @@
 	}
 }
 
-// OnLoanNeeded has a function told that there is something to borrow. Without one no limit is kept: who
-// calls it lends.
+// OnLoanNeeded sets a function that is called when loans are to be requested. Without it limits are
+// not enforced: the caller of OnLoanNeeded handles the lending.
 func (f *Fleet) OnLoanNeeded(wanted func()) { f.onLoanNeeded = wanted }
 
-// needLoan notes that a request would go to an endpoint but for its limit, or that there is news of it.
+// needLoan records that a request would go to an endpoint but for its limit, or that a change of
+// the limit is to be reported.
 func (f *Fleet) needLoan(m *member, now clock.Instant) {
 	if f.onLoanNeeded == nil {
 		return
@@ -69,8 +69,8 @@
 	f.onLoanNeeded()
 }
 
-// LoanRequests returns what is to be borrowed now; each is to be followed by a call of Lent. Next is when
-// to look again, zero if nothing is known to come.
+// LoanRequests returns the loans to request now; each must be followed by a call of FinishLoan. The
+// result next is when to look again, zero if no time is known.
 func (f *Fleet) LoanRequests() (list []LoanRequest, next clock.Instant) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +99,7 @@
 	return list, next
 }
 
-// FinishLoan takes in what came of a question.
+// FinishLoan records the reply to a loan request.
 func (f *Fleet) FinishLoan(id string, loan Loan) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/memory.go
+++ b/internal/fleet/memory.go
@@ -6,34 +6,34 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Part is a part of a prompt. Engines keep parts for a model, and use one again only
-// together with all parts before it.
+// Part is a part of a prompt. Engines cache parts for a model, and reuse a part only together with
+// all parts before it.
 type Part struct {
 	ID     uint64 // of the part, for a model
 	Tokens int
 }
 
-// Bounds of what is known of engines' memory.
+// Bounds of the record of engines' prefix caches.
 const (
-	// defaultCacheTokens stands in for the tokens that an engine's memory holds where
-	// nobody tells.
+	// defaultCacheTokens is the size of an engine's prefix cache in tokens where it is not
+	// configured.
 	defaultCacheTokens = 200_000
-	// cacheShare of an engine's memory is taken to keep parts; requests that run
-	// there fill the rest.
+	// cacheShare is the part of an engine's cache that is assumed to hold prompt parts; running
+	// requests fill the rest.
 	cacheShare = 0.5
-	// maxCachedParts bounds the parts that are known of an endpoint.
+	// maxCachedParts bounds the recorded parts of an endpoint.
 	maxCachedParts = 1024
 )
 
-// prefixCache is what an endpoint is taken to keep, of what this host has seen sent there,
-// least recently used first.
+// prefixCache records the parts that an endpoint is assumed to have cached, of those that this host
+// has seen sent there, least recently used first.
 type prefixCache struct {
 	parts  *simplelru.LRU[uint64, int] // tokens by part
 	tokens int
 }
 
-// init makes room for parts: most endpoints of a large service never get a prompt from a host,
-// and have none.
+// init allocates the cache on first use: most endpoints of a large service never get a prompt from
+// a given host, and need none.
 func (k *prefixCache) init() {
 	if k.parts != nil {
 		return
@@ -45,13 +45,14 @@
 	k.parts = parts
 }
 
-// prefixIndex is where parts of prompts are kept; the fleet's lock guards it.
+// prefixIndex records which endpoints have cached which parts of prompts; the fleet's mutex guards
+// it.
 type prefixIndex struct {
 	holders map[uint64][]*member // by part
-	lookup  int64                // of look-ups
+	lookup  int64                // number of the last lookup
 }
 
-// add takes in that a prompt is read at an endpoint.
+// add records that a prompt is prefilled at an endpoint.
 func (y *prefixIndex) add(m *member, parts []Part, budget int) {
 	m.cache.init()
 	for _, p := range parts {
@@ -70,7 +71,7 @@
 	}
 }
 
-// evict takes the part out that was unused the longest.
+// evict removes the least recently used part of an endpoint.
 func (y *prefixIndex) evict(m *member) {
 	if id, tokens, ok := m.cache.parts.RemoveOldest(); ok {
 		m.cache.tokens -= tokens
@@ -78,7 +79,7 @@
 	}
 }
 
-// forget takes in that an endpoint has not read a prompt after all.
+// forget records that an endpoint has not prefilled a prompt after all.
 func (y *prefixIndex) forget(m *member, parts []Part) {
 	if m.cache.parts == nil {
 		return
@@ -94,7 +95,7 @@
 	}
 }
 
-// removeMember takes in that an endpoint is gone.
+// removeMember removes all parts of an endpoint that is gone.
 func (y *prefixIndex) removeMember(m *member) {
 	if m.cache.parts == nil {
 		return
@@ -114,7 +115,7 @@
 	y.holders[id] = left
 }
 
-// lookUp marks the endpoints that keep the beginning of a prompt.
+// lookUp marks the endpoints that have the beginning of a prompt cached.
 func (y *prefixIndex) lookUp(parts []Part) {
 	y.lookup++
 	for i, p := range parts {
@@ -134,13 +135,13 @@
 	}
 }
 
-// prefixMatch is how much of a prompt an endpoint keeps, as of a look-up.
+// prefixMatch is how much of a prompt an endpoint has cached, as of a lookup.
 type prefixMatch struct {
 	lookup        int64
 	parts, tokens int
 }
 
-// cachedTokens is how many of the prompt's tokens of the last look-up an endpoint keeps.
+// cachedTokens returns how many of the tokens of the prompt last looked up an endpoint has cached.
 func (y *prefixIndex) cachedTokens(m *member) int {
 	if m.match.lookup != y.lookup {
 		return 0
--- a/internal/fleet/memory_test.go
+++ b/internal/fleet/memory_test.go
@@ -10,7 +10,7 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// documentPrompt is a prompt of two shared parts and one of its own.
+// documentPrompt returns a request with a prompt of two shared parts and one of its own.
 func documentPrompt(chapter, own uint64) fleet.Request {
 	return fleet.Request{
 		Service: "s", Key: chapter, Model: "m", Tokens: 10_000, SharedTokens: 9_000, Objective: 4 * time.Second, CacheTokens: 100_000,
@@ -18,7 +18,8 @@
 	}
 }
 
-// pickAndPrefill has a prompt pickAndPrefill where the fleet chooses, at the speed of 10,000 tokens a second.
+// pickAndPrefill has a prompt prefilled at the endpoint that the fleet chooses, at 10,000 tokens a
+// second.
 func pickAndPrefill(f *fleet.Fleet, req fleet.Request) *fleet.Hold {
 	h, ok := f.Pick(req)
 	Expect(ok).To(BeTrue())
@@ -28,8 +29,8 @@
 	return h
 }
 
-var _ = Describe("what is known of engines' memory", func() {
-	It("brings a prompt back to where it was read, though that is not its home", func() {
+var _ = Describe("the record of engines' prefix caches", func() {
+	It("sends a prompt to where it was prefilled, even if that is not its home", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			home := pickAndPrefill(f, documentPrompt(7, 100)).Endpoint.ID
@@ -45,7 +46,7 @@
 		})
 	})
 
-	It("takes a prompt's home to keep it only where others may have sent it there", func() {
+	It("assumes a prompt is cached at its home only if other hosts may have sent it there", func() {
 		home := func(advisers int, unadvised bool) int {
 			f := fleet.New(fleet.Options{Hall: "ikeja", Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: 3, Advisers: advisers} }})
 			f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 4})
@@ -55,24 +56,24 @@
 			Expect(ok).To(BeTrue())
 			return e.PrefillTokens
 		}
-		Expect(home(1, false)).To(Equal(10_000), "this host knows all that was sent")
+		Expect(home(1, false)).To(Equal(10_000), "this host knows all requests")
 		Expect(home(1, true)).To(Equal(3_250))
 		Expect(home(3, false)).To(Equal(3_250))
 	})
 
-	It("knows the beginning that a prompt shares with another one", func() {
+	It("matches the beginning that a prompt shares with another one", func() {
 		suite.Paused(func() {
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			f.Put(fleet.Endpoint{ID: "home", Service: "s", Hall: "ikeja", Slots: 4})
 			pickAndPrefill(f, documentPrompt(7, 100))
 			other := documentPrompt(8, 300)
-			other.SharedTokens = 0 // nobody else has it, so that its home tells nothing
+			other.SharedTokens = 0 // no other request has it, so its home has no effect
 			h, _ := f.Pick(other)
 			Expect(h.Expected.PrefillTokens).To(Equal(6_000))
 		})
 	})
 
-	It("does not count a part whose beginning is not kept", func() {
+	It("does not count a part whose beginning is not cached", func() {
 		suite.Paused(func() {
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 4})
@@ -84,7 +85,7 @@
 		})
 	})
 
-	It("does not count a part after one that only another endpoint keeps", func() {
+	It("does not count a part after one that only another endpoint has cached", func() {
 		suite.Paused(func() {
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			f.Put(fleet.Endpoint{ID: "gap", Service: "s", Hall: "ikeja", Slots: 4})
@@ -104,7 +105,7 @@
 		})
 	})
 
-	It("forgets what an endpoint refused to read, what was unused the longest, and who is gone", func() {
+	It("forgets refused prompts, least recently used parts and removed endpoints", func() {
 		suite.Paused(func() {
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			put := func() { f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 4}) }
@@ -123,7 +124,7 @@
 			for chapter := range uint64(20) {
 				fresh(50 + chapter)
 			}
-			Expect(fresh(7)).To(Equal(6_000), "the part that all begin with stays")
+			Expect(fresh(7)).To(Equal(6_000), "the part with which all prompts begin stays")
 			f.Remove("only")
 			put()
 			Expect(fresh(7)).To(Equal(10_000))
@@ -131,8 +132,8 @@
 	})
 })
 
-var _ = Describe("the time of reading", func() {
-	It("is known after some answers, whatever the prior", func() {
+var _ = Describe("the estimate of prefill times", func() {
+	It("is right after some responses, whatever the prior", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			for own := range uint64(12) {
@@ -143,11 +144,11 @@
 		})
 	})
 
-	It("is not taken from prompts that may have been kept, as after a restart", func() {
+	It("does not use prompts that may have been cached, as after a restart", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			for own := range uint64(20) {
-				h, _ := f.Pick(documentPrompt(7+own, 100+own)) // the engines read it before this host started
+				h, _ := f.Pick(documentPrompt(7+own, 100+own)) // the engines prefilled the prompt before this host started
 				time.Sleep(20 * time.Millisecond)
 				h.Head(fleet.Load{})
 				h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
@@ -157,7 +158,7 @@
 		})
 	})
 
-	It("is not taken from answers that waited for others", func() {
+	It("does not use responses that waited for others", func() {
 		suite.Paused(func() {
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 64})
@@ -175,11 +176,11 @@
 				h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			}
 			e, _ := f.Expect(documentPrompt(999, 9999))
-			Expect(e.PrefillTime).To(BeNumerically("~", time.Duration(e.PrefillTokens)*100*time.Microsecond, 200*time.Millisecond), "twelve times that before")
+			Expect(e.PrefillTime).To(BeNumerically("~", time.Duration(e.PrefillTokens)*100*time.Microsecond, 200*time.Millisecond), "was twelve times that before")
 		})
 	})
 
-	It("is not spoilt by a first answer that waited", func() {
+	It("is not distorted by a first response that waited", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			short := fleet.Request{Service: "s", Key: 3, Model: "m", Tokens: 200, Objective: time.Second}
@@ -196,8 +197,8 @@
 	})
 })
 
-var _ = Describe("the price of a second of reading", func() {
-	It("is nothing while nobody waits, and rises with the waits", func() {
+var _ = Describe("the price of a second of prefill", func() {
+	It("is zero while no request waits, and rises with the waits", func() {
 		suite.Paused(func() {
 			f := newFleet()
 			for own := range uint64(20) {
--- a/internal/fleet/nominate.go
+++ b/internal/fleet/nominate.go
@@ -6,39 +6,40 @@
 	"quaybarrow/internal/clock"
 )
 
-// Where a service has many endpoints a choice weighs a few of them instead of all: those that
-// keep the most of the prompt, those that are its homes for all hosts, and some by chance, most of
-// them in the data hall of the host that asks. The best of a few drawn by chance is nearly as well
-// as the best of all (Mitzenmacher, "The power of two choices in randomized load balancing", 2001),
-// and what makes one endpoint better than the rest, a prompt that it keeps, is looked up. Prompts
-// whose shared beginning many keep go to some of those, so that the endpoints in use are as many as
-// the load asks for, whatever their number.
+// For a service with many endpoints a choice scores only some of them: those that have the most of
+// the prompt cached, the prompt's homes, which are the same for all hosts, and a random sample,
+// most of it from the data hall of the host that asks. The best of a few random endpoints is nearly
+// as good as the best of all (Mitzenmacher, "The power of two choices in randomized load
+// balancing", 2001), and the endpoints that are better than the rest, those with the prompt cached,
+// are looked up. Prompts whose shared beginning is cached by many endpoints go to some of these, so
+// that the number of endpoints in use depends on the load, whatever the total.
 const (
-	// scoreAllUpTo is up to how many endpoints all are weighed.
+	// scoreAllUpTo is the largest number of endpoints that are all scored.
 	scoreAllUpTo = 256
-	// maxHolders endpoints that keep the most of a prompt are weighed, and beginnersMost that
-	// keep only its beginning.
+	// maxHolders bounds the scored endpoints that have the most of a prompt cached, and
+	// maxBeginningHolders those that have only its beginning cached.
 	maxHolders          = 6
 	maxBeginningHolders = 8
-	// maxHomes endpoints are weighed at which other hosts most likely have had it read.
+	// maxHomes bounds the scored endpoints at which other hosts most likely have had the prompt
+	// prefilled.
 	maxHomes = 2
-	// maxLocal and anyMost are drawn by chance from the data hall of the host that asks and
-	// from all.
+	// maxLocal and maxAnywhere bound the random samples from the data hall of the host that asks
+	// and from all endpoints.
 	maxLocal    = 8
 	maxAnywhere = 4
-	// drawsPerCandidate is how many draws one that may be used takes at most.
+	// drawsPerCandidate bounds the random draws for each usable endpoint.
 	drawsPerCandidate = 3
-	// maxWithLoans endpoints are weighed of whose limits this host has something in hand.
+	// maxWithLoans bounds the scored endpoints with limits of which this host has loans available.
 	maxWithLoans = 8
 )
 
-// candidates are the endpoints that are weighed for an attempt.
+// candidates are the endpoints that are scored for an attempt.
 type candidates struct {
 	list [maxHolders + maxBeginningHolders + maxHomes + maxLocal + maxAnywhere + maxWithLoans]*member
 	n    int
 }
 
-// add nominates an endpoint once.
+// add adds an endpoint unless it is already among the candidates.
 func (n *candidates) add(m *member) {
 	if n.n < len(n.list) && !slices.Contains(n.list[:n.n], m) {
 		n.list[n.n] = m
@@ -46,8 +47,8 @@
 	}
 }
 
-// candidates returns the endpoints of a large service that are weighed; the caller holds mu, and has
-// looked up which ones keep the prompt.
+// candidates returns the endpoints of a large service that are scored; the caller holds mu and has
+// looked up which endpoints have the prompt cached.
 func (f *Fleet) candidates(p *pool, req Request, near string, now clock.Instant) candidates {
 	var n candidates
 	f.addWithLoans(&n, req, now)
@@ -60,7 +61,7 @@
 	return n
 }
 
-// addWithLoans nominates endpoints that name limits, and of which something is in hand.
+// addWithLoans adds endpoints that state limits and of which loans are available.
 func (f *Fleet) addWithLoans(n *candidates, req Request, now clock.Instant) {
 	for _, m := range f.withLoans {
 		if n.n < maxWithLoans && m.Service == req.Service && m.limit.active() && m.limit.available(now) > 0 && f.usable(m, req) {
@@ -69,8 +70,8 @@
 	}
 }
 
-// addHolders nominates endpoints that keep a prompt: some of those that keep the most of it,
-// and some that keep its beginning.
+// addHolders adds endpoints that have a prompt cached: some of those with the most of it, and some
+// with its beginning.
 func (f *Fleet) addHolders(n *candidates, req Request, now clock.Instant) {
 	parts := req.Parts
 	if parts == nil {
@@ -89,7 +90,7 @@
 	}
 }
 
-// sampleHolders nominates all of a few endpoints that may be used, or as many by chance.
+// sampleHolders adds all usable endpoints of a short list, or a random sample of a longer one.
 func (f *Fleet) sampleHolders(n *candidates, from []*member, most int, req Request, now clock.Instant) {
 	if len(from) > most {
 		f.sample(n, from, most, req, now)
@@ -102,7 +103,7 @@
 	}
 }
 
-// sample nominates endpoints by chance that are well and may be used.
+// sample adds random endpoints that are healthy and may be used.
 func (f *Fleet) sample(n *candidates, from []*member, most int, req Request, now clock.Instant) {
 	if len(from) == 0 {
 		return
@@ -120,8 +121,8 @@
 	}
 }
 
-// addHomes nominates the endpoints that come next to a prompt on the ring, which are the same
-// for all hosts.
+// addHomes adds the endpoints that follow a prompt's key on the ring, which are the same for all
+// hosts.
 func (f *Fleet) addHomes(n *candidates, p *pool, req Request, now clock.Instant) {
 	at, _ := p.find(req.Key)
 	homes := 0
--- a/internal/fleet/nominate_test.go
+++ b/internal/fleet/nominate_test.go
@@ -13,10 +13,10 @@
 	manyEndpoints = 10_000
 	manyPrompts   = 400
 	manySteps     = 4_000
-	compareEvery  = 16 // steps
+	compareEvery  = 16 // in steps
 )
 
-// largeFleet is a fleet with many endpoints in five data halls.
+// largeFleet returns a fleet with many endpoints in five data halls.
 func largeFleet(count int) *Fleet {
 	random := rand.New(rand.NewPCG(1, 1))
 	f := New(Options{Hall: "hall-0", Random: random.Float64})
@@ -28,7 +28,7 @@
 	return f
 }
 
-// randomRequest is a request of a kind that comes again: all share the first part, some the second.
+// randomRequest returns one of many similar requests: all share the first part, some the second.
 func randomRequest(random *rand.Rand) Request {
 	subject := uint64(random.IntN(manyPrompts))
 	parts := []Part{{ID: 1, Tokens: 512}, {ID: 1000 + subject, Tokens: 4870}, {ID: random.Uint64(), Tokens: 6600}}
@@ -38,8 +38,8 @@
 	}
 }
 
-// bestScore is the best score of all endpoints for an attempt, and that of the one chosen, both without
-// the tie-break of equal ones.
+// bestScore returns the best score of all endpoints for an attempt, and the score of the chosen
+// one, both without the tie-break.
 func bestScore(f *Fleet, req Request, chosen *member) (best, got float64) {
 	now := f.options.Now()
 	t := f.terms(req, now)
@@ -57,12 +57,12 @@
 	return best, got
 }
 
-// maxScoreGap is how far the score of an endpoint that is chosen among a few may be from the best, on
-// average, in seconds.
+// maxScoreGap bounds the average difference in seconds between the best score and that of an
+// endpoint chosen from a sample.
 const maxScoreGap = 0.01
 
-// TestChoiceAmongMany plays a load on a service with many endpoints: where a few are weighed, callers
-// get on average what they would get if all were.
+// TestChoiceAmongMany sends a load to a service with many endpoints: where only a sample is scored,
+// the average score is that of scoring all endpoints.
 func TestChoiceAmongMany(t *testing.T) {
 	f, random := largeFleet(manyEndpoints), rand.New(rand.NewPCG(2, 3))
 	var held []*Hold
@@ -82,19 +82,19 @@
 		}
 		used[c.member.ID] = true
 		held = append(held, h)
-		if i >= 200 { // as many run at once
+		if i >= 200 { // number of requests that run at the same time
 			held[0].Head(Load{Running: 1, Slots: 24})
 			held[0].Done(Result{Outcome: OutcomeGood})
 			held = held[1:]
 		}
 	}
-	t.Logf("%.4f s off on average, %d endpoints used", sum/compared, len(used))
+	t.Logf("average score gap %.4f s, %d endpoints used", sum/compared, len(used))
 	if gap := sum / compared; gap > maxScoreGap {
-		t.Errorf("%.4f s off on average, %.4f at most", gap, maxScoreGap)
+		t.Errorf("average score gap %.4f s, want at most %.4f", gap, maxScoreGap)
 	}
 }
 
-// TestChoiceOfARareVersion: of many endpoints few run the version that a request may run on.
+// TestChoiceOfARareVersion checks that a request finds the only endpoint of its version among many.
 func TestChoiceOfARareVersion(t *testing.T) {
 	f := largeFleet(manyEndpoints)
 	f.Put(Endpoint{ID: "new", Service: "s", Hall: "hall-3", Slots: 24, Version: "v2"})
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestPoolOfMany adds and removes endpoints, also while lists are read whole.
+// TestPoolOfMany adds and removes endpoints, also between full reads of the list.
 func TestPoolOfMany(t *testing.T) {
 	f, random := largeFleet(1_000), rand.New(rand.NewPCG(4, 5))
 	for i := range 3_000 {
@@ -126,7 +126,7 @@
 			inHalls += len(list)
 			for j, m := range list {
 				if m.Hall != hall || m.position.hall != j {
-					t.Fatalf("%s stands in %s at %d, in the list of %s at %d", m.ID, m.Hall, m.position.hall, hall, j)
+					t.Fatalf("%s of %s has index %d, but is in the list of %s at %d", m.ID, m.Hall, m.position.hall, hall, j)
 				}
 			}
 		}
@@ -153,7 +153,7 @@
 	}
 }
 
-// A choice among 10,000 endpoints took 2.6 ms where all were weighed, and takes 6.6 us.
+// A choice among 10,000 endpoints took 2.6 ms when all were scored, and takes 6.6 us.
 func BenchmarkChoose1000(b *testing.B)  { benchmarkChoose(b, 1_000) }
 func BenchmarkChoose10000(b *testing.B) { benchmarkChoose(b, 10_000) }
 func BenchmarkChoose20000(b *testing.B) { benchmarkChoose(b, 20_000) }
--- a/internal/fleet/overload_test.go
+++ b/internal/fleet/overload_test.go
@@ -17,8 +17,8 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// Engines of the play: each runs engineSlots requests at once, for engineStay each after
-// the time that reading takes, and lets so many wait, the most urgent first.
+// Parameters of the simulated engines: each runs engineSlots requests at once, each for engineStay
+// after the prefill time, and queues up to engineQueue, the most urgent first.
 const (
 	engineSlots = 4
 	engineQueue = 12
@@ -26,7 +26,7 @@
 	engineStay  = 800 * time.Millisecond
 )
 
-// engine is a stand-in of an engine for one service.
+// engine simulates an engine of one service.
 type engine struct {
 	mu      sync.Mutex
 	running int
@@ -79,16 +79,16 @@
 	return fleet.Load{Running: e.running, Waiting: len(e.waiting), Slots: engineSlots}
 }
 
-// callerResults is what callers got.
+// callerResults counts the results of callers.
 type callerResults struct {
 	inTime, late, refused, vanished int
 	longestUntilRefused             time.Duration
 }
 
-// simulation is a load on six engines whose callers want answers to begin within an objective
-// and leave after four of them.
+// simulation is a load on six engines whose callers want responses to begin within an objective and
+// disconnect after four times that long.
 type simulation struct {
-	ordered bool // order among requests; without, all are sent at once
+	ordered bool // requests are ordered by admission; otherwise all are sent at once
 	engines map[string]*engine
 	fleet   *fleet.Fleet
 	mu      sync.Mutex
@@ -97,7 +97,7 @@
 
 const simObjective = time.Second
 
-// newSimulation returns a play all of whose chances are drawn from a seed.
+// newSimulation returns a simulation that draws all random numbers from a seed.
 func newSimulation(decide bool, seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, 1))
 	p := &simulation{ordered: decide, engines: map[string]*engine{}, fleet: newFleetWith(random.Float64)}
@@ -107,12 +107,12 @@
 	return p
 }
 
-// burst has requests come at a rate for a time, one by one, and waits for all of them.
+// burst sends requests at a rate for a time, one by one, and waits for all of them.
 func (p *simulation) burst(perSecond int, d time.Duration) {
 	var all sync.WaitGroup
 	for i := range int(d.Seconds() * float64(perSecond)) {
 		all.Go(func() {
-			time.Sleep(time.Duration(i)) // no two do anything at the same moment, so the order is the same in each play
+			time.Sleep(time.Duration(i)) // no two requests act at the same moment, so the order is the same in each run
 			p.request(uint64(i) + 1)
 		})
 		time.Sleep(time.Second / time.Duration(perSecond))
@@ -120,7 +120,8 @@
 	all.Wait()
 }
 
-// request serves one caller. Who finds an engine full tries elsewhere, three times.
+// request serves one caller. A request that finds an engine full is retried elsewhere, with three
+// attempts in all.
 func (p *simulation) request(key uint64) {
 	start, turn := clock.Now(), int64(0)
 	for tries := 0; tries < 3; {
@@ -148,7 +149,7 @@
 	})
 }
 
-// run sends a request to its engine; false if that is full.
+// run sends a request to its engine; false if the engine is full.
 func (p *simulation) run(h *fleet.Hold, start clock.Instant) bool {
 	e := p.engines[h.Endpoint.ID]
 	if !e.enter(h.Urgency()) {
@@ -180,16 +181,16 @@
 	change(&p.got)
 }
 
-// loadCase is a load, and what callers get of it.
+// loadCase is a load with the bounds of its results.
 type loadCase struct {
 	perSecond int
 	inTime    float64
 	vanished  float64
 }
 
-// loadCases on engines that serve some 28 requests a second, with what callers get at least:
-// the part that is answered in time, of what could be, and at most: the part of callers
-// that nobody told anything before they left.
+// loadCases are loads on engines that serve about 28 requests a second. inTime is the least part of
+// the servable requests that is answered in time, vanished the largest part of the requests whose
+// callers disconnect without any response.
 var loadCases = map[string]loadCase{
 	"half of what engines serve": {14, 0.99, 0},
 	"as much as engines serve":   {26, 0.90, 0},
@@ -206,10 +207,10 @@
 	}
 })
 
-// overloadSeeds are how many plays of one load more there are.
+// overloadSeeds is the number of runs of one further load.
 const overloadSeeds = 40
 
-// TestFourTimesWhatEnginesServe is that of one load more.
+// TestFourTimesWhatEnginesServe runs the case of four times the capacity with many seeds.
 func TestFourTimesWhatEnginesServe(t *testing.T) {
 	for seed := range uint64(overloadSeeds) {
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
@@ -221,7 +222,7 @@
 	}
 }
 
-// check plays the load, with an order of requests and without one.
+// check runs the load, with ordered requests and without an order.
 func (l loadCase) check(logf func(format string, args ...any), seed uint64) {
 	const seconds = 10
 	capacity := 6 * engineSlots / (engineRead + engineStay).Seconds()
@@ -231,7 +232,7 @@
 	plain.burst(l.perSecond, seconds*time.Second)
 	time.Sleep(time.Minute)
 	got := ordered.got
-	logf("%d a second: %+v; without an order %+v; could %.0f\n", l.perSecond, got, plain.got, servable)
+	logf("%d a second: %+v; without an order %+v; servable %.0f\n", l.perSecond, got, plain.got, servable)
 	Expect(float64(got.inTime)).To(BeNumerically(">=", l.inTime*servable))
 	Expect(float64(got.vanished)).To(BeNumerically("<=", l.vanished*float64(l.perSecond*seconds)))
 	if l.perSecond > 50 {
--- a/internal/fleet/pace.go
+++ b/internal/fleet/pace.go
@@ -1,17 +1,17 @@
 package fleet
 
 const (
-	// paceWeight weighs an endpoint's word of its pace, which changes many times a second: some ten
-	// count.
+	// paceWeight is the weight of a reported pace, which changes many times a second: about ten
+	// reports count.
 	paceWeight = 0.1
-	// maxReportedPace bounds what one word tells.
+	// maxReportedPace bounds the effect of one report.
 	maxReportedPace = 20.0
-	// plainPaceCost is the load that a request without a prompt passes by to be done in half of the
-	// time.
+	// plainPaceCost is the load that a request without a prompt accepts to run in half of the time.
 	plainPaceCost = 0.5
 )
 
-// pace is how long work takes at an endpoint, 1 as usual: what it has lately said, smoothed.
+// pace returns how long work takes at an endpoint relative to the usual time (1): the smoothed pace
+// that it reports.
 func (m *member) pace() float64 {
 	if m.smoothedPace == 0 {
 		return 1
@@ -19,8 +19,8 @@
 	return m.smoothedPace
 }
 
-// updatePace takes in an endpoint's word of its pace. One that shares its machine with others may be
-// several times slower for seconds, with nothing in its slots.
+// updatePace records a pace that an endpoint reports. An endpoint that shares its machine with
+// others may be several times slower for seconds while none of its slots is in use.
 func (m *member) updatePace(said float64) {
 	if said <= 0 {
 		return
--- a/internal/fleet/pace_test.go
+++ b/internal/fleet/pace_test.go
@@ -11,7 +11,8 @@
 )
 
 var _ = Describe("endpoints that share their machines with others", func() {
-	// fleetWithPaces has an endpoint say some times how long work takes there, others that it is as usual.
+	// fleetWithPaces returns a fleet whose first endpoint has reported the paces, while the others
+	// report the usual pace.
 	fleetWithPaces := func(key uint64, paces ...float64) *fleet.Fleet {
 		f := fleet.New(fleet.Options{Hall: "h"})
 		for i := range 4 {
@@ -31,7 +32,7 @@
 		}
 		return f
 	}
-	// countAtFirst is how many of some requests an endpoint countAtFirst.
+	// countAtFirst counts how many of some requests go to the first endpoint.
 	countAtFirst := func(f *fleet.Fleet, key uint64) int {
 		n := 0
 		for range 40 {
@@ -55,7 +56,7 @@
 		})
 	}
 
-	It("are used again once work takes as long as usual", func() {
+	It("are used again once work takes the usual time", func() {
 		back := append(slices.Clone(slow), make([]float64, 60)...)
 		for i := len(slow); i < len(back); i++ {
 			back[i] = 1
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -8,34 +8,35 @@
 	"quaybarrow/internal/clock"
 )
 
-// Request is what an attempt needs.
+// Request describes what an attempt needs of an endpoint.
 type Request struct {
 	Service      string
-	Hall         string            // of the host that asks; empty stands for this host's
-	Allowed      func(string) bool // versions it may run on; nil for any
-	Avoid        []string          // ids of endpoints that it has been to
-	Key          uint64            // requests with the same key share a prompt; 0 for none
+	Hall         string            // of the host that asks; empty means this host's
+	Allowed      func(string) bool // reports whether a version may be used; nil allows any
+	Avoid        []string          // IDs of endpoints that were already tried
+	Key          uint64            // requests with the same key share a prompt prefix; 0 if there is no prompt
 	Model        string
 	Tokens       int           // of the prompt
-	SharedTokens int           // of them, those that other requests with the key have too
-	Parts        []Part        // of the prompt, in order; nil where only the key is known
-	CacheTokens  int           // tokens that an engine of the service keeps; 0 if not known
-	Objective    time.Duration // by when the answer should begin
-	Urgency      int           // at endpoints, the lowest first; -1 if not said
-	// Slack is what is left until the answer should begin, and Remaining until the caller has
-	// no use for it any more; 0 of both has the request sent in any case.
+	SharedTokens int           // tokens of the prompt that other requests with the key have too
+	Parts        []Part        // of the prompt, in order; nil if only the key is known
+	CacheTokens  int           // tokens in the prefix cache of an engine of the service; 0 if not known
+	Objective    time.Duration // time in which the response should begin
+	Urgency      int           // at endpoints, the lowest first; -1 if not stated
+	// Slack is the time left until the response should begin, and Remaining the time left until the
+	// caller has no more use for it. If both are 0, the request is sent in any case.
 	Slack, Remaining time.Duration
-	MayHaveStarted   bool          // it may run already: it may go behind, but does not wait and is not refused
-	Waited           time.Duration // since its caller asked
-	Turn             int64         // of those that wait; 0 for none
-	Regions          []string      // whose endpoints may be used; nil for all
-	// MaxLimitWait is how long it may wait for endpoints whose limits are used up; 0 for not at all.
+	MayHaveStarted   bool          // it may already be running: it may be sent behind all others, but does not wait and is not refused
+	Waited           time.Duration // time since its caller sent it
+	Turn             int64         // its turn among waiting requests; 0 if it has none
+	Regions          []string      // whose endpoints may be used; nil allows all
+	// MaxLimitWait is how long the request may wait for endpoints whose limits are used up; 0 means
+	// no wait.
 	MaxLimitWait time.Duration
-	// Unadvised tells that other hosts choose at the same time without knowing of it.
+	// Unadvised means that other hosts choose at the same time without knowing of this request.
 	Unadvised bool
 }
 
-// parts are the prompt's, or one that stands for all that is shared.
+// parts returns the parts of the prompt, or a single part that stands for all that is shared.
 func (a Request) parts() []Part {
 	if a.Parts != nil || a.Key == 0 {
 		return a.Parts
@@ -43,24 +44,24 @@
 	return []Part{{ID: a.Key, Tokens: a.SharedTokens}}
 }
 
-// Hold is a place at an endpoint.
+// Hold is a slot held at an endpoint.
 type Hold struct {
-	// OnDone is called when the hold is done; nil if nobody minds.
+	// OnDone is called when the hold is done; it may be nil.
 	OnDone      func()
 	Endpoint    Endpoint
 	fleet       *Fleet
 	member      *member
 	req         Request
-	Expected    Expectation // as the hold was taken
+	Expected    Expectation // estimate from when the hold was taken
 	sent        clock.Instant
-	idleHead    time.Duration // until the head of the answer, if the endpoint were idle
-	untilHead   time.Duration // until the head was there
-	ticket      int64         // of the awaited head
+	idleHead    time.Duration // time until the response head at an idle endpoint
+	untilHead   time.Duration // time until the response head
+	ticket      int64         // of the awaited response head
 	advice      Advice        // that was followed, if any
-	headArrived bool          // the head is there
+	headArrived bool          // the response head has arrived
 }
 
-// Head notes that the head of the answer is there, and the load that it tells.
+// Head records that the response head has arrived, with the load it reports.
 func (h *Hold) Head(l Load) {
 	if heard := h.fleet.onHead; heard != nil && h.req.Key != 0 {
 		defer func() { heard(h.headReport(l)) }()
@@ -77,10 +78,10 @@
 	h.fleet.observeHead(h.member, h.headReport(l))
 }
 
-// Urgency is that with which the request is sent.
+// Urgency returns the urgency with which the request is sent.
 func (h *Hold) Urgency() int { return h.req.Urgency }
 
-// headReport is what the head of the answer told.
+// headReport returns the report of the response head.
 func (h *Hold) headReport(l Load) HeadReport {
 	return HeadReport{
 		Endpoint: h.Endpoint.ID, Ticket: h.advice.Ticket, Service: h.req.Service, Model: h.req.Model, Load: l,
@@ -88,7 +89,7 @@
 	}
 }
 
-// Done ends the hold and notes what the attempt told.
+// Done ends the hold and records the result of the attempt.
 func (h *Hold) Done(r Result) {
 	if h.OnDone != nil {
 		defer h.OnDone()
@@ -110,7 +111,7 @@
 	case h.req.Key == 0:
 	case h.headArrived:
 		h.fleet.recordSlotTime(m.Service, now.Sub(h.sent)-h.untilHead)
-	default: // no head came: the wait was at least so long
+	default: // no head arrived: the wait was at least this long
 		m.ensureQueue().waits[rank(h.req.Urgency)] = observedWait{wait: max(0, now.Sub(h.sent)-h.idleHead), at: now}
 	}
 	m.inFlight--
@@ -120,15 +121,15 @@
 	h.fleet.recordHealth(m, r.Outcome, now)
 	h.fleet.trackWarmUp(m, r.Outcome, now)
 	if r.Load.Slots > 0 {
-		// The answered request itself may still be counted in what it says.
+		// The load report may still count the answered request itself.
 		h.fleet.updateLoad(m, r.Load, m.inFlight+1)
 	}
 }
 
-// load is the part of an endpoint's slots in use, as far as this host knows. What
-// the endpoint said counts for less with age; in its place comes what this host's
-// own count says of the hosts that it shares the endpoint with, and what other endpoints
-// of the service said: the one of which nothing was heard would look like the emptiest.
+// load returns the part of an endpoint's slots in use, as far as this host knows. A load report
+// loses weight with age. It is replaced by an estimate from this host's own count for the hosts
+// that share the endpoint, and from the load that other endpoints of the service report: without
+// these an endpoint that has not reported lately would look like the emptiest one.
 func (m *member) load(now clock.Instant, sharers int) float64 {
 	known := m.inFlight + m.remote(now)
 	reportWeight := 0.0
@@ -143,7 +144,7 @@
 	return (float64(known) + others) / float64(m.slots())
 }
 
-// slots are how many requests an endpoint runs at once.
+// slots returns how many requests an endpoint runs at the same time.
 func (m *member) slots() int {
 	if m.Slots <= 0 {
 		return defaultSlots
@@ -151,10 +152,10 @@
 	return m.Slots
 }
 
-// free counts an endpoint's free slots at a load.
+// free returns the number of free slots of an endpoint at a load.
 func (m *member) free(load float64) int { return max(0, int((1-load)*float64(m.slots()))) }
 
-// sharers counts the hosts that send to an endpoint of a service.
+// sharers returns the number of hosts that send to an endpoint of a service.
 func (f *Fleet) sharers(service string) int {
 	if f.options.SendingHosts == nil {
 		return 1
@@ -181,14 +182,14 @@
 	return true
 }
 
-// Tiers of endpoints, by how sure it is that they answer.
+// Tiers of endpoints, by how likely they are to respond.
 const (
 	tierHealthy = iota
 	tierLapsed
 	tierEjected
 )
 
-// ejected reports whether an endpoint has lately failed this host, or others.
+// ejected reports whether an endpoint has recently failed this host or other hosts.
 func (m *member) ejected(now clock.Instant) bool {
 	return now.Before(m.health.ejectedUntil) || now.Before(m.peerEjectedUntil)
 }
@@ -204,17 +205,17 @@
 	}
 }
 
-// choice is the endpoint that is best for an attempt now.
+// choice is the best endpoint for an attempt at a time.
 type choice struct {
 	member        *member   // nil if none may be used
-	freeSlots     int       // slots of endpoints that are free
-	prefillTokens int       // tokens of the prompt that it is expected to read
-	score         float64   // its own
-	limits        limitScan // of the endpoints that were weighed
+	freeSlots     int       // of the endpoints that were scored
+	prefillTokens int       // tokens of the prompt that the endpoint is expected to prefill
+	score         float64   // of member
+	limits        limitScan // of the endpoints that were scored
 	now           clock.Instant
 }
 
-// choose finds it; the caller holds mu.
+// choose returns the best endpoint for a request; the caller holds mu.
 func (f *Fleet) choose(req Request) choice {
 	c := choice{now: f.options.Now()}
 	p, ok := f.byService[req.Service]
@@ -229,7 +230,7 @@
 	n := f.candidates(p, req, t.localHall, c.now)
 	f.scoreAll(&c, n.list[:n.n], t)
 	if (c.member == nil && !c.limits.anyLimited) || (c.member != nil && c.member.tier(c.now) > tierHealthy) {
-		// What may be used is rare, as one of a few endpoints of a version.
+		// Few endpoints may be used, for instance since only a few run an allowed version.
 		c = choice{now: c.now}
 		f.scoreAll(&c, p.all, t)
 		return c
@@ -238,7 +239,7 @@
 	return c
 }
 
-// scoreAll finds the best of some endpoints.
+// scoreAll scores a list of endpoints and records the best one.
 func (f *Fleet) scoreAll(c *choice, list []*member, t scoreTerms) {
 	best := math.Inf(1)
 	for _, m := range list {
@@ -260,15 +261,14 @@
 	c.score = best
 }
 
-// Pick chooses an endpoint and holds a place there; false if none may be used.
+// Pick chooses an endpoint and holds a slot there; false if none may be used.
 func (f *Fleet) Pick(req Request) (*Hold, bool) {
 	req.Remaining = 0
 	h, _ := f.Place(req)
 	return h, h != nil
 }
 
-// Expect estimates what an attempt takes that is sent now; false if no endpoint takes
-// it.
+// Expect estimates the attempt if it were sent now; false if no endpoint takes it.
 func (f *Fleet) Expect(req Request) (Expectation, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -288,7 +288,7 @@
 	}
 }
 
-// hold takes a place at an endpoint.
+// hold takes a slot at an endpoint.
 func (f *Fleet) hold(m *member, expected Expectation, req Request, now clock.Instant) *Hold {
 	h := &Hold{Endpoint: m.Endpoint, Expected: expected, fleet: f, member: m, req: req, sent: now}
 	m.inFlight++
@@ -301,7 +301,7 @@
 	return h
 }
 
-// notePrompt takes in that a prompt is read at an endpoint.
+// notePrompt records that a prompt is prefilled at an endpoint.
 func (f *Fleet) notePrompt(m *member, req Request) {
 	size := req.CacheTokens
 	if size == 0 {
@@ -310,9 +310,9 @@
 	f.prefixes.add(m, req.parts(), int(cacheShare*float64(size)))
 }
 
-// home finds the endpoint that most likely has the shared part of a prompt in memory
-// if other data halls have asked for it: the first by rendezvous; nil for requests
-// without a prompt.
+// home returns the endpoint that most likely has the shared part of a prompt cached if hosts of
+// other data halls have sent requests for it: the first by rendezvous hashing. It returns nil for
+// requests without a prompt.
 func (f *Fleet) home(req Request, now clock.Instant) *member {
 	if req.Key == 0 {
 		return nil
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -2,8 +2,8 @@
 
 import "quaybarrow/internal/admission"
 
-// Place decides on a request, chooses an endpoint for it and holds a place there; nil if
-// it is refused or none may be used.
+// Place decides on a request, chooses an endpoint for it and holds a slot there. The hold is nil if
+// the request waits or is refused, or if no endpoint may be used.
 func (f *Fleet) Place(req Request) (*Hold, admission.Decision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -15,11 +15,11 @@
 	return f.hold(p.member, p.expected, p.req, p.now), p.decision
 }
 
-// placement is a request with its endpoint, and what becomes of it.
+// placement is a request with its endpoint and the decision on it.
 type placement struct {
 	choice
-	req      Request // with the urgency that it is sent with
-	urgency  int     // its own
+	req      Request // with the urgency with which it is sent
+	urgency  int     // of the request itself
 	expected Expectation
 	decision admission.Decision
 }
@@ -34,8 +34,8 @@
 	}
 }
 
-// place decides on a request and finds the endpoint that is best for it; the caller holds
-// mu. One that is not likely to be in time is placed as one behind all others.
+// place decides on a request and finds the best endpoint for it; the caller holds mu. A request
+// that is not likely to be in time is placed behind all others.
 func (f *Fleet) place(req Request) placement {
 	if !req.unadvised() {
 		f.adviserTenure = f.adviserTenure.at(f.options.Now())
@@ -69,7 +69,7 @@
 	return p
 }
 
-// decideLate decides on a request that is not likely in time.
+// decideLate decides on a request that is not likely to be in time.
 func (f *Fleet) decideLate(p placement, o admission.Outlook) admission.Decision {
 	turns := f.turnsOf(p.req.Service)
 	asked, urgency := p.now.Add(-p.req.Waited), rank(p.urgency)
@@ -91,7 +91,7 @@
 	}
 }
 
-// turnsOf returns the requests that wait for a service.
+// turnsOf returns the turns of the requests that wait for a service.
 func (f *Fleet) turnsOf(service string) *admission.Turns {
 	t, ok := f.turns[service]
 	if !ok {
--- a/internal/fleet/pool.go
+++ b/internal/fleet/pool.go
@@ -5,21 +5,19 @@
 	"slices"
 )
 
-// pool is the endpoints of a service, in the orders in which they are looked up; the fleet's lock
-// guards it.
+// pool holds the endpoints of a service, indexed for lookups; the fleet's mutex guards it.
 type pool struct {
 	all      []*member
 	byHall   map[string][]*member
-	ring     []*member // by seed
-	unsorted bool      // the ring is out of order
+	ring     []*member // sorted by seed
+	unsorted bool      // the ring needs sorting
 }
 
-// poolPosition is where a member stands in its pool.
+// poolPosition holds the indexes of a member in the lists of its pool.
 type poolPosition struct{ all, hall int }
 
 func newPool() *pool { return &pool{byHall: map[string][]*member{}} }
 
-// add lists a member.
 func (p *pool) add(m *member) {
 	m.position = poolPosition{all: len(p.all), hall: len(p.byHall[m.Hall])}
 	m.poolHall = m.Hall
@@ -28,7 +26,7 @@
 	p.ring, p.unsorted = append(p.ring, m), true
 }
 
-// remove takes a member out; the last ones take its places.
+// remove removes a member; the last member of each list moves to its index.
 func (p *pool) remove(m *member) {
 	last := p.all[len(p.all)-1]
 	p.all[m.position.all], last.position.all = last, m.position.all
@@ -52,19 +50,19 @@
 	}
 }
 
-// dropLast drops the last of a list.
+// dropLast removes the last element of a list.
 func dropLast(list []*member) []*member {
 	list[len(list)-1] = nil
 	return list[:len(list)-1]
 }
 
-// find returns where on the ring a point is, or the next one after it.
+// find returns the index on the ring of a point, or of the first member after it.
 func (p *pool) find(point uint64) (int, bool) {
 	p.sort()
 	return slices.BinarySearchFunc(p.ring, point, func(m *member, point uint64) int { return cmp.Compare(m.seed, point) })
 }
 
-// sort brings the ring into order. Lists are read whole, so that is done once for many members.
+// sort sorts the ring if needed. Lists are read in full, so one sort covers many new members.
 func (p *pool) sort() {
 	if !p.unsorted {
 		return
--- a/internal/fleet/ration.go
+++ b/internal/fleet/ration.go
@@ -7,20 +7,20 @@
 	"quaybarrow/internal/clock"
 )
 
-// retryLaterScore puts endpoints of which nothing can be borrowed yet after all others.
+// retryLaterScore puts endpoints of which no loan may be requested yet after all others.
 const retryLaterScore = 1e6
 
-// limitScan are what a choice has seen of endpoints that name limitScan.
+// limitScan collects what a choice has found of endpoints that state limits.
 type limitScan struct {
-	skipped      *member       // the best one that was passed over since nothing of its limit is in hand; nil for none
-	skippedScore float64       // its own
-	anyLimited   bool          // there are such
-	available    int           // requests that this host may send there now
-	nextLoan     clock.Instant // when something of the first of them can be borrowed
-	anyUnlimited bool          // some endpoint that may be used names none, and is not ejected
+	skipped      *member       // the best endpoint that was skipped since no loan of its limit is available; nil if there is none
+	skippedScore float64       // of skipped
+	anyLimited   bool          // some endpoint states a limit
+	available    int           // requests that this host may send now to endpoints with limits
+	nextLoan     clock.Instant // earliest time at which a loan of any of them may be requested
+	anyUnlimited bool          // some usable endpoint states no limit and is not ejected
 }
 
-// consider notes an endpoint of a score and reports whether it consider a request.
+// consider records an endpoint with its score and reports whether it takes a request.
 func (l *limitScan) consider(m *member, score float64, now clock.Instant) bool {
 	if !m.limit.active() {
 		l.anyUnlimited = l.anyUnlimited || !m.ejected(now)
@@ -41,19 +41,19 @@
 	return n > 0
 }
 
-// enforcesLimit reports whether an endpoint's limit is kept.
+// enforcesLimit reports whether the limit of an endpoint is enforced.
 func (f *Fleet) enforcesLimit(m *member) bool { return m.limit != nil && f.onLoanNeeded != nil }
 
-// borrowForSkipped has a part of the limit asked for of an endpoint that was passed over, if it is better than
-// the one that is chosen.
+// borrowForSkipped requests a loan of the skipped endpoint's limit if that endpoint is better than
+// the chosen one.
 func (f *Fleet) borrowForSkipped(c choice) {
 	if c.limits.skipped != nil && (c.member == nil || c.limits.skippedScore < c.score) {
 		f.needLoan(c.limits.skipped, c.now)
 	}
 }
 
-// decideLimited decides on a request while all endpoints that it may use name limits: with none of them in
-// hand, or with others that wait and go before it, it waits for its turn or is refused.
+// decideLimited decides on a request if all endpoints that it may use state limits. If no loan is
+// available, or if other waiting requests go first, the request waits for its turn or is refused.
 func (f *Fleet) decideLimited(p placement) placement {
 	if p.limits.anyUnlimited || !p.limits.anyLimited || (p.member != nil && p.req.MaxLimitWait == 0) {
 		return p
@@ -84,15 +84,15 @@
 	return p
 }
 
-// LimitStatus is what a host knows of an endpoint's limit, for operators.
+// LimitStatus is a host's knowledge of an endpoint's limit, for operators.
 type LimitStatus struct {
-	Rate      float64 // requests a second; 0 where it names none
+	Rate      float64 // requests a second; 0 if the endpoint states no limit
 	Since     time.Duration
 	Available int // requests that this host may send there now
-	Unmet     int // requests that have lately found none
+	Unmet     int // requests that have recently found no loan
 }
 
-// limitStatus tells operators of a member's limit.
+// limitStatus returns the status of a member's limit.
 func (m *member) limitStatus(now clock.Instant) LimitStatus {
 	if !m.limit.active() {
 		return LimitStatus{}
@@ -100,7 +100,7 @@
 	return LimitStatus{Rate: m.limit.rate, Since: now.Sub(m.limit.since), Available: m.limit.available(now), Unmet: m.limit.unmet}
 }
 
-// LimitedCount counts the endpoints that name limits.
+// LimitedCount returns the number of endpoints that state limits.
 func (f *Fleet) LimitedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/reading.go
+++ b/internal/fleet/reading.go
@@ -7,42 +7,42 @@
 	"quaybarrow/internal/recent"
 )
 
-// Parameters of the estimate of reading times.
+// Parameters of the estimate of prefill times.
 const (
-	// prefillSamples answers tell how long an engine takes; some are enough, and the
-	// oldest ones count as much as the newest.
+	// prefillSamples responses are kept for an estimate; a few are enough, and the oldest ones
+	// count as much as the newest.
 	prefillSamples = 32
-	// idleQuantile of the answers is taken for an engine that does nothing else:
-	// what is above it was spent waiting.
+	// idleQuantile is the quantile of the responses that is assumed for an idle engine: time above
+	// it was spent waiting.
 	idleQuantile = 0.2
-	shortPrompt  = 1000 // prompts of fewer tokens tell the time that any answer takes
-	// maxIdleQueue and freePart of a prompt's own time are the longest expected waits with
-	// which an answer tells how long reading takes: under a load even the fastest answers
-	// waited, and the larger models would be taken for slow long after it.
+	shortPrompt  = 1000 // responses to prompts of fewer tokens show the base time of every response
+	// maxIdleQueue and maxIdleQueueShare, a share of the prompt's own prefill time, are the longest
+	// expected waits with which a response counts for the estimate: under load even the fastest
+	// responses waited, and the larger models would be estimated as slow long after the load.
 	maxIdleQueue      = 30 * time.Millisecond
 	maxIdleQueueShare = 0.25
-	// minSamples such answers stand for themselves; until then the median of the
-	// others does, with the prior as its least.
+	// minSamples exact samples suffice for an estimate; with fewer, the median of the inexact ones is
+	// used, and at least the prior.
 	minSamples      = 4
 	inexactQuantile = 0.5
-	// Priors, which stand until the first answers: what a short prompt takes, and the
-	// reading of a token.
+	// Priors that apply until the first responses: the time of a short prompt, and the prefill of a
+	// token.
 	priorBase     = 60 * time.Millisecond
 	priorPerToken = 10 * time.Microsecond
 )
 
-// prefillModel estimates how long an engine that does nothing else takes until the
-// head of an answer, for one model.
+// prefillModel estimates the time until the response head at an engine that runs nothing else, for
+// one model.
 type prefillModel struct {
 	short    *recent.Values // seconds
-	exact    *recent.Values // seconds for each token, of prompts whose shared parts were known to be kept
-	inexact  *recent.Values // the same, of others: some may have been kept unknown to this host
+	exact    *recent.Values // seconds per token, of prompts whose shared parts were known to be cached
+	inexact  *recent.Values // seconds per token, of other prompts: parts of them may have been cached without this host knowing it
 	base     time.Duration
 	perToken float64 // seconds
 }
 
-// priorSamples is how many answers the prior of the base counts as: a first answer
-// that waited would otherwise stand for the time that every answer takes.
+// priorSamples is how many samples the prior of the base counts as: otherwise a first response that
+// waited would be used as the base time of every response.
 const priorSamples = 4
 
 func newPrefillModel() *prefillModel {
@@ -56,9 +56,9 @@
 	return r
 }
 
-// add takes in an answer's head. Only answers of which all tokens are sure to have been
-// read tell for long: after a restart a host knows of nothing that is kept, and would take
-// warm prompts for engines that read in no time.
+// add adds a response head. Only responses of which all tokens are sure to have been prefilled
+// count as exact: after a restart a host does not know what is cached, and cached prompts would
+// make engines look infinitely fast.
 func (r *prefillModel) add(h HeadReport) {
 	if !r.unqueued(h) && r.hasSamples(h.PrefillTokens) {
 		return
@@ -82,13 +82,13 @@
 	r.perToken = max(r.inexact.Quantile(inexactQuantile), priorPerToken.Seconds())
 }
 
-// unqueued reports whether an answer most likely waited for no other: none was expected, and
-// none waited when it began.
+// unqueued reports whether a response most likely waited for no other request: no wait was
+// expected, and no request waited when it began.
 func (r *prefillModel) unqueued(h HeadReport) bool {
 	return h.Load.Waiting == 0 && h.Queue <= max(maxIdleQueue, time.Duration(maxIdleQueueShare*float64(r.prefillTime(h.PrefillTokens))))
 }
 
-// hasSamples reports whether answers have told how long prompts of a length take.
+// hasSamples reports whether there are enough responses for prompts of a length.
 func (r *prefillModel) hasSamples(tokens int) bool {
 	if tokens < shortPrompt {
 		return r.short.Seen() >= priorSamples+minSamples
@@ -96,18 +96,18 @@
 	return r.exact.Seen() >= minSamples || r.inexact.Seen() >= minSamples
 }
 
-// prefillTime returns the time that prefillTime take to be read.
+// prefillTime returns the prefill time of n tokens.
 func (r *prefillModel) prefillTime(n int) time.Duration {
 	return clock.Seconds(float64(n) * r.perToken)
 }
 
-// headTime returns the time until an answer's headTime when n tokens have to be read.
+// headTime returns the time until the response head if n tokens have to be prefilled.
 func (r *prefillModel) headTime(n int) time.Duration { return r.base + r.prefillTime(n) }
 
-// modelKey is a model of a service.
+// modelKey identifies a model of a service.
 type modelKey struct{ service, model string }
 
-// prefillModelOf returns the estimate of reading times for a model.
+// prefillModelOf returns the estimate of prefill times of a model.
 func (f *Fleet) prefillModelOf(service, model string) *prefillModel {
 	name := modelKey{service, model}
 	r, ok := f.prefillModels[name]
--- a/internal/fleet/report_test.go
+++ b/internal/fleet/report_test.go
@@ -14,8 +14,8 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// reportingFleet is a fleet of endpoints without answers that tell their load; flying
-// requests of this host are at each.
+// reportingFleet returns a fleet of endpoints whose responses do not report their load. At each
+// endpoint the given number of this host's requests is in flight.
 func reportingFleet(o fleet.Options, flying ...int) *fleet.Fleet {
 	f := fleet.New(o)
 	for i, n := range flying {
@@ -31,7 +31,7 @@
 	return f
 }
 
-// allExcept lists all endpoints but one.
+// allExcept lists all endpoints except one.
 func allExcept(count, except int) []string {
 	var list []string
 	for i := range count {
@@ -54,12 +54,12 @@
 var modelRequest = fleet.Request{Service: "s", Model: "m"}
 
 var _ = Describe("endpoints that report their load", func() {
-	It("get the attempt if they are the less loaded", func() {
+	It("get the attempt if they are less loaded", func() {
 		Expect(pickID(reportingFleet(fleet.Options{}, 9, 1), modelRequest)).To(Equal("e1"))
 		Expect(pickID(reportingFleet(fleet.Options{}, 1, 9), modelRequest)).To(Equal("e0"))
 	})
 
-	It("are trusted less the older the report is, and this host's own count always", func() {
+	It("count less the older the report is, while this host's own count always counts", func() {
 		suite.Paused(func() {
 			f := reportingFleet(fleet.Options{}, 0, 3)
 			f.Report("e0", fleet.Report{Load: fleet.Load{Running: 8, Slots: 10}, Asked: clock.Now()})
@@ -69,18 +69,19 @@
 		})
 	})
 
-	It("are taken to be as loaded by other hosts as by this one where reports are old", func() {
+	It("are assumed to be as loaded by other hosts as by this one if reports are old", func() {
 		suite.Paused(func() {
 			f := reportingFleet(fleet.Options{SendingHosts: func(string) int { return 5 }}, 2, 0)
 			f.Report("e1", fleet.Report{Load: fleet.Load{Running: 9, Slots: 10}, Asked: clock.Now()})
 			time.Sleep(time.Minute)
 			f.Report("e1", fleet.Report{Load: fleet.Load{Running: 9, Slots: 10}, Asked: clock.Now()})
-			// Two of its own stand for ten at the first, against nine at the second.
+			// Two requests of its own count as ten at the first endpoint, against nine at the
+			// second.
 			Expect(pickID(f, modelRequest)).To(Equal("e1"))
 		})
 	})
 
-	It("are never taken if they do not fit", func() {
+	It("are never picked if they may not be used", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			n := rapid.IntRange(1, 12).Draw(t, "endpoints")
 			f := fleet.New(fleet.Options{})
@@ -99,17 +100,17 @@
 			req := fleet.Request{Service: "s", Model: "m", Avoid: []string{"e0"}, Key: 7}
 			id := pickID(f, req)
 			if id != "" && !fits[id] {
-				t.Fatalf("took %s", id)
+				t.Fatalf("picked %s", id)
 			}
 			for other, ok := range fits {
 				if id == "" && ok {
-					t.Fatalf("took none although %s fits", other)
+					t.Fatalf("picked none although %s may be used", other)
 				}
 			}
 		})
 	})
 
-	It("serve a model if one that is well has it", func() {
+	It("serve a model if a healthy one has it", func() {
 		f := reportingFleet(fleet.Options{}, 0, 0)
 		Expect(f.HasModel("s", "m")).To(BeTrue())
 		Expect(f.HasModel("s", "x")).To(BeFalse())
@@ -123,7 +124,7 @@
 		Expect(f.HasModel("s", "m")).To(BeFalse())
 	})
 
-	It("are left alone longer each time if they fail at once after an ejection", func() {
+	It("are ejected longer each time if they fail at once after an ejection", func() {
 		suite.Paused(func() {
 			f := reportingFleet(fleet.Options{}, 0, 0)
 			fail := func() {
@@ -146,7 +147,7 @@
 		})
 	})
 
-	It("keep the slots that they told when the list is read again", func() {
+	It("keep the slots that they reported when the list is read again", func() {
 		f := reportingFleet(fleet.Options{}, 0)
 		f.Reset([]fleet.Endpoint{{ID: "e0", Service: "s"}}, false)
 		Expect(f.View()[0].Slots).To(Equal(10))
@@ -154,7 +155,7 @@
 	})
 })
 
-// index is the place of an endpoint in the view.
+// index returns the index of an endpoint in the view.
 func index(f *fleet.Fleet, id string) int {
 	for i, s := range f.View() {
 		if s.ID == id {
--- a/internal/fleet/score.go
+++ b/internal/fleet/score.go
@@ -4,33 +4,34 @@
 	"quaybarrow/internal/clock"
 )
 
-// Weights of the choice. Scores are seconds until the answer is expected to
-// begin, with what else an endpoint costs put into seconds.
+// Weights of the choice. Scores are seconds until the response is expected to begin, with other
+// costs of an endpoint converted into seconds.
 const (
-	tierSeconds = 1000 // an endpoint that may not answer comes after all others
-	// busySeconds put an endpoint that gets as much as one does that may be cold after
-	// all others of its tier.
+	tierSeconds = 1000 // an endpoint that may not respond comes after all others
+	// busySeconds puts an endpoint that already gets the limit of one that might be cold after all
+	// others of its tier.
 	busySeconds = 100
-	// fullLoadSeconds is what full slots cost: every request there slows all others.
+	// fullLoadSeconds is the cost of full slots: every request at an endpoint slows all others
+	// there.
 	fullLoadSeconds = 0.15
-	// hallCostShare of the objective is what bytes between data halls are worth.
+	// hallCostShare is the cost of bytes between data halls, as a share of the objective.
 	hallCostShare = 0.1
-	// rereadCostShare of the objective is what reading a whole prompt again costs beyond
-	// its time.
+	// rereadCostShare is the cost of prefilling a whole prompt again beyond its time, as a share of
+	// the objective.
 	rereadCostShare = 0.05
-	// homeMissShare is the part of a shared prompt that its home is expected to read
-	// where others choose endpoints too and this host has not seen it sent there: they most
-	// likely have. Where one host advises all it knows what was sent, and goes by that alone.
+	// homeMissShare is the share of a shared prompt that its home is expected to prefill if this
+	// host has not seen the prompt sent there and other hosts choose endpoints too: they have most
+	// likely sent it there. Where one host advises all others, it knows which prompts were sent
+	// where and uses that knowledge alone.
 	homeMissShare = 0.25
-	// plainHallCost is the load that a request without a prompt passes by to stay in
-	// its data hall.
+	// plainHallCost is the load that a request without a prompt accepts to stay in its data hall.
 	plainHallCost = 0.5
-	// fullLoad is the load from which an endpoint lets requests wait.
+	// fullLoad is the load at which an endpoint starts to queue requests.
 	fullLoad = 0.9
 	tieBreak = 1e-4
 )
 
-// scoreTerms are what the scores of all endpoints for an attempt have in common.
+// scoreTerms are the terms that the scores of all endpoints for an attempt have in common.
 type scoreTerms struct {
 	req        Request
 	localHall  string // the data hall of the host that asks
@@ -38,10 +39,10 @@
 	prefixes   *prefixIndex
 	prefill    *prefillModel
 	sharers    int        // hosts that send to an endpoint
-	hallCost   float64    // what bytes between data halls cost
-	workCost   float64    // what a second of reading costs, its own time included
-	rereadCost float64    // what reading a token of the shared part again costs
-	coldLimits coldLimits // what cold endpoints get
+	hallCost   float64    // of bytes between data halls
+	workCost   float64    // of a second of prefill, its own time included
+	rereadCost float64    // of prefilling a token of the shared part again
+	coldLimits coldLimits // limits of cold endpoints
 	now        clock.Instant
 }
 
@@ -65,19 +66,19 @@
 	return t
 }
 
-// prefillTokens is how many of the prompt's tokens an endpoint is expected to read.
+// prefillTokens returns how many of the prompt's tokens an endpoint is expected to prefill.
 func (t scoreTerms) prefillTokens(m *member) int {
 	if t.req.Key == 0 {
 		return 0
 	}
 	known := t.prefixes.cachedTokens(m)
-	if m == t.home && !m.warmUp.cold(t.now) { // one that has just started keeps nothing
+	if m == t.home && !m.warmUp.cold(t.now) { // an endpoint that has just started has an empty cache
 		known = max(known, int((1-homeMissShare)*float64(t.req.SharedTokens)))
 	}
 	return max(t.req.Tokens-known, 0)
 }
 
-// score ranks an endpoint of a load for an attempt; the lowest is chosen.
+// score ranks an endpoint with a load for an attempt; the lowest score is chosen.
 func (f *Fleet) score(m *member, t scoreTerms, load float64, unread int, now clock.Instant) float64 {
 	score := float64(m.tier(now))*tierSeconds + tieBreak*f.options.Random()
 	if m.warmUp.busy(t.coldLimits, t.req, now) {
@@ -97,8 +98,8 @@
 	return score + load + plainPaceCost*(m.pace()-1)
 }
 
-// RendezvousWeight is the rendezvous weight of an endpoint, or a host, for a key, 0 to 1; the least one is
-// chosen.
+// RendezvousWeight returns the rendezvous weight of an endpoint, or a host, for a key, from 0 to 1;
+// the lowest weight is chosen.
 func RendezvousWeight(key, seed uint64) float64 {
 	x := key ^ seed
 	x ^= x >> 33
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -8,8 +8,8 @@
 	"quaybarrow/internal/fleet"
 )
 
-// endpointList is a list of endpoints in five data halls, each entry with words of its own as it is
-// when it was read.
+// endpointList returns endpoints in five data halls. The strings of each entry are allocated
+// separately, as they are when entries are decoded.
 func endpointList(count int) []fleet.Endpoint {
 	list := make([]fleet.Endpoint, count)
 	for i := range list {
@@ -22,7 +22,7 @@
 	return list
 }
 
-// heapSize is what a value takes of the heap, in bytes.
+// heapSize returns the heap that a value takes, in bytes.
 func heapSize(make func() any) uint64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -34,8 +34,7 @@
 	return after.HeapAlloc - before.HeapAlloc
 }
 
-// maxHeap is what all that a usual host knows of 10,000 endpoints may take of its heap, in
-// bytes.
+// maxHeap bounds the heap that a typical host's knowledge of 10,000 endpoints takes, in bytes.
 const maxHeap = 8 << 20
 
 // TestHeapOfManyEndpoints lists 10,000 endpoints, of which a host uses some.
@@ -56,6 +55,6 @@
 	})
 	t.Logf("%.1f MB", float64(took)/(1<<20))
 	if took > maxHeap {
-		t.Errorf("%d bytes, %d at most", took, maxHeap)
+		t.Errorf("%d bytes, want at most %d", took, maxHeap)
 	}
 }
--- a/internal/fleet/stock.go
+++ b/internal/fleet/stock.go
@@ -7,8 +7,8 @@
 	"quaybarrow/internal/capacity"
 )
 
-// Stocks counts the endpoints of a service that take requests, by data hall; those of another
-// version than the one in force apart, unless that is empty.
+// Stocks counts the endpoints of a service that take requests, by data hall. Endpoints of a version
+// other than the one in force are counted separately, unless that version is empty.
 func (f *Fleet) Stocks(service, inForce string) map[string]capacity.Stock {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,7 +29,7 @@
 	return stocks
 }
 
-// Evacuated lists the data halls that are evacuated, in order.
+// Evacuated lists the names of the evacuated data halls in order.
 func (f *Fleet) Evacuated() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/urgency.go
+++ b/internal/fleet/urgency.go
@@ -6,15 +6,15 @@
 	"quaybarrow/internal/clock"
 )
 
-// Urgencies of requests at endpoints, which let the more urgent ones in first.
+// Urgencies of requests at endpoints, which run more urgent requests first.
 const (
 	urgencies      = 10
-	defaultUrgency = 5 // of requests that say none
-	// UrgencyLeast is that of requests that take what others leave.
+	defaultUrgency = 5 // of requests that state no urgency
+	// UrgencyLeast is the urgency of requests that use only capacity that no other request needs.
 	UrgencyLeast = urgencies - 1
 )
 
-// rank is the place of an urgency in order, the most urgent first.
+// rank returns the position of an urgency in order, the most urgent first.
 func rank(urgency int) int {
 	if urgency < 0 {
 		return defaultUrgency
@@ -22,9 +22,9 @@
 	return min(urgency, UrgencyLeast)
 }
 
-// backlog is what has been sent to an endpoint and has not begun, by rank.
+// backlog is the work sent to an endpoint that has not begun, by rank.
 type backlog struct {
-	work  [urgencies]time.Duration // of reading
+	work  [urgencies]time.Duration // time of prefill
 	count [urgencies]int
 }
 
@@ -33,7 +33,8 @@
 	b.work[rank] += work
 }
 
-// before sums what goes before a newcomer of a rank, and what goes behind it.
+// before returns the work that goes before a new request of a rank, and the work that goes behind
+// it.
 func (b *backlog) before(rank int) (before, behind time.Duration) {
 	for i, w := range b.work {
 		if i <= rank {
@@ -45,7 +46,7 @@
 	return before, behind
 }
 
-// behind counts requests that go behind a newcomer of a rank.
+// behind returns the number of requests that go behind a new request of a rank.
 func (b *backlog) behind(rank int) int {
 	n := 0
 	for _, c := range b.count[rank+1:] {
@@ -54,13 +55,13 @@
 	return n
 }
 
-// observedWait is how long an answer waited beyond its prompt, and when that was seen.
+// observedWait is how long a response waited beyond its own prefill, and when that was observed.
 type observedWait struct {
 	wait time.Duration
 	at   clock.Instant
 }
 
-// decayed is what it says of a request that is sent now.
+// decayed returns the wait that the observation implies for a request that is sent now.
 func (w observedWait) decayed(now clock.Instant) time.Duration {
 	age := now.Sub(w.at)
 	if age >= loadReportTTL {
@@ -69,10 +70,10 @@
 	return time.Duration(float64(w.wait) * (1 - float64(age)/float64(loadReportTTL)))
 }
 
-// recentWait is how long requests that go before a newcomer of a rank, or with it, have
-// lately waited at an endpoint of a load beyond what their prompts took; it fades as nothing more
-// is heard. Where by the endpoint's own word nothing runs there is nobody to wait for: those were held up
-// on their way.
+// recentWait returns how long requests of a rank or a more urgent one have recently waited at an
+// endpoint with a load beyond their own prefill. An observation decays with age. If the endpoint
+// reports that nothing runs, there is no request to wait for, and the observed responses were
+// delayed in transit.
 func (m *member) recentWait(rank int, load float64, now clock.Instant) time.Duration {
 	idle := now.Sub(m.loadAt) < loadReportTTL && load*float64(m.slots()) < 1
 	if m.queue == nil || idle {
@@ -85,10 +86,10 @@
 	return longest
 }
 
-// prefillWait is how long an endpoint reads prompts that go before a newcomer of a rank:
-// until it should be done with all, but no more than what has not begun takes: by the
-// clock alone a host that thinks engines slower than they are would take them for busy long after
-// a load.
+// prefillWait returns how long an endpoint prefills prompts that go before a new request of a rank.
+// It lasts until the endpoint should be done with all prompts, but no longer than the requests take
+// that have not begun: by the clock alone, a host that overestimates prefill times would take
+// engines for busy long after a load.
 func (m *member) prefillWait(rank int, now clock.Instant) time.Duration {
 	if m.queue == nil {
 		return 0
@@ -98,8 +99,9 @@
 	return max(0, all-behind)
 }
 
-// slotWait is how long a newcomer of a rank waits for one of an endpoint's slots: those
-// over them that don't go behind it end one after the other, each after the usual stay.
+// slotWait returns how long a new request of a rank waits for one of an endpoint's slots: the
+// requests in excess of the slots that don't go behind it end one after the other, each after the
+// usual time in a slot.
 func (m *member) slotWait(rank int, load float64, stay time.Duration) time.Duration {
 	slots := float64(m.slots())
 	over := load*slots + 1 - slots
@@ -109,28 +111,29 @@
 	return max(0, time.Duration(over/slots*float64(stay)))
 }
 
-// queueWait is how long a request of an urgency is expected to wait for others at an endpoint
-// of a load: the longest of what is worked out and of what was seen, which tell of the same wait.
+// queueWait returns how long a request of an urgency is expected to wait for others at an endpoint
+// with a load. It is the longest of the computed and observed waits, since all of them estimate the
+// same wait.
 func (f *Fleet) queueWait(m *member, urgency int, load float64, now clock.Instant) time.Duration {
 	r := rank(urgency)
 	full := m.slotWait(r, load, f.slotTime(m.Service))
 	return max(m.prefillWait(r, now), full, m.recentWait(r, load, now), m.overdue(now))
 }
 
-// Parameters of the time that requests hold a slot, from the answer's head on.
+// Parameters of the time that requests hold a slot, from the response head on.
 const (
-	slotTimeWeight = 0.02 // weight of an answer: some fifty count
-	// priorSlotTime is for hosts that have seen no answer end.
+	slotTimeWeight = 0.02 // weight of a response: about fifty responses count
+	// priorSlotTime is used by hosts that have seen no response end.
 	priorSlotTime = 1500 * time.Millisecond
 )
 
-// recordSlotTime takes in how long an answer took from its head to its end.
+// recordSlotTime records the time of a response from its head to its end.
 func (f *Fleet) recordSlotTime(service string, d time.Duration) {
 	old := f.slotTime(service)
 	f.slotTimes[service] = old + time.Duration(slotTimeWeight*float64(d-old))
 }
 
-// slotTime is how long requests of a service hold a slot.
+// slotTime returns how long requests of a service hold a slot.
 func (f *Fleet) slotTime(service string) time.Duration {
 	if d, ok := f.slotTimes[service]; ok {
 		return d
--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -6,42 +6,42 @@
 	"quaybarrow/internal/clock"
 )
 
-// WarmUp is what endpoints of a service bear while they are cold.
+// WarmUp is the load that endpoints of a service take while they are cold.
 type WarmUp struct {
-	Duration time.Duration // after a start, where the endpoint does not tell
-	// MaxRate is how many requests a second a cold endpoint may get, from all hosts
-	// together; 0 where it bears as many as others.
+	Duration time.Duration // time after a start, where the endpoint does not state it
+	// MaxRate is how many requests a second a cold endpoint may get from all hosts together; 0 if
+	// cold endpoints take as many as others.
 	MaxRate float64
 }
 
-// Choosers are those who choose endpoints at the same time.
+// Choosers counts the hosts that choose endpoints at the same time.
 type Choosers struct {
 	Hosts    int // all of them; 0 if not known
-	Advisers int // of these, hosts that choose for others
+	Advisers int // hosts among them that choose for others
 }
 
-// Parts of what a cold endpoint may get in a second. They add up to no more than all of it
-// where two hosts take themselves for the adviser, which lasts for about a second after one
-// is lost; see newPart for a third.
+// Shares of a cold endpoint's rate. They add up to at most 1 if two hosts act as adviser at the
+// same time, which lasts for about a second after an adviser is lost; newAdviserShare covers a
+// third one.
 const (
-	// advisedShare is for requests on which one host advises all others, which counts them.
+	// advisedShare is for requests on which one host advises all others and which it counts.
 	advisedShare = 0.4
-	// unadvisedShare is for requests with a prompt of hosts that get no advice, all together;
-	// each knows only its own.
+	// unadvisedShare is for requests with a prompt from all hosts that get no advice; each of them
+	// knows only its own.
 	unadvisedShare = 0.2
-	// plainShare is for requests without a prompt, on which nobody advises. They come at
-	// times by chance, so it is well below all.
+	// plainShare is for requests without a prompt, on which no host advises. They arrive at random,
+	// so their share is well below 1.
 	plainShare = 0.45
-	// busyShare is what an endpoint gets from an adviser before others are preferred that
-	// have got less, also if nobody says that it is cold: word of that takes a second or two.
+	// busyShare is what an endpoint gets from an adviser before endpoints that got less are
+	// preferred, even if the endpoint is not reported as cold: the report takes a second or two.
 	busyShare = 0.6
 )
 
-// tenure is for how long a host has chosen endpoints with knowledge of all requests, its own and those that it
-// advises others on; an immutable value.
+// tenure is the period in which a host has chosen endpoints with knowledge of all requests, its own
+// and those on which it advises others. It is immutable.
 type tenure struct{ since, last clock.Instant }
 
-// at returns the tenure after a choice; one that comes long after the last begins a new tenure.
+// at returns the tenure after a choice; a choice long after the last one starts a new tenure.
 func (t tenure) at(now clock.Instant) tenure {
 	if t.last.IsZero() || now.Sub(t.last) >= sendWindow {
 		t.since = now
@@ -50,12 +50,12 @@
 	return t
 }
 
-// isNew reports whether another host may have advised within the last sendSpan: this one does not know what
-// that host let through.
+// isNew reports whether another host may have advised within the last sendWindow, in which case
+// this host does not know which requests that host sent.
 func (t tenure) isNew(now clock.Instant) bool { return now.Sub(t.since) < sendWindow }
 
-// newAdviserShare takes the place of advisedPart at a host that has just begun to advise: the adviser before it may have
-// let its whole part through, and a third one may follow within the second.
+// newAdviserShare replaces advisedShare at a host that has just begun to advise: the adviser before
+// it may have used its whole share, and a third adviser may follow within the second.
 const newAdviserShare = 0.1
 
 // singleAdviser reports whether one host chooses the endpoints of all prompts.
@@ -63,25 +63,25 @@
 	return f.options.Choosers != nil && f.options.Choosers().Advisers == 1
 }
 
-// defaultHosts stands in for the hosts while their list is not known: as many as the largest
+// defaultHosts is the number of hosts while their list is not known: as many as the largest
 // deployment has.
 const defaultHosts = 350
 
-// sendWindow is over which sends to an endpoint are counted: a second, and what they differ
-// in the time they take to arrive.
+// sendWindow is the period over which sends to an endpoint are counted: a second, plus the
+// variation in the time that requests take to arrive.
 const sendWindow = 1100 * time.Millisecond
 
-// coldLimits is what one chooser may send to a cold endpoint of a service.
+// coldLimits is what one host may send to a cold endpoint of a service.
 type coldLimits struct {
 	duration    time.Duration
-	maxSends    int           // in sendSpan, of requests that this host knows all of
-	busySends   int           // as most, of endpoints that may be cold unknown
-	promptPause time.Duration // between two requests that other hosts don't know of
-	plainPause  time.Duration // as pause, for requests without a prompt
+	maxSends    int           // per sendWindow, of requests that this host knows all of
+	busySends   int           // per sendWindow, to endpoints that may be cold without this host knowing it
+	promptPause time.Duration // between two requests with a prompt that other hosts don't know of
+	plainPause  time.Duration // between two requests without a prompt
 }
 
-// coldLimits returns what this host may send to cold endpoints of a service; the zero value
-// where they bear as much as others.
+// coldLimits returns what this host may send to cold endpoints of a service; maxSends is 0 if they
+// take as much as others.
 func (f *Fleet) coldLimits(service string) coldLimits {
 	if f.options.WarmUp == nil {
 		return coldLimits{}
@@ -108,7 +108,7 @@
 	}
 }
 
-// pauseFor is the pause between two of a host's requests of a kind that others don't know
+// pauseFor returns the pause between two of a host's requests of a kind that other hosts don't know
 // of.
 func (w coldLimits) pauseFor(req Request) time.Duration {
 	if req.Key == 0 {
@@ -117,21 +117,21 @@
 	return w.promptPause
 }
 
-// warmUpState is how far an endpoint is from bearing its usual load.
+// warmUpState is the warm-up of an endpoint.
 type warmUpState struct {
 	coldUntil     clock.Instant   // cold until then
-	unanswered    bool            // it could not be reached, and has not answered since
-	failures      int             // attempts in a row that it failed
-	coldSince     clock.Instant   // when it turned cold
-	pausePhase    float64         // of the pause, until the first request of which other hosts don't know
-	lastUnadvised clock.Instant   // when the last such request went there
-	sends         []clock.Instant // in the last sendSpan, as far as this host knows
+	unanswered    bool            // it could not be reached or failed repeatedly, and has not answered since
+	failures      int             // failed attempts in a row
+	coldSince     clock.Instant   // when it became cold
+	pausePhase    float64         // part of the pause that passes before the first request that other hosts don't know of
+	lastUnadvised clock.Instant   // when the last such request was sent there
+	sends         []clock.Instant // in the last sendWindow, as far as this host knows
 }
 
-// cold reports whether the endpoint is taken to be cold.
+// cold reports whether the endpoint is assumed to be cold.
 func (w *warmUpState) cold(now clock.Instant) bool { return w.unanswered || now.Before(w.coldUntil) }
 
-// admits reports whether an attempt may go to the endpoint now.
+// admits reports whether an attempt may be sent to the endpoint now.
 func (w *warmUpState) admits(limits coldLimits, req Request, now clock.Instant) bool {
 	if limits.maxSends == 0 || !w.cold(now) {
 		return true
@@ -144,13 +144,13 @@
 	return !now.Before(later(first, w.lastUnadvised.Add(pause)))
 }
 
-// busy reports whether other endpoints are better used for an attempt, in case this one is
-// cold and nobody has said so yet.
+// busy reports whether other endpoints should be preferred for an attempt, in case this one is cold
+// and that has not been reported yet.
 func (w *warmUpState) busy(limits coldLimits, req Request, now clock.Instant) bool {
 	return limits.busySends > 0 && !req.unadvised() && w.recentSends(now) >= limits.busySends
 }
 
-// recentSends is how many requests went to the endpoint lately.
+// recentSends returns how many requests were sent to the endpoint in the last sendWindow.
 func (w *warmUpState) recentSends(now clock.Instant) int {
 	for len(w.sends) > 0 && now.Sub(w.sends[0]) >= sendWindow {
 		w.sends = w.sends[1:]
@@ -158,10 +158,10 @@
 	return len(w.sends)
 }
 
-// unadvised reports whether other hosts may send the like at the same time.
+// unadvised reports whether other hosts may send requests of the same kind at the same time.
 func (a Request) unadvised() bool { return a.Unadvised || a.Key == 0 }
 
-// recordSend notes that an attempt goes to an endpoint, and uses a part of what may be sent there.
+// recordSend records that an attempt is sent to an endpoint, and uses one request of its limits.
 func (f *Fleet) recordSend(m *member, req Request, now clock.Instant) {
 	if f.enforcesLimit(m) {
 		m.limit.take(now)
@@ -177,8 +177,9 @@
 	}
 }
 
-// applyCold takes in an endpoint's entry. One that is listed for the first time while the host
-// follows the list has just started, whatever its entry says of a moment ago.
+// applyCold applies the warm-up of an endpoint's entry. An endpoint that is listed for the first
+// time while the host follows the list has just started, even if its entry, which may be a moment
+// old, does not state a warm-up.
 func (f *Fleet) applyCold(m *member, first bool) {
 	left := m.Cold
 	if first && f.listRead {
@@ -189,8 +190,8 @@
 	}
 }
 
-// markCold takes an endpoint for cold for a time. The hosts that get no advice begin at moments
-// spread by chance: all at once they would send as many requests as there are hosts.
+// markCold marks an endpoint as cold for a time. Hosts that get no advice send their first request
+// after random delays: at the same moment they would send as many requests as there are hosts.
 func (f *Fleet) markCold(m *member, left time.Duration, now clock.Instant) {
 	if !m.warmUp.cold(now) {
 		m.warmUp.coldSince, m.warmUp.pausePhase = now, f.options.Random()
@@ -198,15 +199,15 @@
 	m.warmUp.coldUntil = later(m.warmUp.coldUntil, now.Add(left))
 }
 
-// maxFailures is how many attempts in a row an endpoint fails before it is taken to have been
-// lost: one that ends breaks all that runs there. Of one that loses two answers in five, as
-// the worst do, four in a row are lost once in forty.
+// maxFailures is how many attempts in a row an endpoint fails before it is assumed to have
+// restarted: an endpoint that ends breaks all requests that run there. An endpoint that loses two
+// answers in five, the worst rate in practice, loses four in a row in one of forty cases.
 const maxFailures = 4
 
-// trackWarmUp takes in how an attempt at an endpoint went. One that could not be reached, or that
-// fails all it gets, may have started again, and nobody says so for a second or two, or for
-// as long as the store is away: it is cold until it has answered, and for as long after that
-// as after a start.
+// trackWarmUp records the outcome of an attempt for the warm-up of an endpoint. An endpoint that
+// could not be reached, or that fails all requests, may have restarted, which is not reported for a
+// second or two, or for the duration of a store outage. It is cold until it answers, and then for
+// as long as after a start.
 func (f *Fleet) trackWarmUp(m *member, o Outcome, now clock.Instant) {
 	lasts := f.coldLimits(m.Service).duration
 	if lasts == 0 {
--- a/internal/fleet/warm_test.go
+++ b/internal/fleet/warm_test.go
@@ -12,13 +12,13 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// Load of the specs: a cold endpoint bears 10 requests a second and may get 20, for 3 s.
+// Load of the specs: a cold endpoint takes 10 requests a second and may get 20, for 3 s.
 const (
 	coldRate     = 20.0
 	coldDuration = 3 * time.Second
 )
 
-// paused runs a body under the paused clock, until what it has sent has ended.
+// paused runs a body under the paused clock, until the requests that it sent have ended.
 func paused(body func()) {
 	suite.Paused(func() {
 		body()
@@ -26,14 +26,14 @@
 	})
 }
 
-// hostGroup is hosts that send to the same endpoints; the first advises as many of the others as
-// hear of it.
+// hostGroup is a group of hosts that send to the same endpoints. The first host advises the other
+// hosts that it can reach.
 type hostGroup struct {
 	hosts     []*fleet.Fleet
-	unadvised func(host int) bool // it gets no advice now
-	adviserOf func(host int) int  // whom it asks for advice
+	unadvised func(host int) bool // the host gets no advice now
+	adviserOf func(host int) int  // the host that it asks for advice
 	random    *rand.Rand
-	sent      map[string][]time.Time // by endpoint
+	sent      map[string][]time.Time // times of requests, by endpoint
 	unplaced  int                    // requests for which there was no endpoint
 }
 
@@ -59,14 +59,14 @@
 	return list
 }
 
-// each does something on every host.
+// each calls a function for every host.
 func (c *hostGroup) each(do func(f *fleet.Fleet)) {
 	for _, f := range c.hosts {
 		do(f)
 	}
 }
 
-// sendFor sends so many requests a second from hosts drawn by chance.
+// sendFor sends requests at a rate for a time from random hosts.
 func (c *hostGroup) sendFor(span time.Duration, perSecond float64, newRequest func() fleet.Request) {
 	for start := time.Now(); time.Since(start) < span; {
 		time.Sleep(time.Duration(c.random.ExpFloat64() / perSecond * float64(time.Second)))
@@ -114,7 +114,7 @@
 	return h
 }
 
-// maxPerSecond is the largest number of requests that an endpoint got in a second.
+// maxPerSecond returns the largest number of requests within a second.
 func maxPerSecond(times []time.Time) int {
 	worst, from := 0, 0
 	for i, t := range times {
@@ -126,7 +126,7 @@
 	return worst
 }
 
-// maxRateOf is the largest number that one of some endpoints got in a second.
+// maxRateOf returns the largest number of requests that any of some endpoints got within a second.
 func (c *hostGroup) maxRateOf(concerns func(id string) bool) int {
 	worst := 0
 	for id, times := range c.sent {
@@ -137,7 +137,7 @@
 	return worst
 }
 
-// newPrompt draws a prompt that nobody has.
+// newPrompt returns a request with a new random prompt.
 func (c *hostGroup) newPrompt() fleet.Request {
 	return fleet.Request{Service: "s", Key: c.random.Uint64() | 1, Model: "m", Tokens: 600, SharedTokens: 300, Objective: 1500 * time.Millisecond}
 }
@@ -154,15 +154,15 @@
 		"6 hosts": {6, 1, 60}, "61 hosts": {61, 1, 100}, "295 hosts": {295, 5, 160}, "345 hosts": {345, 5, 160},
 	}
 	advice := map[string]func(host int) bool{
-		"advised":          func(int) bool { return false },
-		"half get none":    func(host int) bool { return host%2 == 1 },
-		"none get any":     func(int) bool { return true },
-		"lost for 500 ms":  func(int) bool { return time.Now().UnixMilli()%2000 < 500 },
-		"the first is new": func(host int) bool { return host > 3 },
+		"advised":                 func(int) bool { return false },
+		"half get no advice":      func(host int) bool { return host%2 == 1 },
+		"none get advice":         func(int) bool { return true },
+		"adviser lost for 500 ms": func(int) bool { return time.Now().UnixMilli()%2000 < 500 },
+		"adviser new to most":     func(host int) bool { return host > 3 },
 	}
 	for size, n := range sizes {
 		for name, unadvised := range advice {
-			It("gets no more than it may: "+size+", "+name, func() {
+			It("gets no more than its limit: "+size+", "+name, func() {
 				paused(func() {
 					c := newHostGroup(n.hosts, n.advisers, n.endpoints)
 					c.unadvised = unadvised
@@ -171,15 +171,16 @@
 					clear(c.sent)
 					c.sendFor(2900*time.Millisecond, 600, c.newPrompt)
 					Expect(c.maxRateOf(isCold)).To(BeNumerically("<=", int(coldRate)))
-					Expect(c.unplaced).To(BeZero(), "warm ones had room")
+					Expect(c.unplaced).To(BeZero(), "warm endpoints had free slots")
 				})
 			})
 		}
 	}
 
-	// A cold endpoint got more than it may within a second in which three hosts advised one after the other.
+	// A cold endpoint got more requests than its limit within a second in which three hosts advised
+	// one after the other.
 	for _, hosts := range []int{4, 7, 60, 345} {
-		It(fmt.Sprintf("gets no more than it may while advisers are lost one after the other: %d hosts", hosts), func() {
+		It(fmt.Sprintf("gets no more than its limit while advisers are lost one after the other: %d hosts", hosts), func() {
 			paused(func() {
 				c := newHostGroup(hosts, 1, 60)
 				c.sendFor(time.Second, 600, c.newPrompt)
@@ -192,12 +193,12 @@
 				}
 				c.sendFor(2900*time.Millisecond, 600, c.newPrompt)
 				Expect(c.maxRateOf(isCold)).To(BeNumerically("<=", int(coldRate)))
-				Expect(c.unplaced).To(BeZero(), "warm ones had room")
+				Expect(c.unplaced).To(BeZero(), "warm endpoints had free slots")
 			})
 		})
 	}
 
-	It("is used meanwhile, and as others once it is warm", func() {
+	It("is used while cold, and like others once it is warm", func() {
 		paused(func() {
 			c := newHostGroup(61, 1, 60)
 			c.each(makeCold)
@@ -216,7 +217,7 @@
 		})
 	})
 
-	It("is one that is listed while requests run, whatever it says", func() {
+	It("is one that is listed while requests run, even if its entry says otherwise", func() {
 		paused(func() {
 			c := newHostGroup(61, 1, 5)
 			c.sendFor(time.Second, 60, c.newPrompt)
@@ -228,7 +229,7 @@
 		})
 	})
 
-	It("is one of a hall that is taken back", func() {
+	It("is one of a hall that returns to use", func() {
 		paused(func() {
 			c := newHostGroup(61, 1, 90)
 			inLekki := func(id string) bool { e, _ := c.hosts[0].Listed(id); return e.Hall == "lekki" }
@@ -245,7 +246,7 @@
 
 	failureModes := map[string]func(f *fleet.Fleet, h *fleet.Hold){
 		"can't be reached": func(_ *fleet.Fleet, h *fleet.Hold) { h.Done(fleet.Result{Outcome: fleet.OutcomeLost}) },
-		"broke all that ran there": func(f *fleet.Fleet, h *fleet.Hold) {
+		"failed all requests that ran there": func(f *fleet.Fleet, h *fleet.Hold) {
 			h.Done(fleet.Result{Outcome: fleet.OutcomeFailed})
 			f.AddTally(h.Endpoint.ID, fleet.Tally{Failed: 3})
 		},
@@ -257,7 +258,7 @@
 				h, _ := c.hosts[0].Pick(c.newPrompt())
 				id := h.Endpoint.ID
 				fail(c.hosts[0], h)
-				time.Sleep(2100 * time.Millisecond) // of its ejection
+				time.Sleep(2100 * time.Millisecond) // until its ejection ends
 				c.sendFor(2500*time.Millisecond, 200, c.newPrompt)
 				Expect(maxPerSecond(c.sent[id])).To(BeNumerically("<=", coldRate*2/5+1))
 				Expect(c.sent[id]).NotTo(BeEmpty())
@@ -269,7 +270,7 @@
 		})
 	}
 
-	It("is not one that fails now and then", func() {
+	It("is not one that fails occasionally", func() {
 		paused(func() {
 			c := newHostGroup(1, 1, 1)
 			for range 10 {
@@ -280,7 +281,7 @@
 		})
 	})
 
-	It("gets no more than it may of requests that nobody advises on", func() {
+	It("gets no more than its limit of requests that no host advises on", func() {
 		paused(func() {
 			c := newHostGroup(61, 1, 6)
 			c.each(func(f *fleet.Fleet) {
@@ -295,10 +296,10 @@
 		})
 	})
 
-	It("that nobody knows of gets no more from an adviser than it may", func() {
+	It("gets no more than its limit from an adviser that does not know that it is cold", func() {
 		paused(func() {
 			c := newHostGroup(61, 1, 40)
-			prompt := c.newPrompt() // a prompt that is dear to read again
+			prompt := c.newPrompt() // a prompt that is expensive to prefill again
 			prompt.Tokens, prompt.SharedTokens, prompt.Parts = 20_000, 19_900, []fleet.Part{{ID: 7, Tokens: 19_900}, {ID: 8, Tokens: 100}}
 			c.sendFor(4*time.Second, 30, func() fleet.Request { return prompt })
 			Expect(c.maxRateOf(func(string) bool { return true })).To(BeNumerically("<=", coldRate*3/5+1))
