--- a/internal/fleet/endpoint.go
+++ b/internal/fleet/endpoint.go
@@ -23,24 +23,24 @@
 
 // Endpoint is a listed endpoint. It is immutable.
 type Endpoint struct {
-	ID          string // unique to this start of the endpoint
-	Instance    string // name of the endpoint, the same in all its starts; empty means the ID
-	StartMillis int64  // Unix time of this start in ms; 0 if not stated
-	Service     string
-	Address     string // ip:port
-	Hall        string
-	Version     string        // of its software
-	Slots       int           // requests that it runs at the same time
-	Draining    bool          // it takes no new requests
-	Cold        time.Duration // time until it takes its usual load, as stated by its entry
-	Spot        bool          // the platform may reclaim it at short notice
+	ID       string // unique to this start of the endpoint
+	Instance string // name of the endpoint, the same in all its starts; empty means the ID
+	Born     int64  // Unix time of this start in ms; 0 if not stated
+	Service  string
+	Address  string // ip:port
+	Hall     string
+	Version  string        // of its software
+	Slots    int           // requests that it runs at the same time
+	Draining bool          // it takes no new requests
+	Cold     time.Duration // time until it takes its usual load, as stated by its entry
+	Spot     bool          // the platform may reclaim it at short notice
 }
 
 // WithStart returns the endpoint as one that started at a time, in Unix ms. All knowledge of an
 // endpoint (cached prompts, load, health, awaited responses) is stored by ID, so none of it applies
 // to a later start, whose process has kept nothing of an earlier one.
 func (e Endpoint) WithStart(born int64) Endpoint {
-	e.Instance, e.StartMillis = e.name(), born
+	e.Instance, e.Born = e.name(), born
 	e.ID = e.Instance + "@" + strconv.FormatInt(born, 10)
 	return e
 }
--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -156,7 +156,7 @@
 		f.Reset([]fleet.Endpoint{start(1)}, false)
 		now, ok := f.Listed("e")
 		Expect(ok).To(BeTrue())
-		Expect(now.StartMillis).To(Equal(int64(2)))
+		Expect(now.Born).To(Equal(int64(2)))
 	})
 
 	It("stays the same start if its entry does not state the start", func() {
@@ -165,7 +165,7 @@
 		again := f.Put(fleet.Endpoint{ID: "e", Service: "s", Hall: "ikeja", Draining: true})
 		Expect(again).To(BeFalse())
 		now, _ := f.Listed("e")
-		Expect(now.StartMillis).To(Equal(int64(2)))
+		Expect(now.Born).To(Equal(int64(2)))
 		_, ok := f.Pick(plain)
 		Expect(ok).To(BeFalse(), "it is draining")
 	})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -146,12 +146,12 @@
 	}
 	e = f.intern(e)
 	old, listed := f.instances[e.Instance]
-	if listed && e.StartMillis == 0 {
-		e.ID, e.StartMillis = old.ID, old.StartMillis // the entry does not state the start
+	if listed && e.Born == 0 {
+		e.ID, e.Born = old.ID, old.Born // the entry does not state the start
 	}
 	switch {
 	case !listed || old.ID == e.ID:
-	case e.StartMillis < old.StartMillis:
+	case e.Born < old.Born:
 		return false
 	default:
 		f.remove(e.Instance)
