--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -9,7 +9,7 @@
 // Limit is what a response states about how many requests its endpoint takes from all hosts
 // together.
 type Limit struct {
-	Present   bool    // false if the endpoint takes any number of requests
+	Named     bool    // false if the endpoint takes any number of requests
 	Rate      float64 // requests a second
 	Malformed string  // the beginning of the limit's text if it can't be parsed
 }
@@ -97,7 +97,7 @@
 		before = m.limit.rate
 	}
 	switch {
-	case l.Present:
+	case l.Named:
 		f.applyLimit(m, LimitUpdate{Rate: max(l.Rate, minLimit), Since: now, ConfirmedAt: now})
 	case before > 0 && l.Malformed == "" && sent.After(m.limit.confirmedAt):
 		f.applyLimit(m, LimitUpdate{ConfirmedAt: now})
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -23,7 +23,7 @@
 }
 
 // statedLimit returns the limit in a response that states one.
-func statedLimit(rate float64) fleet.Limit { return fleet.Limit{Present: true, Rate: rate} }
+func statedLimit(rate float64) fleet.Limit { return fleet.Limit{Named: true, Rate: rate} }
 
 // tries is enough requests for each of two endpoints to get some.
 const tries = 50
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -27,7 +27,7 @@
 // says nothing of this one.
 func (a *attempt) hearLimit() {
 	l, endpoint := a.said.Limit, a.hold.Endpoint.ID
-	if a.answer.StatusCode == http.StatusMisdirectedRequest || (!l.Present && l.Malformed == "" && !a.said.Sealed) {
+	if a.answer.StatusCode == http.StatusMisdirectedRequest || (!l.Named && l.Malformed == "" && !a.said.Sealed) {
 		return
 	}
 	g := a.x.g
--- a/internal/ratelimit/callers_test.go
+++ b/internal/ratelimit/callers_test.go
@@ -91,7 +91,7 @@
 	time.Sleep(answerTime)
 	var i int
 	_, _ = fmt.Sscanf(id, "e%d", &i)
-	f.ObserveLimit(id, fleet.Limit{Present: i < w.limited, Rate: w.rate}, sent)
+	f.ObserveLimit(id, fleet.Limit{Named: i < w.limited, Rate: w.rate}, sent)
 	hold.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 }
 
