--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -9,9 +9,9 @@
 // Limit is what a response states about how many requests its endpoint takes from all hosts
 // together.
 type Limit struct {
-	Named     bool    // false if the endpoint takes any number of requests
-	Rate      float64 // requests a second
-	Malformed string  // the beginning of the limit's text if it can't be parsed
+	Named  bool    // false if the endpoint takes any number of requests
+	Rate   float64 // requests a second
+	Unread string  // the beginning of the limit's text if it can't be parsed
 }
 
 // LimitUpdate is a host's knowledge of an endpoint's limit, to be sent to other hosts. It is
@@ -99,7 +99,7 @@
 	switch {
 	case l.Named:
 		f.applyLimit(m, LimitUpdate{Rate: max(l.Rate, minLimit), Since: now, ConfirmedAt: now})
-	case before > 0 && l.Malformed == "" && sent.After(m.limit.confirmedAt):
+	case before > 0 && l.Unread == "" && sent.After(m.limit.confirmedAt):
 		f.applyLimit(m, LimitUpdate{ConfirmedAt: now})
 		m.limit.endUntold = true
 		f.needLoan(m, now)
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -91,7 +91,7 @@
 			time.Sleep(time.Second)
 			_, after := f.ObserveLimit("e0", fleet.Limit{}, early)
 			Expect(after).To(BeEquivalentTo(2), "the response may be older than the limit")
-			_, after = f.ObserveLimit("e0", fleet.Limit{Malformed: "abc"}, clock.Now())
+			_, after = f.ObserveLimit("e0", fleet.Limit{Unread: "abc"}, clock.Now())
 			Expect(after).To(BeEquivalentTo(2), "a malformed limit changes nothing")
 			_, after = f.ObserveLimit("e0", fleet.Limit{}, clock.Now())
 			Expect(after).To(BeZero())
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -27,13 +27,13 @@
 // says nothing of this one.
 func (a *attempt) hearLimit() {
 	l, endpoint := a.said.Limit, a.hold.Endpoint.ID
-	if a.answer.StatusCode == http.StatusMisdirectedRequest || (!l.Named && l.Malformed == "" && !a.said.Sealed) {
+	if a.answer.StatusCode == http.StatusMisdirectedRequest || (!l.Named && l.Unread == "" && !a.said.Sealed) {
 		return
 	}
 	g := a.x.g
-	if l.Malformed != "" {
+	if l.Unread != "" {
 		g.unread.Do(func() {
-			g.Logger.Warn("limit of an endpoint can't be read", "endpoint", endpoint, "text", l.Malformed)
+			g.Logger.Warn("limit of an endpoint can't be read", "endpoint", endpoint, "text", l.Unread)
 		})
 	}
 	before, after := g.Fleet.ObserveLimit(endpoint, l, a.sentAt)
