--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -39,7 +39,7 @@
 			load := func() int {
 				n := 0
 				for range 6 {
-					h, ok := f.Pick(plain)
+					h, ok := f.Pick(plainRequest)
 					Expect(ok).To(BeTrue())
 					if h.Endpoint.ID == "e0" {
 						n++
@@ -69,15 +69,15 @@
 		Expect(ok).To(BeFalse())
 		_, ok = f.PickAt(fleet.Advice{Endpoint: "e1"}, fleet.Request{Service: "t"})
 		Expect(ok).To(BeFalse())
-		_, ok = f.PickAt(fleet.Advice{Endpoint: "gone"}, plain)
+		_, ok = f.PickAt(fleet.Advice{Endpoint: "gone"}, plainRequest)
 		Expect(ok).To(BeFalse())
-		h, ok := f.PickAt(fleet.Advice{Endpoint: "e1"}, plain)
+		h, ok := f.PickAt(fleet.Advice{Endpoint: "e1"}, plainRequest)
 		Expect(ok).To(BeTrue())
 		ended := 0
 		h.OnDone = func() { ended++ }
 		h.Done(fleet.Result{Outcome: fleet.OutcomeLost})
 		Expect(ended).To(Equal(1))
-		_, ok = f.PickAt(fleet.Advice{Endpoint: "e1"}, plain)
+		_, ok = f.PickAt(fleet.Advice{Endpoint: "e1"}, plainRequest)
 		Expect(ok).To(BeFalse(), "it could not be reached a moment ago")
 	})
 
--- a/internal/fleet/nominate.go
+++ b/internal/fleet/candidates.go
@@ -35,15 +35,15 @@
 
 // candidates are the endpoints that are scored for an attempt.
 type candidates struct {
-	list [maxHolders + maxBeginningHolders + maxHomes + maxLocal + maxAnywhere + maxWithLoans]*member
-	n    int
+	list  [maxHolders + maxBeginningHolders + maxHomes + maxLocal + maxAnywhere + maxWithLoans]*member
+	count int
 }
 
 // add adds an endpoint unless it is already among the candidates.
 func (n *candidates) add(m *member) {
-	if n.n < len(n.list) && !slices.Contains(n.list[:n.n], m) {
-		n.list[n.n] = m
-		n.n++
+	if n.count < len(n.list) && !slices.Contains(n.list[:n.count], m) {
+		n.list[n.count] = m
+		n.count++
 	}
 }
 
@@ -64,7 +64,7 @@
 // addWithLoans adds endpoints that state limits and of which loans are available.
 func (f *Fleet) addWithLoans(n *candidates, req Request, now clock.Instant) {
 	for _, m := range f.withLoans {
-		if n.n < maxWithLoans && m.Service == req.Service && m.limit.active() && m.limit.available(now) > 0 && f.usable(m, req) {
+		if n.count < maxWithLoans && m.Service == req.Service && m.limit.active() && m.limit.available(now) > 0 && f.usable(m, req) {
 			n.add(m)
 		}
 	}
@@ -79,9 +79,9 @@
 		return
 	}
 	for i := len(parts) - 1; i > 0; i-- {
-		before := n.n
+		before := n.count
 		f.sampleHolders(n, f.prefixes.holders[parts[i].ID], maxHolders, req, now)
-		if n.n > before {
+		if n.count > before {
 			break
 		}
 	}
--- a/internal/fleet/evacuate_test.go
+++ b/internal/fleet/evacuate_test.go
@@ -24,7 +24,7 @@
 	}
 
 	It("gets no requests until it returns to use", func() {
-		for name, req := range map[string]fleet.Request{"plain": plain, "prompt": prompt(7)} {
+		for name, req := range map[string]fleet.Request{"plain": plainRequest, "prompt": promptRequest(7)} {
 			f := newFleet()
 			f.Evacuate([]string{"ikeja"})
 			Expect(hallsUsed(f, req)).To(Equal(map[string]int{"lekki": 12}), name)
@@ -37,14 +37,14 @@
 
 	It("gets no requests by advice from before or after the evacuation", func() {
 		f := newFleet()
-		before, ok := f.Advise(prompt(7))
+		before, ok := f.Advise(promptRequest(7))
 		Expect(ok).To(BeTrue())
 		at, _ := f.Listed(before.Endpoint)
 		f.Evacuate([]string{at.Hall})
-		_, ok = f.PickAt(before, prompt(7))
+		_, ok = f.PickAt(before, promptRequest(7))
 		Expect(ok).To(BeFalse())
 		for range 20 {
-			after, ok := f.Advise(prompt(7))
+			after, ok := f.Advise(promptRequest(7))
 			Expect(ok).To(BeTrue())
 			e, _ := f.Listed(after.Endpoint)
 			Expect(e.Hall).NotTo(Equal(at.Hall))
@@ -55,14 +55,14 @@
 		f := newFleet()
 		f.Evacuate([]string{"ikeja", "lekki", "nowhere"})
 		f.Put(fleet.Endpoint{ID: "late", Service: "s", Hall: "ikeja", Slots: 4})
-		Expect(hallsUsed(f, plain)).To(BeEmpty())
+		Expect(hallsUsed(f, plainRequest)).To(BeEmpty())
 		f.Put(fleet.Endpoint{ID: "else", Service: "s", Hall: "yaba", Slots: 4})
-		Expect(hallsUsed(f, plain)).To(Equal(map[string]int{"yaba": 12}))
+		Expect(hallsUsed(f, plainRequest)).To(Equal(map[string]int{"yaba": 12}))
 	})
 
 	It("keeps its running requests, and its versions stay listed", func() {
 		f := newFleet()
-		h, _ := f.Pick(plain)
+		h, _ := f.Pick(plainRequest)
 		f.Evacuate([]string{"ikeja"})
 		Expect(f.InFlight(h.Endpoint.ID)).To(Equal(1))
 		Expect(f.Versions("s")).To(Equal(map[string]int{"v1": 6}))
@@ -86,7 +86,7 @@
 		f := fleet.New(fleet.Options{Hall: "ikeja", Regions: map[string]string{"ikeja": "lagos", "lekki": "abuja"}})
 		addEndpoints(f)
 		for range 24 {
-			req := prompt(7)
+			req := promptRequest(7)
 			req.Regions = []string{"abuja"}
 			h, ok := f.Pick(req)
 			Expect(ok).To(BeTrue())
@@ -98,7 +98,7 @@
 			_, ok = f.PickAt(a, req)
 			Expect(ok).To(BeTrue())
 		}
-		req := prompt(7)
+		req := promptRequest(7)
 		req.Regions = []string{"accra"}
 		_, ok := f.Pick(req)
 		Expect(ok).To(BeFalse())
@@ -114,18 +114,18 @@
 		suite.Paused(func() {
 			f := fleet.New(fleet.Options{Hall: "ikeja", WarmUp: func(string) fleet.WarmUp { return fleet.WarmUp{Duration: time.Second, MaxRate: 100} }})
 			f.Reset([]fleet.Endpoint{start(1)}, false)
-			sent, ok := f.Pick(prompt(7))
+			sent, ok := f.Pick(promptRequest(7))
 			Expect(ok).To(BeTrue())
 			f.AddTally(start(1).ID, fleet.Tally{Failed: 5})
 			Expect(f.Ejected()).To(Equal([]string{start(1).ID}))
-			advice, ok := f.Advise(prompt(9))
+			advice, ok := f.Advise(promptRequest(9))
 			Expect(ok).To(BeTrue())
 
 			Expect(f.Put(start(2))).To(BeTrue())
 			Expect(f.Ejected()).To(BeEmpty(), "its failures")
 			Expect(f.View()).To(HaveLen(1))
 			Expect(f.View()[0].InFlight).To(BeZero(), "its requests")
-			e, ok := f.Expect(prompt(7))
+			e, ok := f.Expect(promptRequest(7))
 			Expect(ok).To(BeTrue())
 			Expect(e.PrefillTokens).To(Equal(6000), "its cached prompts")
 			Expect(e.Queue).To(BeZero(), "its awaited responses")
@@ -136,14 +136,14 @@
 			f.ApplyEjections([]string{start(1).ID})
 			f.Report(start(1).ID, fleet.Report{Load: fleet.Load{Running: 40, Slots: 4}, Draining: true})
 			f.ObserveHead(fleet.HeadReport{Endpoint: start(1).ID, Service: "s", Model: "m", Ticket: advice.Ticket, Load: fleet.Load{Running: 4, Waiting: 30, Slots: 4}})
-			_, ok = f.PickAt(advice, prompt(9))
+			_, ok = f.PickAt(advice, promptRequest(9))
 			Expect(ok).To(BeFalse(), "advice on the earlier start")
 			view := f.View()[0]
 			Expect(view.InFlight).To(BeZero())
 			Expect(view.Others).To(BeZero())
 			Expect(view.Ready).To(BeTrue())
 			time.Sleep(2 * time.Second) // until it is warm
-			h, ok := f.Pick(plain)
+			h, ok := f.Pick(plainRequest)
 			Expect(ok).To(BeTrue())
 			Expect(h.Endpoint.Instance).To(Equal("e"))
 		})
@@ -166,7 +166,7 @@
 		Expect(again).To(BeFalse())
 		now, _ := f.Listed("e")
 		Expect(now.Born).To(Equal(int64(2)))
-		_, ok := f.Pick(plain)
+		_, ok := f.Pick(plainRequest)
 		Expect(ok).To(BeFalse(), "it is draining")
 	})
 
@@ -182,7 +182,7 @@
 				f := fleet.New(fleet.Options{Hall: "ikeja"})
 				f.Put(start(1))
 				gone(f)
-				_, ok := f.Pick(plain)
+				_, ok := f.Pick(plainRequest)
 				Expect(ok).To(BeFalse(), name)
 			})
 		}
--- a/internal/fleet/expect.go
+++ b/internal/fleet/expect.go
@@ -11,7 +11,7 @@
 	Queue         time.Duration // part of Head: the wait for other requests
 	PrefillTime   time.Duration // time in which the engine prefills the prompt
 	PrefillTokens int           // tokens of the prompt that have to be prefilled
-	Exact         bool          // none of these tokens can be cached: all parts that other requests share are known to be cached
+	Exact         bool          // none of these tokens can be cached: all shared parts are known to be cached
 	Price         float64       // seconds that other requests wait for a second of work
 	// Overrun is how much longer than expected response heads take.
 	Overrun Overrun
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -32,9 +32,9 @@
 	return f
 }
 
-var plain = fleet.Request{Service: "s"}
+var plainRequest = fleet.Request{Service: "s"}
 
-func prompt(key uint64) fleet.Request {
+func promptRequest(key uint64) fleet.Request {
 	return fleet.Request{Service: "s", Key: key, Model: "m", Tokens: 6000, SharedTokens: 5000, Objective: 2 * time.Second}
 }
 
@@ -43,7 +43,7 @@
 		f := newFleet()
 		halls := map[string]int{}
 		for range 24 {
-			h, ok := f.Pick(plain)
+			h, ok := f.Pick(plainRequest)
 			Expect(ok).To(BeTrue())
 			halls[h.Endpoint.Hall]++
 			if halls["lekki"] == 0 {
@@ -58,7 +58,7 @@
 			f := newFleet()
 			seen := map[string]int{}
 			for range 50 {
-				h, _ := f.Pick(prompt(7))
+				h, _ := f.Pick(promptRequest(7))
 				seen[h.Endpoint.ID]++
 				time.Sleep(60 * time.Millisecond)
 				h.Head(fleet.Load{})
@@ -67,7 +67,7 @@
 			Expect(seen).To(HaveLen(1))
 			held := map[string]int{}
 			for range 30 {
-				h, _ := f.Pick(prompt(7))
+				h, _ := f.Pick(promptRequest(7))
 				held[h.Endpoint.ID]++
 			}
 			Expect(len(held)).To(BeNumerically(">", 1))
@@ -78,21 +78,21 @@
 		suite.Paused(func() {
 			f := newFleet()
 			for key := range uint64(8) {
-				h, _ := f.Pick(prompt(100 + key))
+				h, _ := f.Pick(promptRequest(100 + key))
 				time.Sleep(60 * time.Millisecond)
 				h.Head(fleet.Load{})
 				h.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 			}
-			home, _ := f.Pick(prompt(7))
+			home, _ := f.Pick(promptRequest(7))
 			time.Sleep(1500 * time.Millisecond)
 			home.Head(fleet.Load{})
 			home.Done(fleet.Result{Outcome: fleet.OutcomeGood})
-			other, _ := f.Pick(prompt(7))
+			other, _ := f.Pick(promptRequest(7))
 			Expect(other.Endpoint.ID).NotTo(Equal(home.Endpoint.ID))
 			other.Done(fleet.Result{})
 			time.Sleep(3 * time.Second)
 			for range 20 {
-				again, _ := f.Pick(prompt(7))
+				again, _ := f.Pick(promptRequest(7))
 				Expect(again.Endpoint.ID).To(BeElementOf(home.Endpoint.ID, other.Endpoint.ID), "both have the prompt cached")
 				again.Done(fleet.Result{})
 			}
@@ -120,7 +120,7 @@
 				}
 				excluded[id] = true
 			}
-			req := prompt(rapid.Uint64Range(0, 3).Draw(t, "key"))
+			req := promptRequest(rapid.Uint64Range(0, 3).Draw(t, "key"))
 			req.Avoid = []string{"e0"}
 			req.Allowed = func(v string) bool { return v == "v1" }
 			excluded["e0"] = true
@@ -143,11 +143,11 @@
 				h, _ := f.Pick(fleet.Request{Service: "s", Avoid: []string{"far"}})
 				h.Done(fleet.Result{Outcome: fleet.OutcomeFailed})
 			}
-			h, _ := f.Pick(plain)
+			h, _ := f.Pick(plainRequest)
 			Expect(h.Endpoint.ID).To(Equal("far"))
 			h.Done(fleet.Result{})
 			time.Sleep(10 * time.Second)
-			h, _ = f.Pick(plain)
+			h, _ = f.Pick(plainRequest)
 			Expect(h.Endpoint.ID).To(Equal("bad"))
 		})
 	})
@@ -156,7 +156,7 @@
 		f := fleet.New(fleet.Options{Hall: "ikeja"})
 		f.Put(fleet.Endpoint{ID: "bad", Service: "s", Hall: "ikeja", Slots: 4})
 		for range 9 {
-			h, ok := f.Pick(plain)
+			h, ok := f.Pick(plainRequest)
 			Expect(ok).To(BeTrue())
 			h.Done(fleet.Result{Outcome: fleet.OutcomeFailed})
 		}
--- a/internal/fleet/heard.go
+++ b/internal/fleet/head.go
@@ -21,7 +21,7 @@
 
 // OnHead sets a function that is called with the report of each response head of a request with a
 // prompt. It must be set before any attempt is made.
-func (f *Fleet) OnHead(heard func(HeadReport)) { f.onHead = heard }
+func (f *Fleet) OnHead(observe func(HeadReport)) { f.onHead = observe }
 
 // ObserveHead records a head report of another host.
 func (f *Fleet) ObserveHead(h HeadReport) {
@@ -81,7 +81,7 @@
 // remoteLoadWeight is the weight of a load report: about thirty reports count.
 const remoteLoadWeight = 0.03
 
-func (c *remoteLoad) add(others int) { c.mean += remoteLoadWeight * (float64(others) - c.mean) }
+func (r *remoteLoad) add(others int) { r.mean += remoteLoadWeight * (float64(others) - r.mean) }
 
 func (f *Fleet) remoteLoadOf(service string) *remoteLoad {
 	c, ok := f.remoteLoads[service]
--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -25,13 +25,13 @@
 
 // NewLimitUpdate returns an update from ages, which messages between hosts contain instead of
 // times.
-func NewLimitUpdate(endpoint string, rate float64, heard, since time.Duration, now clock.Instant) LimitUpdate {
-	return LimitUpdate{Endpoint: endpoint, Rate: rate, ConfirmedAt: now.Add(-heard), Since: now.Add(-since)}
+func NewLimitUpdate(endpoint string, rate float64, confirmedAgo, sinceAgo time.Duration, now clock.Instant) LimitUpdate {
+	return LimitUpdate{Endpoint: endpoint, Rate: rate, ConfirmedAt: now.Add(-confirmedAgo), Since: now.Add(-sinceAgo)}
 }
 
 // Ages returns how long ago a response last stated the limit, and how long ago it was first
 // observed.
-func (n LimitUpdate) Ages(now clock.Instant) (heard, since time.Duration) {
+func (n LimitUpdate) Ages(now clock.Instant) (confirmedAgo, sinceAgo time.Duration) {
 	return now.Sub(n.ConfirmedAt), now.Sub(n.Since)
 }
 
--- a/internal/fleet/ration.go
+++ b/internal/fleet/limitchoice.go
@@ -12,7 +12,7 @@
 
 // limitScan collects what a choice has found of endpoints that state limits.
 type limitScan struct {
-	skipped      *member       // the best endpoint that was skipped since no loan of its limit is available; nil if there is none
+	skipped      *member       // best endpoint that was skipped for lack of a loan; nil if there is none
 	skippedScore float64       // of skipped
 	anyLimited   bool          // some endpoint states a limit
 	available    int           // requests that this host may send now to endpoints with limits
--- a/internal/fleet/loan.go
+++ b/internal/fleet/loan.go
@@ -53,7 +53,7 @@
 
 // OnLoanNeeded sets a function that is called when loans are to be requested. Without it limits are
 // not enforced: the caller of OnLoanNeeded handles the lending.
-func (f *Fleet) OnLoanNeeded(wanted func()) { f.onLoanNeeded = wanted }
+func (f *Fleet) OnLoanNeeded(notify func()) { f.onLoanNeeded = notify }
 
 // needLoan records that a request would go to an endpoint but for its limit, or that a change of
 // the limit is to be reported.
@@ -87,13 +87,13 @@
 				next = l.retryAt
 			}
 		default:
-			want := LoanRequest{Update: l.update(id)}
+			request := LoanRequest{Update: l.update(id)}
 			if l.active() {
-				want.Requests = max(1, l.unmet+l.loansUsed-l.available(now))
+				request.Requests = max(1, l.unmet+l.loansUsed-l.available(now))
 			}
 			l.requesting, l.endUntold, l.unmet, l.loansUsed = true, false, 0, 0
 			delete(f.needLoans, id)
-			list = append(list, want)
+			list = append(list, request)
 		}
 	}
 	return list, next
--- a/internal/fleet/overload_test.go
+++ b/internal/fleet/overload_test.go
@@ -81,8 +81,8 @@
 
 // callerResults counts the results of callers.
 type callerResults struct {
-	inTime, late, refused, vanished int
-	longestUntilRefused             time.Duration
+	inTime, late, refused, unanswered int
+	longestUntilRefused               time.Duration
 }
 
 // simulation is a load on six engines whose callers want responses to begin within an objective and
@@ -166,7 +166,7 @@
 		case took <= 4*simObjective:
 			r.late++
 		default:
-			r.vanished++
+			r.unanswered++
 		}
 	})
 	time.Sleep(engineStay)
@@ -183,9 +183,9 @@
 
 // loadCase is a load with the bounds of its results.
 type loadCase struct {
-	perSecond int
-	inTime    float64
-	vanished  float64
+	perSecond  int
+	inTime     float64
+	unanswered float64
 }
 
 // loadCases are loads on engines that serve about 28 requests a second. inTime is the least part of
@@ -234,7 +234,7 @@
 	got := ordered.got
 	logf("%d a second: %+v; without an order %+v; servable %.0f\n", l.perSecond, got, plain.got, servable)
 	Expect(float64(got.inTime)).To(BeNumerically(">=", l.inTime*servable))
-	Expect(float64(got.vanished)).To(BeNumerically("<=", l.vanished*float64(l.perSecond*seconds)))
+	Expect(float64(got.unanswered)).To(BeNumerically("<=", l.unanswered*float64(l.perSecond*seconds)))
 	if l.perSecond > 50 {
 		Expect(got.inTime).To(BeNumerically(">=", 2*plain.got.inTime), "without an order nearly all are late")
 	}
--- a/internal/fleet/pace.go
+++ b/internal/fleet/pace.go
@@ -21,9 +21,9 @@
 
 // updatePace records a pace that an endpoint reports. An endpoint that shares its machine with
 // others may be several times slower for seconds while none of its slots is in use.
-func (m *member) updatePace(said float64) {
-	if said <= 0 {
+func (m *member) updatePace(reported float64) {
+	if reported <= 0 {
 		return
 	}
-	m.smoothedPace = m.pace() + paceWeight*(min(said, maxReportedPace)-m.pace())
+	m.smoothedPace = m.pace() + paceWeight*(min(reported, maxReportedPace)-m.pace())
 }
--- a/internal/fleet/pace_test.go
+++ b/internal/fleet/pace_test.go
@@ -21,7 +21,7 @@
 		for i, pace := range paces {
 			for other := range 4 {
 				h, ok := f.PickAt(fleet.Advice{Endpoint: fmt.Sprint("e", other)}, fleet.Request{Service: "s", Key: key, Tokens: 4000})
-				Expect(ok).To(BeTrue(), "word %d", i)
+				Expect(ok).To(BeTrue(), "report %d", i)
 				load := fleet.Load{Running: 1, Slots: 8, Pace: 1}
 				if other == 0 {
 					load.Pace = pace
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -25,7 +25,7 @@
 	// Slack is the time left until the response should begin, and Remaining the time left until the
 	// caller has no more use for it. If both are 0, the request is sent in any case.
 	Slack, Remaining time.Duration
-	MayHaveStarted   bool          // it may already be running: it may be sent behind all others, but does not wait and is not refused
+	MayHaveStarted   bool          // it may be sent behind all others, but does not wait and is not refused
 	Waited           time.Duration // time since its caller sent it
 	Turn             int64         // its turn among waiting requests; 0 if it has none
 	Regions          []string      // whose endpoints may be used; nil allows all
@@ -37,11 +37,11 @@
 }
 
 // parts returns the parts of the prompt, or a single part that stands for all that is shared.
-func (a Request) parts() []Part {
-	if a.Parts != nil || a.Key == 0 {
-		return a.Parts
+func (r Request) parts() []Part {
+	if r.Parts != nil || r.Key == 0 {
+		return r.Parts
 	}
-	return []Part{{ID: a.Key, Tokens: a.SharedTokens}}
+	return []Part{{ID: r.Key, Tokens: r.SharedTokens}}
 }
 
 // Hold is a slot held at an endpoint.
@@ -63,8 +63,8 @@
 
 // Head records that the response head has arrived, with the load it reports.
 func (h *Hold) Head(l Load) {
-	if heard := h.fleet.onHead; heard != nil && h.req.Key != 0 {
-		defer func() { heard(h.headReport(l)) }()
+	if observe := h.fleet.onHead; observe != nil && h.req.Key != 0 {
+		defer func() { observe(h.headReport(l)) }()
 	}
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
@@ -130,13 +130,13 @@
 // loses weight with age. It is replaced by an estimate from this host's own count for the hosts
 // that share the endpoint, and from the load that other endpoints of the service report: without
 // these an endpoint that has not reported lately would look like the emptiest one.
-func (m *member) load(now clock.Instant, sharers int) float64 {
+func (m *member) load(now clock.Instant, sendingHosts int) float64 {
 	known := m.inFlight + m.remote(now)
 	reportWeight := 0.0
 	if age := now.Sub(m.loadAt); age < loadReportTTL {
 		reportWeight = 1 - float64(age)/float64(loadReportTTL)
 	}
-	assumed := float64(m.inFlight * (sharers - 1))
+	assumed := float64(m.inFlight * (sendingHosts - 1))
 	if m.remoteLoad != nil {
 		assumed = max(assumed, m.remoteLoad.mean)
 	}
@@ -155,8 +155,8 @@
 // free returns the number of free slots of an endpoint at a load.
 func (m *member) free(load float64) int { return max(0, int((1-load)*float64(m.slots()))) }
 
-// sharers returns the number of hosts that send to an endpoint of a service.
-func (f *Fleet) sharers(service string) int {
+// sendingHosts returns the number of hosts that send to an endpoint of a service.
+func (f *Fleet) sendingHosts(service string) int {
 	if f.options.SendingHosts == nil {
 		return 1
 	}
@@ -228,14 +228,14 @@
 		return c
 	}
 	n := f.candidates(p, req, t.localHall, c.now)
-	f.scoreAll(&c, n.list[:n.n], t)
+	f.scoreAll(&c, n.list[:n.count], t)
 	if (c.member == nil && !c.limits.anyLimited) || (c.member != nil && c.member.tier(c.now) > tierHealthy) {
 		// Few endpoints may be used, for instance since only a few run an allowed version.
 		c = choice{now: c.now}
 		f.scoreAll(&c, p.all, t)
 		return c
 	}
-	c.freeSlots = int(float64(c.freeSlots) * float64(len(p.all)) / float64(n.n))
+	c.freeSlots = int(float64(c.freeSlots) * float64(len(p.all)) / float64(n.count))
 	return c
 }
 
@@ -246,8 +246,8 @@
 		if !f.usable(m, t.req) || !m.warmUp.admits(t.coldLimits, t.req, c.now) {
 			continue
 		}
-		load, unread := m.load(c.now, t.sharers), t.prefillTokens(m)
-		s := f.score(m, t, load, unread, c.now)
+		load, prefillTokens := m.load(c.now, t.sendingHosts), t.prefillTokens(m)
+		s := f.score(m, t, load, prefillTokens, c.now)
 		if !f.enforcesLimit(m) {
 			c.limits.anyUnlimited = c.limits.anyUnlimited || !m.ejected(c.now)
 		} else if !c.limits.consider(m, s, c.now) {
@@ -255,7 +255,7 @@
 		}
 		c.freeSlots += m.free(load)
 		if s < best {
-			c.member, c.prefillTokens, best = m, unread, s
+			c.member, c.prefillTokens, best = m, prefillTokens, s
 		}
 	}
 	c.score = best
@@ -281,7 +281,7 @@
 
 func (f *Fleet) expect(c choice, req Request) Expectation {
 	m, r := c.member, f.prefillModelOf(req.Service, req.Model)
-	queue := f.queueWait(m, req.Urgency, m.load(c.now, f.sharers(req.Service)), c.now)
+	queue := f.queueWait(m, req.Urgency, m.load(c.now, f.sendingHosts(req.Service)), c.now)
 	return Expectation{
 		Head: queue + time.Duration(m.pace()*float64(r.headTime(c.prefillTokens))), Queue: queue, PrefillTime: r.prefillTime(c.prefillTokens), PrefillTokens: c.prefillTokens,
 		Exact: c.prefillTokens <= req.Tokens-req.SharedTokens && f.prefixes.cachedTokens(m) >= req.SharedTokens, Price: f.prices[req.Service].perSecond(), Overrun: f.overruns[req.Service],
--- a/internal/fleet/reading.go
+++ b/internal/fleet/prefill.go
@@ -36,7 +36,7 @@
 type prefillModel struct {
 	short    *recent.Values // seconds
 	exact    *recent.Values // seconds per token, of prompts whose shared parts were known to be cached
-	inexact  *recent.Values // seconds per token, of other prompts: parts of them may have been cached without this host knowing it
+	inexact  *recent.Values // seconds per token, of other prompts: unknown to this host, parts may have been cached
 	base     time.Duration
 	perToken float64 // seconds
 }
--- a/internal/fleet/memory.go
+++ b/internal/fleet/prefixes.go
@@ -49,38 +49,38 @@
 // it.
 type prefixIndex struct {
 	holders map[uint64][]*member // by part
-	lookup  int64                // number of the last lookup
+	lookups int64                // so far
 }
 
 // add records that a prompt is prefilled at an endpoint.
-func (y *prefixIndex) add(m *member, parts []Part, budget int) {
+func (x *prefixIndex) add(m *member, parts []Part, budget int) {
 	m.cache.init()
 	for _, p := range parts {
 		old, known := m.cache.parts.Get(p.ID)
 		m.cache.tokens += p.Tokens - old
 		if !known {
 			if m.cache.parts.Len() == maxCachedParts {
-				y.evict(m)
+				x.evict(m)
 			}
-			y.holders[p.ID] = append(y.holders[p.ID], m)
+			x.holders[p.ID] = append(x.holders[p.ID], m)
 		}
 		m.cache.parts.Add(p.ID, p.Tokens)
 	}
 	for m.cache.tokens > budget && m.cache.parts.Len() > len(parts) {
-		y.evict(m)
+		x.evict(m)
 	}
 }
 
 // evict removes the least recently used part of an endpoint.
-func (y *prefixIndex) evict(m *member) {
+func (x *prefixIndex) evict(m *member) {
 	if id, tokens, ok := m.cache.parts.RemoveOldest(); ok {
 		m.cache.tokens -= tokens
-		y.removeHolder(id, m)
+		x.removeHolder(id, m)
 	}
 }
 
 // forget records that an endpoint has not prefilled a prompt after all.
-func (y *prefixIndex) forget(m *member, parts []Part) {
+func (x *prefixIndex) forget(m *member, parts []Part) {
 	if m.cache.parts == nil {
 		return
 	}
@@ -91,40 +91,40 @@
 		}
 		m.cache.parts.Remove(p.ID)
 		m.cache.tokens -= tokens
-		y.removeHolder(p.ID, m)
+		x.removeHolder(p.ID, m)
 	}
 }
 
 // removeMember removes all parts of an endpoint that is gone.
-func (y *prefixIndex) removeMember(m *member) {
+func (x *prefixIndex) removeMember(m *member) {
 	if m.cache.parts == nil {
 		return
 	}
 	for _, id := range m.cache.parts.Keys() {
-		y.removeHolder(id, m)
+		x.removeHolder(id, m)
 	}
 	m.cache = prefixCache{}
 }
 
-func (y *prefixIndex) removeHolder(id uint64, m *member) {
-	left := slices.DeleteFunc(y.holders[id], func(other *member) bool { return other == m })
+func (x *prefixIndex) removeHolder(id uint64, m *member) {
+	left := slices.DeleteFunc(x.holders[id], func(other *member) bool { return other == m })
 	if len(left) == 0 {
-		delete(y.holders, id)
+		delete(x.holders, id)
 		return
 	}
-	y.holders[id] = left
+	x.holders[id] = left
 }
 
 // lookUp marks the endpoints that have the beginning of a prompt cached.
-func (y *prefixIndex) lookUp(parts []Part) {
-	y.lookup++
+func (x *prefixIndex) lookUp(parts []Part) {
+	x.lookups++
 	for i, p := range parts {
 		found := false
-		for _, m := range y.holders[p.ID] {
+		for _, m := range x.holders[p.ID] {
 			if i == 0 {
-				m.match = prefixMatch{lookup: y.lookup}
+				m.match = prefixMatch{lookup: x.lookups}
 			}
-			if m.match.lookup != y.lookup || m.match.parts != i {
+			if m.match.lookup != x.lookups || m.match.parts != i {
 				continue
 			}
 			m.match.parts, m.match.tokens, found = i+1, m.match.tokens+p.Tokens, true
@@ -142,8 +142,8 @@
 }
 
 // cachedTokens returns how many of the tokens of the prompt last looked up an endpoint has cached.
-func (y *prefixIndex) cachedTokens(m *member) int {
-	if m.match.lookup != y.lookup {
+func (x *prefixIndex) cachedTokens(m *member) int {
+	if m.match.lookup != x.lookups {
 		return 0
 	}
 	return m.match.tokens
--- a/internal/fleet/memory_test.go
+++ b/internal/fleet/prefixes_test.go
@@ -110,7 +110,7 @@
 			f := fleet.New(fleet.Options{Hall: "ikeja"})
 			put := func() { f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 4}) }
 			put()
-			fresh := func(chapter uint64) int {
+			prefillTokens := func(chapter uint64) int {
 				req := documentPrompt(chapter, chapter*1000)
 				req.SharedTokens = 0
 				h, _ := f.Pick(req)
@@ -119,15 +119,15 @@
 			}
 			h, _ := f.Pick(documentPrompt(7, 100))
 			h.Done(fleet.Result{Outcome: fleet.OutcomeRefused})
-			Expect(fresh(7)).To(Equal(10_000))
-			Expect(fresh(7)).To(BeZero())
+			Expect(prefillTokens(7)).To(Equal(10_000))
+			Expect(prefillTokens(7)).To(BeZero())
 			for chapter := range uint64(20) {
-				fresh(50 + chapter)
+				prefillTokens(50 + chapter)
 			}
-			Expect(fresh(7)).To(Equal(6_000), "the part with which all prompts begin stays")
+			Expect(prefillTokens(7)).To(Equal(6_000), "the part with which all prompts begin stays")
 			f.Remove("only")
 			put()
-			Expect(fresh(7)).To(Equal(10_000))
+			Expect(prefillTokens(7)).To(Equal(10_000))
 		})
 	})
 })
--- a/internal/fleet/report_test.go
+++ b/internal/fleet/report_test.go
@@ -16,12 +16,12 @@
 
 // reportingFleet returns a fleet of endpoints whose responses do not report their load. At each
 // endpoint the given number of this host's requests is in flight.
-func reportingFleet(o fleet.Options, flying ...int) *fleet.Fleet {
+func reportingFleet(o fleet.Options, inFlight ...int) *fleet.Fleet {
 	f := fleet.New(o)
-	for i, n := range flying {
+	for i, n := range inFlight {
 		f.Put(fleet.Endpoint{ID: fmt.Sprint("e", i), Service: "s"})
 		f.Report(fmt.Sprint("e", i), fleet.Report{Load: fleet.Load{Slots: 10}, Models: []string{"m"}, Asked: clock.Now()})
-		others := allExcept(len(flying), i)
+		others := allExcept(len(inFlight), i)
 		for range n {
 			if _, ok := f.Pick(fleet.Request{Service: "s", Avoid: others}); !ok {
 				panic("no endpoint")
--- a/internal/fleet/score.go
+++ b/internal/fleet/score.go
@@ -33,21 +33,21 @@
 
 // scoreTerms are the terms that the scores of all endpoints for an attempt have in common.
 type scoreTerms struct {
-	req        Request
-	localHall  string // the data hall of the host that asks
-	home       *member
-	prefixes   *prefixIndex
-	prefill    *prefillModel
-	sharers    int        // hosts that send to an endpoint
-	hallCost   float64    // of bytes between data halls
-	workCost   float64    // of a second of prefill, its own time included
-	rereadCost float64    // of prefilling a token of the shared part again
-	coldLimits coldLimits // limits of cold endpoints
-	now        clock.Instant
+	req          Request
+	localHall    string // the data hall of the host that asks
+	home         *member
+	prefixes     *prefixIndex
+	prefill      *prefillModel
+	sendingHosts int        // hosts that send to an endpoint
+	hallCost     float64    // of bytes between data halls
+	workCost     float64    // of a second of prefill, its own time included
+	rereadCost   float64    // of prefilling a token of the shared part again
+	coldLimits   coldLimits // limits of cold endpoints
+	now          clock.Instant
 }
 
 func (f *Fleet) terms(req Request, now clock.Instant) scoreTerms {
-	t := scoreTerms{req: req, prefixes: &f.prefixes, sharers: f.sharers(req.Service), hallCost: plainHallCost, coldLimits: f.coldLimits(req.Service), now: now}
+	t := scoreTerms{req: req, prefixes: &f.prefixes, sendingHosts: f.sendingHosts(req.Service), hallCost: plainHallCost, coldLimits: f.coldLimits(req.Service), now: now}
 	if req.Unadvised || !f.singleAdviser() {
 		t.home = f.home(req, now)
 	}
@@ -79,7 +79,7 @@
 }
 
 // score ranks an endpoint with a load for an attempt; the lowest score is chosen.
-func (f *Fleet) score(m *member, t scoreTerms, load float64, unread int, now clock.Instant) float64 {
+func (f *Fleet) score(m *member, t scoreTerms, load float64, prefillTokens int, now clock.Instant) float64 {
 	score := float64(m.tier(now))*tierSeconds + tieBreak*f.options.Random()
 	if m.warmUp.busy(t.coldLimits, t.req, now) {
 		score += busySeconds
@@ -88,8 +88,8 @@
 		score += t.hallCost
 	}
 	if t.req.Key != 0 {
-		reread := t.rereadCost * float64(max(unread-(t.req.Tokens-t.req.SharedTokens), 0))
-		delay := f.queueWait(m, t.req.Urgency, load, now).Seconds() + t.workCost*t.prefill.prefillTime(unread).Seconds()
+		reread := t.rereadCost * float64(max(prefillTokens-(t.req.Tokens-t.req.SharedTokens), 0))
+		delay := f.queueWait(m, t.req.Urgency, load, now).Seconds() + t.workCost*t.prefill.prefillTime(prefillTokens).Seconds()
 		return score + fullLoadSeconds*load + delay*m.pace() + reread
 	}
 	if load >= fullLoad {
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -27,10 +27,10 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := make()
+	value := make()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(value)
 	return after.HeapAlloc - before.HeapAlloc
 }
 
--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -123,7 +123,7 @@
 	unanswered    bool            // it could not be reached or failed repeatedly, and has not answered since
 	failures      int             // failed attempts in a row
 	coldSince     clock.Instant   // when it became cold
-	pausePhase    float64         // part of the pause that passes before the first request that other hosts don't know of
+	pausePhase    float64         // part of the pause before the first request that other hosts don't know of
 	lastUnadvised clock.Instant   // when the last such request was sent there
 	sends         []clock.Instant // in the last sendWindow, as far as this host knows
 }
@@ -159,7 +159,7 @@
 }
 
 // unadvised reports whether other hosts may send requests of the same kind at the same time.
-func (a Request) unadvised() bool { return a.Unadvised || a.Key == 0 }
+func (r Request) unadvised() bool { return r.Unadvised || r.Key == 0 }
 
 // recordSend records that an attempt is sent to an endpoint, and uses one request of its limits.
 func (f *Fleet) recordSend(m *member, req Request, now clock.Instant) {
