--- a/internal/fleet/candidates.go
+++ b/internal/fleet/candidates.go
@@ -49,14 +49,14 @@
 
 // candidates returns the endpoints of a large service that are scored; the caller holds mu and has
 // looked up which endpoints have the prompt cached.
-func (f *Fleet) candidates(p *pool, req Request, near string, now clock.Instant) candidates {
+func (f *Fleet) candidates(p *pool, req Request, localHall string, now clock.Instant) candidates {
 	var n candidates
 	f.addWithLoans(&n, req, now)
 	if req.Key != 0 {
 		f.addHolders(&n, req, now)
 		f.addHomes(&n, p, req, now)
 	}
-	f.sample(&n, p.byHall[near], maxLocal, req, now)
+	f.sample(&n, p.byHall[localHall], maxLocal, req, now)
 	f.sample(&n, p.all, maxAnywhere, req, now)
 	return n
 }
--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -143,7 +143,7 @@
 	return (l.rate == 0) != (l.announcedRate == 0) || l.rate > limitChangeFactor*l.announcedRate || l.announcedRate > limitChangeFactor*l.rate
 }
 
-// TakeLimitUpdates returns limits to announce to all hosts since they have begun, ended or changed.
+// TakeLimitUpdates returns limits that have begun, ended or changed, to be announced to all hosts.
 // It returns each once, and at most a given number per call.
 func (f *Fleet) TakeLimitUpdates(most int) []LimitUpdate {
 	f.mu.Lock()
--- a/internal/fleet/limitchoice.go
+++ b/internal/fleet/limitchoice.go
@@ -59,8 +59,8 @@
 		return p
 	}
 	turns := f.turnsOf(p.req.Service)
-	asked, urgency := p.now.Add(-p.req.Waited), rank(p.urgency)
-	ahead, by := turns.Ahead(p.req.Turn, urgency, asked, p.now)
+	sentAt, urgency := p.now.Add(-p.req.Waited), rank(p.urgency)
+	ahead, aheadWait := turns.Ahead(p.req.Turn, urgency, sentAt, p.now)
 	if p.member != nil && ahead < p.limits.available {
 		turns.Granted(p.req.Turn, p.now)
 		return p
@@ -69,10 +69,10 @@
 	if p.req.MaxLimitWait == 0 {
 		return p
 	}
-	turn := max(by, p.limits.nextLoan.Sub(p.now))
+	turn := max(aheadWait, p.limits.nextLoan.Sub(p.now))
 	switch d := admission.Ration(turn, p.req.MaxLimitWait, p.req.Turn != 0).(type) {
 	case admission.Wait:
-		d.Turn = turns.Wait(p.req.Turn, urgency, asked, p.now, d.For)
+		d.Turn = turns.Wait(p.req.Turn, urgency, sentAt, p.now, d.For)
 		p.decision = d
 		if d.Turn == 0 {
 			p.decision = admission.Refuse{After: turn}
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -72,12 +72,12 @@
 // decideLate decides on a request that is not likely to be in time.
 func (f *Fleet) decideLate(p placement, o admission.Outlook) admission.Decision {
 	turns := f.turnsOf(p.req.Service)
-	asked, urgency := p.now.Add(-p.req.Waited), rank(p.urgency)
+	sentAt, urgency := p.now.Add(-p.req.Waited), rank(p.urgency)
 	o.Served, o.Queue, o.Room = p.expected.InTime(o.Left), p.expected.Queue, p.freeSlots
-	o.Ahead, o.Turn = turns.Ahead(p.req.Turn, urgency, asked, p.now)
+	o.Ahead, o.Turn = turns.Ahead(p.req.Turn, urgency, sentAt, p.now)
 	switch d := admission.Order(o).(type) {
 	case admission.Wait:
-		d.Turn = turns.Wait(p.req.Turn, urgency, asked, p.now, d.For)
+		d.Turn = turns.Wait(p.req.Turn, urgency, sentAt, p.now, d.For)
 		if d.Turn == 0 {
 			return admission.Refuse{}
 		}
--- a/internal/fleet/urgency.go
+++ b/internal/fleet/urgency.go
@@ -70,10 +70,10 @@
 	return time.Duration(float64(w.wait) * (1 - float64(age)/float64(loadReportTTL)))
 }
 
-// recentWait returns how long requests of a rank or a more urgent one have recently waited at an
-// endpoint with a load beyond their own prefill. An observation decays with age. If the endpoint
-// reports that nothing runs, there is no request to wait for, and the observed responses were
-// delayed in transit.
+// recentWait returns how long requests of a rank or a more urgent one have recently waited, beyond
+// their own prefill, at an endpoint with a given load. An observation decays with age. If the
+// endpoint reports that nothing runs, there is no request to wait for, and the observed responses
+// were delayed in transit.
 func (m *member) recentWait(rank int, load float64, now clock.Instant) time.Duration {
 	idle := now.Sub(m.loadAt) < loadReportTTL && load*float64(m.slots()) < 1
 	if m.queue == nil || idle {
@@ -102,13 +102,13 @@
 // slotWait returns how long a new request of a rank waits for one of an endpoint's slots: the
 // requests in excess of the slots that don't go behind it end one after the other, each after the
 // usual time in a slot.
-func (m *member) slotWait(rank int, load float64, stay time.Duration) time.Duration {
+func (m *member) slotWait(rank int, load float64, slotTime time.Duration) time.Duration {
 	slots := float64(m.slots())
 	over := load*slots + 1 - slots
 	if m.queue != nil {
 		over -= float64(m.queue.backlog.behind(rank))
 	}
-	return max(0, time.Duration(over/slots*float64(stay)))
+	return max(0, time.Duration(over/slots*float64(slotTime)))
 }
 
 // queueWait returns how long a request of an urgency is expected to wait for others at an endpoint
--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -20,9 +20,9 @@
 	Advisers int // hosts among them that choose for others
 }
 
-// Shares of a cold endpoint's rate. They add up to at most 1 if two hosts act as adviser at the
-// same time, which lasts for about a second after an adviser is lost; newAdviserShare covers a
-// third one.
+// Shares of a cold endpoint's rate. They add up to no more than the whole rate where two hosts act
+// as adviser at the same time, which lasts for about a second after an adviser is lost; see
+// newAdviserShare for a third one.
 const (
 	// advisedShare is for requests on which one host advises all others and which it counts.
 	advisedShare = 0.4
@@ -30,7 +30,7 @@
 	// knows only its own.
 	unadvisedShare = 0.2
 	// plainShare is for requests without a prompt, on which no host advises. They arrive at random,
-	// so their share is well below 1.
+	// so their share is well below the whole rate.
 	plainShare = 0.45
 	// busyShare is what an endpoint gets from an adviser before endpoints that got less are
 	// preferred, even if the endpoint is not reported as cold: the report takes a second or two.
@@ -101,10 +101,10 @@
 	if c.Hosts > 1 && f.adviserTenure.isNew(f.options.Now()) {
 		advised = newAdviserShare
 	}
-	each := func(part float64) time.Duration { return clock.Seconds(float64(c.Hosts) / (part * w.MaxRate)) }
+	pauseBetween := func(part float64) time.Duration { return clock.Seconds(float64(c.Hosts) / (part * w.MaxRate)) }
 	return coldLimits{
 		duration: w.Duration, maxSends: max(1, int(advised*w.MaxRate/advisers)), busySends: max(1, int(busyShare*w.MaxRate/advisers)),
-		promptPause: each(unadvisedShare), plainPause: each(plainShare),
+		promptPause: pauseBetween(unadvisedShare), plainPause: pauseBetween(plainShare),
 	}
 }
 
@@ -201,7 +201,7 @@
 
 // maxFailures is how many attempts in a row an endpoint fails before it is assumed to have
 // restarted: an endpoint that ends breaks all requests that run there. An endpoint that loses two
-// answers in five, the worst rate in practice, loses four in a row in one of forty cases.
+// responses in five, as the worst ones do, loses four in a row in one of forty cases.
 const maxFailures = 4
 
 // trackWarmUp records the outcome of an attempt for the warm-up of an endpoint. An endpoint that
@@ -209,8 +209,8 @@
 // second or two, or for the duration of a store outage. It is cold until it answers, and then for
 // as long as after a start.
 func (f *Fleet) trackWarmUp(m *member, o Outcome, now clock.Instant) {
-	lasts := f.coldLimits(m.Service).duration
-	if lasts == 0 {
+	duration := f.coldLimits(m.Service).duration
+	if duration == 0 {
 		return
 	}
 	switch o {
@@ -227,7 +227,7 @@
 		m.warmUp.failures = 0
 		if m.warmUp.unanswered {
 			m.warmUp.unanswered = false
-			m.warmUp.coldUntil = later(m.warmUp.coldUntil, now.Add(lasts))
+			m.warmUp.coldUntil = later(m.warmUp.coldUntil, now.Add(duration))
 		}
 	case OutcomeNeutral, OutcomeRefused:
 	}
