--- a/internal/fleet/candidates_test.go
+++ b/internal/fleet/candidates_test.go
@@ -62,7 +62,7 @@
 const maxScoreGap = 0.01
 
 // TestChoiceAmongMany sends a load to a service with many endpoints: where only a sample is scored,
-// the average score is that of scoring all endpoints.
+// the average score is close to that of scoring all endpoints.
 func TestChoiceAmongMany(t *testing.T) {
 	f, random := largeFleet(manyEndpoints), rand.New(rand.NewPCG(2, 3))
 	var held []*Hold
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestPoolOfMany adds and removes endpoints, also between full reads of the list.
+// TestPoolOfMany adds and removes endpoints, also while lists are read in full.
 func TestPoolOfMany(t *testing.T) {
 	f, random := largeFleet(1_000), rand.New(rand.NewPCG(4, 5))
 	for i := range 3_000 {
--- a/internal/fleet/overload_test.go
+++ b/internal/fleet/overload_test.go
@@ -98,9 +98,9 @@
 const simObjective = time.Second
 
 // newSimulation returns a simulation that draws all random numbers from a seed.
-func newSimulation(decide bool, seed uint64) *simulation {
+func newSimulation(ordered bool, seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, 1))
-	p := &simulation{ordered: decide, engines: map[string]*engine{}, fleet: newFleetWith(random.Float64)}
+	p := &simulation{ordered: ordered, engines: map[string]*engine{}, fleet: newFleetWith(random.Float64)}
 	for i := range 6 {
 		p.engines[fmt.Sprintf("e%d", i)] = &engine{}
 	}
@@ -189,7 +189,7 @@
 }
 
 // loadCases are loads on engines that serve about 28 requests a second. inTime is the least part of
-// the servable requests that is answered in time, vanished the largest part of the requests whose
+// the servable requests that is answered in time, unanswered the largest part of the requests whose
 // callers disconnect without any response.
 var loadCases = map[string]loadCase{
 	"half of what engines serve": {14, 0.99, 0},
