--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -78,7 +78,7 @@
 	pauses  map[string]pause       // by address
 	ended   []*advicepb.Ended      // advised requests that have ended, not reported yet
 	results map[string]fleet.Tally // outcomes of attempts by endpoint, not reported yet
-	heads   []fleet.Heard          // data from heads of answers, not reported yet
+	heads   []fleet.HeadReport     // data from heads of answers, not reported yet
 }
 
 // pause is a period in which a host is not queried.
@@ -99,20 +99,20 @@
 
 // Choose returns the advice of the first host that answers. It returns false if no advice arrived in
 // time or this host is the first.
-func (a *Advisor) Choose(ctx context.Context, ask fleet.Ask, versionKey uint64) (fleet.Advice, bool) {
+func (a *Advisor) Choose(ctx context.Context, ask fleet.Request, versionKey uint64) (fleet.Advice, bool) {
 	reply, ok := a.query(ctx, a.newRequest(ask, versionKey))
 	if !ok || (reply.GetEndpoint() == "" && !reply.GetRefused() && reply.GetWaitMicros() == 0) {
 		return fleet.Advice{}, false
 	}
 	return fleet.Advice{
 		Endpoint: reply.GetEndpoint(), Ticket: reply.GetTicket(), Expected: expectationFromWire(reply.GetExpected()), Decision: decisionFromWire(reply),
-		Limited: reply.GetLimited(),
+		LimitCounted: reply.GetLimited(),
 	}, true
 }
 
 // Expect returns the expectation of the first host that answers for an attempt. It returns false if
 // none arrived in time or this host is the first.
-func (a *Advisor) Expect(ctx context.Context, ask fleet.Ask, versionKey uint64) (fleet.Expectation, bool) {
+func (a *Advisor) Expect(ctx context.Context, ask fleet.Request, versionKey uint64) (fleet.Expectation, bool) {
 	request := a.newRequest(ask, versionKey)
 	request.Weigh = true
 	reply, ok := a.query(ctx, request)
@@ -122,13 +122,13 @@
 	return expectationFromWire(reply.GetExpected()), true
 }
 
-func (a *Advisor) newRequest(ask fleet.Ask, versionKey uint64) *advicepb.ChooseRequest {
+func (a *Advisor) newRequest(ask fleet.Request, versionKey uint64) *advicepb.ChooseRequest {
 	return &advicepb.ChooseRequest{
 		Service: ask.Service, Model: ask.Model, Key: ask.Key, VersionKey: versionKey, Tokens: int32(ask.Tokens), //nolint:gosec // prompts are far shorter
-		Shared: int32(ask.Shared), ObjectiveMicros: ask.Objective.Microseconds(), SlackMicros: ask.Slack.Microseconds(), LeftMicros: ask.Left.Microseconds(), Begun: ask.Begun,
+		Shared: int32(ask.SharedTokens), ObjectiveMicros: ask.Objective.Microseconds(), SlackMicros: ask.Slack.Microseconds(), LeftMicros: ask.Remaining.Microseconds(), Begun: ask.MayHaveStarted,
 		WaitedMicros: ask.Waited.Microseconds(), Turn: ask.Turn, Urgency: int32(ask.Urgency), Avoid: ask.Avoid, //nolint:gosec // as above
-		Parts: partsToWire(ask.Parts), Memory: int32(ask.Memory), Hall: a.options.Hall, Regions: ask.Regions, //nolint:gosec // as above
-		WithinMicros: ask.Within.Microseconds(),
+		Parts: partsToWire(ask.Parts), Memory: int32(ask.CacheTokens), Hall: a.options.Hall, Regions: ask.Regions, //nolint:gosec // as above
+		WithinMicros: ask.MaxLimitWait.Microseconds(),
 	}
 }
 
@@ -146,7 +146,7 @@
 	}
 	asked := clock.Now()
 	request.Ended, request.Results, request.Heads = a.takeEnded(), a.takeResults(), a.takeHeads()
-	request.Limits = limitsToWire(a.options.Fleet.LimitNews(maxLimits), asked)
+	request.Limits = limitsToWire(a.options.Fleet.LimitUpdates(maxLimits), asked)
 	timeout := max(answerTimeout, time.Duration(objectiveTimeoutPart*float64(clock.Micros(request.GetObjectiveMicros()))))
 	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -158,7 +158,7 @@
 		return nil, false
 	}
 	a.recordAnswer(address)
-	a.options.Fleet.Shun(reply.GetEjected())
+	a.options.Fleet.ApplyEjections(reply.GetEjected())
 	applyLimits(a.options.Fleet, reply.GetLimits())
 	return reply, true
 }
@@ -190,7 +190,7 @@
 }
 
 // Heard records the data from the head of an answer for the next query.
-func (a *Advisor) Heard(h fleet.Heard) {
+func (a *Advisor) Heard(h fleet.HeadReport) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.heads) < maxHeads {
@@ -294,24 +294,24 @@
 func (s *server) Choose(_ context.Context, r *advicepb.ChooseRequest) (*advicepb.ChooseReply, error) {
 	f := s.options.Fleet
 	for _, h := range r.GetHeads() {
-		f.Hear(headFromWire(h))
+		f.ObserveHead(headFromWire(h))
 	}
 	for _, e := range r.GetEnded() {
-		f.Ended(fleet.Advice{Endpoint: e.GetEndpoint(), Ticket: e.GetTicket()})
+		f.EndAdvised(fleet.Advice{Endpoint: e.GetEndpoint(), Ticket: e.GetTicket()})
 	}
 	for _, t := range r.GetResults() {
-		f.Learn(t.GetEndpoint(), fleet.Tally{Good: t.GetGood(), Failed: t.GetFailed(), Lost: t.GetLost()})
+		f.AddTally(t.GetEndpoint(), fleet.Tally{Good: t.GetGood(), Failed: t.GetFailed(), Lost: t.GetLost()})
 	}
 	applyLimits(f, r.GetLimits())
-	ask := fleet.Ask{
-		Service: r.GetService(), Model: r.GetModel(), Key: r.GetKey(), Tokens: int(r.GetTokens()), Shared: int(r.GetShared()),
-		Objective: clock.Micros(r.GetObjectiveMicros()), Slack: clock.Micros(r.GetSlackMicros()), Left: clock.Micros(r.GetLeftMicros()), Begun: r.GetBegun(),
+	ask := fleet.Request{
+		Service: r.GetService(), Model: r.GetModel(), Key: r.GetKey(), Tokens: int(r.GetTokens()), SharedTokens: int(r.GetShared()),
+		Objective: clock.Micros(r.GetObjectiveMicros()), Slack: clock.Micros(r.GetSlackMicros()), Remaining: clock.Micros(r.GetLeftMicros()), MayHaveStarted: r.GetBegun(),
 		Waited: clock.Micros(r.GetWaitedMicros()), Turn: r.GetTurn(), Urgency: int(r.GetUrgency()), Avoid: r.GetAvoid(),
-		Allowed: s.options.Allowed(r.GetService(), r.GetVersionKey()), Parts: partsFromWire(r.GetParts()), Memory: int(r.GetMemory()), Hall: r.GetHall(),
-		Regions: r.GetRegions(), Within: clock.Micros(r.GetWithinMicros()),
+		Allowed: s.options.Allowed(r.GetService(), r.GetVersionKey()), Parts: partsFromWire(r.GetParts()), CacheTokens: int(r.GetMemory()), Hall: r.GetHall(),
+		Regions: r.GetRegions(), MaxLimitWait: clock.Micros(r.GetWithinMicros()),
 	}
 	// The reply is sent even if there is no endpoint to advise: it lists the ejected ones.
-	reply := &advicepb.ChooseReply{Ejected: f.Ejected(), Limits: limitsToWire(f.LimitNews(maxLimits), clock.Now())}
+	reply := &advicepb.ChooseReply{Ejected: f.Ejected(), Limits: limitsToWire(f.LimitUpdates(maxLimits), clock.Now())}
 	if r.GetWeigh() {
 		if expected, ok := f.Expect(ask); ok {
 			reply.Expected = expectationToWire(expected)
@@ -320,7 +320,7 @@
 	}
 	if advised, ok := f.Advise(ask); ok {
 		reply.Endpoint, reply.Ticket, reply.Expected = advised.Endpoint, advised.Ticket, expectationToWire(advised.Expected)
-		reply.Limited = advised.Limited
+		reply.Limited = advised.LimitCounted
 		decisionToWire(advised.Decision, reply)
 	}
 	return reply, nil
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -78,8 +78,8 @@
 	time.Sleep(time.Minute)
 }
 
-func ask(key uint64) fleet.Ask {
-	return fleet.Ask{Service: "s", Key: key, Model: "m", Tokens: 10, Objective: time.Second}
+func ask(key uint64) fleet.Request {
+	return fleet.Request{Service: "s", Key: key, Model: "m", Tokens: 10, Objective: time.Second}
 }
 
 var _ = Describe("hosts of a data hall", func() {
@@ -133,9 +133,9 @@
 		suite.Paused(func() {
 			p := newHostPair()
 			defer p.stop()
-			askWithDeadline := func(key uint64) fleet.Ask {
+			askWithDeadline := func(key uint64) fleet.Request {
 				q := ask(key)
-				q.Slack, q.Left = time.Second, 4*time.Second
+				q.Slack, q.Remaining = time.Second, 4*time.Second
 				return q
 			}
 			var advised []fleet.Advice
@@ -198,7 +198,7 @@
 			defer p.stop()
 			_, ok := p.first.Choose(ctx, ask(1), 0)
 			Expect(ok).To(BeFalse())
-			_, ok = p.next.Choose(ctx, fleet.Ask{Service: "unknown", Key: 1}, 0)
+			_, ok = p.next.Choose(ctx, fleet.Request{Service: "unknown", Key: 1}, 0)
 			Expect(ok).To(BeFalse())
 		})
 	})
@@ -228,7 +228,7 @@
 			p := newHostPair()
 			defer p.stop()
 			for range 40 {
-				p.next.Heard(fleet.Heard{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, Read: 100, Expected: time.Second})
+				p.next.Heard(fleet.HeadReport{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, PrefillTokens: 100, Expected: time.Second})
 			}
 			e, ok := p.next.Expect(ctx, ask(1), 0)
 			Expect(ok).To(BeTrue())
@@ -242,7 +242,7 @@
 			defer p.stop()
 			p.predecessors = nil
 			for range 40 {
-				p.next.Heard(fleet.Heard{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, Read: 100, Expected: time.Second})
+				p.next.Heard(fleet.HeadReport{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, PrefillTokens: 100, Expected: time.Second})
 				_, ok := p.next.Choose(ctx, ask(1), 0)
 				Expect(ok).To(BeFalse())
 			}
@@ -265,14 +265,14 @@
 			Expect(ok).To(BeTrue())
 			Expect(p.firstFleet.Ejected()).To(Equal([]string{"e1"}))
 			for range 40 {
-				h, ok := p.nextFleet.Pick(fleet.Ask{Service: "s"})
+				h, ok := p.nextFleet.Pick(fleet.Request{Service: "s"})
 				Expect(ok).To(BeTrue())
 				Expect(h.Endpoint.ID).NotTo(Equal("e1"))
 			}
 			for _, e := range []string{"e0", "e2", "e3"} {
 				p.nextFleet.Remove(e)
 			}
-			_, ok = p.nextFleet.Pick(fleet.Ask{Service: "s"})
+			_, ok = p.nextFleet.Pick(fleet.Request{Service: "s"})
 			Expect(ok).To(BeTrue(), "an ejected endpoint is better than none")
 		})
 	})
--- a/internal/advice/wire.go
+++ b/internal/advice/wire.go
@@ -8,17 +8,17 @@
 )
 
 //nolint:gosec // requests at an endpoint and tokens of a prompt are far fewer
-func headToWire(h fleet.Heard) *advicepb.Head {
+func headToWire(h fleet.HeadReport) *advicepb.Head {
 	return &advicepb.Head{
 		Endpoint: h.Endpoint, Ticket: h.Ticket, Service: h.Service, Model: h.Model, TookMicros: h.Took.Microseconds(), ExpectedMicros: h.Expected.Microseconds(), QueueMicros: h.Queue.Microseconds(), Urgency: int32(h.Urgency), Refused: h.Refused,
-		Read: int32(h.Read), Sure: h.Sure, Running: int32(h.Load.Running), Waiting: int32(h.Load.Waiting), Slots: int32(h.Load.Slots), Pace: h.Load.Pace,
+		Read: int32(h.PrefillTokens), Sure: h.Exact, Running: int32(h.Load.Running), Waiting: int32(h.Load.Waiting), Slots: int32(h.Load.Slots), Pace: h.Load.Pace,
 	}
 }
 
-func headFromWire(w *advicepb.Head) fleet.Heard {
-	return fleet.Heard{
+func headFromWire(w *advicepb.Head) fleet.HeadReport {
+	return fleet.HeadReport{
 		Endpoint: w.GetEndpoint(), Ticket: w.GetTicket(), Service: w.GetService(), Model: w.GetModel(), Took: clock.Micros(w.GetTookMicros()), Expected: clock.Micros(w.GetExpectedMicros()), Queue: clock.Micros(w.GetQueueMicros()), Urgency: int(w.GetUrgency()), Refused: w.GetRefused(),
-		Read: int(w.GetRead()), Sure: w.GetSure(), Load: fleet.Load{Running: int(w.GetRunning()), Waiting: int(w.GetWaiting()), Slots: int(w.GetSlots()), Pace: w.GetPace()},
+		PrefillTokens: int(w.GetRead()), Exact: w.GetSure(), Load: fleet.Load{Running: int(w.GetRunning()), Waiting: int(w.GetWaiting()), Slots: int(w.GetSlots()), Pace: w.GetPace()},
 	}
 }
 
@@ -50,21 +50,21 @@
 
 func expectationToWire(e fleet.Expectation) *advicepb.Expectation {
 	return &advicepb.Expectation{
-		HeadMicros: e.Head.Microseconds(), QueueMicros: e.Queue.Microseconds(), WorkMicros: e.Work.Microseconds(), Read: int32(e.Read), Sure: e.Sure, Price: e.Price, //nolint:gosec // prompts are far shorter
+		HeadMicros: e.Head.Microseconds(), QueueMicros: e.Queue.Microseconds(), WorkMicros: e.PrefillTime.Microseconds(), Read: int32(e.PrefillTokens), Sure: e.Exact, Price: e.Price, //nolint:gosec // prompts are far shorter
 		OverrunMean: e.Overrun.Mean, OverrunVariance: e.Overrun.Variance,
 	}
 }
 
 func expectationFromWire(w *advicepb.Expectation) fleet.Expectation {
 	return fleet.Expectation{
-		Head: clock.Micros(w.GetHeadMicros()), Queue: clock.Micros(w.GetQueueMicros()), Work: clock.Micros(w.GetWorkMicros()),
-		Read: int(w.GetRead()), Sure: w.GetSure(), Price: w.GetPrice(), Overrun: fleet.Overrun{Mean: w.GetOverrunMean(), Variance: w.GetOverrunVariance()},
+		Head: clock.Micros(w.GetHeadMicros()), Queue: clock.Micros(w.GetQueueMicros()), PrefillTime: clock.Micros(w.GetWorkMicros()),
+		PrefillTokens: int(w.GetRead()), Exact: w.GetSure(), Price: w.GetPrice(), Overrun: fleet.Overrun{Mean: w.GetOverrunMean(), Variance: w.GetOverrunVariance()},
 	}
 }
 
 // limitsToWire encodes the known rate limits of endpoints. Times are relative to now, the time of
 // sending.
-func limitsToWire(limits []fleet.LimitNews, now clock.Instant) []*advicepb.Limit {
+func limitsToWire(limits []fleet.LimitUpdate, now clock.Instant) []*advicepb.Limit {
 	var wire []*advicepb.Limit
 	for _, n := range limits {
 		heard, since := n.Ages(now)
@@ -79,7 +79,7 @@
 func applyLimits(f *fleet.Fleet, limits []*advicepb.Limit) {
 	now := clock.Now()
 	for _, w := range limits {
-		f.LearnLimit(fleet.LimitOf(w.GetEndpoint(), w.GetPerSecond(), clock.Micros(w.GetHeardMicros()), clock.Micros(w.GetSinceMicros()), now))
+		f.MergeLimit(fleet.NewLimitUpdate(w.GetEndpoint(), w.GetPerSecond(), clock.Micros(w.GetHeardMicros()), clock.Micros(w.GetSinceMicros()), now))
 	}
 }
 
--- a/internal/endpoint/report.go
+++ b/internal/endpoint/report.go
@@ -106,13 +106,13 @@
 // refresh reads one report. An engine that can't be reached is not ejected for
 // it: attempts decide that.
 func (w *Watch) refresh(ctx context.Context, e fleet.Endpoint) {
-	asked, flying := clock.Now(), w.fleet.Flying(e.ID)
+	asked, flying := clock.Now(), w.fleet.InFlight(e.ID)
 	report, err := w.options.Fetch(ctx, e.Address)
 	if err != nil {
 		return
 	}
 	w.fleet.Report(e.ID, fleet.Report{
 		Load:     fleet.Load{Running: report.Running, Waiting: report.Queued, Slots: report.Slots},
-		Draining: report.Draining, Models: append([]string{}, report.Versions...), Asked: asked, Flying: flying,
+		Draining: report.Draining, Models: append([]string{}, report.Versions...), Asked: asked, InFlight: flying,
 	})
 }
--- a/internal/experiment/placement.go
+++ b/internal/experiment/placement.go
@@ -105,8 +105,8 @@
 
 // choose picks a worker as the router does.
 func (p *placement) choose(host int, prefix uint64) (int, *fleet.Hold) {
-	h, ok := p.fleets[host].Pick(fleet.Ask{
-		Key: prefix | 1, Model: "m", Tokens: promptTokens, Shared: prefixTokens, Objective: time.Second,
+	h, ok := p.fleets[host].Pick(fleet.Request{
+		Key: prefix | 1, Model: "m", Tokens: promptTokens, SharedTokens: prefixTokens, Objective: time.Second,
 	})
 	if !ok {
 		return 0, nil
@@ -124,7 +124,7 @@
 // newFleet returns what a host knows before the first request.
 func (p *placement) newFleet() *fleet.Fleet {
 	f := fleet.New(fleet.Options{
-		Now: p.clock.instant, Random: p.random.Float64, Sharers: func(string) int { return p.Hosts },
+		Now: p.clock.instant, Random: p.random.Float64, SendingHosts: func(string) int { return p.Hosts },
 	})
 	for i := range p.Workers {
 		f.Put(fleet.Endpoint{ID: fmt.Sprintf(workerName, i), Slots: p.Slots})
@@ -191,7 +191,7 @@
 			name := fmt.Sprintf(workerName, i)
 			p.fleets[host].Report(name, fleet.Report{
 				Load:  fleet.Load{Running: w.history[at], Slots: p.Slots},
-				Asked: p.clock.instant().Add(-p.lag), Flying: min(p.fleets[host].Flying(name), w.history[at]),
+				Asked: p.clock.instant().Add(-p.lag), InFlight: min(p.fleets[host].InFlight(name), w.history[at]),
 			})
 		}
 	}
--- a/internal/experiment/retries.go
+++ b/internal/experiment/retries.go
@@ -43,7 +43,7 @@
 			if judged && attempt > 0 && !h.mayRepeat(clock.now) {
 				return
 			}
-			hold, ok := h.fleet.Pick(fleet.Ask{Avoid: avoid})
+			hold, ok := h.fleet.Pick(fleet.Request{Avoid: avoid})
 			if !ok {
 				return
 			}
@@ -79,7 +79,7 @@
 const workerSlots = 8
 
 func (s RetriesScenario) newHost(clock *clockwork, random *rand.Rand) *retryingHost {
-	f := fleet.New(fleet.Options{Now: clock.instant, Random: random.Float64, EjectMost: time.Minute})
+	f := fleet.New(fleet.Options{Now: clock.instant, Random: random.Float64, MaxEjection: time.Minute})
 	for i := range s.Workers {
 		f.Put(fleet.Endpoint{ID: fmt.Sprintf(workerName, i), Slots: workerSlots})
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -14,106 +14,106 @@
 	"quaybarrow/internal/clock"
 )
 
-// Parameters of what is known of an endpoint's load.
+// Parameters of the load estimate of an endpoint.
 const (
-	// echoLife is how long what an endpoint said of its load counts for
-	// something; requests last a few seconds at most.
-	echoLife = 2 * time.Second
-	// slotsUnsaid stands in for slots that an endpoint does not tell.
-	slotsUnsaid = 8
+	// loadReportTTL is the age at which an endpoint's load report has lost all weight; requests
+	// last a few seconds at most.
+	loadReportTTL = 2 * time.Second
+	// defaultSlots is used for endpoints that do not report their slots.
+	defaultSlots = 8
 )
 
-// lapseGrace is how long an endpoint whose entry vanished while the store was
-// away stays in use; living ones are listed again within about two seconds.
-const lapseGrace = 2 * time.Second
+// lapseGracePeriod is how long an endpoint stays in use after its entry disappeared during a store
+// outage; running endpoints are listed again within about two seconds.
+const lapseGracePeriod = 2 * time.Second
 
-// Options set up a Fleet.
+// Options configure a Fleet.
 type Options struct {
-	Hall string // the host's own data hall
-	// Sharers counts the hosts that send to an endpoint of a service, this one
-	// included; nil where endpoints say in each answer how loaded they are.
-	Sharers func(service string) int
-	// EjectMost is the longest that an endpoint is left alone; 0 stands for a time
-	// that suits endpoints whose list is brought up to date within seconds.
-	EjectMost time.Duration
-	// Regions are the data halls' regions, by hall; nil where nothing goes by them.
+	Hall string // this host's data hall
+	// SendingHosts returns the number of hosts that send to an endpoint of a service, this host
+	// included; nil if endpoints report their load in each response.
+	SendingHosts func(service string) int
+	// MaxEjection is the longest ejection of an endpoint; 0 selects a default that suits endpoints
+	// whose list is updated within seconds.
+	MaxEjection time.Duration
+	// Regions maps data halls to regions; nil if regions are not used.
 	Regions map[string]string
-	// Warming tells what cold endpoints of a service bear; nil where they bear as much as
-	// others.
-	Warming func(service string) Warming
-	// Choosers counts those who choose endpoints; nil for this host alone.
+	// WarmUp returns the limits of cold endpoints of a service; nil if cold endpoints take as much
+	// as others.
+	WarmUp func(service string) WarmUp
+	// Choosers returns the number of hosts that choose endpoints; nil if only this host does.
 	Choosers func() Choosers
-	// Now and Random stand in for the runtime's clock and random numbers from 0 to
-	// 1 in experiments, which play virtual time; nil outside of them.
+	// Now and Random replace the runtime's clock and random numbers from 0 to 1 in experiments that
+	// run in virtual time; nil elsewhere.
 	Now    func() clock.Instant
 	Random func() float64
 }
 
-// Fleet is what a host knows of all endpoints; safe for use at once.
+// Fleet holds what a host knows of all endpoints. It is safe for concurrent use.
 type Fleet struct {
-	options Options
-	observe func(id string, o Outcome) // nil if nobody minds
-	heard   func(Heard)                // as observe
-	wanted  func()                     // as observe
-	known   chan struct{}              // closed once an endpoint was listed
-
-	mu        sync.Mutex               // guards all below
-	members   map[string]*member       // by ID
-	instances map[string]*member       // by what they call themselves
-	words     map[string]string        // what many endpoints tell alike
-	evacuated map[string]clock.Instant // data halls that get nothing, and since when
-	read      bool                     // the list was read whole; who comes after it has just started
-	byService map[string]*pool
-	ejected   map[string]*member // by ID, those that were lately; others may be among them
-	readings  map[serves]*reading
-	prices    map[string]price                  // of an engine's second, by service
-	crowds    map[string]*crowd                 // by service
-	overruns  map[string]Overrun                // by service
-	turns     map[string]*admission.WaitingList // requests that wait, by service
-	stays     map[string]time.Duration          // how long an answer holds a slot from its head on, by service
-	memory    memory
-	advises   tenure             // with prompts of which other hosts' choices are known
-	limits    map[string]*member // by ID, those that name a limit or lately did
-	wanting   map[string]*member // of these, those that something is to be borrowed of
-	news      map[string]*member // of these, those of which all hosts are to be told
-	lent      []*member          // of these, those of which something is in hand, and lately was
-	tickets   int64              // the last one given out; it begins by chance, so that those of another adviser mean nothing here
+	options      Options
+	onOutcome    func(id string, o Outcome) // nil if not set
+	onHead       func(HeadReport)           // nil if not set
+	onLoanNeeded func()                     // nil if not set
+	populated    chan struct{}              // closed once an endpoint was listed
+
+	mu            sync.Mutex               // guards all fields below
+	members       map[string]*member       // by ID
+	instances     map[string]*member       // by instance name
+	interned      map[string]string        // strings that many endpoints have in common
+	evacuated     map[string]clock.Instant // data halls that get no new requests, and since when
+	listRead      bool                     // the list was read in full; endpoints added later have just started
+	byService     map[string]*pool
+	ejected       map[string]*member // by ID, recently ejected endpoints; may hold some that are no longer ejected
+	prefillModels map[modelKey]*prefillModel
+	prices        map[string]price                  // of a second of prefill, by service
+	remoteLoads   map[string]*remoteLoad            // by service
+	overruns      map[string]Overrun                // by service
+	turns         map[string]*admission.WaitingList // waiting requests, by service
+	slotTimes     map[string]time.Duration          // how long a response holds a slot from its head on, by service
+	prefixes      prefixIndex
+	adviserTenure tenure             // of choosing endpoints for prompts with knowledge of other hosts' choices
+	limits        map[string]*member // by ID, endpoints that state a limit or recently did
+	needLoans     map[string]*member // subset of limits: loans are to be requested
+	changedLimits map[string]*member // subset of limits: to be announced to all hosts
+	withLoans     []*member          // subset of limits: loans are available, or recently were
+	lastTicket    int64              // starts at a random number, so that tickets of another adviser match nothing here
 }
 
-// member is an endpoint with what this host knows of it.
+// member is an endpoint with this host's knowledge of it.
 type member struct {
 	Endpoint
-	seed     uint64   // hash of the id
-	place    place    // in the pool of its service
-	inHall   string   // by which it stands there
-	paced    float64  // how long work takes there, smoothed; 0 before it was heard of
-	models   []string // that it said it has loaded; nil if it did not say
-	leaving  bool     // it said so itself
-	flying   int      // this host's requests there
-	others   int      // others' requests there, when it last said
-	crowd    *crowd   // what endpoints of its service say; nil before it is listed
-	saidAt   clock.Instant
-	booked   clock.Instant // until when it should have read all prompts that were sent there
-	dealings *dealings     // nil before this host has sent there or heard of it
-	advised  []advised     // requests of other hosts there that have not ended
-	awaiting []awaited     // requests whose answers have not begun, in the order of their sending
-	health   health
-	shunned  clock.Instant // it fails other hosts; left alone until then
-	lapsed   clock.Instant // to be dropped then unless it is listed again; zero if listed
-	kept     kept          // what it is taken to keep of prompts
-	found    finding       // what of the prompt that is being placed
-	region   string        // of its data hall
-	warmth   warmth
-	limited  *limitation // nil while it names no limit
+	seed             uint64       // hash of the instance name
+	position         poolPosition // in the pool of its service
+	poolHall         string       // hall under which the pool lists it
+	smoothedPace     float64      // smoothed pace that it reports; 0 before its first report
+	models           []string     // that it reported as loaded; nil if it does not report them
+	reportedDraining bool         // it reported that it is draining
+	inFlight         int          // this host's requests there
+	others           int          // other hosts' requests there, by its last report
+	remoteLoad       *remoteLoad  // load that endpoints of its service report; nil before it is listed
+	loadAt           clock.Instant
+	prefillUntil     clock.Instant // when it should have prefilled all prompts that were sent there
+	queue            *queueState   // nil before this host has sent there or received a report of it
+	advised          []advised     // other hosts' requests there that have not ended
+	awaiting         []awaited     // requests without a response head, in the order in which they were sent
+	health           health
+	peerEjectedUntil clock.Instant // ejected until then because it fails other hosts
+	lapsesAt         clock.Instant // removed then unless it is listed again; zero if listed
+	cache            prefixCache   // prompt parts that it is assumed to have cached
+	match            prefixMatch   // its cached parts of the prompt that is being placed
+	region           string        // of its data hall
+	warmUp           warmUpState
+	limit            *limitState // nil if it states no limit
 }
 
-// ticketsFrom bounds the first ticket; it leaves as many again to be given out.
-const ticketsFrom = math.MaxInt64 / 2
+// maxFirstTicket bounds the first ticket; as many tickets again remain to be issued.
+const maxFirstTicket = math.MaxInt64 / 2
 
 // New returns a fleet without endpoints.
 func New(options Options) *Fleet {
-	if options.EjectMost == 0 {
-		options.EjectMost = ejectMost
+	if options.MaxEjection == 0 {
+		options.MaxEjection = defaultMaxEjection
 	}
 	if options.Now == nil {
 		options.Now = clock.Now
@@ -122,32 +122,32 @@
 		options.Random = rand.Float64
 	}
 	return &Fleet{
-		options: options, known: make(chan struct{}), members: map[string]*member{}, instances: map[string]*member{}, words: map[string]string{}, evacuated: map[string]clock.Instant{}, limits: map[string]*member{}, wanting: map[string]*member{}, news: map[string]*member{}, byService: map[string]*pool{}, ejected: map[string]*member{}, readings: map[serves]*reading{},
-		prices: map[string]price{}, overruns: map[string]Overrun{}, crowds: map[string]*crowd{}, stays: map[string]time.Duration{}, turns: map[string]*admission.WaitingList{}, memory: memory{holders: map[uint64][]*member{}}, tickets: rand.Int64N(ticketsFrom),
+		options: options, populated: make(chan struct{}), members: map[string]*member{}, instances: map[string]*member{}, interned: map[string]string{}, evacuated: map[string]clock.Instant{}, limits: map[string]*member{}, needLoans: map[string]*member{}, changedLimits: map[string]*member{}, byService: map[string]*pool{}, ejected: map[string]*member{}, prefillModels: map[modelKey]*prefillModel{},
+		prices: map[string]price{}, overruns: map[string]Overrun{}, remoteLoads: map[string]*remoteLoad{}, slotTimes: map[string]time.Duration{}, turns: map[string]*admission.WaitingList{}, prefixes: prefixIndex{holders: map[uint64][]*member{}}, lastTicket: rand.Int64N(maxFirstTicket),
 	}
 }
 
-// Known returns a channel that is closed once an endpoint was listed.
-func (f *Fleet) Known() <-chan struct{} { return f.known }
+// Populated returns a channel that is closed once an endpoint was listed.
+func (f *Fleet) Populated() <-chan struct{} { return f.populated }
 
-// Put adds an endpoint or brings it up to date; it reports whether that is another start of
-// one that was listed. What an earlier start left behind is passed over.
-func (f *Fleet) Put(e Endpoint) (again bool) {
+// Put adds or updates an endpoint. It reports whether the entry is of a later start of an instance
+// that was listed. An entry of an earlier start is ignored.
+func (f *Fleet) Put(e Endpoint) (restarted bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.put(e)
 }
 
-func (f *Fleet) put(e Endpoint) (again bool) {
+func (f *Fleet) put(e Endpoint) (restarted bool) {
 	select {
-	case <-f.known:
+	case <-f.populated:
 	default:
-		close(f.known)
+		close(f.populated)
 	}
-	e = f.alike(e)
+	e = f.intern(e)
 	old, listed := f.instances[e.Instance]
 	if listed && e.Born == 0 {
-		e.ID, e.Born = old.ID, old.Born // it does not tell this time
+		e.ID, e.Born = old.ID, old.Born // the entry does not state the start
 	}
 	switch {
 	case !listed || old.ID == e.ID:
@@ -155,7 +155,7 @@
 		return false
 	default:
 		f.remove(e.Instance)
-		again = true
+		restarted = true
 	}
 	m, ok := f.members[e.ID]
 	if !ok {
@@ -163,22 +163,22 @@
 		f.members[e.ID], f.instances[e.Instance] = m, m
 	}
 	if ok && (m.Service != e.Service || m.Hall != e.Hall) {
-		f.unlink(m)
+		f.removeFromPool(m)
 		ok = false
 	}
 	if e.Slots == 0 {
-		e.Slots = m.Slots // the endpoint's own word
+		e.Slots = m.Slots // the slots that the endpoint reported
 	}
-	m.Endpoint, m.lapsed, m.region = e, clock.Instant{}, f.options.Regions[e.Hall]
-	f.chill(m, !ok)
+	m.Endpoint, m.lapsesAt, m.region = e, clock.Instant{}, f.options.Regions[e.Hall]
+	f.applyCold(m, !ok)
 	if !ok {
 		f.poolOf(e.Service).add(m)
-		m.crowd = f.crowdOf(e.Service)
+		m.remoteLoad = f.remoteLoadOf(e.Service)
 	}
-	return again
+	return restarted
 }
 
-// Remove takes an endpoint out at once, by what it calls itself.
+// Remove removes an endpoint at once, by its instance name.
 func (f *Fleet) Remove(instance string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,13 +192,13 @@
 	}
 	delete(f.members, m.ID)
 	delete(f.ejected, m.ID)
-	f.unlimit(m)
+	f.dropLimit(m)
 	delete(f.instances, instance)
-	f.unlink(m)
-	f.memory.drop(m)
+	f.removeFromPool(m)
+	f.prefixes.removeMember(m)
 }
 
-func (f *Fleet) unlink(m *member) {
+func (f *Fleet) removeFromPool(m *member) {
 	p := f.byService[m.Service]
 	p.remove(m)
 	if len(p.all) == 0 {
@@ -215,7 +215,6 @@
 	return p
 }
 
-// endpointsOf lists the endpoints of a service.
 func (f *Fleet) endpointsOf(service string) []*member {
 	if p, ok := f.byService[service]; ok {
 		return p.all
@@ -223,8 +222,8 @@
 	return nil
 }
 
-// Lapse notes that an endpoint's entry vanished while the store was away: it
-// stays in use for a short grace.
+// Lapse notes that an endpoint's entry disappeared during a store outage. The endpoint stays in use
+// for a grace period.
 func (f *Fleet) Lapse(instance string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -232,14 +231,14 @@
 }
 
 func (f *Fleet) lapse(instance string) {
-	if m, ok := f.instances[instance]; ok && m.lapsed.IsZero() {
-		m.lapsed = f.options.Now().Add(lapseGrace)
+	if m, ok := f.instances[instance]; ok && m.lapsesAt.IsZero() {
+		m.lapsesAt = f.options.Now().Add(lapseGracePeriod)
 	}
 }
 
-// Reset brings the fleet up to date with a whole list. Endpoints that it lacks
-// go at once, or after the grace if the store was away.
-func (f *Fleet) Reset(list []Endpoint, away bool) {
+// Reset replaces the list of endpoints. Endpoints that are missing from it are removed at once, or
+// after the grace period if the list follows a store outage.
+func (f *Fleet) Reset(list []Endpoint, afterOutage bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	listed := map[string]bool{}
@@ -247,11 +246,11 @@
 		listed[e.name()] = true
 		f.put(e)
 	}
-	f.read = true
+	f.listRead = true
 	for instance := range f.instances {
 		switch {
 		case listed[instance]:
-		case away:
+		case afterOutage:
 			f.lapse(instance)
 		default:
 			f.remove(instance)
@@ -259,24 +258,24 @@
 	}
 }
 
-// Sweep drops endpoints whose grace is over and returns what they call themselves.
+// Sweep removes endpoints whose grace period is over and returns their instance names.
 func (f *Fleet) Sweep() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Now()
-	var gone []string
+	var removed []string
 	for instance, m := range f.instances {
-		if !m.lapsed.IsZero() && now.After(m.lapsed) {
-			gone = append(gone, instance)
+		if !m.lapsesAt.IsZero() && now.After(m.lapsesAt) {
+			removed = append(removed, instance)
 		}
 	}
-	for _, instance := range gone {
+	for _, instance := range removed {
 		f.remove(instance)
 	}
-	return gone
+	return removed
 }
 
-// Size counts the endpoints that take requests.
+// Size returns the number of endpoints that take requests.
 func (f *Fleet) Size() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -289,7 +288,7 @@
 	return n
 }
 
-// Count counts the listed endpoints of a service.
+// Count returns the number of listed endpoints of a service.
 func (f *Fleet) Count(service string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -309,7 +308,7 @@
 	return counts
 }
 
-// Listed returns the endpoint that calls itself so.
+// Listed returns the listed endpoint of an instance.
 func (f *Fleet) Listed(instance string) (Endpoint, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -320,39 +319,39 @@
 	return m.Endpoint, true
 }
 
-// Serves reports whether an endpoint's start is listed, and neither it nor its entry says that
-// it leaves.
+// Serves reports whether this start of an endpoint is listed and draining neither by its entry nor
+// by its own report.
 func (f *Fleet) Serves(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[id]
-	return ok && !m.Draining && !m.leaving
+	return ok && !m.Draining && !m.reportedDraining
 }
 
-// Has reports whether some endpoint of a service that is well has a model.
-func (f *Fleet) Has(service, model string) bool {
+// HasModel reports whether a healthy endpoint of a service has a model.
+func (f *Fleet) HasModel(service, model string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Now()
 	for _, m := range f.endpointsOf(service) {
-		if f.usable(m, Ask{Model: model}) && m.tier(now) < tierEjected {
+		if f.usable(m, Request{Model: model}) && m.tier(now) < tierEjected {
 			return true
 		}
 	}
 	return false
 }
 
-// Flying counts this host's requests at an endpoint.
-func (f *Fleet) Flying(id string) int {
+// InFlight returns the number of this host's requests at an endpoint.
+func (f *Fleet) InFlight(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m, ok := f.members[id]; ok {
-		return m.flying
+		return m.inFlight
 	}
 	return 0
 }
 
-// Report takes in an endpoint's own account of its load.
+// Report records an endpoint's report of its load.
 func (f *Fleet) Report(id string, r Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -360,30 +359,30 @@
 	if !ok {
 		return
 	}
-	m.models, m.leaving = r.Models, r.Draining
+	m.models, m.reportedDraining = r.Models, r.Draining
 	if r.Load.Slots > 0 {
 		m.Slots = r.Load.Slots
 	}
-	m.others, m.saidAt = max(0, r.Load.Running+r.Load.Waiting-r.Flying), r.Asked
+	m.others, m.loadAt = max(0, r.Load.Running+r.Load.Waiting-r.InFlight), r.Asked
 }
 
-// View lists all endpoints by id, for operators.
+// View lists all endpoints by ID, for operators.
 func (f *Fleet) View() []Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Now()
 	list := make([]Status, 0, len(f.members))
 	for _, m := range f.members {
-		s := Status{Endpoint: m.Endpoint, Models: m.models, Flying: m.flying, Others: m.others}
-		s.Draining = m.Draining || m.leaving
-		s.Evacuated = f.away(m)
-		if m.warmth.cold(now) {
-			s.ColdSince, s.ColdFor = m.warmth.since, max(0, m.warmth.until.Sub(now))
+		s := Status{Endpoint: m.Endpoint, Models: m.models, InFlight: m.inFlight, Others: m.others}
+		s.Draining = m.Draining || m.reportedDraining
+		s.Evacuated = f.inEvacuatedHall(m)
+		if m.warmUp.cold(now) {
+			s.ColdSince, s.ColdFor = m.warmUp.coldSince, max(0, m.warmUp.coldUntil.Sub(now))
 		}
 		s.Ready = !s.Draining && m.tier(now) < tierEjected
 		s.Limit = m.limitStatus(now)
-		if !m.saidAt.IsZero() {
-			s.Age = now.Sub(m.saidAt)
+		if !m.loadAt.IsZero() {
+			s.Age = now.Sub(m.loadAt)
 		}
 		list = append(list, s)
 	}
--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -6,81 +6,86 @@
 	"quaybarrow/internal/clock"
 )
 
-// Limit is what an answer says of how many requests its endpoint takes from all hosts together.
+// Limit is what a response states about how many requests its endpoint takes from all hosts
+// together.
 type Limit struct {
-	Named  bool    // false where it takes what comes
+	Named  bool    // false if the endpoint takes any number of requests
 	Rate   float64 // requests a second
-	Unread string  // the beginning of what it says instead, if that can't be read
+	Unread string  // the beginning of the limit's text if it can't be parsed
 }
 
-// LimitNews is what a host knows of an endpoint's limit, to be told to others. An immutable value.
-type LimitNews struct {
-	Endpoint string        // its id
-	Rate     float64       // requests a second; 0 once the endpoint names none any more
-	Since    clock.Instant // when it was first heard of
-	Heard    clock.Instant // when an answer last told
+// LimitUpdate is a host's knowledge of an endpoint's limit, to be sent to other hosts. It is
+// immutable.
+type LimitUpdate struct {
+	Endpoint    string        // its ID
+	Rate        float64       // requests a second; 0 once the endpoint states no limit any more
+	Since       clock.Instant // when the limit was first observed
+	ConfirmedAt clock.Instant // when a response last stated it
 }
 
-// LimitOf returns news of so long ago, as messages between hosts tell it.
-func LimitOf(endpoint string, rate float64, heard, since time.Duration, now clock.Instant) LimitNews {
-	return LimitNews{Endpoint: endpoint, Rate: rate, Heard: now.Add(-heard), Since: now.Add(-since)}
+// NewLimitUpdate returns an update from ages, which messages between hosts contain instead of
+// times.
+func NewLimitUpdate(endpoint string, rate float64, confirmedAgo, sinceAgo time.Duration, now clock.Instant) LimitUpdate {
+	return LimitUpdate{Endpoint: endpoint, Rate: rate, ConfirmedAt: now.Add(-confirmedAgo), Since: now.Add(-sinceAgo)}
 }
 
-// Ages are how long ago an answer last told, and the limit was first heard of.
-func (n LimitNews) Ages(now clock.Instant) (heard, since time.Duration) {
-	return now.Sub(n.Heard), now.Sub(n.Since)
+// Ages returns how long ago a response last stated the limit, and how long ago it was first
+// observed.
+func (n LimitUpdate) Ages(now clock.Instant) (confirmedAgo, sinceAgo time.Duration) {
+	return now.Sub(n.ConfirmedAt), now.Sub(n.Since)
 }
 
 // Bounds of what is known of limits.
 const (
-	// limitLeast is what an endpoint gets at least that names a smaller limit, 0 included, in
-	// requests a second: without any request nobody would hear that its limit has ended.
-	limitLeast = 0.1
-	// newsLife is how old news of a limit may be that hosts tell each other.
-	newsLife = 10 * time.Second
-	// newsFactor is by how much a limit differs from what was told of it before it is told again.
-	newsFactor = 1.25
+	// minLimit is the least rate in requests a second that an endpoint gets if it states a smaller
+	// limit, 0 included: without any request no host would learn that the limit has ended.
+	minLimit = 0.1
+	// limitUpdateTTL is the largest age of updates that hosts send to each other.
+	limitUpdateTTL = 10 * time.Second
+	// limitChangeFactor is the factor by which a limit differs from the announced one before it is
+	// announced again.
+	limitChangeFactor = 1.25
 )
 
-// limitation is what is known of the limit of an endpoint, and what this host may send there.
-type limitation struct {
-	rate   float64       // requests a second; 0 once the endpoint names none any more
-	since  clock.Instant // when the limit was first heard of
-	heard  clock.Instant // when an answer last told
-	untold bool          // its end was heard by this host, and who lends of it may not know
-	told   float64       // the rate when all were last told
-
-	loans    []Loan
-	used     int           // loans since the last question
-	wanted   int           // requests that have found none since
-	wantedAt clock.Instant // the last of them
-	asking   bool
-	again    clock.Instant // no question before
+// limitState is what is known of the limit of an endpoint, and what this host may send there.
+type limitState struct {
+	rate          float64       // requests a second; 0 once the endpoint states no limit any more
+	since         clock.Instant // when the limit was first observed
+	confirmedAt   clock.Instant // when a response last stated it
+	endUntold     bool          // this host observed the limit's end, which the lender may not know
+	announcedRate float64       // rate of the last announcement to all hosts
+
+	loans      []Loan
+	loansUsed  int           // requests sent on loans since the last loan request
+	unmet      int           // requests that have found no loan since the last loan request
+	unmetAt    clock.Instant // when the last of them came
+	requesting bool
+	retryAt    clock.Instant // no loan request before then
 }
 
-// holds reports whether an endpoint has a limit now.
-func (l *limitation) holds() bool { return l != nil && l.rate > 0 }
+// active reports whether an endpoint has a limit now.
+func (l *limitState) active() bool { return l != nil && l.rate > 0 }
 
-func (l *limitation) news(endpoint string) LimitNews {
-	return LimitNews{Endpoint: endpoint, Rate: l.rate, Since: l.since, Heard: l.heard}
+func (l *limitState) update(endpoint string) LimitUpdate {
+	return LimitUpdate{Endpoint: endpoint, Rate: l.rate, Since: l.since, ConfirmedAt: l.confirmedAt}
 }
 
-// hear takes in what an answer, or another host, tells.
-func (l *limitation) hear(n LimitNews) {
+// apply applies a limit from a response or from another host.
+func (l *limitState) apply(n LimitUpdate) {
 	switch {
 	case n.Rate == 0:
-		l.loans, l.wanted, l.used = nil, 0, 0
+		l.loans, l.unmet, l.loansUsed = nil, 0, 0
 	case l.rate == 0:
-		l.since, l.untold = n.Since, false
+		l.since, l.endUntold = n.Since, false
 	}
-	l.rate, l.heard = n.Rate, n.Heard
+	l.rate, l.confirmedAt = n.Rate, n.ConfirmedAt
 }
 
-// HearLimit takes in what an answer to a request of this host says of the endpoint's limit, and
-// returns what was known before and is known now; 0 stands for none. Only the answer to a request
-// that was sent after the limit was last heard of tells that it has ended: an older one may have
-// been made before.
-func (f *Fleet) HearLimit(id string, l Limit, sent clock.Instant) (before, after float64) {
+// ObserveLimit records the limit in a response to a request of this host, and returns the rates
+// known before and after; 0 means no limit. A response without a limit ends it only if its request
+// was sent after the limit was last confirmed: an older response may have been made before the
+// limit began.
+func (f *Fleet) ObserveLimit(id string, l Limit, sent clock.Instant) (before, after float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[id]
@@ -88,95 +93,96 @@
 		return 0, 0
 	}
 	now := f.options.Now()
-	if m.limited != nil {
-		before = m.limited.rate
+	if m.limit != nil {
+		before = m.limit.rate
 	}
 	switch {
 	case l.Named:
-		f.limit(m, LimitNews{Rate: max(l.Rate, limitLeast), Since: now, Heard: now})
-	case before > 0 && l.Unread == "" && sent.After(m.limited.heard):
-		f.limit(m, LimitNews{Heard: now})
-		m.limited.untold = true
-		f.want(m, now)
+		f.applyLimit(m, LimitUpdate{Rate: max(l.Rate, minLimit), Since: now, ConfirmedAt: now})
+	case before > 0 && l.Unread == "" && sent.After(m.limit.confirmedAt):
+		f.applyLimit(m, LimitUpdate{ConfirmedAt: now})
+		m.limit.endUntold = true
+		f.needLoan(m, now)
 	}
-	if m.limited != nil {
-		after = m.limited.rate
+	if m.limit != nil {
+		after = m.limit.rate
 	}
 	return before, after
 }
 
-// LearnLimit takes in what another host knows; the latest answer counts.
-func (f *Fleet) LearnLimit(n LimitNews) {
+// MergeLimit applies an update of another host; the latest response counts.
+func (f *Fleet) MergeLimit(n LimitUpdate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m, ok := f.members[n.Endpoint]
-	if !ok || f.options.Now().Sub(n.Heard) > newsLife || (m.limited != nil && !n.Heard.After(m.limited.heard)) {
+	if !ok || f.options.Now().Sub(n.ConfirmedAt) > limitUpdateTTL || (m.limit != nil && !n.ConfirmedAt.After(m.limit.confirmedAt)) {
 		return
 	}
-	if n.Rate > 0 || m.limited != nil {
-		f.limit(m, n)
+	if n.Rate > 0 || m.limit != nil {
+		f.applyLimit(m, n)
 	}
 }
 
-// limit takes in the latest news of an endpoint's limit; the caller holds mu.
-func (f *Fleet) limit(m *member, n LimitNews) {
-	if m.limited == nil {
-		m.limited = &limitation{}
+// applyLimit applies the latest update of an endpoint's limit; the caller holds mu.
+func (f *Fleet) applyLimit(m *member, n LimitUpdate) {
+	if m.limit == nil {
+		m.limit = &limitState{}
 		f.limits[m.ID] = m
 	}
-	m.limited.hear(n)
-	if m.limited.spreads() && f.wanted != nil {
-		m.limited.told = n.Rate
-		f.news[m.ID] = m
-		f.wanted()
+	m.limit.apply(n)
+	if m.limit.shouldAnnounce() && f.onLoanNeeded != nil {
+		m.limit.announcedRate = n.Rate
+		f.changedLimits[m.ID] = m
+		f.onLoanNeeded()
 	}
 }
 
-// spreads reports whether the limit is so unlike what was told of it that all are told again.
-func (l *limitation) spreads() bool {
-	return (l.rate == 0) != (l.told == 0) || l.rate > newsFactor*l.told || l.told > newsFactor*l.rate
+// shouldAnnounce reports whether the limit differs so much from the announced one that it is
+// announced to all hosts again.
+func (l *limitState) shouldAnnounce() bool {
+	return (l.rate == 0) != (l.announcedRate == 0) || l.rate > limitChangeFactor*l.announcedRate || l.announcedRate > limitChangeFactor*l.rate
 }
 
-// FreshNews returns limits of which all hosts are to be told, since they have begun, ended or changed;
-// each once, and no more than some at a time.
-func (f *Fleet) FreshNews(most int) []LimitNews {
+// TakeLimitUpdates returns limits that have begun, ended or changed, to be announced to all hosts.
+// It returns each once, and at most a given number per call.
+func (f *Fleet) TakeLimitUpdates(most int) []LimitUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var list []LimitNews
-	for id, m := range f.news {
+	var list []LimitUpdate
+	for id, m := range f.changedLimits {
 		if len(list) == most {
-			f.wanted()
+			f.onLoanNeeded()
 			break
 		}
-		delete(f.news, id)
-		list = append(list, m.limited.news(id))
+		delete(f.changedLimits, id)
+		list = append(list, m.limit.update(id))
 	}
 	return list
 }
 
-// unlimit drops what is known of a member's limit.
-func (f *Fleet) unlimit(m *member) {
-	m.limited = nil
+// dropLimit removes what is known of a member's limit.
+func (f *Fleet) dropLimit(m *member) {
+	m.limit = nil
 	delete(f.limits, m.ID)
-	delete(f.wanting, m.ID)
-	delete(f.news, m.ID)
+	delete(f.needLoans, m.ID)
+	delete(f.changedLimits, m.ID)
 }
 
-// LimitNews lists some of what this host knows of limits, to be told to another host.
-func (f *Fleet) LimitNews(most int) []LimitNews {
+// LimitUpdates lists some of the limits that this host knows, to be sent to another host.
+func (f *Fleet) LimitUpdates(most int) []LimitUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.limits) == 0 {
 		return nil
 	}
 	now := f.options.Now()
-	var list []LimitNews
-	for id, m := range f.limits { // in an order that changes
-		switch old := now.Sub(m.limited.heard) > newsLife; {
-		case old && !m.limited.holds():
-			f.unlimit(m)
+	var list []LimitUpdate
+	for id, m := range f.limits { // in random order
+		switch old := now.Sub(m.limit.confirmedAt) > limitUpdateTTL; {
+		case old && !m.limit.active():
+			f.dropLimit(m)
 		case !old && len(list) < most:
-			list = append(list, m.limited.news(id))
+			list = append(list, m.limit.update(id))
 		}
 	}
 	return list
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -12,27 +12,27 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// limitedFleet is a fleet of two endpoints whose limits are kept, and what it would borrow.
+// limitedFleet returns a fleet of two endpoints that enforces limits.
 func limitedFleet() *fleet.Fleet {
 	f := fleet.New(fleet.Options{Hall: "ikeja"})
-	f.OnWanted(func() {})
+	f.OnLoanNeeded(func() {})
 	for _, id := range []string{"e0", "e1"} {
 		f.Put(fleet.Endpoint{ID: id, Service: "s", Hall: "ikeja", Version: "v1", Slots: 8})
 	}
 	return f
 }
 
-// named is what an answer says that names a limit.
-func named(rate float64) fleet.Limit { return fleet.Limit{Named: true, Rate: rate} }
+// statedLimit returns the limit in a response that states one.
+func statedLimit(rate float64) fleet.Limit { return fleet.Limit{Named: true, Rate: rate} }
 
-// tries are enough requests for each of two endpoints to get some.
+// tries is enough requests for each of two endpoints to get some.
 const tries = 50
 
-// picks counts how many of some plain requests go to an endpoint.
-func picks(f *fleet.Fleet, id string) int {
+// countPicks counts how many of some plain requests go to an endpoint.
+func countPicks(f *fleet.Fleet, id string) int {
 	n := 0
 	for range tries {
-		h, ok := f.Pick(fleet.Ask{Service: "s"})
+		h, ok := f.Pick(fleet.Request{Service: "s"})
 		if !ok {
 			continue
 		}
@@ -44,137 +44,137 @@
 	return n
 }
 
-var _ = Describe("an endpoint that names a limit", func() {
-	It("gets only what was lent, and no longer than that lasts", func() {
+var _ = Describe("an endpoint that states a limit", func() {
+	It("gets only as many requests as loans allow, and only until they expire", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.HearLimit("e0", named(2), clock.Now())
-			Expect(picks(f, "e0")).To(BeZero())
-			f.Lent("e0", fleet.Loan{Requests: 3, Until: clock.Now().Add(time.Second)})
-			Expect(picks(f, "e0")).To(Equal(3))
-			f.Lent("e0", fleet.Loan{Requests: 3, Until: clock.Now().Add(time.Second)})
+			f.ObserveLimit("e0", statedLimit(2), clock.Now())
+			Expect(countPicks(f, "e0")).To(BeZero())
+			f.FinishLoan("e0", fleet.Loan{Requests: 3, Until: clock.Now().Add(time.Second)})
+			Expect(countPicks(f, "e0")).To(Equal(3))
+			f.FinishLoan("e0", fleet.Loan{Requests: 3, Until: clock.Now().Add(time.Second)})
 			time.Sleep(time.Second)
-			Expect(picks(f, "e0")).To(BeZero())
+			Expect(countPicks(f, "e0")).To(BeZero())
 		})
 	})
 
-	It("is borrowed of as requests would go there", func() {
+	It("needs loans as requests would go there", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.HearLimit("e0", named(2), clock.Now())
-			list, _ := f.Wanted()
+			f.ObserveLimit("e0", statedLimit(2), clock.Now())
+			list, _ := f.LoanRequests()
 			Expect(list).To(BeEmpty())
-			picks(f, "e0")
-			list, _ = f.Wanted()
+			countPicks(f, "e0")
+			list, _ = f.LoanRequests()
 			Expect(list).To(HaveLen(1))
-			Expect(list[0].News.Rate).To(BeEquivalentTo(2))
+			Expect(list[0].Update.Rate).To(BeEquivalentTo(2))
 			Expect(list[0].Requests).To(BeNumerically(">", 1))
-			f.Remove("e1") // while others take requests nothing waits for this one
+			f.Remove("e1") // while other endpoints take requests, no request waits for this one
 			again := clock.Now().Add(100 * time.Millisecond)
-			f.Lent("e0", fleet.Loan{Again: again})
-			picks(f, "e0")
-			list, next := f.Wanted()
-			Expect(list).To(BeEmpty(), "before the lender said")
+			f.FinishLoan("e0", fleet.Loan{RetryAt: again})
+			countPicks(f, "e0")
+			list, next := f.LoanRequests()
+			Expect(list).To(BeEmpty(), "before the lender's retry time")
 			Expect(next).To(Equal(again))
 			time.Sleep(time.Second)
-			list, _ = f.Wanted()
-			Expect(list).To(BeEmpty(), "the requests are long gone")
+			list, _ = f.LoanRequests()
+			Expect(list).To(BeEmpty(), "the requests are too old")
 		})
 	})
 
-	It("is free again once an answer to a later request names none", func() {
+	It("has no limit once the response to a later request states none", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			early := clock.Now()
 			time.Sleep(time.Second)
-			f.HearLimit("e0", named(2), clock.Now())
+			f.ObserveLimit("e0", statedLimit(2), clock.Now())
 			time.Sleep(time.Second)
-			_, after := f.HearLimit("e0", fleet.Limit{}, early)
-			Expect(after).To(BeEquivalentTo(2), "the answer may have been made before")
-			_, after = f.HearLimit("e0", fleet.Limit{Unread: "abc"}, clock.Now())
-			Expect(after).To(BeEquivalentTo(2), "what can't be read says nothing")
-			_, after = f.HearLimit("e0", fleet.Limit{}, clock.Now())
+			_, after := f.ObserveLimit("e0", fleet.Limit{}, early)
+			Expect(after).To(BeEquivalentTo(2), "the response may be older than the limit")
+			_, after = f.ObserveLimit("e0", fleet.Limit{Unread: "abc"}, clock.Now())
+			Expect(after).To(BeEquivalentTo(2), "a malformed limit changes nothing")
+			_, after = f.ObserveLimit("e0", fleet.Limit{}, clock.Now())
 			Expect(after).To(BeZero())
-			Expect(picks(f, "e0")).To(BeNumerically(">", 10))
-			list, _ := f.Wanted()
-			Expect(list).To(HaveLen(1), "who lends is told")
-			Expect(list[0].News.Rate).To(BeZero())
+			Expect(countPicks(f, "e0")).To(BeNumerically(">", 10))
+			list, _ := f.LoanRequests()
+			Expect(list).To(HaveLen(1), "the lender is informed")
+			Expect(list[0].Update.Rate).To(BeZero())
 		})
 	})
 
-	It("that names nothing at all is asked now and then", func() {
+	It("still gets occasional requests with a limit of zero", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			_, after := f.HearLimit("e0", named(0), clock.Now())
+			_, after := f.ObserveLimit("e0", statedLimit(0), clock.Now())
 			Expect(after).To(BeNumerically(">", 0))
 		})
 	})
 
-	It("has no limit at its next start", func() {
+	It("has no limit after its next start", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			e := fleet.Endpoint{ID: "e0", Service: "s", Hall: "ikeja", Version: "v1", Slots: 8}
-			f.HearLimit("e0", named(0), clock.Now())
+			f.ObserveLimit("e0", statedLimit(0), clock.Now())
 			f.Put(e.WithStart(7))
-			Expect(picks(f, "e0@7")).To(BeNumerically(">", 10))
+			Expect(countPicks(f, "e0@7")).To(BeNumerically(">", 10))
 		})
 	})
 
-	It("is known by what other hosts tell, the latest answer first", func() {
+	It("is known from other hosts' updates, of which the latest response counts", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			now := clock.Now()
-			f.LearnLimit(fleet.LimitNews{Endpoint: "e0", Rate: 2, Since: now, Heard: now})
-			f.LearnLimit(fleet.LimitNews{Endpoint: "e0", Rate: 0, Heard: now.Add(-time.Second)})
-			f.LearnLimit(fleet.LimitNews{Endpoint: "gone", Rate: 2, Heard: now})
-			Expect(picks(f, "e0")).To(BeZero())
-			Expect(f.FreshNews(8)).To(HaveLen(1), "it is told on")
-			Expect(f.FreshNews(8)).To(BeEmpty(), "once")
-			f.LearnLimit(fleet.LimitNews{Endpoint: "e0", Rate: 0, Heard: now.Add(time.Millisecond)})
-			Expect(picks(f, "e0")).To(BeNumerically(">", 10))
+			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e0", Rate: 2, Since: now, ConfirmedAt: now})
+			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e0", Rate: 0, ConfirmedAt: now.Add(-time.Second)})
+			f.MergeLimit(fleet.LimitUpdate{Endpoint: "gone", Rate: 2, ConfirmedAt: now})
+			Expect(countPicks(f, "e0")).To(BeZero())
+			Expect(f.TakeLimitUpdates(8)).To(HaveLen(1), "it is announced")
+			Expect(f.TakeLimitUpdates(8)).To(BeEmpty(), "once")
+			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e0", Rate: 0, ConfirmedAt: now.Add(time.Millisecond)})
+			Expect(countPicks(f, "e0")).To(BeNumerically(">", 10))
 			time.Sleep(time.Minute)
-			f.LearnLimit(fleet.LimitNews{Endpoint: "e1", Rate: 2, Since: now, Heard: now})
-			Expect(picks(f, "e1")).To(BeNumerically(">", 10), "old news says nothing")
+			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e1", Rate: 2, Since: now, ConfirmedAt: now})
+			Expect(countPicks(f, "e1")).To(BeNumerically(">", 10), "an old update changes nothing")
 		})
 	})
 
-	It("is not taken from an adviser that has not heard of it", func() {
+	It("is not used on the advice of an adviser that does not know the limit", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.HearLimit("e0", named(2), clock.Now())
-			_, ok := f.PickAt(fleet.Advice{Endpoint: "e0"}, fleet.Ask{Service: "s"})
+			f.ObserveLimit("e0", statedLimit(2), clock.Now())
+			_, ok := f.PickAt(fleet.Advice{Endpoint: "e0"}, fleet.Request{Service: "s"})
 			Expect(ok).To(BeFalse())
-			_, ok = f.PickAt(fleet.Advice{Endpoint: "e0", Limited: true}, fleet.Ask{Service: "s"})
+			_, ok = f.PickAt(fleet.Advice{Endpoint: "e0", LimitCounted: true}, fleet.Request{Service: "s"})
 			Expect(ok).To(BeTrue())
 		})
 	})
 })
 
-var _ = Describe("requests to endpoints that all name limits", func() {
-	ask := func(urgency int) fleet.Ask {
-		return fleet.Ask{Service: "s", Urgency: urgency, Within: 2 * time.Second}
+var _ = Describe("requests to endpoints that all state limits", func() {
+	newRequest := func(urgency int) fleet.Request {
+		return fleet.Request{Service: "s", Urgency: urgency, MaxLimitWait: 2 * time.Second}
 	}
 	lend := func(f *fleet.Fleet, n int) {
-		f.Lent("e0", fleet.Loan{Requests: n, Until: clock.Now().Add(time.Second)})
+		f.FinishLoan("e0", fleet.Loan{Requests: n, Until: clock.Now().Add(time.Second)})
 	}
 
-	It("wait, and go in the order of their urgency", func() {
+	It("wait, and are sent in the order of their urgency", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.HearLimit("e0", named(2), clock.Now())
-			f.HearLimit("e1", named(2), clock.Now())
-			_, d := f.Place(ask(5))
+			f.ObserveLimit("e0", statedLimit(2), clock.Now())
+			f.ObserveLimit("e1", statedLimit(2), clock.Now())
+			_, d := f.Place(newRequest(5))
 			later, ok := d.(admission.Wait)
 			Expect(ok).To(BeTrue())
-			_, d = f.Place(ask(1))
+			_, d = f.Place(newRequest(1))
 			first, ok := d.(admission.Wait)
 			Expect(ok).To(BeTrue())
 			lend(f, 1)
-			patient := ask(5)
+			patient := newRequest(5)
 			patient.Turn = later.Turn
 			h, _ := f.Place(patient)
-			Expect(h).To(BeNil(), "a more urgent one waits")
-			urgent := ask(1)
+			Expect(h).To(BeNil(), "a more urgent request waits")
+			urgent := newRequest(1)
 			urgent.Turn = first.Turn
 			h, _ = f.Place(urgent)
 			Expect(h).NotTo(BeNil())
@@ -184,30 +184,30 @@
 		})
 	})
 
-	It("do not go to an endpoint that fails instead", func() {
+	It("do not go to a failing endpoint instead", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.HearLimit("e0", named(2), clock.Now())
-			f.Learn("e1", fleet.Tally{Lost: 1})
-			_, d := f.Place(ask(5))
+			f.ObserveLimit("e0", statedLimit(2), clock.Now())
+			f.AddTally("e1", fleet.Tally{Lost: 1})
+			_, d := f.Place(newRequest(5))
 			wait, ok := d.(admission.Wait)
 			Expect(ok).To(BeTrue())
 			lend(f, 1)
-			again := ask(5)
+			again := newRequest(5)
 			again.Turn = wait.Turn
 			h, _ := f.Place(again)
 			Expect(h.Endpoint.ID).To(Equal("e0"))
 		})
 	})
 
-	It("are refused at once, and told when there is room, if that is too late for them", func() {
+	It("are refused at once with the time of the next loan if that is too late for them", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			for _, id := range []string{"e0", "e1"} {
-				f.HearLimit(id, named(0.2), clock.Now())
-				f.Lent(id, fleet.Loan{Again: clock.Now().Add(5 * time.Second)})
+				f.ObserveLimit(id, statedLimit(0.2), clock.Now())
+				f.FinishLoan(id, fleet.Loan{RetryAt: clock.Now().Add(5 * time.Second)})
 			}
-			_, d := f.Place(ask(5))
+			_, d := f.Place(newRequest(5))
 			Expect(d).To(Equal(admission.Refuse{After: 5 * time.Second}))
 		})
 	})
--- a/internal/fleet/pick.go
+++ b/internal/fleet/pick.go
@@ -8,172 +8,173 @@
 	"quaybarrow/internal/clock"
 )
 
-// Ask is what an attempt needs.
-type Ask struct {
-	Service   string
-	Hall      string            // of the host that asks; empty stands for this host's
-	Allowed   func(string) bool // versions it may run on; nil for any
-	Avoid     []string          // ids of endpoints that it has been to
-	Key       uint64            // requests with the same key share a prompt; 0 for none
-	Model     string
-	Tokens    int           // of the prompt
-	Shared    int           // of them, those that other requests with the key have too
-	Parts     []Part        // of the prompt, in order; nil where only the key is known
-	Memory    int           // tokens that an engine of the service keeps; 0 if not known
-	Objective time.Duration // by when the answer should begin
-	Urgency   int           // at endpoints, the lowest first; -1 if not said
-	// Slack is what is left until the answer should begin, and Left until the caller has
-	// no use for it any more; 0 of both has the request sent in any case.
-	Slack, Left time.Duration
-	Begun       bool          // it may run already: it may go behind, but does not wait and is not refused
-	Waited      time.Duration // since its caller asked
-	Turn        int64         // of those that wait; 0 for none
-	Regions     []string      // whose endpoints may be used; nil for all
-	// Within is how long it may wait for endpoints whose limits are used up; 0 for not at all.
-	Within time.Duration
-	// Unadvised tells that other hosts choose at the same time without knowing of it.
+// Request describes what an attempt needs of an endpoint.
+type Request struct {
+	Service      string
+	Hall         string            // of the host that asks; empty means this host's
+	Allowed      func(string) bool // reports whether a version may be used; nil allows any
+	Avoid        []string          // IDs of endpoints that were already tried
+	Key          uint64            // requests with the same key share a prompt prefix; 0 if there is no prompt
+	Model        string
+	Tokens       int           // of the prompt
+	SharedTokens int           // tokens of the prompt that other requests with the key have too
+	Parts        []Part        // of the prompt, in order; nil if only the key is known
+	CacheTokens  int           // tokens in the prefix cache of an engine of the service; 0 if not known
+	Objective    time.Duration // time in which the response should begin
+	Urgency      int           // at endpoints, the lowest first; -1 if not stated
+	// Slack is the time left until the response should begin, and Remaining the time left until the
+	// caller has no more use for it. If both are 0, the request is sent in any case.
+	Slack, Remaining time.Duration
+	MayHaveStarted   bool          // it may be sent behind all others, but does not wait and is not refused
+	Waited           time.Duration // time since its caller sent it
+	Turn             int64         // its turn among waiting requests; 0 if it has none
+	Regions          []string      // whose endpoints may be used; nil allows all
+	// MaxLimitWait is how long the request may wait for endpoints whose limits are used up; 0 means
+	// no wait.
+	MaxLimitWait time.Duration
+	// Unadvised means that other hosts choose at the same time without knowing of this request.
 	Unadvised bool
 }
 
-// parts are the prompt's, or one that stands for all that is shared.
-func (a Ask) parts() []Part {
-	if a.Parts != nil || a.Key == 0 {
-		return a.Parts
+// parts returns the parts of the prompt, or a single part that stands for all that is shared.
+func (r Request) parts() []Part {
+	if r.Parts != nil || r.Key == 0 {
+		return r.Parts
 	}
-	return []Part{{ID: a.Key, Tokens: a.Shared}}
+	return []Part{{ID: r.Key, Tokens: r.SharedTokens}}
 }
 
-// Hold is a place at an endpoint.
+// Hold is a slot held at an endpoint.
 type Hold struct {
-	// Ended is called when the hold is done; nil if nobody minds.
-	Ended    func()
-	Endpoint Endpoint
-	fleet    *Fleet
-	member   *member
-	ask      Ask
-	Expected Expectation // as the hold was taken
-	sent     clock.Instant
-	idle     time.Duration // until the head of the answer, if the endpoint were idle
-	took     time.Duration // until the head was there
-	ticket   int64         // of the awaited head
-	advice   Advice        // that was followed, if any
-	begun    bool          // the head is there
+	// OnDone is called when the hold is done; it may be nil.
+	OnDone      func()
+	Endpoint    Endpoint
+	fleet       *Fleet
+	member      *member
+	req         Request
+	Expected    Expectation // estimate from when the hold was taken
+	sent        clock.Instant
+	idleHead    time.Duration // time until the response head at an idle endpoint
+	untilHead   time.Duration // time until the response head
+	ticket      int64         // of the awaited response head
+	advice      Advice        // that was followed, if any
+	headArrived bool          // the response head has arrived
 }
 
-// Head notes that the head of the answer is there, and the load that it tells.
+// Head records that the response head has arrived, with the load it reports.
 func (h *Hold) Head(l Load) {
-	if heard := h.fleet.heard; heard != nil && h.ask.Key != 0 {
-		defer func() { heard(h.heard(l)) }()
+	if observe := h.fleet.onHead; observe != nil && h.req.Key != 0 {
+		defer func() { observe(h.headReport(l)) }()
 	}
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
-	h.begun = true
-	h.took = h.fleet.options.Now().Sub(h.sent)
-	if h.ask.Key == 0 {
-		h.fleet.echo(h.member, l, h.member.flying)
+	h.headArrived = true
+	h.untilHead = h.fleet.options.Now().Sub(h.sent)
+	if h.req.Key == 0 {
+		h.fleet.updateLoad(h.member, l, h.member.inFlight)
 		return
 	}
-	h.member.begun(h.ticket)
-	h.fleet.hear(h.member, h.heard(l))
+	h.member.answered(h.ticket)
+	h.fleet.observeHead(h.member, h.headReport(l))
 }
 
-// Urgency is that with which the request is sent.
-func (h *Hold) Urgency() int { return h.ask.Urgency }
+// Urgency returns the urgency with which the request is sent.
+func (h *Hold) Urgency() int { return h.req.Urgency }
 
-// heard is what the head of the answer told.
-func (h *Hold) heard(l Load) Heard {
-	return Heard{
-		Endpoint: h.Endpoint.ID, Ticket: h.advice.Ticket, Service: h.ask.Service, Model: h.ask.Model, Load: l,
-		Took: h.took, Expected: h.Expected.Head, Queue: h.Expected.Queue, Urgency: h.ask.Urgency, Read: h.Expected.Read, Sure: h.Expected.Sure,
+// headReport returns the report of the response head.
+func (h *Hold) headReport(l Load) HeadReport {
+	return HeadReport{
+		Endpoint: h.Endpoint.ID, Ticket: h.advice.Ticket, Service: h.req.Service, Model: h.req.Model, Load: l,
+		Took: h.untilHead, Expected: h.Expected.Head, Queue: h.Expected.Queue, Urgency: h.req.Urgency, PrefillTokens: h.Expected.PrefillTokens, Exact: h.Expected.Exact,
 	}
 }
 
-// Done ends the hold and notes what the attempt told.
+// Done ends the hold and records the result of the attempt.
 func (h *Hold) Done(r Result) {
-	if h.Ended != nil {
-		defer h.Ended()
+	if h.OnDone != nil {
+		defer h.OnDone()
 	}
-	if h.fleet.observe != nil {
-		defer h.fleet.observe(h.Endpoint.ID, r.Outcome)
+	if h.fleet.onOutcome != nil {
+		defer h.fleet.onOutcome(h.Endpoint.ID, r.Outcome)
 	}
-	if h.fleet.heard != nil && h.ask.Key != 0 && r.Outcome == OutcomeRefused {
-		refused := h.heard(r.Load)
+	if h.fleet.onHead != nil && h.req.Key != 0 && r.Outcome == OutcomeRefused {
+		refused := h.headReport(r.Load)
 		refused.Refused = true
-		defer h.fleet.heard(refused)
+		defer h.fleet.onHead(refused)
 	}
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
 	now := h.fleet.options.Now()
 	m := h.member
-	m.forgo(h.ticket)
+	m.stopAwaiting(h.ticket)
 	switch {
-	case h.ask.Key == 0:
-	case h.begun:
-		h.fleet.stayed(m.Service, now.Sub(h.sent)-h.took)
-	default: // no head came: the wait was at least so long
-		m.deals().waits[rank(h.ask.Urgency)] = observedWait{wait: max(0, now.Sub(h.sent)-h.idle), at: now}
+	case h.req.Key == 0:
+	case h.headArrived:
+		h.fleet.recordSlotTime(m.Service, now.Sub(h.sent)-h.untilHead)
+	default: // no head arrived: the wait was at least this long
+		m.ensureQueue().waits[rank(h.req.Urgency)] = observedWait{wait: max(0, now.Sub(h.sent)-h.idleHead), at: now}
 	}
-	m.flying--
+	m.inFlight--
 	if r.Outcome == OutcomeRefused || r.Outcome == OutcomeLost {
-		h.fleet.memory.forget(m, h.ask.parts())
+		h.fleet.prefixes.forget(m, h.req.parts())
 	}
-	h.fleet.judge(m, r.Outcome, now)
-	h.fleet.met(m, r.Outcome, now)
+	h.fleet.recordHealth(m, r.Outcome, now)
+	h.fleet.trackWarmUp(m, r.Outcome, now)
 	if r.Load.Slots > 0 {
-		// The answered request itself may still be counted in what it says.
-		h.fleet.echo(m, r.Load, m.flying+1)
+		// The load report may still count the answered request itself.
+		h.fleet.updateLoad(m, r.Load, m.inFlight+1)
 	}
 }
 
-// load is the part of an endpoint's slots in use, as far as this host knows. What
-// the endpoint said counts for less with age; in its place comes what this host's
-// own count says of the hosts that it shares the endpoint with, and what other endpoints
-// of the service said: the one of which nothing was heard would look like the emptiest.
-func (m *member) load(now clock.Instant, sharers int) float64 {
-	mine := m.flying + m.remote(now)
-	trust := 0.0
-	if age := now.Sub(m.saidAt); age < echoLife {
-		trust = 1 - float64(age)/float64(echoLife)
+// load returns the part of an endpoint's slots in use, as far as this host knows. A load report
+// loses weight with age. It is replaced by an estimate from this host's own count for the hosts
+// that share the endpoint, and from the load that other endpoints of the service report: without
+// these an endpoint that has not reported lately would look like the emptiest one.
+func (m *member) load(now clock.Instant, sendingHosts int) float64 {
+	known := m.inFlight + m.remote(now)
+	reportWeight := 0.0
+	if age := now.Sub(m.loadAt); age < loadReportTTL {
+		reportWeight = 1 - float64(age)/float64(loadReportTTL)
 	}
-	usual := float64(m.flying * (sharers - 1))
-	if m.crowd != nil {
-		usual = max(usual, m.crowd.mean)
+	assumed := float64(m.inFlight * (sendingHosts - 1))
+	if m.remoteLoad != nil {
+		assumed = max(assumed, m.remoteLoad.mean)
 	}
-	others := trust*float64(m.others) + (1-trust)*usual
-	return (float64(mine) + others) / float64(m.slots())
+	others := reportWeight*float64(m.others) + (1-reportWeight)*assumed
+	return (float64(known) + others) / float64(m.slots())
 }
 
-// slots are how many requests an endpoint runs at once.
+// slots returns how many requests an endpoint runs at the same time.
 func (m *member) slots() int {
 	if m.Slots <= 0 {
-		return slotsUnsaid
+		return defaultSlots
 	}
 	return m.Slots
 }
 
-// free counts an endpoint's free slots at a load.
+// free returns the number of free slots of an endpoint at a load.
 func (m *member) free(load float64) int { return max(0, int((1-load)*float64(m.slots()))) }
 
-// sharers counts the hosts that send to an endpoint of a service.
-func (f *Fleet) sharers(service string) int {
-	if f.options.Sharers == nil {
+// sendingHosts returns the number of hosts that send to an endpoint of a service.
+func (f *Fleet) sendingHosts(service string) int {
+	if f.options.SendingHosts == nil {
 		return 1
 	}
-	return max(1, f.options.Sharers(service))
+	return max(1, f.options.SendingHosts(service))
 }
 
 // usable reports whether an endpoint may get the attempt at all.
-func (f *Fleet) usable(m *member, ask Ask) bool {
-	if m.Draining || m.leaving || f.away(m) || (ask.Allowed != nil && !ask.Allowed(m.Version)) {
+func (f *Fleet) usable(m *member, req Request) bool {
+	if m.Draining || m.reportedDraining || f.inEvacuatedHall(m) || (req.Allowed != nil && !req.Allowed(m.Version)) {
 		return false
 	}
-	if ask.Regions != nil && !slices.Contains(ask.Regions, m.region) {
+	if req.Regions != nil && !slices.Contains(req.Regions, m.region) {
 		return false
 	}
-	if m.models != nil && ask.Model != "" && !slices.Contains(m.models, ask.Model) {
+	if m.models != nil && req.Model != "" && !slices.Contains(m.models, req.Model) {
 		return false
 	}
-	for _, id := range ask.Avoid {
+	for _, id := range req.Avoid {
 		if id == m.ID {
 			return false
 		}
@@ -181,155 +182,154 @@
 	return true
 }
 
-// Tiers of endpoints, by how sure it is that they answer.
+// Tiers of endpoints, by how likely they are to respond.
 const (
-	tierWell = iota
+	tierHealthy = iota
 	tierLapsed
 	tierEjected
 )
 
-// ejected reports whether an endpoint has lately failed this host, or others.
+// ejected reports whether an endpoint has recently failed this host or other hosts.
 func (m *member) ejected(now clock.Instant) bool {
-	return now.Before(m.health.until) || now.Before(m.shunned)
+	return now.Before(m.health.ejectedUntil) || now.Before(m.peerEjectedUntil)
 }
 
 func (m *member) tier(now clock.Instant) int {
 	switch {
-	case m.ejected(now), now.Before(m.health.full):
+	case m.ejected(now), now.Before(m.health.fullUntil):
 		return tierEjected
-	case !m.lapsed.IsZero():
+	case !m.lapsesAt.IsZero():
 		return tierLapsed
 	default:
-		return tierWell
+		return tierHealthy
 	}
 }
 
-// choice is the endpoint that is best for an attempt now.
+// choice is the best endpoint for an attempt at a time.
 type choice struct {
-	member *member // nil if none may be used
-	room   int     // slots of endpoints that are free
-	unread int     // tokens of the prompt that it is expected to read
-	score  float64 // its own
-	limits limits  // of the endpoints that were weighed
-	now    clock.Instant
+	member        *member   // nil if none may be used
+	freeSlots     int       // of the endpoints that were scored
+	prefillTokens int       // tokens of the prompt that the endpoint is expected to prefill
+	score         float64   // of member
+	limits        limitScan // of the endpoints that were scored
+	now           clock.Instant
 }
 
-// choose finds it; the caller holds mu.
-func (f *Fleet) choose(ask Ask) choice {
+// choose returns the best endpoint for a request; the caller holds mu.
+func (f *Fleet) choose(req Request) choice {
 	c := choice{now: f.options.Now()}
-	p, ok := f.byService[ask.Service]
+	p, ok := f.byService[req.Service]
 	if !ok {
 		return c
 	}
-	t := f.terms(ask, c.now)
-	if len(p.all) <= weighAll {
-		f.weigh(&c, p.all, t)
+	t := f.terms(req, c.now)
+	if len(p.all) <= scoreAllUpTo {
+		f.scoreAll(&c, p.all, t)
 		return c
 	}
-	n := f.nominate(p, ask, t.near, c.now)
-	f.weigh(&c, n.list[:n.n], t)
-	if (c.member == nil && !c.limits.some) || (c.member != nil && c.member.tier(c.now) > tierWell) {
-		// What may be used is rare, as one of a few endpoints of a version.
+	n := f.candidates(p, req, t.localHall, c.now)
+	f.scoreAll(&c, n.list[:n.count], t)
+	if (c.member == nil && !c.limits.anyLimited) || (c.member != nil && c.member.tier(c.now) > tierHealthy) {
+		// Few endpoints may be used, for instance since only a few run an allowed version.
 		c = choice{now: c.now}
-		f.weigh(&c, p.all, t)
+		f.scoreAll(&c, p.all, t)
 		return c
 	}
-	c.room = int(float64(c.room) * float64(len(p.all)) / float64(n.n))
+	c.freeSlots = int(float64(c.freeSlots) * float64(len(p.all)) / float64(n.count))
 	return c
 }
 
-// weigh finds the best of some endpoints.
-func (f *Fleet) weigh(c *choice, list []*member, t terms) {
+// scoreAll scores a list of endpoints and records the best one.
+func (f *Fleet) scoreAll(c *choice, list []*member, t scoreTerms) {
 	best := math.Inf(1)
 	for _, m := range list {
-		if !f.usable(m, t.ask) || !m.warmth.takes(t.warming, t.ask, c.now) {
+		if !f.usable(m, t.req) || !m.warmUp.admits(t.coldLimits, t.req, c.now) {
 			continue
 		}
-		load, unread := m.load(c.now, t.sharers), t.unread(m)
-		s := f.score(m, t, load, unread, c.now)
-		if !f.limited(m) {
-			c.limits.open = c.limits.open || !m.ejected(c.now)
-		} else if !c.limits.takes(m, s, c.now) {
+		load, prefillTokens := m.load(c.now, t.sendingHosts), t.prefillTokens(m)
+		s := f.score(m, t, load, prefillTokens, c.now)
+		if !f.enforcesLimit(m) {
+			c.limits.anyUnlimited = c.limits.anyUnlimited || !m.ejected(c.now)
+		} else if !c.limits.consider(m, s, c.now) {
 			continue
 		}
-		c.room += m.free(load)
+		c.freeSlots += m.free(load)
 		if s < best {
-			c.member, c.unread, best = m, unread, s
+			c.member, c.prefillTokens, best = m, prefillTokens, s
 		}
 	}
 	c.score = best
 }
 
-// Pick chooses an endpoint and holds a place there; false if none may be used.
-func (f *Fleet) Pick(ask Ask) (*Hold, bool) {
-	ask.Left = 0
-	h, _ := f.Place(ask)
+// Pick chooses an endpoint and holds a slot there; false if none may be used.
+func (f *Fleet) Pick(req Request) (*Hold, bool) {
+	req.Remaining = 0
+	h, _ := f.Place(req)
 	return h, h != nil
 }
 
-// Expect estimates what an attempt takes that is sent now; false if no endpoint takes
-// it.
-func (f *Fleet) Expect(ask Ask) (Expectation, bool) {
+// Expect estimates the attempt if it were sent now; false if no endpoint takes it.
+func (f *Fleet) Expect(req Request) (Expectation, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c := f.choose(ask)
+	c := f.choose(req)
 	if c.member == nil {
 		return Expectation{}, false
 	}
-	return f.expect(c, ask), true
+	return f.expect(c, req), true
 }
 
-func (f *Fleet) expect(c choice, ask Ask) Expectation {
-	m, r := c.member, f.readingOf(ask.Service, ask.Model)
-	queue := f.queue(m, ask.Urgency, m.load(c.now, f.sharers(ask.Service)), c.now)
+func (f *Fleet) expect(c choice, req Request) Expectation {
+	m, r := c.member, f.prefillModelOf(req.Service, req.Model)
+	queue := f.queueWait(m, req.Urgency, m.load(c.now, f.sendingHosts(req.Service)), c.now)
 	return Expectation{
-		Head: queue + time.Duration(m.pace()*float64(r.head(c.unread))), Queue: queue, Work: r.tokens(c.unread), Read: c.unread,
-		Sure: c.unread <= ask.Tokens-ask.Shared && f.memory.known(m) >= ask.Shared, Price: f.prices[ask.Service].perSecond(), Overrun: f.overruns[ask.Service],
+		Head: queue + time.Duration(m.pace()*float64(r.headTime(c.prefillTokens))), Queue: queue, PrefillTime: r.prefillTime(c.prefillTokens), PrefillTokens: c.prefillTokens,
+		Exact: c.prefillTokens <= req.Tokens-req.SharedTokens && f.prefixes.cachedTokens(m) >= req.SharedTokens, Price: f.prices[req.Service].perSecond(), Overrun: f.overruns[req.Service],
 	}
 }
 
-// hold takes a place at an endpoint.
-func (f *Fleet) hold(m *member, expected Expectation, ask Ask, now clock.Instant) *Hold {
-	h := &Hold{Endpoint: m.Endpoint, Expected: expected, fleet: f, member: m, ask: ask, sent: now}
-	m.flying++
-	if ask.Key == 0 {
+// hold takes a slot at an endpoint.
+func (f *Fleet) hold(m *member, expected Expectation, req Request, now clock.Instant) *Hold {
+	h := &Hold{Endpoint: m.Endpoint, Expected: expected, fleet: f, member: m, req: req, sent: now}
+	m.inFlight++
+	if req.Key == 0 {
 		return h
 	}
-	h.idle = f.readingOf(ask.Service, ask.Model).head(expected.Read)
-	h.ticket = f.await(m, expected, ask.Urgency, now)
-	f.note(m, ask)
+	h.idleHead = f.prefillModelOf(req.Service, req.Model).headTime(expected.PrefillTokens)
+	h.ticket = f.await(m, expected, req.Urgency, now)
+	f.notePrompt(m, req)
 	return h
 }
 
-// note takes in that a prompt is read at an endpoint.
-func (f *Fleet) note(m *member, ask Ask) {
-	size := ask.Memory
+// notePrompt records that a prompt is prefilled at an endpoint.
+func (f *Fleet) notePrompt(m *member, req Request) {
+	size := req.CacheTokens
 	if size == 0 {
-		size = memoryUnsaid
+		size = defaultCacheTokens
 	}
-	f.memory.note(m, ask.parts(), int(memoryPart*float64(size)))
+	f.prefixes.add(m, req.parts(), int(cacheShare*float64(size)))
 }
 
-// home finds the endpoint that most likely has the shared part of a prompt in memory
-// if other data halls have asked for it: the first by rendezvous; nil for requests
-// without a prompt.
-func (f *Fleet) home(ask Ask, now clock.Instant) *member {
-	if ask.Key == 0 {
+// home returns the endpoint that most likely has the shared part of a prompt cached if hosts of
+// other data halls have sent requests for it: the first by rendezvous hashing. It returns nil for
+// requests without a prompt.
+func (f *Fleet) home(req Request, now clock.Instant) *member {
+	if req.Key == 0 {
 		return nil
 	}
-	p := f.byService[ask.Service]
-	if len(p.all) > weighAll {
-		var n nominees
-		f.nominateHomes(&n, p, ask, now)
+	p := f.byService[req.Service]
+	if len(p.all) > scoreAllUpTo {
+		var n candidates
+		f.addHomes(&n, p, req, now)
 		return n.list[0]
 	}
 	var home *member
 	least := math.Inf(1)
 	for _, m := range p.all {
-		if !f.usable(m, ask) || m.tier(now) > tierWell {
+		if !f.usable(m, req) || m.tier(now) > tierHealthy {
 			continue
 		}
-		if w := Weight(ask.Key, m.seed); w < least {
+		if w := RendezvousWeight(req.Key, m.seed); w < least {
 			home, least = m, w
 		}
 	}
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -8,9 +8,9 @@
 	"quaybarrow/internal/fleet"
 )
 
-// listed is a list of endpoints in five data halls, each entry with words of its own as it is
-// when it was read.
-func listed(count int) []fleet.Endpoint {
+// endpointList returns endpoints in five data halls. The strings of each entry are allocated
+// separately, as they are when entries are decoded.
+func endpointList(count int) []fleet.Endpoint {
 	list := make([]fleet.Endpoint, count)
 	for i := range list {
 		name := fmt.Sprintf("i-%010x", i)
@@ -22,30 +22,29 @@
 	return list
 }
 
-// heapOf is what a value takes of the heap, in bytes.
-func heapOf(make func() any) uint64 {
+// heapSize returns the heap that a value takes, in bytes.
+func heapSize(make func() any) uint64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := make()
+	value := make()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(value)
 	return after.HeapAlloc - before.HeapAlloc
 }
 
-// heapMost is what all that a usual host knows of 10,000 endpoints may take of its heap, in
-// bytes.
-const heapMost = 8 << 20
+// maxHeap bounds the heap that a typical host's knowledge of 10,000 endpoints takes, in bytes.
+const maxHeap = 8 << 20
 
 // TestHeapOfManyEndpoints lists 10,000 endpoints, of which a host uses some.
 func TestHeapOfManyEndpoints(t *testing.T) {
-	list := listed(10_000)
-	took := heapOf(func() any {
+	list := endpointList(10_000)
+	took := heapSize(func() any {
 		f := fleet.New(fleet.Options{Hall: "hall-0"})
 		f.Reset(list, false)
 		for i := range 200 {
-			h, ok := f.Pick(fleet.Ask{Service: "model-pool", Key: uint64(i + 1), Model: "m", Tokens: 6000, Shared: 5000})
+			h, ok := f.Pick(fleet.Request{Service: "model-pool", Key: uint64(i + 1), Model: "m", Tokens: 6000, SharedTokens: 5000})
 			if !ok {
 				t.Fatal("no endpoint")
 			}
@@ -55,7 +54,7 @@
 		return f
 	})
 	t.Logf("%.1f MB", float64(took)/(1<<20))
-	if took > heapMost {
-		t.Errorf("%d bytes, %d at most", took, heapMost)
+	if took > maxHeap {
+		t.Errorf("%d bytes, want at most %d", took, maxHeap)
 	}
 }
--- a/internal/fleet/stock.go
+++ b/internal/fleet/stock.go
@@ -7,8 +7,8 @@
 	"quaybarrow/internal/capacity"
 )
 
-// Stocks counts the endpoints of a service that take requests, by data hall; those of another
-// version than the one in force apart, unless that is empty.
+// Stocks counts the endpoints of a service that take requests, by data hall. Endpoints of a version
+// other than the one in force are counted separately, unless that version is empty.
 func (f *Fleet) Stocks(service, inForce string) map[string]capacity.EndpointCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -16,7 +16,7 @@
 	for _, m := range f.endpointsOf(service) {
 		s := stocks[m.Hall]
 		switch {
-		case m.Draining || m.leaving || !m.lapsed.IsZero():
+		case m.Draining || m.reportedDraining || !m.lapsesAt.IsZero():
 		case m.Spot:
 			s.Spot++
 		case inForce != "" && m.Version != inForce:
@@ -29,7 +29,7 @@
 	return stocks
 }
 
-// Evacuated lists the data halls that are evacuated, in order.
+// Evacuated lists the names of the evacuated data halls in order.
 func (f *Fleet) Evacuated() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -74,14 +74,14 @@
 	if x.route.Objective <= 0 {
 		return 0
 	}
-	return e.Price * e.Work.Seconds() / x.route.Objective.Seconds()
+	return e.Price * e.PrefillTime.Seconds() / x.route.Objective.Seconds()
 }
 
 // logComparison logs the comparison of a small model's response with a larger model.
 func (x *exchange) logComparison(c modelComparison, granted bool) {
 	x.g.Logger.Info("larger model weighed", "id", x.header.ID, "model", c.model, "confidence", c.confidence, "kept", c.kept.Value(),
 		"larger", c.larger.Value(), "use", c.larger.Use, "delay", c.larger.Delay, "in_time", c.larger.InTime, "took_ms", c.elapsed.Milliseconds(),
-		"expected_ms", c.expected.Head.Milliseconds(), "read", c.expected.Read, "price", c.expected.Price, "better", c.largerIsBetter(), "asked", granted)
+		"expected_ms", c.expected.Head.Milliseconds(), "read", c.expected.PrefillTokens, "price", c.expected.Price, "better", c.largerIsBetter(), "asked", granted)
 }
 
 // recordLargestFirstGain records how much better the request would have done if it had started with
@@ -98,7 +98,7 @@
 
 // expect returns what an attempt is expected to take, as estimated by the host that advises or else
 // by this host. It returns false if no endpoint takes the request.
-func (x *exchange) expect(ask fleet.Ask) (fleet.Expectation, bool) {
+func (x *exchange) expect(ask fleet.Request) (fleet.Expectation, bool) {
 	if x.g.Advice != nil {
 		if e, ok := x.g.Advice.Expect(x.ctx, ask, x.versionKey); ok {
 			return e, true
@@ -121,11 +121,11 @@
 }
 
 // fleetAsk returns the criteria for choosing an endpoint for a model.
-func (x *exchange) fleetAsk(model string) fleet.Ask {
-	return fleet.Ask{
+func (x *exchange) fleetAsk(model string) fleet.Request {
+	return fleet.Request{
 		Service: x.service, Allowed: x.g.Upgrades.Allowed(x.service, x.versionKey), Avoid: x.tried,
-		Key: x.affinityKey(model), Model: model, Tokens: x.header.TokensIn, Shared: x.header.sharedTokens(),
-		Parts: x.promptParts(model), Memory: x.cacheTokens(), Objective: x.route.Objective, Urgency: x.urgency,
+		Key: x.affinityKey(model), Model: model, Tokens: x.header.TokensIn, SharedTokens: x.header.sharedTokens(),
+		Parts: x.promptParts(model), CacheTokens: x.cacheTokens(), Objective: x.route.Objective, Urgency: x.urgency,
 		Regions: x.regions,
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -213,7 +213,7 @@
 		"config", version, "config_age_ms", age.Milliseconds(),
 		"endpoint", x.endpoint, "version", x.version, "upgrade", x.g.Upgrades.Standing(x.service).String(), "model", x.model, "larger", x.escalated, "urgency", x.urgency,
 		"sends", x.sends, "rejections", x.rejections, "crashes", x.crashes, "fingerprint", x.loggedFingerprint(), "waits", x.waits, "advice", x.adviceOutcome,
-		"tokens", x.header.TokensIn, "read", x.expected.Read, "work_ms", x.expected.Work.Milliseconds(), "price", x.expected.Price,
+		"tokens", x.header.TokensIn, "read", x.expected.PrefillTokens, "work_ms", x.expected.PrefillTime.Milliseconds(), "price", x.expected.Price,
 		"first_ms", x.headerDelay.Milliseconds(), "objective_ms", x.route.Objective.Milliseconds(),
 		"head_ms", x.lastHeaderDelay.Milliseconds(), "expected_ms", x.expected.Head.Milliseconds(), "queue_ms", x.expected.Queue.Milliseconds(),
 		"events", x.events, "pause_ms", x.longestPause.Milliseconds(), "gap_ms", x.route.Gap.Milliseconds(), "shortest_us", x.shortestPause.Microseconds(),
--- a/internal/gateway/halls_test.go
+++ b/internal/gateway/halls_test.go
@@ -130,7 +130,7 @@
 			defer r.stop()
 			f := fleet.New(fleet.Options{
 				Hall:     "ikeja",
-				Warming:  func(string) fleet.Warming { return fleet.Warming{Lasts: 3 * time.Second, Most: 20} },
+				WarmUp:   func(string) fleet.WarmUp { return fleet.WarmUp{Duration: 3 * time.Second, MaxRate: 20} },
 				Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: 61, Advisers: 1} },
 			})
 			e, _ := r.fleet.Listed("model-1")
@@ -142,7 +142,7 @@
 				Conn: func(string) (grpc.ClientConnInterface, error) { return nil, net.ErrClosed },
 			})
 			for range advised / (100 * time.Millisecond) {
-				f.Advise(fleet.Ask{Service: "another", Key: 1})
+				f.Advise(fleet.Request{Service: "another", Key: 1})
 				time.Sleep(100 * time.Millisecond)
 			}
 			var asked sync.WaitGroup
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -16,7 +16,7 @@
 func (r *rig) occupySlots(count int) []*fleet.Hold {
 	var holds []*fleet.Hold
 	for i := range count {
-		h, ok := r.fleet.Pick(fleet.Ask{Service: "model", Key: uint64(i) + 1, Model: "small", Tokens: 300, Objective: time.Second})
+		h, ok := r.fleet.Pick(fleet.Request{Service: "model", Key: uint64(i) + 1, Model: "small", Tokens: 300, Objective: time.Second})
 		Expect(ok).To(BeTrue())
 		holds = append(holds, h)
 	}
@@ -107,8 +107,8 @@
 		suite.Paused(func() {
 			r := newRig(scripts{"model-1": standin.Always(standin.Reply{Status: 503, NotRun: true})})
 			defer r.stop()
-			var reports []fleet.Heard
-			r.fleet.OnHead(func(h fleet.Heard) { reports = append(reports, h) })
+			var reports []fleet.HeadReport
+			r.fleet.OnHead(func(h fleet.HeadReport) { reports = append(reports, h) })
 			Expect(r.ask(prompt("/stream/1")).Status).To(Equal(503))
 			Expect(reports).NotTo(BeEmpty())
 			for _, h := range reports {
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -71,7 +71,7 @@
 			return nil, errNoCapacity
 		}
 		if hold == nil {
-			if x.g.Fleet.Away(x.service) {
+			if x.g.Fleet.AllEvacuated(x.service) {
 				return nil, errAllEvacuated
 			}
 			x.foundNoEndpoint = true
@@ -143,14 +143,14 @@
 // coordinate their choices for requests with a prompt.
 func (x *exchange) chooseEndpoint(ctx context.Context, model string, turn int64) (*fleet.Hold, admission.Decision) {
 	ask := x.fleetAsk(model)
-	ask.Waited, ask.Turn, ask.Within = clock.Since(x.start), turn, x.maxLimitWait()
+	ask.Waited, ask.Turn, ask.MaxLimitWait = clock.Since(x.start), turn, x.maxLimitWait()
 	if ask.Key == 0 {
 		return x.g.Fleet.Place(ask)
 	}
 	ask.Unadvised = x.g.Advice != nil && !x.g.Advice.Leads()
 	// Once the caller has part of a response, the rest takes precedence over other requests.
 	if x.headerDelay == 0 {
-		ask.Slack, ask.Left, ask.Begun = x.slack(), x.usefulTime(), x.mayHaveRun
+		ask.Slack, ask.Remaining, ask.MayHaveStarted = x.slack(), x.usefulTime(), x.mayHaveRun
 	}
 	if x.g.Advice == nil {
 		return x.g.Fleet.Place(ask)
@@ -171,7 +171,7 @@
 		return x.g.Fleet.Place(ask)
 	}
 	x.countAdvice("followed")
-	hold.Ended = func() { x.g.Advice.Ended(advised) }
+	hold.OnDone = func() { x.g.Advice.Ended(advised) }
 	return hold, advised.Decision
 }
 
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -88,7 +88,7 @@
 				_ = c.Close()
 				time.Sleep(400 * time.Millisecond)
 				Expect(r.gateway.InFlight()).To(BeZero())
-				Expect(r.fleet.Flying("model-1") + r.fleet.Flying("model-2")).To(BeZero())
+				Expect(r.fleet.InFlight("model-1") + r.fleet.InFlight("model-2")).To(BeZero())
 				time.Sleep(20 * time.Second)
 				Expect(r.runs()).To(Equal(runs), "nothing more is sent")
 			})
@@ -195,7 +195,7 @@
 			defer r.stop()
 			// Both endpoints process a prompt for longer than the objective.
 			for _, other := range []string{"model-1", "model-2"} {
-				hold, ok := r.fleet.Pick(fleet.Ask{Service: "model", Key: 1, Model: "large", Tokens: 400_000, Avoid: []string{other}})
+				hold, ok := r.fleet.Pick(fleet.Request{Service: "model", Key: 1, Model: "large", Tokens: 400_000, Avoid: []string{other}})
 				Expect(ok).To(BeTrue())
 				defer hold.Done(fleet.Result{})
 			}
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -244,7 +244,7 @@
 				{Name: "version", Value: ref.String()}, {Name: "state", Value: string(v.State)},
 				{Name: "since", Value: since[ref.String()].Format(time.RFC3339)},
 				{Name: "plan", Value: plan.Name}, {Name: "credits", Value: q.options.Credits.Left(ref)},
-				{Name: "ready", Value: q.options.Fleet.Has(endpoint.Engines, ref.String())},
+				{Name: "ready", Value: q.options.Fleet.HasModel(endpoint.Engines, ref.String())},
 				{Name: "input_cost", Value: v.InputCost}, {Name: "output_cost", Value: v.OutputCost},
 			})
 		}
@@ -270,7 +270,7 @@
 	for _, e := range q.options.Fleet.View() {
 		rows = append(rows, console.Row{
 			{Name: "endpoint", Value: e.ID}, {Name: "data_hall", Value: e.Hall}, {Name: "address", Value: e.Address},
-			{Name: "ready", Value: e.Ready}, {Name: "in_flight", Value: e.Flying}, {Name: "others", Value: e.Others},
+			{Name: "ready", Value: e.Ready}, {Name: "in_flight", Value: e.InFlight}, {Name: "others", Value: e.Others},
 			{Name: "slots", Value: e.Slots}, {Name: "age_ms", Value: float64(e.Age.Milliseconds())},
 			{Name: "versions", Value: strings.Join(e.Models, ", ")},
 		})
--- a/internal/ratelimit/callers_test.go
+++ b/internal/ratelimit/callers_test.go
@@ -67,7 +67,7 @@
 	came, turn := clock.Now(), int64(0)
 	for {
 		waited := clock.Since(came)
-		hold, decision := f.Place(fleet.Ask{Service: simService, Within: max(simWithin-waited, 1), Waited: waited, Turn: turn, Urgency: -1})
+		hold, decision := f.Place(fleet.Request{Service: simService, MaxLimitWait: max(simWithin-waited, 1), Waited: waited, Turn: turn, Urgency: -1})
 		if hold != nil {
 			w.arrive(h, f, hold)
 			return
@@ -91,7 +91,7 @@
 	time.Sleep(answerTime)
 	var i int
 	_, _ = fmt.Sscanf(id, "e%d", &i)
-	f.HearLimit(id, fleet.Limit{Named: i < w.limited, Rate: w.rate}, sent)
+	f.ObserveLimit(id, fleet.Limit{Named: i < w.limited, Rate: w.rate}, sent)
 	hold.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 }
 
--- a/internal/ratelimit/lender.go
+++ b/internal/ratelimit/lender.go
@@ -39,7 +39,7 @@
 // Request asks for a part of an endpoint's limit.
 type Request struct {
 	Requests int // 0 only tells of the limit
-	Limit    fleet.LimitNews
+	Limit    fleet.LimitUpdate
 	From     string // name of the host that asks
 	Relayed  bool   // by a host that was asked
 	Unsaved  bool   // nothing is saved up while nobody asks, but one request
@@ -50,7 +50,7 @@
 	Requests int
 	Lasts    time.Duration // from the sending of the request on
 	Again    time.Duration // after which more may be asked for
-	Limit    fleet.LimitNews
+	Limit    fleet.LimitUpdate
 }
 
 // Lender lends parts of endpoints' limits; safe for use at once.
@@ -63,7 +63,7 @@
 
 // account is what has been lent of an endpoint's limit.
 type account struct {
-	limit  fleet.LimitNews
+	limit  fleet.LimitUpdate
 	level  float64       // requests that may be lent
 	at     clock.Instant // of the level
 	steady clock.Instant // from then on all of the limit is lent
@@ -86,7 +86,7 @@
 		a = &account{limit: r.Limit}
 		l.accounts[r.Limit.Endpoint] = a
 	}
-	if r.Limit.Heard.After(a.limit.Heard) {
+	if r.Limit.ConfirmedAt.After(a.limit.ConfirmedAt) {
 		a.limit = r.Limit
 	}
 	if a.limit.Rate <= 0 || r.Requests <= 0 {
@@ -135,7 +135,7 @@
 // sweep drops accounts that nobody has asked for.
 func (l *Lender) sweep(now clock.Instant) {
 	for id, a := range l.accounts {
-		if now.Sub(a.last) > keptFor && now.Sub(a.limit.Heard) > keptFor {
+		if now.Sub(a.last) > keptFor && now.Sub(a.limit.ConfirmedAt) > keptFor {
 			delete(l.accounts, id)
 		}
 	}
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -97,12 +97,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(play{hosts: 5})
 		time.Sleep(time.Second)
-		w.all[0].fleet.LearnLimit(fleet.LimitNews{Endpoint: endpointName(0), Rate: 2, Since: clock.Now(), Heard: clock.Now()})
+		w.all[0].fleet.MergeLimit(fleet.LimitUpdate{Endpoint: endpointName(0), Rate: 2, Since: clock.Now(), ConfirmedAt: clock.Now()})
 		time.Sleep(time.Second)
 		w.killOne(w.all[1])
 		time.Sleep(learnedWithin)
 		for _, h := range w.all {
-			if n := h.fleet.Limited(); n != 1 {
+			if n := h.fleet.LimitedCount(); n != 1 {
 				t.Errorf("%s knows of %d limits", h.name(), n)
 			}
 		}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -66,9 +66,9 @@
 // Caller asks other hosts.
 type Caller interface {
 	Borrow(ctx context.Context, address string, r Request) (Reply, error)
-	Tell(ctx context.Context, address string, news []fleet.LimitNews) error
+	Tell(ctx context.Context, address string, news []fleet.LimitUpdate) error
 	// Known asks for the limits that a host knows of.
-	Known(ctx context.Context, address string) ([]fleet.LimitNews, error)
+	Known(ctx context.Context, address string) ([]fleet.LimitUpdate, error)
 }
 
 // Options set up a Desk.
@@ -106,7 +106,7 @@
 
 // OrderOf is a host's place in an endpoint's order, 0 to 1; the one with the least lends.
 func OrderOf(endpoint, host string) float64 {
-	return fleet.Weight(xxhash.Sum64String(endpoint), xxhash.Sum64String(host))
+	return fleet.RendezvousWeight(xxhash.Sum64String(endpoint), xxhash.Sum64String(host))
 }
 
 // NewDesk returns a desk.
@@ -115,7 +115,7 @@
 		options: o, lender: NewLender(), wake: wake.NewSignal(), asks: make(chan struct{}, asksMost),
 		away: map[string]clock.Instant{}, failing: map[string]bool{},
 	}
-	o.Fleet.OnWanted(d.wake.Poke)
+	o.Fleet.OnLoanNeeded(d.wake.Poke)
 	return d
 }
 
@@ -134,7 +134,7 @@
 		case <-d.wake:
 		}
 		d.tell(ctx, &working)
-		list, next := d.options.Fleet.Wanted()
+		list, next := d.options.Fleet.LoanRequests()
 		for _, w := range list {
 			select {
 			case d.asks <- struct{}{}:
@@ -157,7 +157,7 @@
 	if !d.options.Known() {
 		return // it is told with the next news, or by others
 	}
-	news := d.options.Fleet.FreshNews(newsMost)
+	news := d.options.Fleet.TakeLimitUpdates(newsMost)
 	if len(news) == 0 {
 		return
 	}
@@ -214,27 +214,27 @@
 const learnPause = 20 * time.Millisecond
 
 // Limits lists the limits that this host knows of, for one that starts.
-func (d *Desk) Limits() []fleet.LimitNews { return d.options.Fleet.LimitNews(newsMost) }
+func (d *Desk) Limits() []fleet.LimitUpdate { return d.options.Fleet.LimitUpdates(newsMost) }
 
 // Hear takes in what another host tells.
-func (d *Desk) Hear(news []fleet.LimitNews) {
+func (d *Desk) Hear(news []fleet.LimitUpdate) {
 	for _, n := range news {
-		d.options.Fleet.LearnLimit(n)
+		d.options.Fleet.MergeLimit(n)
 	}
 }
 
 // ask borrows of an endpoint's limit.
-func (d *Desk) ask(ctx context.Context, w fleet.Want) {
-	r := Request{Requests: w.Requests, Limit: w.News, From: d.options.Host}
+func (d *Desk) ask(ctx context.Context, w fleet.LoanRequest) {
+	r := Request{Requests: w.Requests, Limit: w.Update, From: d.options.Host}
 	asked := clock.Now()
 	reply, ok := d.borrow(ctx, r)
 	if !ok {
-		d.options.Fleet.Lent(w.News.Endpoint, fleet.Loan{Again: clock.Now().Add(nobodyPause)})
+		d.options.Fleet.FinishLoan(w.Update.Endpoint, fleet.Loan{RetryAt: clock.Now().Add(nobodyPause)})
 		return
 	}
 	d.options.Telemetry.Count("limit_requests_borrowed", int64(reply.Requests))
-	d.options.Fleet.LearnLimit(reply.Limit)
-	d.options.Fleet.Lent(w.News.Endpoint, fleet.Loan{Requests: reply.Requests, Until: asked.Add(reply.Lasts), Again: clock.Now().Add(reply.Again)})
+	d.options.Fleet.MergeLimit(reply.Limit)
+	d.options.Fleet.FinishLoan(w.Update.Endpoint, fleet.Loan{Requests: reply.Requests, Until: asked.Add(reply.Lasts), RetryAt: clock.Now().Add(reply.Again)})
 }
 
 // borrow asks the host that lends; false if none is found.
@@ -262,7 +262,7 @@
 // second; granted tells whether this host has it, and wait when to ask again if not.
 func (d *Desk) Turn(ctx context.Context, key string, rate float64) (wait time.Duration, granted bool) {
 	now := clock.Now()
-	reply, ok := d.borrow(ctx, Request{Requests: 1, From: d.options.Host, Unsaved: true, Limit: fleet.LimitNews{Endpoint: key, Rate: rate, Since: now, Heard: now}})
+	reply, ok := d.borrow(ctx, Request{Requests: 1, From: d.options.Host, Unsaved: true, Limit: fleet.LimitUpdate{Endpoint: key, Rate: rate, Since: now, ConfirmedAt: now}})
 	if !ok {
 		return nobodyPause, false
 	}
@@ -320,7 +320,7 @@
 	now, key := clock.Now(), xxhash.Sum64String(endpoint)
 	best, least := math.Inf(1), math.Inf(1)
 	for _, h := range d.hosts {
-		w := fleet.Weight(key, h.seed)
+		w := fleet.RendezvousWeight(key, h.seed)
 		least = min(least, w)
 		if w < best && h.Name != but && !now.Before(d.away[h.Name]) {
 			found, best = h, w
--- a/internal/ratelimit/rig_test.go
+++ b/internal/ratelimit/rig_test.go
@@ -130,7 +130,7 @@
 		h.working.Go(func() { desk.Run(ctx) })
 	} else {
 		signal := wake.NewSignal()
-		f.OnWanted(signal.Poke)
+		f.OnLoanNeeded(signal.Poke)
 		h.working.Go(func() { h.split(ctx, f, signal) })
 	}
 }
@@ -158,13 +158,13 @@
 			return
 		case <-signal:
 		}
-		list, next := f.Wanted()
+		list, next := f.LoanRequests()
 		for _, w := range list {
-			part := w.News
+			part := w.Update
 			part.Rate /= float64(h.world.hosts)
 			now := clock.Now()
 			r := lender.Lend(ratelimit.Request{Requests: w.Requests, Limit: part}, true, now)
-			f.Lent(w.News.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.Lasts), Again: now.Add(r.Again)})
+			f.FinishLoan(w.Update.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.Lasts), RetryAt: now.Add(r.Again)})
 		}
 		if !next.IsZero() {
 			later.Reset(max(clock.Until(next), 0))
@@ -190,7 +190,7 @@
 }
 
 // Tell implements ratelimit.Caller.
-func (h *simHost) Tell(ctx context.Context, address string, news []fleet.LimitNews) error {
+func (h *simHost) Tell(ctx context.Context, address string, news []fleet.LimitUpdate) error {
 	desk, err := h.reach(ctx, address)
 	if err == nil {
 		desk.Hear(news)
@@ -199,7 +199,7 @@
 }
 
 // Known implements ratelimit.Caller.
-func (h *simHost) Known(ctx context.Context, address string) ([]fleet.LimitNews, error) {
+func (h *simHost) Known(ctx context.Context, address string) ([]fleet.LimitUpdate, error) {
 	desk, err := h.reach(ctx, address)
 	if err != nil {
 		return nil, err
