--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -91,8 +91,8 @@
 	counts map[Fingerprint]int // crashes, by those that were there
 }
 
-// NewBook returns a book of a host that has seen nothing.
-func NewBook(options Options) *Book {
+// NewTracker returns a book of a host that has seen nothing.
+func NewTracker(options Options) *Book {
 	if options.Members == nil {
 		options.Members = func() []Member { return nil }
 	}
--- a/internal/quarantine/rig_test.go
+++ b/internal/quarantine/rig_test.go
@@ -144,7 +144,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	client := platform.NewStore(storeAddress, h.net.Dial)
 	to := caller{h, i}
-	b := quarantine.NewBook(quarantine.Options{
+	b := quarantine.NewTracker(quarantine.Options{
 		Host: fmt.Sprint("host-", i), Reach: h.reach, Endpoints: func(string) int { return 12 }, Tables: client, Logger: log.New(h.log),
 		Members: to.members, Caller: to, Leads: func() bool { return i == 0 },
 		Now: func() (time.Duration, bool) { return h.clock.Now(), true },
