--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -61,7 +61,7 @@
 	Watch      *endpoint.Watch
 	Fleet      *fleet.Fleet
 	Conns      *conn.Pool
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Tracker
 	Admission  *admission.Controller
 	Ledger     *billing.Ledger
 	Guard      *once.Guard
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -186,7 +186,7 @@
 	return w, w.Fleet()
 }
 
-func newQuarantine(s settings.Settings, f *fleet.Fleet, conns *conn.Pool, m *membership.Membership, link peer.Link, tables store.Tables, l *log.Logger) *quarantine.Book {
+func newQuarantine(s settings.Settings, f *fleet.Fleet, conns *conn.Pool, m *membership.Membership, link peer.Link, tables store.Tables, l *log.Logger) *quarantine.Tracker {
 	return quarantine.NewTracker(quarantine.Options{
 		Host: s.Host, Reach: conns.Reach, Endpoints: f.Count, Members: func() []quarantine.Member { return ring(m.View()) },
 		Caller: link, Leads: func() bool { return leads(m.View()) }, Tables: tables, Logger: l,
@@ -213,7 +213,7 @@
 	return len(ranked) > 0 && ranked[0].Host == v.Self
 }
 
-func newDispatcher(s settings.Settings, f *fleet.Fleet, conns *conn.Pool, q *quarantine.Book, tel *telemetry.Telemetry) *dispatch.Dispatcher {
+func newDispatcher(s settings.Settings, f *fleet.Fleet, conns *conn.Pool, q *quarantine.Tracker, tel *telemetry.Telemetry) *dispatch.Dispatcher {
 	return dispatch.New(dispatch.Options{Fleet: f, Conns: conns, FirstToken: s.Times.FirstToken, Telemetry: tel, Quarantine: q})
 }
 
@@ -247,7 +247,7 @@
 }
 
 func newPipeline(s settings.Settings, h *config.Holder, a *admission.Controller, k *keyrings, n *session.Names, f *fleet.Fleet,
-	d *dispatch.Dispatcher, q *quarantine.Book, l *billing.Ledger, g *once.Guard, c *rollout.Credits, e *estimate.Keeper,
+	d *dispatch.Dispatcher, q *quarantine.Tracker, l *billing.Ledger, g *once.Guard, c *rollout.Credits, e *estimate.Keeper,
 	tel *telemetry.Telemetry, tr *traffic.Log, deadlines *clock.Deadlines,
 ) *pipeline.Pipeline {
 	return pipeline.New(pipeline.Options{
@@ -263,7 +263,7 @@
 }
 
 func newQueries(h *config.Holder, l *config.Log, tables store.Tables, m *membership.Membership, link peer.Link,
-	f *fleet.Fleet, tr *traffic.Log, tel *telemetry.Telemetry, c *rollout.Credits, book *quarantine.Book,
+	f *fleet.Fleet, tr *traffic.Log, tel *telemetry.Telemetry, c *rollout.Credits, book *quarantine.Tracker,
 ) *operator.Queries {
 	return operator.NewQueries(operator.QueryOptions{
 		Config: h, Log: l, Tables: tables, View: m.View, Link: link, Fleet: f, Traffic: tr, Telemetry: tel, Credits: c, Quarantine: book,
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -59,7 +59,7 @@
 	FirstToken time.Duration
 	Telemetry  *telemetry.Telemetry
 	// Quarantine knows requests under which endpoints crash.
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Tracker
 }
 
 // Dispatcher sends requests to endpoints.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -46,7 +46,7 @@
 	Codec    Codec
 	Advice   *advice.Advisor // on endpoints for long prompts; nil for none
 	// Quarantine knows requests under which endpoints crash.
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Tracker
 	// Limits has suspect requests sent one after the other by all hosts together; nil for no bound.
 	Limits    *ratelimit.Desk
 	Deadlines *clock.Deadlines // watched by the host
--- a/internal/gatewayd/endpoints.go
+++ b/internal/gatewayd/endpoints.go
@@ -21,7 +21,7 @@
 type endpoints struct {
 	fleet      *fleet.Fleet
 	pool       *conn.Pool
-	quarantine *quarantine.Book
+	quarantine *quarantine.Tracker
 	upgrades   *upgrade.Tracker
 	halls      map[string]string // all that there are; empty if that is not known
 	logger     *log.Logger
--- a/internal/gatewayd/host.go
+++ b/internal/gatewayd/host.go
@@ -63,7 +63,7 @@
 	Upgrades   *upgrade.Tracker
 	Advice     *advice.Advisor
 	Limits     *ratelimit.Desk
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Tracker
 	Duties     *duty.Keeper
 	Gateway    *gateway.Gateway
 	Deadlines  *clock.Deadlines
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -184,7 +184,7 @@
 	})
 }
 
-func newQuarantine(s settings.Settings, tables store.Tables, w *spread.Watcher, p *conn.Pool, f *fleet.Fleet, l *log.Logger) *quarantine.Book {
+func newQuarantine(s settings.Settings, tables store.Tables, w *spread.Watcher, p *conn.Pool, f *fleet.Fleet, l *log.Logger) *quarantine.Tracker {
 	return quarantine.NewTracker(quarantine.Options{
 		Host: s.Host, Reach: p.Reach, Endpoints: f.Count, Members: func() []quarantine.Member { return members[quarantine.Member](w) }, Leads: w.Leads,
 		Caller: quarantine.NewCaller(w.Conn), First: s.Gateway.First, Tables: tables, Now: sharedClock(w), Logger: l,
@@ -209,7 +209,7 @@
 }
 
 func newGateway(s settings.Settings, h *route.Holder, f *fleet.Fleet, p *conn.Pool, u *upgrade.Tracker, a *advice.Advisor,
-	q *quarantine.Book, limits *ratelimit.Desk, counter *usage.Counter, w *spread.Watcher, d *clock.Deadlines, t *telemetry.Telemetry, l *log.Logger,
+	q *quarantine.Tracker, limits *ratelimit.Desk, counter *usage.Counter, w *spread.Watcher, d *clock.Deadlines, t *telemetry.Telemetry, l *log.Logger,
 ) *gateway.Gateway {
 	return gateway.New(gateway.Options{
 		Holder: h, Fleet: f, Pool: p, Upgrades: u, Codec: platform.Heads{}, Advice: a, Quarantine: q, Limits: limits, Deadlines: d, Telemetry: t, Logger: l, Usage: counter, Hosts: w.Hosts,
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -42,11 +42,11 @@
 	// the hosts' own refusal; nil if there is none.
 	Unload func(ctx context.Context, ref declare.Ref)
 
-	quarantine *quarantine.Book
+	quarantine *quarantine.Tracker
 }
 
 // NewCommands returns the commands of a host.
-func NewCommands(log *config.Log, holder *config.Holder, spread *config.Spreader, q *quarantine.Book) *Commands {
+func NewCommands(log *config.Log, holder *config.Holder, spread *config.Spreader, q *quarantine.Tracker) *Commands {
 	return &Commands{log: log, holder: holder, spread: spread, quarantine: q}
 }
 
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -45,7 +45,7 @@
 	Telemetry *telemetry.Telemetry
 	Credits   *rollout.Credits
 	// Quarantine knows requests under which endpoints crash.
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Tracker
 }
 
 // Queries answer what operators ask.
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -58,7 +58,7 @@
 	Names      *session.Names
 	Ready      func(declare.Ref) bool // whether some endpoint serves a version
 	Dispatcher *dispatch.Dispatcher
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Tracker
 	Ledger     *billing.Ledger
 	Guard      *once.Guard
 	Credits    Credits
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -49,9 +49,9 @@
 	Logger *log.Logger
 }
 
-// Book is what a host knows of requests under which endpoints crash: what it saw itself and
+// Tracker is what a host knows of requests under which endpoints crash: what it saw itself and
 // what others told; safe for use at once.
-type Book struct {
+type Tracker struct {
 	options  Options
 	witness  *Witness
 	clock    clock.Steady
@@ -92,11 +92,11 @@
 }
 
 // NewTracker returns a book of a host that has seen nothing.
-func NewTracker(options Options) *Book {
+func NewTracker(options Options) *Tracker {
 	if options.Members == nil {
 		options.Members = func() []Member { return nil }
 	}
-	return &Book{
+	return &Tracker{
 		options: options, witness: NewWitness(options.Reach), clock: clock.NewSteady(),
 		news: wake.NewSignal(), due: wake.NewSignal(), save: wake.NewSignal(), relays: newRelays(),
 		rows: map[string]row{options.Host: {record: newRecord()}}, unproven: map[string][]Break{}, ongoing: map[*Ongoing]struct{}{},
@@ -105,11 +105,11 @@
 }
 
 // own is what this host has seen.
-func (b *Book) own() row { return b.rows[b.options.Host] }
+func (b *Tracker) own() row { return b.rows[b.options.Host] }
 
 // Watching reports whether endpoints have crashed lately. While none has, no request needs a
 // fingerprint.
-func (b *Book) Watching() bool { return b.watching.Load() }
+func (b *Tracker) Watching() bool { return b.watching.Load() }
 
 // Break is the end of an attempt whose connection broke.
 type Break struct {
@@ -129,7 +129,7 @@
 
 // Broke finds out whether the endpoint has crashed, and if so takes it in; false also if that
 // is not known yet. It waits for the proof for a short while.
-func (b *Book) Broke(ctx context.Context, k Break) bool {
+func (b *Tracker) Broke(ctx context.Context, k Break) bool {
 	k.at = b.clock.Now()
 	crashed := b.witness.Crashed(ctx, k.Endpoint, k.Address)
 	b.mu.Lock()
@@ -146,7 +146,7 @@
 // Gone takes in that an endpoint's start is listed no more though it was not to leave. If
 // nothing listens at its address either, what broke off there a moment ago crashed with it; one
 // that leaves without notice serves on for a while.
-func (b *Book) Gone(ctx context.Context, endpoint string) {
+func (b *Tracker) Gone(ctx context.Context, endpoint string) {
 	b.mu.Lock()
 	runs := b.unproven[endpoint]
 	b.mu.Unlock()
@@ -157,12 +157,12 @@
 
 // Listed takes in that an endpoint's start is listed at an address: any other that was there has
 // ended, and what broke off there a moment ago crashed with it.
-func (b *Book) Listed(endpoint, address string) {
+func (b *Tracker) Listed(endpoint, address string) {
 	b.prove(func(k Break) bool { return k.Address == address && k.Endpoint != endpoint })
 }
 
 // prove takes in crashes of endpoints at which connections broke a moment ago.
-func (b *Book) prove(crashed func(k Break) bool) {
+func (b *Tracker) prove(crashed func(k Break) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for endpoint, runs := range b.unproven {
@@ -179,20 +179,20 @@
 }
 
 // crashed takes in a crash that this host saw.
-func (b *Book) crashed(c Crash) {
+func (b *Tracker) crashed(c Crash) {
 	b.own().add(c)
 	b.tell()
 }
 
 // changed notes that there is other evidence.
-func (b *Book) changed() {
+func (b *Tracker) changed() {
 	b.view, b.judged = nil, false
 	b.watching.Store(slices.ContainsFunc(slices.Collect(maps.Values(b.rows)), func(r row) bool { return !r.isEmpty() }))
 	b.news.Poke()
 }
 
 // tell notes that there is other evidence which others have to know.
-func (b *Book) tell() {
+func (b *Tracker) tell() {
 	mine := b.own()
 	mine.version++
 	if shared, known := b.options.now(); known { // goes on from an earlier life of the host
@@ -213,14 +213,14 @@
 }
 
 // Finished takes in that a request came to a good end: the endpoint that ran it lives.
-func (b *Book) Finished(f Fingerprint) {
+func (b *Tracker) Finished(f Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.finish(f, b.clock.Now(), "it came to a good end")
 }
 
 // Lift takes a request out of quarantine by order of an operator; false if it is not there.
-func (b *Book) Lift(f Fingerprint) bool {
+func (b *Tracker) Lift(f Fingerprint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.judge()
@@ -234,7 +234,7 @@
 
 // finish clears a request of what crashed beside it. Others hear of it where it matters: a
 // crash more would take it for guilty.
-func (b *Book) finish(f Fingerprint, at time.Duration, reason string) {
+func (b *Tracker) finish(f Fingerprint, at time.Duration, reason string) {
 	moments := b.seen().of(f).moments
 	if moments == 0 {
 		return
@@ -248,7 +248,7 @@
 }
 
 // Standing returns what is known of a request.
-func (b *Book) Standing(f Fingerprint) Standing {
+func (b *Tracker) Standing(f Fingerprint) Standing {
 	if !b.Watching() {
 		return Standing{}
 	}
@@ -261,10 +261,10 @@
 }
 
 // ago is how long ago a moment of the book's clock was.
-func (b *Book) ago(at time.Duration) time.Duration { return b.clock.Now() - at }
+func (b *Tracker) ago(at time.Duration) time.Duration { return b.clock.Now() - at }
 
 // seen is what this host saw and others told, in the order of time.
-func (b *Book) seen() *view {
+func (b *Tracker) seen() *view {
 	if b.view != nil {
 		return b.view
 	}
@@ -282,7 +282,7 @@
 
 // hear notes in crashes since when as much is known of each. What a host learns as it starts is taken to be
 // complete.
-func (b *Book) hear(crashes []Crash) {
+func (b *Tracker) hear(crashes []Crash) {
 	now, heard := b.clock.Now(), make(map[string]Crash, len(crashes))
 	for i, c := range crashes {
 		known, ok := b.heard[c.Endpoint]
@@ -308,7 +308,7 @@
 }
 
 // judge brings the verdicts up to date.
-func (b *Book) judge() {
+func (b *Tracker) judge() {
 	if b.judged && b.clock.Now() < b.settles {
 		return
 	}
@@ -334,7 +334,7 @@
 }
 
 // forget drops what is too old to count.
-func (b *Book) forget() {
+func (b *Tracker) forget() {
 	oldest := b.clock.Now() - rememberedFor
 	held := func(f Fingerprint) bool { _, ok := b.verdicts[f]; return ok }
 	for host, r := range b.rows {
@@ -350,7 +350,7 @@
 }
 
 // Sweep drops what is too old to count, though nothing new comes.
-func (b *Book) Sweep() {
+func (b *Tracker) Sweep() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -44,7 +44,7 @@
 var errNoClock = errors.New("the shared clock is not known yet")
 
 // keep keeps what this host has seen in the store.
-func (b *Book) keep(ctx context.Context) {
+func (b *Tracker) keep(ctx context.Context) {
 	for b.save.Await(ctx) {
 		if !b.isLoaded() {
 			continue // it is kept then
@@ -61,7 +61,7 @@
 
 // awaitGrave waits for a while, or until something is to be kept at once; false if the context
 // ends.
-func (b *Book) awaitGrave(ctx context.Context) bool {
+func (b *Tracker) awaitGrave(ctx context.Context) bool {
 	timer := time.NewTimer(keepAfter)
 	defer timer.Stop()
 	for !b.grave() {
@@ -78,7 +78,7 @@
 
 // grave reports whether this host has seen something of a request that is in quarantine, or
 // would be after a crash more.
-func (b *Book) grave() bool {
+func (b *Tracker) grave() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.judge()
@@ -95,7 +95,7 @@
 
 // write brings the host's row in the store up to date, and tries until it is; it reports whether
 // an answer was lost on the way.
-func (b *Book) write(ctx context.Context) (lost bool) {
+func (b *Tracker) write(ctx context.Context) (lost bool) {
 	for retry := retryFirst; ctx.Err() == nil; retry = min(2*retry, retryMost) {
 		txn, err := b.transaction()
 		if err == nil && len(txn.Writes) > 0 {
@@ -114,7 +114,7 @@
 }
 
 // transaction makes the write that is due; without writes if none is.
-func (b *Book) transaction() (store.Transaction, error) {
+func (b *Tracker) transaction() (store.Transaction, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.options.Tables == nil {
@@ -142,7 +142,7 @@
 
 // ahead is how far the shared clock is ahead of the book's; where there is none, what is written
 // is relative to now.
-func (b *Book) ahead() (time.Duration, error) {
+func (b *Tracker) ahead() (time.Duration, error) {
 	if b.options.Now == nil {
 		return -b.clock.Now(), nil
 	}
@@ -156,7 +156,7 @@
 // load learns what hosts have kept, once: from another host that knows, and if none does from
 // the store. The first of all hosts reads it, and tells the others; they read it themselves if
 // they hear nothing for a while, so after a loss of power it is one call.
-func (b *Book) load(ctx context.Context) {
+func (b *Tracker) load(ctx context.Context) {
 	began, alone := clock.Now(), loadAlone+rand.N(loadSpread)
 	for clock.Sleep(ctx, clock.Around(loadEvery)) && !b.isLoaded() {
 		b.compareOnce(ctx)
@@ -173,7 +173,7 @@
 }
 
 // isLoaded reports whether what hosts have told and kept is known.
-func (b *Book) isLoaded() bool {
+func (b *Tracker) isLoaded() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.loaded
@@ -184,7 +184,7 @@
 
 // readKept reads what hosts have kept, and tells all others, who may have just started too. Rows of
 // which nothing counts any more are removed: their hosts may be gone.
-func (b *Book) readKept(ctx context.Context) {
+func (b *Tracker) readKept(ctx context.Context) {
 	if b.options.Tables == nil {
 		return
 	}
@@ -209,7 +209,7 @@
 }
 
 // takeKept takes in rows of the store and returns those of which nothing counts any more.
-func (b *Book) takeKept(rows []store.Row) (old []store.Row) {
+func (b *Tracker) takeKept(rows []store.Row) (old []store.Row) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ahead, err := b.ahead()
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -23,7 +23,7 @@
 
 // List lists the requests in quarantine and those that a crash more may bring there, the latest
 // first.
-func (b *Book) List() []Listed {
+func (b *Tracker) List() []Listed {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.judge()
@@ -47,7 +47,7 @@
 }
 
 // Held counts the requests in quarantine.
-func (b *Book) Held() int {
+func (b *Tracker) Held() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.judge()
--- a/internal/quarantine/ongoing.go
+++ b/internal/quarantine/ongoing.go
@@ -24,7 +24,7 @@
 func (o *Ongoing) Arrived(now clock.Instant) { o.lasted.Store(int64(now.Sub(o.began))) }
 
 // Begin notes that a request's answer has begun; End is to be called once it has ended.
-func (b *Book) Begin(request func() Fingerprint) *Ongoing {
+func (b *Tracker) Begin(request func() Fingerprint) *Ongoing {
 	o := &Ongoing{request: request, began: clock.Now()}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -33,7 +33,7 @@
 }
 
 // End notes that a request's answer has ended, however it did.
-func (b *Book) End(o *Ongoing) {
+func (b *Tracker) End(o *Ongoing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.ongoing, o)
@@ -41,7 +41,7 @@
 
 // outlast clears requests of which an answer goes on elsewhere for longer than endpoints took to
 // crash under them. What is asked often runs at all endpoints, so also at those that crash.
-func (b *Book) outlast() {
+func (b *Tracker) outlast() {
 	v := b.seen()
 	longest := map[Fingerprint]time.Duration{}
 	for f, n := range v.counts {
@@ -69,7 +69,7 @@
 }
 
 // copies counts the answers to a request that are under way.
-func (b *Book) copies(f Fingerprint) int {
+func (b *Tracker) copies(f Fingerprint) int {
 	n := 0
 	for o := range b.ongoing {
 		if o.request() == f {
--- a/internal/quarantine/relay.go
+++ b/internal/quarantine/relay.go
@@ -85,7 +85,7 @@
 }
 
 // pass passes on what this host is to, as long as the context lasts.
-func (b *Book) pass(ctx context.Context) {
+func (b *Tracker) pass(ctx context.Context) {
 	for b.relays.due.Await(ctx) {
 		clock.Sleep(ctx, relayGather)
 		b.relays.due.Drain()
@@ -108,7 +108,7 @@
 }
 
 // spread tells all other hosts; whole tells that the rows are all that hosts have told and kept.
-func (b *Book) spread(ctx context.Context, rows []Row, whole bool) {
+func (b *Tracker) spread(ctx context.Context, rows []Row, whole bool) {
 	members, n := b.options.Members(), News{Rows: rows, Loaded: whole}
 	if len(members) <= directMost {
 		b.tellAll(ctx, members, n)
@@ -131,7 +131,7 @@
 }
 
 // groups are the other hosts of this host's group, and the other groups, each in order.
-func (b *Book) groups() (own []Member, others [][]Member) {
+func (b *Tracker) groups() (own []Member, others [][]Member) {
 	members := append(b.options.Members(), Member{Name: b.options.Host})
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	size := int(math.Ceil(math.Sqrt(float64(len(members)))))
@@ -147,7 +147,7 @@
 
 // tellFirst tells the first of some hosts, and the next ones where it does not answer soon; false
 // if none does.
-func (b *Book) tellFirst(ctx context.Context, tried []Member, n News) bool {
+func (b *Tracker) tellFirst(ctx context.Context, tried []Member, n News) bool {
 	answers := make(chan bool, len(tried))
 	failed := 0
 	for _, m := range tried {
--- a/internal/quarantine/rig_test.go
+++ b/internal/quarantine/rig_test.go
@@ -31,7 +31,7 @@
 	count int             // endpoints that have crashed
 
 	mu    sync.Mutex // guards all below
-	books []*quarantine.Book
+	books []*quarantine.Tracker
 	lives []*life
 	cut   map[int]bool // hosts that nobody reaches
 	calls int          // of hosts to others
@@ -121,7 +121,7 @@
 	suite.Paused(func() {
 		h := &hosts{
 			net: memnet.New(), store: standin.NewStore(), clock: clock.NewSteady(), log: &lines{}, up: map[string]bool{}, cut: map[int]bool{},
-			books: make([]*quarantine.Book, count), lives: make([]*life, count),
+			books: make([]*quarantine.Tracker, count), lives: make([]*life, count),
 		}
 		server := &http.Server{Handler: h.store}
 		l := h.net.Listen(storeAddress)
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -51,7 +51,7 @@
 
 // Run judges what comes to be known, tells other hosts what this one has seen and keeps it, as
 // long as the context lasts.
-func (b *Book) Run(ctx context.Context) {
+func (b *Tracker) Run(ctx context.Context) {
 	var working sync.WaitGroup
 	defer working.Wait()
 	for _, work := range []func(context.Context){b.load, b.review, b.push, b.pass, b.compare, b.keep, b.sweep} {
@@ -61,7 +61,7 @@
 
 // review brings the verdicts up to date though no request asks: an answer that goes on here may
 // clear a request that others take for guilty.
-func (b *Book) review(ctx context.Context) {
+func (b *Tracker) review(ctx context.Context) {
 	for b.awaitReview(ctx) {
 		clock.Sleep(ctx, gather)
 		b.mu.Lock()
@@ -71,7 +71,7 @@
 }
 
 // awaitReview waits for other evidence, or until some that is known counts; false if the context ends.
-func (b *Book) awaitReview(ctx context.Context) bool {
+func (b *Tracker) awaitReview(ctx context.Context) bool {
 	b.mu.Lock()
 	wait := b.settles - b.clock.Now()
 	b.mu.Unlock()
@@ -87,7 +87,7 @@
 }
 
 // push tells all other hosts what this one has seen, as soon as there is something.
-func (b *Book) push(ctx context.Context) {
+func (b *Tracker) push(ctx context.Context) {
 	for b.due.Await(ctx) {
 		if !b.isLoaded() {
 			continue // it is told then
@@ -102,7 +102,7 @@
 }
 
 // tellAll sends the same to some hosts at once.
-func (b *Book) tellAll(ctx context.Context, members []Member, n News) {
+func (b *Tracker) tellAll(ctx context.Context, members []Member, n News) {
 	var telling sync.WaitGroup
 	for _, m := range members {
 		telling.Go(func() { b.tellOne(ctx, m, n) })
@@ -111,7 +111,7 @@
 }
 
 // tellOne sends to a host; false if it does not answer.
-func (b *Book) tellOne(ctx context.Context, m Member, n News) bool {
+func (b *Tracker) tellOne(ctx context.Context, m Member, n News) bool {
 	limited, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
 	_, err := b.options.Caller.Tell(limited, m.Address, n)
@@ -122,7 +122,7 @@
 }
 
 // Hear takes in news and returns what the sender lacks; it is a Hear.
-func (b *Book) Hear(_ context.Context, n News) (News, error) {
+func (b *Tracker) Hear(_ context.Context, n News) (News, error) {
 	b.mu.Lock()
 	b.take(n)
 	reply := News{Versions: b.versions(), Loaded: b.loaded}
@@ -135,14 +135,14 @@
 }
 
 // compare has what this host has and what the next one has become the same, now and then.
-func (b *Book) compare(ctx context.Context) {
+func (b *Tracker) compare(ctx context.Context) {
 	for clock.Sleep(ctx, clock.Around(compareEvery)) {
 		b.compareOnce(ctx)
 	}
 }
 
 // compareOnce compares with the next host that answers.
-func (b *Book) compareOnce(ctx context.Context) {
+func (b *Tracker) compareOnce(ctx context.Context) {
 	members := b.options.Members()
 	for _, m := range members[:min(compareTries, len(members))] {
 		if b.compareWith(ctx, m) == nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-func (b *Book) compareWith(ctx context.Context, m Member) error {
+func (b *Tracker) compareWith(ctx context.Context, m Member) error {
 	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
 	b.mu.Lock()
@@ -173,7 +173,7 @@
 }
 
 // sweep drops what is too old to count, now and then.
-func (b *Book) sweep(ctx context.Context) {
+func (b *Tracker) sweep(ctx context.Context) {
 	for clock.Sleep(ctx, sweepEvery) {
 		b.Sweep()
 	}
@@ -181,7 +181,7 @@
 
 // take takes in rows that are newer than those that are known, and what this host told in an earlier
 // life; the caller holds mu.
-func (b *Book) take(n News) {
+func (b *Tracker) take(n News) {
 	for _, told := range n.Rows {
 		earlier := told.Host == b.options.Host && !b.loaded
 		if told.Version <= b.rows[told.Host].version && !earlier {
@@ -200,7 +200,7 @@
 }
 
 // learned notes that what hosts have told and kept is known; the caller holds mu.
-func (b *Book) learned() {
+func (b *Tracker) learned() {
 	if b.loaded {
 		return
 	}
@@ -213,7 +213,7 @@
 
 // takeRow takes in a host's row. One of this host is from an earlier life: what it saw counts
 // on.
-func (b *Book) takeRow(host string, r row) {
+func (b *Tracker) takeRow(host string, r row) {
 	if host != b.options.Host {
 		b.rows[host] = r
 		b.changed()
@@ -227,7 +227,7 @@
 }
 
 // versions are those of the rows that have something, and may be told.
-func (b *Book) versions() map[string]int64 {
+func (b *Tracker) versions() map[string]int64 {
 	versions := map[string]int64{}
 	for host, r := range b.rows {
 		if !r.isEmpty() && (b.loaded || host != b.options.Host) {
@@ -238,7 +238,7 @@
 }
 
 // newerThan lists the hosts of whose rows this host has newer ones.
-func (b *Book) newerThan(known map[string]int64) []string {
+func (b *Tracker) newerThan(known map[string]int64) []string {
 	var newer []string
 	for host, version := range b.versions() {
 		if version > known[host] {
@@ -250,7 +250,7 @@
 }
 
 // encoded makes rows to be told; times in them are relative to now.
-func (b *Book) encoded(hosts []string) []Row {
+func (b *Tracker) encoded(hosts []string) []Row {
 	rows := make([]Row, 0, len(hosts))
 	for _, host := range hosts {
 		r := b.rows[host]
