--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -12,7 +12,7 @@
 
 // standing is what is known of a request when it came before.
 func (d *Dispatcher) standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing {
-	if !d.options.Quarantine.Watching() {
+	if !d.options.Quarantine.HasEvidence() {
 		return quarantine.Standing{}
 	}
 	return d.options.Quarantine.Standing(fingerprint())
@@ -45,7 +45,7 @@
 
 // finished takes in that a request came to a good end.
 func (d *Dispatcher) finished(fingerprint func() quarantine.Fingerprint) {
-	if d.options.Quarantine.Watching() {
+	if d.options.Quarantine.HasEvidence() {
 		d.options.Quarantine.Finished(fingerprint())
 	}
 }
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -69,7 +69,7 @@
 
 // standing is what is known of the request when it came before.
 func (x *exchange) standing() quarantine.Standing {
-	if !x.g.Quarantine.Watching() {
+	if !x.g.Quarantine.HasEvidence() {
 		return quarantine.Standing{}
 	}
 	return x.g.Quarantine.Standing(x.fingerprint())
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -355,7 +355,7 @@
 	if a.going != nil {
 		x := a.x
 		x.g.Quarantine.End(a.going)
-		if whole && x.g.Quarantine.Watching() {
+		if whole && x.g.Quarantine.HasEvidence() {
 			x.g.Quarantine.Finished(x.fingerprint())
 		}
 	}
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -107,9 +107,9 @@
 // own is what this host has seen.
 func (b *Tracker) own() row { return b.rows[b.options.Host] }
 
-// Watching reports whether endpoints have crashed lately. While none has, no request needs a
+// HasEvidence reports whether endpoints have crashed lately. While none has, no request needs a
 // fingerprint.
-func (b *Tracker) Watching() bool { return b.watching.Load() }
+func (b *Tracker) HasEvidence() bool { return b.watching.Load() }
 
 // Break is the end of an attempt whose connection broke.
 type Break struct {
@@ -249,7 +249,7 @@
 
 // Standing returns what is known of a request.
 func (b *Tracker) Standing(f Fingerprint) Standing {
-	if !b.Watching() {
+	if !b.HasEvidence() {
 		return Standing{}
 	}
 	b.mu.Lock()
@@ -355,7 +355,7 @@
 	defer b.mu.Unlock()
 	now := b.clock.Now()
 	maps.DeleteFunc(b.unproven, func(_ string, runs []Break) bool { return now-runs[len(runs)-1].at > unprovenFor })
-	if b.Watching() {
+	if b.HasEvidence() {
 		b.judged = false
 		b.judge()
 	}
--- a/internal/quarantine/broke_test.go
+++ b/internal/quarantine/broke_test.go
@@ -21,7 +21,7 @@
 		sharing(1, func(h *hosts) {
 			h.up["e0"] = true // its process is not gone yet
 			Expect(broke(h, "e0")).To(BeFalse())
-			Expect(h.books[0].Watching()).To(BeFalse())
+			Expect(h.books[0].HasEvidence()).To(BeFalse())
 			time.Sleep(4 * time.Second)
 			h.up["e0"] = false
 			h.books[0].Gone(ctx, "e0")
@@ -35,7 +35,7 @@
 			Expect(broke(h, "e0")).To(BeFalse())
 			h.books[0].Listed("e0", "e0")
 			h.books[0].Listed("e2", "e2")
-			Expect(h.books[0].Watching()).To(BeFalse())
+			Expect(h.books[0].HasEvidence()).To(BeFalse())
 			time.Sleep(time.Second)
 			h.books[0].Listed("e1", "e0")
 			Expect(h.books[0].Standing(guilty).Moments).To(Equal(1))
@@ -48,7 +48,7 @@
 			Expect(broke(h, "e0")).To(BeFalse())
 			time.Sleep(time.Second)
 			h.books[0].Gone(ctx, "e0")
-			Expect(h.books[0].Watching()).To(BeFalse())
+			Expect(h.books[0].HasEvidence()).To(BeFalse())
 		})
 	})
 
@@ -61,7 +61,7 @@
 			h.books[0].Gone(ctx, "e0")
 			h.books[0].Gone(ctx, "e1")
 			h.books[0].Listed("e3", "e0")
-			Expect(h.books[0].Watching()).To(BeFalse())
+			Expect(h.books[0].HasEvidence()).To(BeFalse())
 		})
 	})
 })
--- a/internal/quarantine/parts_test.go
+++ b/internal/quarantine/parts_test.go
@@ -55,7 +55,7 @@
 			h.kill(1)
 			time.Sleep(10 * time.Second)
 			h.start(1)
-			for !h.books[1].Watching() {
+			for !h.books[1].HasEvidence() {
 				time.Sleep(time.Millisecond)
 			}
 			Expect(h.quarantined(guilty)).To(Equal([]bool{true, true}))
