--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -64,7 +64,7 @@
 	mu       sync.Mutex     // guards all below
 	rows     map[string]row // by host; always one of this host
 	view     *view          // of all that; nil if it has changed since
-	unproven map[string][]Break
+	unproven map[string][]BrokenAttempt
 	ongoing  map[*Ongoing]struct{}
 	verdicts map[Fingerprint]Verdict
 	judged   bool // verdicts stand on the view
@@ -99,7 +99,7 @@
 	return &Tracker{
 		options: options, witness: NewWitness(options.Reach), clock: clock.NewSteady(),
 		news: wake.NewSignal(), due: wake.NewSignal(), save: wake.NewSignal(), relays: newRelays(),
-		rows: map[string]row{options.Host: {record: newRecord()}}, unproven: map[string][]Break{}, ongoing: map[*Ongoing]struct{}{},
+		rows: map[string]row{options.Host: {record: newRecord()}}, unproven: map[string][]BrokenAttempt{}, ongoing: map[*Ongoing]struct{}{},
 		verdicts: map[Fingerprint]Verdict{}, heard: map[string]Crash{}, settles: never, loaded: options.First,
 	}
 }
@@ -111,8 +111,8 @@
 // fingerprint.
 func (b *Tracker) HasEvidence() bool { return b.watching.Load() }
 
-// Break is the end of an attempt whose connection broke.
-type Break struct {
+// BrokenAttempt is the end of an attempt whose connection broke.
+type BrokenAttempt struct {
 	Endpoint string // its start
 	Address  string
 	Service  string
@@ -123,13 +123,13 @@
 }
 
 // crash is the endpoint's, if it did.
-func (k Break) crash(at time.Duration) Crash {
+func (k BrokenAttempt) crash(at time.Duration) Crash {
 	return Crash{Endpoint: k.Endpoint, Service: k.Service, At: at, Under: map[Fingerprint]Run{k.Request: k.Run}}
 }
 
 // Broke finds out whether the endpoint has crashed, and if so takes it in; false also if that
 // is not known yet. It waits for the proof for a short while.
-func (b *Tracker) Broke(ctx context.Context, k Break) bool {
+func (b *Tracker) Broke(ctx context.Context, k BrokenAttempt) bool {
 	k.at = b.clock.Now()
 	crashed := b.witness.Crashed(ctx, k.Endpoint, k.Address)
 	b.mu.Lock()
@@ -151,18 +151,18 @@
 	runs := b.unproven[endpoint]
 	b.mu.Unlock()
 	if len(runs) > 0 && b.witness.refuses(ctx, runs[0].Address) {
-		b.prove(func(k Break) bool { return k.Endpoint == endpoint })
+		b.prove(func(k BrokenAttempt) bool { return k.Endpoint == endpoint })
 	}
 }
 
 // Listed takes in that an endpoint's start is listed at an address: any other that was there has
 // ended, and what broke off there a moment ago crashed with it.
 func (b *Tracker) Listed(endpoint, address string) {
-	b.prove(func(k Break) bool { return k.Address == address && k.Endpoint != endpoint })
+	b.prove(func(k BrokenAttempt) bool { return k.Address == address && k.Endpoint != endpoint })
 }
 
 // prove takes in crashes of endpoints at which connections broke a moment ago.
-func (b *Tracker) prove(crashed func(k Break) bool) {
+func (b *Tracker) prove(crashed func(k BrokenAttempt) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for endpoint, runs := range b.unproven {
@@ -354,7 +354,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock.Now()
-	maps.DeleteFunc(b.unproven, func(_ string, runs []Break) bool { return now-runs[len(runs)-1].at > unprovenFor })
+	maps.DeleteFunc(b.unproven, func(_ string, runs []BrokenAttempt) bool { return now-runs[len(runs)-1].at > unprovenFor })
 	if b.HasEvidence() {
 		b.judged = false
 		b.judge()
