--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -40,7 +40,7 @@
 	if !conn.BrokeOff(err) || ctx.Err() != nil || !d.options.Fleet.Serves(e.ID) {
 		return false
 	}
-	return d.options.Quarantine.Broke(ctx, quarantine.BrokenAttempt{Endpoint: e.ID, Address: e.Address, Service: e.Service, Request: request.fingerprint(), Run: run})
+	return d.options.Quarantine.ConnectionBroke(ctx, quarantine.BrokenAttempt{Endpoint: e.ID, Address: e.Address, Service: e.Service, Request: request.fingerprint(), Run: run})
 }
 
 // finished takes in that a request came to a good end.
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -99,7 +99,7 @@
 	if !conn.BrokeOff(err) || x.ctx.Err() != nil || !x.g.Fleet.Serves(e.ID) {
 		return
 	}
-	if !x.g.Quarantine.Broke(x.ctx, quarantine.BrokenAttempt{Endpoint: e.ID, Address: e.Address, Service: x.service, Request: x.fingerprint(), Run: run}) {
+	if !x.g.Quarantine.ConnectionBroke(x.ctx, quarantine.BrokenAttempt{Endpoint: e.ID, Address: e.Address, Service: x.service, Request: x.fingerprint(), Run: run}) {
 		return
 	}
 	x.crashes++
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -127,9 +127,9 @@
 	return Crash{Endpoint: k.Endpoint, Service: k.Service, At: at, Under: map[Fingerprint]Run{k.Request: k.Run}}
 }
 
-// Broke finds out whether the endpoint has crashed, and if so takes it in; false also if that
+// ConnectionBroke finds out whether the endpoint has crashed, and if so takes it in; false also if that
 // is not known yet. It waits for the proof for a short while.
-func (b *Tracker) Broke(ctx context.Context, k BrokenAttempt) bool {
+func (b *Tracker) ConnectionBroke(ctx context.Context, k BrokenAttempt) bool {
 	k.at = b.clock.Now()
 	crashed := b.witness.Crashed(ctx, k.Endpoint, k.Address)
 	b.mu.Lock()
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -233,5 +233,5 @@
 
 // slow has a request run at an endpoint for long, until that crashes.
 func (h *hosts) slow(host int, endpoint string, f quarantine.Fingerprint) {
-	h.books[host].Broke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: 3 * time.Second}})
+	h.books[host].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: 3 * time.Second}})
 }
--- a/internal/quarantine/broke_test.go
+++ b/internal/quarantine/broke_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("an endpoint whose connections broke", func() {
 	broke := func(h *hosts, endpoint string) bool {
-		return h.books[0].Broke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: guilty, Run: quarantine.Run{Lasted: time.Second}})
+		return h.books[0].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: guilty, Run: quarantine.Run{Lasted: time.Second}})
 	}
 
 	ctx := context.Background()
--- a/internal/quarantine/parts_test.go
+++ b/internal/quarantine/parts_test.go
@@ -16,7 +16,7 @@
 	It("do not bring a request into quarantine that is beside a guilty one", func() {
 		sharing(2, func(h *hosts) {
 			broke := func(host int, endpoint string, f quarantine.Fingerprint, lasted time.Duration) {
-				Expect(h.books[host].Broke(context.Background(), quarantine.BrokenAttempt{
+				Expect(h.books[host].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{
 					Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: lasted},
 				})).To(Equal(!h.up[endpoint]))
 			}
--- a/internal/quarantine/rig_test.go
+++ b/internal/quarantine/rig_test.go
@@ -198,7 +198,7 @@
 // crash has requests run at an endpoint that crashes, as a host sees it.
 func (h *hosts) crash(host int, endpoint string, requests ...quarantine.Fingerprint) {
 	for _, f := range requests {
-		Expect(h.books[host].Broke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: 80 * time.Millisecond}})).To(BeTrue())
+		Expect(h.books[host].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: 80 * time.Millisecond}})).To(BeTrue())
 	}
 }
 
