--- a/internal/gatewayd/endpoints.go
+++ b/internal/gatewayd/endpoints.go
@@ -91,7 +91,7 @@
 	} else {
 		e.fleet.Remove(c.Key)
 		if !old.Draining {
-			go e.quarantine.Gone(context.Background(), old.ID)
+			go e.quarantine.EndpointGone(context.Background(), old.ID)
 		}
 	}
 	services[old.Service] = true
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -143,10 +143,10 @@
 	return true
 }
 
-// Gone takes in that an endpoint's start is listed no more though it was not to leave. If
+// EndpointGone takes in that an endpoint's start is listed no more though it was not to leave. If
 // nothing listens at its address either, what broke off there a moment ago crashed with it; one
 // that leaves without notice serves on for a while.
-func (b *Tracker) Gone(ctx context.Context, endpoint string) {
+func (b *Tracker) EndpointGone(ctx context.Context, endpoint string) {
 	b.mu.Lock()
 	runs := b.unproven[endpoint]
 	b.mu.Unlock()
--- a/internal/quarantine/broke_test.go
+++ b/internal/quarantine/broke_test.go
@@ -24,7 +24,7 @@
 			Expect(h.books[0].HasEvidence()).To(BeFalse())
 			time.Sleep(4 * time.Second)
 			h.up["e0"] = false
-			h.books[0].Gone(ctx, "e0")
+			h.books[0].EndpointGone(ctx, "e0")
 			Expect(h.books[0].Standing(guilty).Moments).To(Equal(1))
 		})
 	})
@@ -47,7 +47,7 @@
 			h.up["e0"] = true
 			Expect(broke(h, "e0")).To(BeFalse())
 			time.Sleep(time.Second)
-			h.books[0].Gone(ctx, "e0")
+			h.books[0].EndpointGone(ctx, "e0")
 			Expect(h.books[0].HasEvidence()).To(BeFalse())
 		})
 	})
@@ -58,8 +58,8 @@
 			Expect(broke(h, "e0")).To(BeFalse())
 			time.Sleep(10 * time.Second)
 			h.up["e0"] = false
-			h.books[0].Gone(ctx, "e0")
-			h.books[0].Gone(ctx, "e1")
+			h.books[0].EndpointGone(ctx, "e0")
+			h.books[0].EndpointGone(ctx, "e1")
 			h.books[0].Listed("e3", "e0")
 			Expect(h.books[0].HasEvidence()).To(BeFalse())
 		})
