--- a/internal/gatewayd/endpoints.go
+++ b/internal/gatewayd/endpoints.go
@@ -70,7 +70,7 @@
 	old, known := e.fleet.Listed(c.Key)
 	again := e.fleet.Put(decoded)
 	services[decoded.Service] = true
-	e.quarantine.Listed(decoded.ID, decoded.Address)
+	e.quarantine.EndpointListed(decoded.ID, decoded.Address)
 	if again {
 		// A request that is sent on a connection to the start before may run nowhere.
 		e.pool.Forget(old.Address)
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -155,9 +155,9 @@
 	}
 }
 
-// Listed takes in that an endpoint's start is listed at an address: any other that was there has
+// EndpointListed takes in that an endpoint's start is listed at an address: any other that was there has
 // ended, and what broke off there a moment ago crashed with it.
-func (b *Tracker) Listed(endpoint, address string) {
+func (b *Tracker) EndpointListed(endpoint, address string) {
 	b.prove(func(k BrokenAttempt) bool { return k.Address == address && k.Endpoint != endpoint })
 }
 
--- a/internal/quarantine/broke_test.go
+++ b/internal/quarantine/broke_test.go
@@ -33,11 +33,11 @@
 		sharing(1, func(h *hosts) {
 			h.up["e0"] = true // something listens there again already
 			Expect(broke(h, "e0")).To(BeFalse())
-			h.books[0].Listed("e0", "e0")
-			h.books[0].Listed("e2", "e2")
+			h.books[0].EndpointListed("e0", "e0")
+			h.books[0].EndpointListed("e2", "e2")
 			Expect(h.books[0].HasEvidence()).To(BeFalse())
 			time.Sleep(time.Second)
-			h.books[0].Listed("e1", "e0")
+			h.books[0].EndpointListed("e1", "e0")
 			Expect(h.books[0].Standing(guilty).Moments).To(Equal(1))
 		})
 	})
@@ -60,7 +60,7 @@
 			h.up["e0"] = false
 			h.books[0].EndpointGone(ctx, "e0")
 			h.books[0].EndpointGone(ctx, "e1")
-			h.books[0].Listed("e3", "e0")
+			h.books[0].EndpointListed("e3", "e0")
 			Expect(h.books[0].HasEvidence()).To(BeFalse())
 		})
 	})
--- a/internal/quarantine/parts_test.go
+++ b/internal/quarantine/parts_test.go
@@ -32,13 +32,13 @@
 			}
 			time.Sleep(apart)
 			Expect(h.quarantined(guilty)).To(Equal([]bool{true, true}))
-			h.books[0].Listed("e5", "e0")
+			h.books[0].EndpointListed("e5", "e0")
 			for range 23 {
 				time.Sleep(time.Millisecond)
 				Expect(h.quarantined(beside)).To(Equal([]bool{false, false}))
 				Expect(h.quarantined(guilty)).To(Equal([]bool{true, true}))
 			}
-			h.books[1].Listed("e5", "e0")
+			h.books[1].EndpointListed("e5", "e0")
 			for range 1000 {
 				time.Sleep(time.Millisecond)
 				Expect(h.quarantined(beside)).To(Equal([]bool{false, false}))
