--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -46,6 +46,6 @@
 // finished takes in that a request came to a good end.
 func (d *Dispatcher) finished(fingerprint func() quarantine.Fingerprint) {
 	if d.options.Quarantine.HasEvidence() {
-		d.options.Quarantine.Finished(fingerprint())
+		d.options.Quarantine.RequestCompleted(fingerprint())
 	}
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -356,7 +356,7 @@
 		x := a.x
 		x.g.Quarantine.End(a.going)
 		if whole && x.g.Quarantine.HasEvidence() {
-			x.g.Quarantine.Finished(x.fingerprint())
+			x.g.Quarantine.RequestCompleted(x.fingerprint())
 		}
 	}
 	a.conn.Release(a.stop() && whole)
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -212,8 +212,8 @@
 	return o.Now()
 }
 
-// Finished takes in that a request came to a good end: the endpoint that ran it lives.
-func (b *Tracker) Finished(f Fingerprint) {
+// RequestCompleted takes in that a request came to a good end: the endpoint that ran it lives.
+func (b *Tracker) RequestCompleted(f Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.finish(f, b.clock.Now(), "it came to a good end")
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -87,7 +87,7 @@
 				h.crash(i%3, fmt.Sprint("e", i), guilty)
 				time.Sleep(apart)
 				if i%2 == 1 {
-					h.books[(i+1)%3].Finished(guilty)
+					h.books[(i+1)%3].RequestCompleted(guilty)
 					time.Sleep(apart)
 				}
 			}
@@ -99,7 +99,7 @@
 		sharing(3, func(h *hosts) {
 			h.thrice(guilty)
 			Expect(h.quarantined(guilty)).To(Equal(all))
-			h.books[2].Finished(guilty)
+			h.books[2].RequestCompleted(guilty)
 			time.Sleep(apart)
 			Expect(h.quarantined(guilty)).To(Equal(none))
 		})
