--- a/internal/gatewayd/quarantineview.go
+++ b/internal/gatewayd/quarantineview.go
@@ -55,7 +55,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !h.Quarantine.Lift(f) {
+	if !h.Quarantine.Release(f) {
 		http.Error(w, "no such request is in quarantine", http.StatusNotFound)
 		return
 	}
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -199,7 +199,7 @@
 	if err := f.UnmarshalText([]byte(r.Fingerprint)); err != nil {
 		return Outcome{}, fmt.Errorf("%w: %s: %w", ErrNotHeld, r.Fingerprint, err)
 	}
-	if !c.quarantine.Lift(f) {
+	if !c.quarantine.Release(f) {
 		return Outcome{}, fmt.Errorf("%w: %s", ErrNotHeld, r.Fingerprint)
 	}
 	return Outcome{Revision: e.Base, Notes: []string{"released; other hosts hear of it within seconds"}}, nil
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -219,8 +219,8 @@
 	b.finish(f, b.clock.Now(), "it came to a good end")
 }
 
-// Lift takes a request out of quarantine by order of an operator; false if it is not there.
-func (b *Tracker) Lift(f Fingerprint) bool {
+// Release takes a request out of quarantine by order of an operator; false if it is not there.
+func (b *Tracker) Release(f Fingerprint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.judge()
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -174,8 +174,8 @@
 	It("let it out by order of an operator at any host", func() {
 		sharing(3, func(h *hosts) {
 			h.thrice(guilty)
-			Expect(h.books[1].Lift(beside)).To(BeFalse())
-			Expect(h.books[1].Lift(guilty)).To(BeTrue())
+			Expect(h.books[1].Release(beside)).To(BeFalse())
+			Expect(h.books[1].Release(guilty)).To(BeTrue())
 			time.Sleep(apart)
 			Expect(h.quarantined(guilty)).To(Equal(none))
 			h.thrice(guilty)
@@ -215,7 +215,7 @@
 
 // letOut takes a request out of quarantine.
 func (h *hosts) letOut(f quarantine.Fingerprint) {
-	Expect(h.books[0].Lift(f)).To(BeTrue())
+	Expect(h.books[0].Release(f)).To(BeTrue())
 	time.Sleep(apart)
 	Expect(h.quarantined(f)).To(Equal(none))
 }
