--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -15,7 +15,7 @@
 	if !d.options.Quarantine.HasEvidence() {
 		return quarantine.Standing{}
 	}
-	return d.options.Quarantine.Standing(fingerprint())
+	return d.options.Quarantine.Status(fingerprint())
 }
 
 // Quarantined is the problem of a request under which endpoints crash.
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -72,7 +72,7 @@
 	if !x.g.Quarantine.HasEvidence() {
 		return quarantine.Standing{}
 	}
-	return x.g.Quarantine.Standing(x.fingerprint())
+	return x.g.Quarantine.Status(x.fingerprint())
 }
 
 // checkQuarantine refuses a request under which endpoints crash. It has not run and will not,
--- a/internal/pipeline/quarantine.go
+++ b/internal/pipeline/quarantine.go
@@ -28,7 +28,7 @@
 // checkQuarantine refuses a request under which endpoints crash. It has not run and will not, and
 // nothing is gained by coming back; a job of it ends.
 func (p *Pipeline) checkQuarantine(_ context.Context, a ask) (ask, error) {
-	if !p.options.Quarantine.HasEvidence() || !p.options.Quarantine.Standing(a.fingerprint()).Quarantined {
+	if !p.options.Quarantine.HasEvidence() || !p.options.Quarantine.Status(a.fingerprint()).Quarantined {
 		return a, nil
 	}
 	return ask{}, dispatch.Quarantined(problem.NotRun)
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -247,8 +247,8 @@
 	}
 }
 
-// Standing returns what is known of a request.
-func (b *Tracker) Standing(f Fingerprint) Standing {
+// Status returns what is known of a request.
+func (b *Tracker) Status(f Fingerprint) Standing {
 	if !b.HasEvidence() {
 		return Standing{}
 	}
--- a/internal/quarantine/broke_test.go
+++ b/internal/quarantine/broke_test.go
@@ -25,7 +25,7 @@
 			time.Sleep(4 * time.Second)
 			h.up["e0"] = false
 			h.books[0].EndpointGone(ctx, "e0")
-			Expect(h.books[0].Standing(guilty).Moments).To(Equal(1))
+			Expect(h.books[0].Status(guilty).Moments).To(Equal(1))
 		})
 	})
 
@@ -38,7 +38,7 @@
 			Expect(h.books[0].HasEvidence()).To(BeFalse())
 			time.Sleep(time.Second)
 			h.books[0].EndpointListed("e1", "e0")
-			Expect(h.books[0].Standing(guilty).Moments).To(Equal(1))
+			Expect(h.books[0].Status(guilty).Moments).To(Equal(1))
 		})
 	})
 
--- a/internal/quarantine/rig_test.go
+++ b/internal/quarantine/rig_test.go
@@ -215,7 +215,7 @@
 func (h *hosts) quarantined(f quarantine.Fingerprint) []bool {
 	var held []bool
 	for _, b := range h.books {
-		held = append(held, b.Standing(f).Quarantined)
+		held = append(held, b.Status(f).Quarantined)
 	}
 	return held
 }
