--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -11,9 +11,9 @@
 )
 
 // standing is what is known of a request when it came before.
-func (d *Dispatcher) standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing {
+func (d *Dispatcher) standing(fingerprint func() quarantine.Fingerprint) quarantine.Status {
 	if !d.options.Quarantine.HasEvidence() {
-		return quarantine.Standing{}
+		return quarantine.Status{}
 	}
 	return d.options.Quarantine.Status(fingerprint())
 }
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -68,9 +68,9 @@
 }
 
 // standing is what is known of the request when it came before.
-func (x *exchange) standing() quarantine.Standing {
+func (x *exchange) standing() quarantine.Status {
 	if !x.g.Quarantine.HasEvidence() {
-		return quarantine.Standing{}
+		return quarantine.Status{}
 	}
 	return x.g.Quarantine.Status(x.fingerprint())
 }
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -248,16 +248,16 @@
 }
 
 // Status returns what is known of a request.
-func (b *Tracker) Status(f Fingerprint) Standing {
+func (b *Tracker) Status(f Fingerprint) Status {
 	if !b.HasEvidence() {
-		return Standing{}
+		return Status{}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.judge()
 	_, held := b.verdicts[f]
 	s := b.seen().of(f)
-	return Standing{Quarantined: held, Moments: s.moments, Chance: s.Chance, Crashed: len(s.crashed), Beside: s.beside}
+	return Status{Quarantined: held, Moments: s.moments, Chance: s.Chance, Crashed: len(s.crashed), Beside: s.beside}
 }
 
 // ago is how long ago a moment of the book's clock was.
--- a/internal/quarantine/pool_test.go
+++ b/internal/quarantine/pool_test.go
@@ -199,7 +199,7 @@
 		return true
 	}
 	s := p.evidence().suspect(r.print, p.crashes)
-	if !(Standing{Crashed: len(s.crashed)}).Suspect() {
+	if !(Status{Crashed: len(s.crashed)}).Suspect() {
 		return true
 	}
 	if p.now >= p.next {
@@ -392,5 +392,5 @@
 // leftToCaller reports whether hosts do not repeat a request any more.
 func (p *pool) leftToCaller(r *poolRequest) bool {
 	s := p.evidence().suspect(r.print, p.crashes)
-	return r.attempts > 0 && !Standing{Moments: s.moments, Chance: s.Chance}.Repeats(r.attempts)
+	return r.attempts > 0 && !Status{Moments: s.moments, Chance: s.Chance}.Repeats(r.attempts)
 }
--- a/internal/quarantine/standing.go
+++ b/internal/quarantine/standing.go
@@ -10,8 +10,8 @@
 	emptiedLeast = 2
 )
 
-// Standing is what is known of a request; an immutable value.
-type Standing struct {
+// Status is what is known of a request; an immutable value.
+type Status struct {
 	// Quarantined tells that endpoints crash under it: it is not sent to any.
 	Quarantined bool
 	// Moments at which endpoints crashed beside it since it last came to a good end, and how
@@ -27,16 +27,16 @@
 // MayHaveEmptied reports whether the request, which has waited for a service without endpoints, may be why
 // there were none: it was at most of the crashes, of which one more may be known to nobody yet. What loses its
 // endpoints to a power cut was at few of them.
-func (s Standing) MayHaveEmptied() bool {
+func (s Status) MayHaveEmptied() bool {
 	return !s.Quarantined && s.Crashed >= emptiedLeast && s.Beside <= s.Crashed
 }
 
 // Suspect reports whether as many endpoints have crashed beside the request as one has to crash to be
 // told from others, though it is not told from them yet.
-func (s Standing) Suspect() bool { return !s.Quarantined && s.Crashed >= crashesLeast }
+func (s Status) Suspect() bool { return !s.Quarantined && s.Crashed >= crashesLeast }
 
 // Repeats reports whether a host may repeat the request on its own that so many endpoints have
 // crashed under since it came this time.
-func (s Standing) Repeats(crashes int) bool {
+func (s Status) Repeats(crashes int) bool {
 	return !s.Quarantined && (min(crashes, s.Moments) < leftAt || s.Chance > leftChance)
 }
--- a/internal/quarantine/standing_test.go
+++ b/internal/quarantine/standing_test.go
@@ -34,7 +34,7 @@
 		t.Run(what, func(t *testing.T) {
 			crashes := append(crashesAt("s", under, 1000, 1020), c.beside...)
 			s := Evidence{Endpoints: func(string) int { return 12 }}.suspect(request, crashes)
-			standing := Standing{Crashed: len(s.crashed), Beside: s.beside}
+			standing := Status{Crashed: len(s.crashed), Beside: s.beside}
 			if standing.MayHaveEmptied() != c.may {
 				t.Errorf("%+v, want %v", standing, c.may)
 			}
