--- a/internal/quarantine/standing.go
+++ b/internal/quarantine/standing.go
@@ -24,10 +24,10 @@
 	Beside int
 }
 
-// MayHaveEmptied reports whether the request, which has waited for a service without endpoints, may be why
+// MayHaveEmptiedService reports whether the request, which has waited for a service without endpoints, may be why
 // there were none: it was at most of the crashes, of which one more may be known to nobody yet. What loses its
 // endpoints to a power cut was at few of them.
-func (s Status) MayHaveEmptied() bool {
+func (s Status) MayHaveEmptiedService() bool {
 	return !s.Quarantined && s.Crashed >= emptiedLeast && s.Beside <= s.Crashed
 }
 
--- a/internal/quarantine/standing_test.go
+++ b/internal/quarantine/standing_test.go
@@ -35,7 +35,7 @@
 			crashes := append(crashesAt("s", under, 1000, 1020), c.beside...)
 			s := Evidence{Endpoints: func(string) int { return 12 }}.suspect(request, crashes)
 			standing := Status{Crashed: len(s.crashed), Beside: s.beside}
-			if standing.MayHaveEmptied() != c.may {
+			if standing.MayHaveEmptiedService() != c.may {
 				t.Errorf("%+v, want %v", standing, c.may)
 			}
 		})
