--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -25,7 +25,7 @@
 // suspect reports whether endpoints may crash under the request, so that it has to wait for its turn.
 func (x *exchange) suspect() bool {
 	s := x.standing()
-	return s.Suspect() || (x.stranded && s.MayHaveEmptiedService())
+	return s.IsSuspect() || (x.stranded && s.MayHaveEmptiedService())
 }
 
 // awaitTurn waits until a request under which endpoints may crash may be sent. Copies that wait while a
--- a/internal/quarantine/pool_test.go
+++ b/internal/quarantine/pool_test.go
@@ -199,7 +199,7 @@
 		return true
 	}
 	s := p.evidence().suspect(r.print, p.crashes)
-	if !(Status{Crashed: len(s.crashed)}).Suspect() {
+	if !(Status{Crashed: len(s.crashed)}).IsSuspect() {
 		return true
 	}
 	if p.now >= p.next {
