--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -74,7 +74,7 @@
 		if standing.Quarantined {
 			return Answer{}, Quarantined(run)
 		}
-		if !standing.Repeats(crashes) {
+		if !standing.HostMayRetry(crashes) {
 			break
 		}
 		if attempt > 0 && !d.budgets.Repeat(call.Service, 1) {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -122,7 +122,7 @@
 		if standing.Quarantined {
 			return nil, Quarantined(run)
 		}
-		if !standing.Repeats(crashes) {
+		if !standing.HostMayRetry(crashes) {
 			break
 		}
 		if attempt > 0 && !d.budgets.Repeat(endpoint.Engines, 1) {
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -135,12 +135,12 @@
 	It("leave it to its caller after two crashes, and what was beside one is repeated", func() {
 		sharing(3, func(h *hosts) {
 			h.crash(0, "e0", guilty, beside)
-			Expect(h.books[0].Status(guilty).Repeats(1)).To(BeTrue())
+			Expect(h.books[0].Status(guilty).HostMayRetry(1)).To(BeTrue())
 			time.Sleep(apart)
 			h.crash(0, "e1", guilty)
-			Expect(h.books[0].Status(guilty).Repeats(2)).To(BeFalse())
-			Expect(h.books[0].Status(guilty).Repeats(1)).To(BeTrue(), "another copy")
-			Expect(h.books[0].Status(beside).Repeats(1)).To(BeTrue())
+			Expect(h.books[0].Status(guilty).HostMayRetry(2)).To(BeFalse())
+			Expect(h.books[0].Status(guilty).HostMayRetry(1)).To(BeTrue(), "another copy")
+			Expect(h.books[0].Status(beside).HostMayRetry(1)).To(BeTrue())
 		})
 	})
 
--- a/internal/quarantine/pool_test.go
+++ b/internal/quarantine/pool_test.go
@@ -392,5 +392,5 @@
 // leftToCaller reports whether hosts do not repeat a request any more.
 func (p *pool) leftToCaller(r *poolRequest) bool {
 	s := p.evidence().suspect(r.print, p.crashes)
-	return r.attempts > 0 && !Status{Moments: s.moments, Chance: s.Chance}.Repeats(r.attempts)
+	return r.attempts > 0 && !Status{Moments: s.moments, Chance: s.Chance}.HostMayRetry(r.attempts)
 }
--- a/internal/quarantine/standing.go
+++ b/internal/quarantine/standing.go
@@ -35,8 +35,8 @@
 // told from others, though it is not told from them yet.
 func (s Status) IsSuspect() bool { return !s.Quarantined && s.Crashed >= crashesLeast }
 
-// Repeats reports whether a host may repeat the request on its own that so many endpoints have
+// HostMayRetry reports whether a host may repeat the request on its own that so many endpoints have
 // crashed under since it came this time.
-func (s Status) Repeats(crashes int) bool {
+func (s Status) HostMayRetry(crashes int) bool {
 	return !s.Quarantined && (min(crashes, s.Moments) < leftAt || s.Chance > leftChance)
 }
