--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -41,7 +41,7 @@
 
 	sent    clock.Instant // to the endpoint
 	begun   clock.Instant // the answer
-	going   *quarantine.Ongoing
+	going   *quarantine.OngoingResponse
 	answer  *answer
 	reader  *bufio.Reader
 	event   []byte // the last event; reused
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -50,7 +50,7 @@
 	answer *http.Response
 	said   Answer
 	headAt clock.Instant // zero before the head
-	going  *quarantine.Ongoing
+	going  *quarantine.OngoingResponse
 	stop   func() bool // ends the watch on the caller
 	ended  bool
 }
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -65,7 +65,7 @@
 	rows     map[string]row // by host; always one of this host
 	view     *view          // of all that; nil if it has changed since
 	unproven map[string][]BrokenAttempt
-	ongoing  map[*Ongoing]struct{}
+	ongoing  map[*OngoingResponse]struct{}
 	verdicts map[Fingerprint]Verdict
 	judged   bool // verdicts stand on the view
 	// heard has each crash, by the endpoint's start, as it was known last, and since when; settles is when the
@@ -99,7 +99,7 @@
 	return &Tracker{
 		options: options, witness: NewWitness(options.Reach), clock: clock.NewSteady(),
 		news: wake.NewSignal(), due: wake.NewSignal(), save: wake.NewSignal(), relays: newRelays(),
-		rows: map[string]row{options.Host: {record: newRecord()}}, unproven: map[string][]BrokenAttempt{}, ongoing: map[*Ongoing]struct{}{},
+		rows: map[string]row{options.Host: {record: newRecord()}}, unproven: map[string][]BrokenAttempt{}, ongoing: map[*OngoingResponse]struct{}{},
 		verdicts: map[Fingerprint]Verdict{}, heard: map[string]Crash{}, settles: never, loaded: options.First,
 	}
 }
--- a/internal/quarantine/ongoing.go
+++ b/internal/quarantine/ongoing.go
@@ -11,8 +11,8 @@
 // come elsewhere to show that it crashes nothing: twice as long and this.
 const outlastsBy = 50 * time.Millisecond
 
-// Ongoing is a request whose answer has begun.
-type Ongoing struct {
+// OngoingResponse is a request whose answer has begun.
+type OngoingResponse struct {
 	request func() Fingerprint
 	began   clock.Instant
 	lasted  atomic.Int64 // ns from then until the last of it came
@@ -21,11 +21,11 @@
 // Arrived notes that more of the answer has come. What counts is how long the endpoint has been
 // seen at work: a host that was frozen or suspended hears of crashes before it has read that its
 // own connection ended with one of them, and would let the request out for all hosts.
-func (o *Ongoing) Arrived(now clock.Instant) { o.lasted.Store(int64(now.Sub(o.began))) }
+func (o *OngoingResponse) Arrived(now clock.Instant) { o.lasted.Store(int64(now.Sub(o.began))) }
 
 // Begin notes that a request's answer has begun; End is to be called once it has ended.
-func (b *Tracker) Begin(request func() Fingerprint) *Ongoing {
-	o := &Ongoing{request: request, began: clock.Now()}
+func (b *Tracker) Begin(request func() Fingerprint) *OngoingResponse {
+	o := &OngoingResponse{request: request, began: clock.Now()}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ongoing[o] = struct{}{}
@@ -33,7 +33,7 @@
 }
 
 // End notes that a request's answer has ended, however it did.
-func (b *Tracker) End(o *Ongoing) {
+func (b *Tracker) End(o *OngoingResponse) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.ongoing, o)
