--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -147,7 +147,7 @@
 			break
 		}
 	}
-	s.going.Arrived(clock.Now())
+	s.going.DataArrived(clock.Now())
 	event := s.eventOf(data)
 	event.More = s.hasWhole()
 	return event, nil
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -124,7 +124,7 @@
 		if len(chunk.data) > 0 {
 			now := clock.Now()
 			times.add(now, chunk.events)
-			a.going.Arrived(now)
+			a.going.DataArrived(now)
 			a.tellPace(times, false)
 			if _, writeErr := x.w.Write(chunk.data); writeErr != nil {
 				a.end(fleet.OutcomeNeutral, false)
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -109,7 +109,7 @@
 		sharing(3, func(h *hosts) {
 			ongoing := h.books[1].Begin(func() quarantine.Fingerprint { return beside })
 			time.Sleep(apart)
-			ongoing.Arrived(clock.Now())
+			ongoing.DataArrived(clock.Now())
 			h.thrice(beside)
 			Expect(h.quarantined(beside)).To(Equal(none))
 			h.books[1].End(ongoing)
@@ -124,7 +124,7 @@
 	It("take no answer for one that goes on of which nothing more has come", func() {
 		sharing(3, func(h *hosts) {
 			ongoing := h.books[1].Begin(func() quarantine.Fingerprint { return guilty })
-			ongoing.Arrived(clock.Now())
+			ongoing.DataArrived(clock.Now())
 			time.Sleep(apart)
 			h.thrice(guilty)
 			Expect(h.quarantined(guilty)).To(Equal(all))
--- a/internal/quarantine/ongoing.go
+++ b/internal/quarantine/ongoing.go
@@ -18,10 +18,10 @@
 	lasted  atomic.Int64 // ns from then until the last of it came
 }
 
-// Arrived notes that more of the answer has come. What counts is how long the endpoint has been
+// DataArrived notes that more of the answer has come. What counts is how long the endpoint has been
 // seen at work: a host that was frozen or suspended hears of crashes before it has read that its
 // own connection ended with one of them, and would let the request out for all hosts.
-func (o *OngoingResponse) Arrived(now clock.Instant) { o.lasted.Store(int64(now.Sub(o.began))) }
+func (o *OngoingResponse) DataArrived(now clock.Instant) { o.lasted.Store(int64(now.Sub(o.began))) }
 
 // Begin notes that a request's answer has begun; End is to be called once it has ended.
 func (b *Tracker) Begin(request func() Fingerprint) *OngoingResponse {
