--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -248,7 +248,7 @@
 	}
 	hold.Head(fleet.Load{})
 	s.sent, s.begun = sent, clock.Now()
-	s.going = d.options.Quarantine.Begin(request.Fingerprint)
+	s.going = d.options.Quarantine.BeginResponse(request.Fingerprint)
 	return s, nil
 }
 
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -253,7 +253,7 @@
 	// full endpoints read prompts in no time, and have nobody waiting.
 	a.hold.Head(a.said.Load)
 	x.count()
-	a.headAt, a.going = clock.Now(), x.g.Quarantine.Begin(x.fingerprint)
+	a.headAt, a.going = clock.Now(), x.g.Quarantine.BeginResponse(x.fingerprint)
 	x.head, x.expected = clock.Since(a.sentAt), hold.Expected
 	return a, nil
 }
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -107,7 +107,7 @@
 
 	It("clear what goes on elsewhere for longer than endpoints took to crash under it", func() {
 		sharing(3, func(h *hosts) {
-			ongoing := h.books[1].Begin(func() quarantine.Fingerprint { return beside })
+			ongoing := h.books[1].BeginResponse(func() quarantine.Fingerprint { return beside })
 			time.Sleep(apart)
 			ongoing.DataArrived(clock.Now())
 			h.thrice(beside)
@@ -123,7 +123,7 @@
 	// hosts, a request that crashes endpoints.
 	It("take no answer for one that goes on of which nothing more has come", func() {
 		sharing(3, func(h *hosts) {
-			ongoing := h.books[1].Begin(func() quarantine.Fingerprint { return guilty })
+			ongoing := h.books[1].BeginResponse(func() quarantine.Fingerprint { return guilty })
 			ongoing.DataArrived(clock.Now())
 			time.Sleep(apart)
 			h.thrice(guilty)
--- a/internal/quarantine/ongoing.go
+++ b/internal/quarantine/ongoing.go
@@ -23,8 +23,8 @@
 // own connection ended with one of them, and would let the request out for all hosts.
 func (o *OngoingResponse) DataArrived(now clock.Instant) { o.lasted.Store(int64(now.Sub(o.began))) }
 
-// Begin notes that a request's answer has begun; End is to be called once it has ended.
-func (b *Tracker) Begin(request func() Fingerprint) *OngoingResponse {
+// BeginResponse notes that a request's answer has begun; End is to be called once it has ended.
+func (b *Tracker) BeginResponse(request func() Fingerprint) *OngoingResponse {
 	o := &OngoingResponse{request: request, began: clock.Now()}
 	b.mu.Lock()
 	defer b.mu.Unlock()
