--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -259,7 +259,7 @@
 	}
 	s.over = true
 	if s.going != nil {
-		s.dispatcher.options.Quarantine.End(s.going)
+		s.dispatcher.options.Quarantine.EndResponse(s.going)
 	}
 	if s.answer != nil {
 		s.answer.release(whole)
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -354,7 +354,7 @@
 	a.ended = true
 	if a.going != nil {
 		x := a.x
-		x.g.Quarantine.End(a.going)
+		x.g.Quarantine.EndResponse(a.going)
 		if whole && x.g.Quarantine.HasEvidence() {
 			x.g.Quarantine.RequestCompleted(x.fingerprint())
 		}
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -112,7 +112,7 @@
 			ongoing.DataArrived(clock.Now())
 			h.thrice(beside)
 			Expect(h.quarantined(beside)).To(Equal(none))
-			h.books[1].End(ongoing)
+			h.books[1].EndResponse(ongoing)
 			h.thrice(guilty)
 			Expect(h.quarantined(guilty)).To(Equal(all))
 		})
@@ -128,7 +128,7 @@
 			time.Sleep(apart)
 			h.thrice(guilty)
 			Expect(h.quarantined(guilty)).To(Equal(all))
-			h.books[1].End(ongoing)
+			h.books[1].EndResponse(ongoing)
 		})
 	})
 
--- a/internal/quarantine/ongoing.go
+++ b/internal/quarantine/ongoing.go
@@ -32,8 +32,8 @@
 	return o
 }
 
-// End notes that a request's answer has ended, however it did.
-func (b *Tracker) End(o *OngoingResponse) {
+// EndResponse notes that a request's answer has ended, however it did.
+func (b *Tracker) EndResponse(o *OngoingResponse) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.ongoing, o)
