--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -47,5 +47,5 @@
 
 // Tell implements peer.Handler.
 func (p *peerHandler) Tell(ctx context.Context, n quarantine.News) (quarantine.News, error) {
-	return p.host.Quarantine.Hear(ctx, n)
+	return p.host.Quarantine.HandleUpdate(ctx, n)
 }
--- a/internal/gatewayd/host.go
+++ b/internal/gatewayd/host.go
@@ -87,7 +87,7 @@
 	h.probes = &http.Server{Handler: h.readiness(), ReadHeaderTimeout: headTimeout}
 	h.peers = p.Spread.Server(p.TLS.ServerCredentials())
 	p.Advice.Register(h.peers)
-	quarantine.Register(h.peers, p.Quarantine.Hear)
+	quarantine.Register(h.peers, p.Quarantine.HandleUpdate)
 	ratelimit.Register(h.peers, p.Limits)
 	p.Duties.Register(h.peers)
 	h.control = &http.Server{Handler: h.figures(), ReadHeaderTimeout: headTimeout}
--- a/internal/quarantine/rig_test.go
+++ b/internal/quarantine/rig_test.go
@@ -66,7 +66,7 @@
 		<-ctx.Done()
 		return quarantine.News{}, errCut
 	}
-	return book.Hear(ctx, n)
+	return book.HandleUpdate(ctx, n)
 }
 
 // members are the other hosts, from the next one on.
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -121,8 +121,8 @@
 	return err == nil
 }
 
-// Hear takes in news and returns what the sender lacks; it is a Hear.
-func (b *Tracker) Hear(_ context.Context, n News) (News, error) {
+// HandleUpdate takes in news and returns what the sender lacks; it is a HandleUpdate.
+func (b *Tracker) HandleUpdate(_ context.Context, n News) (News, error) {
 	b.mu.Lock()
 	b.take(n)
 	reply := News{Versions: b.versions(), Loaded: b.loaded}
