--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -46,6 +46,6 @@
 }
 
 // Tell implements peer.Handler.
-func (p *peerHandler) Tell(ctx context.Context, n quarantine.News) (quarantine.News, error) {
+func (p *peerHandler) Tell(ctx context.Context, n quarantine.Update) (quarantine.Update, error) {
 	return p.host.Quarantine.HandleUpdate(ctx, n)
 }
--- a/internal/measure/hosts.go
+++ b/internal/measure/hosts.go
@@ -81,8 +81,8 @@
 }
 
 // Tell implements peer.Handler.
-func (h *spreadHost) Tell(context.Context, quarantine.News) (quarantine.News, error) {
-	return quarantine.News{}, nil
+func (h *spreadHost) Tell(context.Context, quarantine.Update) (quarantine.Update, error) {
+	return quarantine.Update{}, nil
 }
 
 // countingLink counts the bytes of messages and delays them.
--- a/internal/peer/local.go
+++ b/internal/peer/local.go
@@ -129,10 +129,10 @@
 }
 
 // Tell implements Link.
-func (k localLink) Tell(ctx context.Context, address string, n quarantine.News) (quarantine.News, error) {
+func (k localLink) Tell(ctx context.Context, address string, n quarantine.Update) (quarantine.Update, error) {
 	h, err := k.to(ctx, address)
 	if err != nil {
-		return quarantine.News{}, err
+		return quarantine.Update{}, err
 	}
 	return h.Tell(ctx, n)
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -99,7 +99,7 @@
 	Grant(ctx context.Context, address string, grant Grant) error
 	Show(ctx context.Context, address string, query Query) (Reply, error)
 	// Tell brings news of crashes and returns what this host lacks.
-	Tell(ctx context.Context, address string, n quarantine.News) (quarantine.News, error)
+	Tell(ctx context.Context, address string, n quarantine.Update) (quarantine.Update, error)
 }
 
 // Handler answers messages from other hosts.
@@ -110,5 +110,5 @@
 	Hold(ctx context.Context, hold Hold) error
 	Grant(ctx context.Context, grant Grant) error
 	Show(ctx context.Context, query Query) (Reply, error)
-	Tell(ctx context.Context, n quarantine.News) (quarantine.News, error)
+	Tell(ctx context.Context, n quarantine.Update) (quarantine.Update, error)
 }
--- a/internal/peer/rpc/link.go
+++ b/internal/peer/rpc/link.go
@@ -155,6 +155,6 @@
 }
 
 // Tell implements peer.Link.
-func (l *Link) Tell(ctx context.Context, address string, n quarantine.News) (quarantine.News, error) {
+func (l *Link) Tell(ctx context.Context, address string, n quarantine.Update) (quarantine.Update, error) {
 	return quarantine.NewCaller(l.conn).Tell(ctx, address, n)
 }
--- a/internal/peer/rpc/rpc_test.go
+++ b/internal/peer/rpc/rpc_test.go
@@ -52,7 +52,7 @@
 	return peer.Reply{Data: []byte(q.Subject)}, nil
 }
 
-func (e *echo) Tell(_ context.Context, n quarantine.News) (quarantine.News, error) { return n, nil }
+func (e *echo) Tell(_ context.Context, n quarantine.Update) (quarantine.Update, error) { return n, nil }
 
 // authority signs certificates.
 type authority struct {
@@ -147,7 +147,7 @@
 		Expect(handler.got).To(Equal(hold))
 		hold.Known = 1
 		Expect(link.Hold(ctx, address, hold)).To(MatchError(peer.ErrRefused))
-		news := quarantine.News{
+		news := quarantine.Update{
 			Versions: map[string]int64{"a": 7}, Compare: true, Loaded: true, Scope: quarantine.ScopeAll,
 			Rows: []quarantine.Row{{Host: "a", Version: 7, Value: []byte("{}")}},
 		}
--- a/internal/quarantine/grpc.go
+++ b/internal/quarantine/grpc.go
@@ -12,7 +12,7 @@
 )
 
 // Hear takes in news of another host and returns what that one lacks.
-type Hear func(ctx context.Context, n News) (News, error)
+type Hear func(ctx context.Context, n Update) (Update, error)
 
 // Register has a gRPC server take in what other hosts tell.
 func Register(s grpc.ServiceRegistrar, hear Hear) {
@@ -44,19 +44,19 @@
 func NewCaller(connect Connect) Caller { return grpcCaller{connect} }
 
 // Tell implements Caller.
-func (c grpcCaller) Tell(ctx context.Context, address string, n News) (News, error) {
+func (c grpcCaller) Tell(ctx context.Context, address string, n Update) (Update, error) {
 	connection, err := c.connect(address)
 	if err != nil {
-		return News{}, fmt.Errorf("tell %s: %w", address, err)
+		return Update{}, fmt.Errorf("tell %s: %w", address, err)
 	}
 	reply, err := quarantinepb.NewQuarantineClient(connection).Tell(ctx, newsToWire(n))
 	if err != nil {
-		return News{}, fmt.Errorf("tell %s: %w", address, err)
+		return Update{}, fmt.Errorf("tell %s: %w", address, err)
 	}
 	return newsFromWire(reply), nil
 }
 
-func newsToWire(n News) *quarantinepb.News {
+func newsToWire(n Update) *quarantinepb.News {
 	w := &quarantinepb.News{Versions: n.Versions, Compare: n.Compare, Loaded: n.Loaded, Scope: int32(n.Scope)} //nolint:gosec // one of three
 	for _, r := range n.Rows {
 		w.Rows = append(w.Rows, &quarantinepb.Row{Host: r.Host, Version: r.Version, Value: r.Value})
@@ -64,8 +64,8 @@
 	return w
 }
 
-func newsFromWire(w *quarantinepb.News) News {
-	n := News{Versions: w.GetVersions(), Compare: w.GetCompare(), Loaded: w.GetLoaded(), Scope: Scope(w.GetScope())}
+func newsFromWire(w *quarantinepb.News) Update {
+	n := Update{Versions: w.GetVersions(), Compare: w.GetCompare(), Loaded: w.GetLoaded(), Scope: Scope(w.GetScope())}
 	for _, r := range w.GetRows() {
 		n.Rows = append(n.Rows, Row{Host: r.GetHost(), Version: r.GetVersion(), Value: r.GetValue()})
 	}
--- a/internal/quarantine/lasting_test.go
+++ b/internal/quarantine/lasting_test.go
@@ -156,7 +156,7 @@
 		sharing(3, func(h *hosts) {
 			h.thrice(guilty)
 			h.store.Put(quarantine.Table, "host-9", []byte(`{"row":7}`))
-			_, err := h.books[0].HandleUpdate(context.Background(), quarantine.News{Rows: []quarantine.Row{{Host: "host-8", Version: 9, Value: []byte("{")}}})
+			_, err := h.books[0].HandleUpdate(context.Background(), quarantine.Update{Rows: []quarantine.Row{{Host: "host-8", Version: 9, Value: []byte("{")}}})
 			Expect(err).NotTo(HaveOccurred())
 			h.killAll()
 			Expect(h.quarantined(guilty)).To(Equal(all))
--- a/internal/quarantine/relay.go
+++ b/internal/quarantine/relay.go
@@ -95,11 +95,11 @@
 		b.mu.Unlock()
 		own, others := b.groups()
 		var telling sync.WaitGroup
-		telling.Go(func() { b.tellAll(ctx, own, News{Rows: near, Loaded: whole >= ScopeGroup}) })
+		telling.Go(func() { b.tellAll(ctx, own, Update{Rows: near, Loaded: whole >= ScopeGroup}) })
 		if len(far) > 0 || whole == ScopeAll {
 			for _, g := range others {
 				telling.Go(func() {
-					b.tellFirst(ctx, g[:min(relayTries, len(g))], News{Rows: far, Loaded: whole == ScopeAll, Scope: ScopeGroup})
+					b.tellFirst(ctx, g[:min(relayTries, len(g))], Update{Rows: far, Loaded: whole == ScopeAll, Scope: ScopeGroup})
 				})
 			}
 		}
@@ -109,7 +109,7 @@
 
 // spread tells all other hosts; whole tells that the rows are all that hosts have told and kept.
 func (b *Tracker) spread(ctx context.Context, rows []Row, whole bool) {
-	members, n := b.options.Members(), News{Rows: rows, Loaded: whole}
+	members, n := b.options.Members(), Update{Rows: rows, Loaded: whole}
 	if len(members) <= directMost {
 		b.tellAll(ctx, members, n)
 		return
@@ -147,7 +147,7 @@
 
 // tellFirst tells the first of some hosts, and the next ones where it does not answer soon; false
 // if none does.
-func (b *Tracker) tellFirst(ctx context.Context, tried []Member, n News) bool {
+func (b *Tracker) tellFirst(ctx context.Context, tried []Member, n Update) bool {
 	answers := make(chan bool, len(tried))
 	failed := 0
 	for _, m := range tried {
--- a/internal/quarantine/relay_test.go
+++ b/internal/quarantine/relay_test.go
@@ -13,7 +13,7 @@
 type deaf struct{}
 
 // Tell implements Caller.
-func (deaf) Tell(context.Context, string, News) (News, error) { return News{}, context.Canceled }
+func (deaf) Tell(context.Context, string, Update) (Update, error) { return Update{}, context.Canceled }
 
 // TestGroupsAreAlikeForAllHosts works out the groups of fleets of all sizes at each host: every other
 // host stands in one of them, and a host alone in its group tells the others all the same.
--- a/internal/quarantine/rig_test.go
+++ b/internal/quarantine/rig_test.go
@@ -52,10 +52,10 @@
 var errCut = errors.New("no answer")
 
 // Tell implements quarantine.Caller.
-func (c caller) Tell(ctx context.Context, address string, n quarantine.News) (quarantine.News, error) {
+func (c caller) Tell(ctx context.Context, address string, n quarantine.Update) (quarantine.Update, error) {
 	var to int
 	if _, err := fmt.Sscanf(address, "host-%d", &to); err != nil {
-		return quarantine.News{}, err
+		return quarantine.Update{}, err
 	}
 	h := c.hosts
 	h.mu.Lock()
@@ -64,7 +64,7 @@
 	h.mu.Unlock()
 	if cut || book == nil {
 		<-ctx.Done()
-		return quarantine.News{}, errCut
+		return quarantine.Update{}, errCut
 	}
 	return book.HandleUpdate(ctx, n)
 }
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -33,8 +33,8 @@
 	Value   []byte
 }
 
-// News is what one host tells another.
-type News struct {
+// Update is what one host tells another.
+type Update struct {
 	Versions map[string]int64 // of the rows that the sender has
 	Compare  bool             // the receiver is to return what the sender lacks by them
 	// Loaded tells that with the rows the receiver knows all that hosts have told and kept.
@@ -46,7 +46,7 @@
 // Caller sends news to other hosts.
 type Caller interface {
 	// Tell brings news and returns what this host lacks.
-	Tell(ctx context.Context, address string, n News) (News, error)
+	Tell(ctx context.Context, address string, n Update) (Update, error)
 }
 
 // Run judges what comes to be known, tells other hosts what this one has seen and keeps it, as
@@ -102,7 +102,7 @@
 }
 
 // tellAll sends the same to some hosts at once.
-func (b *Tracker) tellAll(ctx context.Context, members []Member, n News) {
+func (b *Tracker) tellAll(ctx context.Context, members []Member, n Update) {
 	var telling sync.WaitGroup
 	for _, m := range members {
 		telling.Go(func() { b.tellOne(ctx, m, n) })
@@ -111,7 +111,7 @@
 }
 
 // tellOne sends to a host; false if it does not answer.
-func (b *Tracker) tellOne(ctx context.Context, m Member, n News) bool {
+func (b *Tracker) tellOne(ctx context.Context, m Member, n Update) bool {
 	limited, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
 	_, err := b.options.Caller.Tell(limited, m.Address, n)
@@ -122,10 +122,10 @@
 }
 
 // HandleUpdate takes in news and returns what the sender lacks; it is a HandleUpdate.
-func (b *Tracker) HandleUpdate(_ context.Context, n News) (News, error) {
+func (b *Tracker) HandleUpdate(_ context.Context, n Update) (Update, error) {
 	b.mu.Lock()
 	b.take(n)
-	reply := News{Versions: b.versions(), Loaded: b.loaded}
+	reply := Update{Versions: b.versions(), Loaded: b.loaded}
 	if n.Compare {
 		reply.Rows = b.encoded(b.newerThan(n.Versions))
 	}
@@ -155,7 +155,7 @@
 	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
 	b.mu.Lock()
-	n := News{Versions: b.versions(), Compare: true}
+	n := Update{Versions: b.versions(), Compare: true}
 	b.mu.Unlock()
 	reply, err := b.options.Caller.Tell(ctx, m.Address, n)
 	if err != nil {
@@ -168,7 +168,7 @@
 	if len(lacking) == 0 {
 		return nil
 	}
-	_, err = b.options.Caller.Tell(ctx, m.Address, News{Rows: lacking, Loaded: b.isLoaded()})
+	_, err = b.options.Caller.Tell(ctx, m.Address, Update{Rows: lacking, Loaded: b.isLoaded()})
 	return err
 }
 
@@ -181,7 +181,7 @@
 
 // take takes in rows that are newer than those that are known, and what this host told in an earlier
 // life; the caller holds mu.
-func (b *Tracker) take(n News) {
+func (b *Tracker) take(n Update) {
 	for _, told := range n.Rows {
 		earlier := told.Host == b.options.Host && !b.loaded
 		if told.Version <= b.rows[told.Host].version && !earlier {
