--- a/internal/quarantine/grpc.go
+++ b/internal/quarantine/grpc.go
@@ -41,7 +41,7 @@
 type grpcCaller struct{ connect Connect }
 
 // NewCaller returns a caller over connections that other services share.
-func NewCaller(connect Connect) Caller { return grpcCaller{connect} }
+func NewCaller(connect Connect) PeerClient { return grpcCaller{connect} }
 
 // Tell implements Caller.
 func (c grpcCaller) Tell(ctx context.Context, address string, n Update) (Update, error) {
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -43,8 +43,8 @@
 	Scope  Scope // to which hosts the receiver passes the rows on
 }
 
-// Caller sends news to other hosts.
-type Caller interface {
+// PeerClient sends news to other hosts.
+type PeerClient interface {
 	// Tell brings news and returns what this host lacks.
 	Tell(ctx context.Context, address string, n Update) (Update, error)
 }
