--- a/internal/quarantine/grpc.go
+++ b/internal/quarantine/grpc.go
@@ -11,18 +11,18 @@
 	"quaybarrow/internal/quarantine/quarantinepb"
 )
 
-// Hear takes in news of another host and returns what that one lacks.
-type Hear func(ctx context.Context, n Update) (Update, error)
+// Handler takes in news of another host and returns what that one lacks.
+type Handler func(ctx context.Context, n Update) (Update, error)
 
 // Register has a gRPC server take in what other hosts tell.
-func Register(s grpc.ServiceRegistrar, hear Hear) {
+func Register(s grpc.ServiceRegistrar, hear Handler) {
 	quarantinepb.RegisterQuarantineServer(s, &server{hear: hear})
 }
 
 // server answers other hosts.
 type server struct {
 	quarantinepb.UnimplementedQuarantineServer
-	hear Hear
+	hear Handler
 }
 
 // Tell implements quarantinepb.QuarantineServer.
