--- a/internal/peer/rpc/link.go
+++ b/internal/peer/rpc/link.go
@@ -156,5 +156,5 @@
 
 // Tell implements peer.Link.
 func (l *Link) Tell(ctx context.Context, address string, n quarantine.Update) (quarantine.Update, error) {
-	return quarantine.NewCaller(l.conn).Tell(ctx, address, n)
+	return quarantine.NewPeerClient(l.conn).Tell(ctx, address, n)
 }
