--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -30,7 +30,7 @@
 type Options struct {
 	Host string
 	// Reach opens a connection to an endpoint that may have crashed.
-	Reach Reach
+	Reach ProbeFunc
 	// Endpoints counts those of a service.
 	Endpoints func(service string) int
 	// Members are the other hosts, the next in an order that all of them agree on first; Caller
--- a/internal/quarantine/witness.go
+++ b/internal/quarantine/witness.go
@@ -24,15 +24,15 @@
 	lookCounts = time.Second
 )
 
-// Reach opens a connection to an address and tells whether it is still open after a while;
+// ProbeFunc opens a connection to an address and tells whether it is still open after a while;
 // the error is that of the dial.
-type Reach func(ctx context.Context, address string, after time.Duration) (open bool, err error)
+type ProbeFunc func(ctx context.Context, address string, after time.Duration) (open bool, err error)
 
 // Witness finds out whether an endpoint has crashed at which a connection broke. A reset of
 // single connections, a link that is cut and an endpoint without power look otherwise: the
 // address takes a new connection, or says nothing. Safe for use at once.
 type Witness struct {
-	reach Reach
+	reach ProbeFunc
 
 	mu    sync.Mutex // guards looks
 	looks map[string]*look
@@ -46,7 +46,7 @@
 }
 
 // NewWitness returns a witness that looks by opening connections.
-func NewWitness(reach Reach) *Witness {
+func NewWitness(reach ProbeFunc) *Witness {
 	return &Witness{reach: reach, looks: map[string]*look{}}
 }
 
