--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Listed is what operators see of a request that endpoints crash under, or may; an immutable
+// ListEntry is what operators see of a request that endpoints crash under, or may; an immutable
 // value.
-type Listed struct {
+type ListEntry struct {
 	Request     Fingerprint
 	Of          string // workspace and route
 	Quarantined bool
@@ -23,24 +23,24 @@
 
 // List lists the requests in quarantine and those that a crash more may bring there, the latest
 // first.
-func (b *Tracker) List() []Listed {
+func (b *Tracker) List() []ListEntry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.judge()
 	v := b.seen()
 	now := b.clock.Now()
-	var list []Listed
+	var list []ListEntry
 	for f, n := range v.counts {
 		s := v.of(f)
 		_, held := b.verdicts[f]
 		if n < listedFrom || (s.moments < listedFrom && !held) {
 			continue
 		}
-		list = append(list, Listed{
+		list = append(list, ListEntry{
 			Request: f, Of: v.whose(f), Quarantined: held, Crashes: s.Crashes, Chance: s.Chance, First: now - s.First, Last: now - s.Last,
 		})
 	}
-	slices.SortFunc(list, func(a, b Listed) int {
+	slices.SortFunc(list, func(a, b ListEntry) int {
 		return cmp.Or(cmp.Compare(a.Last, b.Last), slices.Compare(a.Request[:], b.Request[:]))
 	})
 	return list
