--- a/internal/gatewayd/host.go
+++ b/internal/gatewayd/host.go
@@ -130,7 +130,7 @@
 	h.Telemetry.Gauge("requests_in_flight", float64(h.Gateway.InFlight()))
 	h.Telemetry.Gauge("endpoints", float64(h.Fleet.Size()))
 	h.Telemetry.Gauge("endpoints_limited", float64(h.Fleet.Limited()))
-	h.Telemetry.Gauge("requests_quarantined", float64(h.Quarantine.Held()))
+	h.Telemetry.Gauge("requests_quarantined", float64(h.Quarantine.QuarantinedCount()))
 	h.Telemetry.Gauge("log_lines_dropped", float64(h.Lines.Dropped()))
 	if age, ok := h.Holder.Age(); ok {
 		h.Telemetry.Gauge("config_age_seconds", age.Seconds())
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -46,8 +46,8 @@
 	return list
 }
 
-// Held counts the requests in quarantine.
-func (b *Tracker) Held() int {
+// QuarantinedCount counts the requests in quarantine.
+func (b *Tracker) QuarantinedCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.judge()
