--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -36,7 +36,7 @@
 	// Members are the other hosts, the next in an order that all of them agree on first; Caller
 	// sends to them. Nil for a host alone.
 	Members func() []Member
-	Caller  PeerClient
+	Peers  PeerClient
 	// Leads reports whether this host is the first of all, which reads for the others what hosts
 	// have kept; nil for a host alone.
 	Leads func() bool
--- a/internal/quarantine/relay_test.go
+++ b/internal/quarantine/relay_test.go
@@ -27,7 +27,7 @@
 				other := fmt.Sprintf("host-%03d", (i+j)%count)
 				members = append(members, Member{Name: other, Address: other})
 			}
-			b := NewTracker(Options{Host: name, Members: func() []Member { return members }, Caller: deaf{}, Logger: log.New(io.Discard)})
+			b := NewTracker(Options{Host: name, Members: func() []Member { return members }, Peers: deaf{}, Logger: log.New(io.Discard)})
 			own, others := b.groups()
 			known := len(own)
 			for _, g := range others {
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -114,7 +114,7 @@
 func (b *Tracker) tellOne(ctx context.Context, m Member, n Update) bool {
 	limited, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
-	_, err := b.options.Caller.Tell(limited, m.Address, n)
+	_, err := b.options.Peers.Tell(limited, m.Address, n)
 	if err != nil && ctx.Err() == nil {
 		b.options.Logger.Info("host not told of a crash", "peer", m.Name, "address", m.Address, "error", err)
 	}
@@ -157,7 +157,7 @@
 	b.mu.Lock()
 	n := Update{Versions: b.versions(), Compare: true}
 	b.mu.Unlock()
-	reply, err := b.options.Caller.Tell(ctx, m.Address, n)
+	reply, err := b.options.Peers.Tell(ctx, m.Address, n)
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 	if len(lacking) == 0 {
 		return nil
 	}
-	_, err = b.options.Caller.Tell(ctx, m.Address, Update{Rows: lacking, Loaded: b.isLoaded()})
+	_, err = b.options.Peers.Tell(ctx, m.Address, Update{Rows: lacking, Loaded: b.isLoaded()})
 	return err
 }
 
