--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -29,8 +29,8 @@
 // Options set up a Book.
 type Options struct {
 	Host string
-	// Reach opens a connection to an endpoint that may have crashed.
-	Reach ProbeFunc
+	// Probe opens a connection to an endpoint that may have crashed.
+	Probe ProbeFunc
 	// Endpoints counts those of a service.
 	Endpoints func(service string) int
 	// Members are the other hosts, the next in an order that all of them agree on first; Caller
@@ -97,7 +97,7 @@
 		options.Members = func() []Member { return nil }
 	}
 	return &Tracker{
-		options: options, witness: NewWitness(options.Reach), clock: clock.NewSteady(),
+		options: options, witness: NewWitness(options.Probe), clock: clock.NewSteady(),
 		news: wake.NewSignal(), due: wake.NewSignal(), save: wake.NewSignal(), relays: newRelays(),
 		rows: map[string]row{options.Host: {record: newRecord()}}, unproven: map[string][]BrokenAttempt{}, ongoing: map[*OngoingResponse]struct{}{},
 		verdicts: map[Fingerprint]Verdict{}, heard: map[string]Crash{}, settles: never, loaded: options.First,
