--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -31,8 +31,8 @@
 	Host string
 	// Probe opens a connection to an endpoint that may have crashed.
 	Probe ProbeFunc
-	// Endpoints counts those of a service.
-	Endpoints func(service string) int
+	// CountEndpoints counts those of a service.
+	CountEndpoints func(service string) int
 	// Members are the other hosts, the next in an order that all of them agree on first; Caller
 	// sends to them. Nil for a host alone.
 	Members func() []Member
@@ -275,7 +275,7 @@
 	crashes := sortedCrashes(all)
 	b.hear(crashes)
 	b.view = &view{
-		Evidence: Evidence{Crashes: crashes, Finished: all.finished, Endpoints: b.options.Endpoints}, counts: suspects(crashes, 1),
+		Evidence: Evidence{Crashes: crashes, Finished: all.finished, Endpoints: b.options.CountEndpoints}, counts: suspects(crashes, 1),
 	}
 	return b.view
 }
--- a/internal/quarantine/rig_test.go
+++ b/internal/quarantine/rig_test.go
@@ -145,7 +145,7 @@
 	client := platform.NewStore(storeAddress, h.net.Dial)
 	to := caller{h, i}
 	b := quarantine.NewTracker(quarantine.Options{
-		Host: fmt.Sprint("host-", i), Probe: h.reach, Endpoints: func(string) int { return 12 }, Tables: client, Logger: log.New(h.log),
+		Host: fmt.Sprint("host-", i), Probe: h.reach, CountEndpoints: func(string) int { return 12 }, Tables: client, Logger: log.New(h.log),
 		Members: to.members, Peers: to, Leads: func() bool { return i == 0 },
 		Now: func() (time.Duration, bool) { return h.clock.Now(), true },
 	})
