--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -37,9 +37,9 @@
 	// sends to them. Nil for a host alone.
 	Members func() []Member
 	Peers  PeerClient
-	// Leads reports whether this host is the first of all, which reads for the others what hosts
+	// IsFirstHost reports whether this host is the first of all, which reads for the others what hosts
 	// have kept; nil for a host alone.
-	Leads func() bool
+	IsFirstHost func() bool
 	// First tells that all hosts start for the first time: nothing was kept before.
 	First bool
 	// Tables keep what hosts have seen for those that start; Now is the clock that all share,
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -180,7 +180,7 @@
 }
 
 // leads reports whether this host is the first of all.
-func (o Options) leads() bool { return o.Leads == nil || o.Leads() }
+func (o Options) leads() bool { return o.IsFirstHost == nil || o.IsFirstHost() }
 
 // readKept reads what hosts have kept, and tells all others, who may have just started too. Rows of
 // which nothing counts any more are removed: their hosts may be gone.
