--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -40,8 +40,8 @@
 	// IsFirstHost reports whether this host is the first of all, which reads for the others what hosts
 	// have kept; nil for a host alone.
 	IsFirstHost func() bool
-	// First tells that all hosts start for the first time: nothing was kept before.
-	First bool
+	// FreshStart tells that all hosts start for the first time: nothing was kept before.
+	FreshStart bool
 	// Tables keep what hosts have seen for those that start; Now is the clock that all share,
 	// false while it is not known. Without one what was kept counts as old as it was then.
 	Tables store.Tables
@@ -100,7 +100,7 @@
 		options: options, witness: NewWitness(options.Probe), clock: clock.NewSteady(),
 		news: wake.NewSignal(), due: wake.NewSignal(), save: wake.NewSignal(), relays: newRelays(),
 		rows: map[string]row{options.Host: {record: newRecord()}}, unproven: map[string][]BrokenAttempt{}, ongoing: map[*OngoingResponse]struct{}{},
-		verdicts: map[Fingerprint]Verdict{}, heard: map[string]Crash{}, settles: never, loaded: options.First,
+		verdicts: map[Fingerprint]Verdict{}, heard: map[string]Crash{}, settles: never, loaded: options.FreshStart,
 	}
 }
 
