--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -45,7 +45,7 @@
 	// Tables keep what hosts have seen for those that start; Now is the clock that all share,
 	// false while it is not known. Without one what was kept counts as old as it was then.
 	Tables store.Tables
-	Now    func() (time.Duration, bool)
+	SharedNow    func() (time.Duration, bool)
 	Logger *log.Logger
 }
 
@@ -206,10 +206,10 @@
 
 // now is the clock that all hosts share.
 func (o Options) now() (time.Duration, bool) {
-	if o.Now == nil {
+	if o.SharedNow == nil {
 		return 0, false
 	}
-	return o.Now()
+	return o.SharedNow()
 }
 
 // RequestCompleted takes in that a request came to a good end: the endpoint that ran it lives.
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -143,7 +143,7 @@
 // ahead is how far the shared clock is ahead of the book's; where there is none, what is written
 // is relative to now.
 func (b *Tracker) ahead() (time.Duration, error) {
-	if b.options.Now == nil {
+	if b.options.SharedNow == nil {
 		return -b.clock.Now(), nil
 	}
 	shared, known := b.options.now()
--- a/internal/quarantine/rig_test.go
+++ b/internal/quarantine/rig_test.go
@@ -147,7 +147,7 @@
 	b := quarantine.NewTracker(quarantine.Options{
 		Host: fmt.Sprint("host-", i), Probe: h.reach, CountEndpoints: func(string) int { return 12 }, Tables: client, Logger: log.New(h.log),
 		Members: to.members, Peers: to, IsFirstHost: func() bool { return i == 0 },
-		Now: func() (time.Duration, bool) { return h.clock.Now(), true },
+		SharedNow: func() (time.Duration, bool) { return h.clock.Now(), true },
 	})
 	l := &life{cancel: cancel}
 	l.working.Go(func() { b.Run(ctx) })
