--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -218,7 +218,7 @@
 
 // broke takes in that the answer broke off.
 func (s *Stream) broke(err error) {
-	run := quarantine.Run{Lasted: clock.Since(s.sent), Answered: clock.Since(s.begun)}
+	run := quarantine.Run{Lasted: clock.Since(s.sent), ResponseLasted: clock.Since(s.begun)}
 	s.dispatcher.crashed(s.context, s.hold, s.request.asked(), run, err)
 }
 
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -91,7 +91,7 @@
 func (a *attempt) broke(err error) {
 	run := quarantine.Run{Lasted: clock.Since(a.sentAt), Of: a.x.workspace + " " + a.x.route.Name}
 	if !a.headAt.IsZero() {
-		run.Answered = clock.Since(a.headAt)
+		run.ResponseLasted = clock.Since(a.headAt)
 	}
 	a.fail()
 	x := a.x
@@ -106,5 +106,5 @@
 	x.g.Telemetry.Count("endpoint_crashes_met", 1)
 	x.g.Logger.Warn("endpoint crashed under a request", "id", x.ask.ID, "fingerprint", x.fingerprint(), "workspace", x.workspace,
 		"endpoint", e.ID, "address", e.Address, "service", x.service, "ran_ms", run.Lasted.Milliseconds(),
-		"answered_ms", run.Answered.Milliseconds(), "crashes", x.crashes)
+		"answered_ms", run.ResponseLasted.Milliseconds(), "crashes", x.crashes)
 }
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -19,14 +19,14 @@
 // Run is a request's at an endpoint, until that crashed; an immutable value.
 type Run struct {
 	Lasted   time.Duration // since the request was sent there
-	Answered time.Duration // since the head of its answer; 0 if none had come
+	ResponseLasted time.Duration // since the head of its answer; 0 if none had come
 	Copies   int           // of the request that its host had answers to elsewhere
 	Of       string        // the request's workspace and route, for operators
 }
 
 // Longer returns a run that lasted as long as either of two.
 func (r Run) Longer(o Run) Run {
-	return Run{Lasted: max(r.Lasted, o.Lasted), Answered: max(r.Answered, o.Answered), Copies: max(r.Copies, o.Copies), Of: cmp.Or(r.Of, o.Of)}
+	return Run{Lasted: max(r.Lasted, o.Lasted), ResponseLasted: max(r.ResponseLasted, o.ResponseLasted), Copies: max(r.Copies, o.Copies), Of: cmp.Or(r.Of, o.Of)}
 }
 
 // Parameters of the judgement.
--- a/internal/quarantine/ongoing.go
+++ b/internal/quarantine/ongoing.go
@@ -55,7 +55,7 @@
 	for _, c := range v.Crashes {
 		for f, run := range c.Under {
 			if _, suspected := longest[f]; suspected {
-				longest[f] = max(longest[f], run.Answered)
+				longest[f] = max(longest[f], run.ResponseLasted)
 			}
 		}
 	}
--- a/internal/quarantine/pool_test.go
+++ b/internal/quarantine/pool_test.go
@@ -270,7 +270,7 @@
 	for r, since := range e.running {
 		run := Run{Lasted: p.now - since}
 		if r.began > 0 {
-			run.Answered = p.now - r.began
+			run.ResponseLasted = p.now - r.began
 		}
 		run.Copies = p.copies(r.print) / poolHosts
 		c.Under[r.print] = c.Under[r.print].Longer(run)
@@ -361,7 +361,7 @@
 	longest := map[Fingerprint]time.Duration{}
 	for _, c := range p.crashes {
 		for f, run := range c.Under {
-			longest[f] = max(longest[f], run.Answered)
+			longest[f] = max(longest[f], run.ResponseLasted)
 		}
 	}
 	for _, e := range p.endpoints {
