--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -36,7 +36,7 @@
 // crashed takes in that an attempt failed, and reports whether its endpoint has crashed.
 func (d *Dispatcher) crashed(ctx context.Context, hold *fleet.Hold, request asked, run quarantine.Run, err error) bool {
 	e := hold.Endpoint
-	run.Of = request.of
+	run.Label = request.of
 	if !conn.BrokeOff(err) || ctx.Err() != nil || !d.options.Fleet.Serves(e.ID) {
 		return false
 	}
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -89,7 +89,7 @@
 // broke ends an attempt whose answer could not be read, and notes whether its endpoint has
 // crashed.
 func (a *attempt) broke(err error) {
-	run := quarantine.Run{Lasted: clock.Since(a.sentAt), Of: a.x.workspace + " " + a.x.route.Name}
+	run := quarantine.Run{Lasted: clock.Since(a.sentAt), Label: a.x.workspace + " " + a.x.route.Name}
 	if !a.headAt.IsZero() {
 		run.ResponseLasted = clock.Since(a.headAt)
 	}
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -21,12 +21,12 @@
 	Lasted   time.Duration // since the request was sent there
 	ResponseLasted time.Duration // since the head of its answer; 0 if none had come
 	Copies   int           // of the request that its host had answers to elsewhere
-	Of       string        // the request's workspace and route, for operators
+	Label       string        // the request's workspace and route, for operators
 }
 
 // Longer returns a run that lasted as long as either of two.
 func (r Run) Longer(o Run) Run {
-	return Run{Lasted: max(r.Lasted, o.Lasted), ResponseLasted: max(r.ResponseLasted, o.ResponseLasted), Copies: max(r.Copies, o.Copies), Of: cmp.Or(r.Of, o.Of)}
+	return Run{Lasted: max(r.Lasted, o.Lasted), ResponseLasted: max(r.ResponseLasted, o.ResponseLasted), Copies: max(r.Copies, o.Copies), Label: cmp.Or(r.Label, o.Label)}
 }
 
 // Parameters of the judgement.
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -57,7 +57,7 @@
 // whose tells a request's workspace and route; empty if nobody said.
 func (v *view) whose(f Fingerprint) string {
 	for _, c := range v.Crashes {
-		if of := c.Under[f].Of; of != "" {
+		if of := c.Under[f].Label; of != "" {
 			return of
 		}
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -173,7 +173,7 @@
 			}
 			run := c.Under[f]
 			crash.Under = append(crash.Under, runJSON{
-				Request: f, LastedMs: run.Lasted.Milliseconds(), AnsweredMs: run.ResponseLasted.Milliseconds(), Copies: run.Copies, Of: run.Of,
+				Request: f, LastedMs: run.Lasted.Milliseconds(), AnsweredMs: run.ResponseLasted.Milliseconds(), Copies: run.Copies, Of: run.Label,
 			})
 		}
 		w.Crashes = append(w.Crashes, crash)
@@ -197,7 +197,7 @@
 		crash := Crash{Endpoint: c.Endpoint, Service: c.Service, At: at(c.AtMs), Under: map[Fingerprint]Run{}}
 		for _, run := range c.Under {
 			crash.Under[run.Request] = Run{
-				Lasted: time.Duration(run.LastedMs) * time.Millisecond, ResponseLasted: time.Duration(run.AnsweredMs) * time.Millisecond, Copies: run.Copies, Of: run.Of,
+				Lasted: time.Duration(run.LastedMs) * time.Millisecond, ResponseLasted: time.Duration(run.AnsweredMs) * time.Millisecond, Copies: run.Copies, Label: run.Of,
 			}
 		}
 		r.add(crash)
