--- a/internal/gatewayd/quarantineview.go
+++ b/internal/gatewayd/quarantineview.go
@@ -38,7 +38,7 @@
 	view := QuarantineView{Host: h.Settings.Host, Requests: []QuarantineRequest{}}
 	for _, l := range h.Quarantine.List() {
 		view.Requests = append(view.Requests, QuarantineRequest{
-			Request: l.Request, Of: l.Of, Quarantined: l.Quarantined, Crashes: l.Crashes, Chance: l.Chance,
+			Request: l.Request, Of: l.Label, Quarantined: l.Quarantined, Crashes: l.Crashes, Chance: l.Chance,
 			FirstMsAgo: l.First.Milliseconds(), LastMsAgo: l.Last.Milliseconds(),
 		})
 	}
--- a/internal/operator/tables.go
+++ b/internal/operator/tables.go
@@ -82,7 +82,7 @@
 func (q *Queries) quarantine() []console.Row {
 	var rows []console.Row
 	for _, l := range q.options.Quarantine.List() {
-		workspace, target, _ := strings.Cut(l.Of, " ")
+		workspace, target, _ := strings.Cut(l.Label, " ")
 		rows = append(rows, console.Row{
 			{Name: "request", Value: l.Request.String()}, {Name: "workspace", Value: workspace}, {Name: "asks", Value: target},
 			{Name: "quarantined", Value: l.Quarantined}, {Name: "crashes", Value: l.Crashes}, {Name: "chance", Value: l.Chance},
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -10,7 +10,7 @@
 // value.
 type ListEntry struct {
 	Request     Fingerprint
-	Of          string // workspace and route
+	Label          string // workspace and route
 	Quarantined bool
 	Crashes     int           // of endpoints that ran it, since it last came to a good end
 	Chance      float64       // that it was beside them by chance
@@ -37,7 +37,7 @@
 			continue
 		}
 		list = append(list, ListEntry{
-			Request: f, Of: v.whose(f), Quarantined: held, Crashes: s.Crashes, Chance: s.Chance, First: now - s.First, Last: now - s.Last,
+			Request: f, Label: v.whose(f), Quarantined: held, Crashes: s.Crashes, Chance: s.Chance, First: now - s.First, Last: now - s.Last,
 		})
 	}
 	slices.SortFunc(list, func(a, b ListEntry) int {
