--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -17,13 +17,13 @@
 
 // Times of what a host knows.
 const (
-	// rememberedFor is how long a crash speaks against those that ran there. A request in
+	// crashTTL is how long a crash speaks against those that ran there. A request in
 	// quarantine is let go an hour after its last crash: whoever runs the endpoints may have
 	// mended them by then, and if not, three crashes an hour are what it costs.
-	rememberedFor = time.Hour
-	// unprovenFor is how long a broken connection waits for a proof by the list that its
+	crashTTL = time.Hour
+	// unconfirmedTTL is how long a broken connection waits for a proof by the list that its
 	// endpoint has crashed: three heartbeats, and two hops.
-	unprovenFor = 6 * time.Second
+	unconfirmedTTL = 6 * time.Second
 )
 
 // Options set up a Book.
@@ -36,7 +36,7 @@
 	// Members are the other hosts, the next in an order that all of them agree on first; Caller
 	// sends to them. Nil for a host alone.
 	Members func() []Member
-	Peers  PeerClient
+	Peers   PeerClient
 	// IsFirstHost reports whether this host is the first of all, which reads for the others what hosts
 	// have kept; nil for a host alone.
 	IsFirstHost func() bool
@@ -44,35 +44,35 @@
 	FreshStart bool
 	// Tables keep what hosts have seen for those that start; Now is the clock that all share,
 	// false while it is not known. Without one what was kept counts as old as it was then.
-	Tables store.Tables
-	SharedNow    func() (time.Duration, bool)
-	Logger *log.Logger
+	Tables    store.Tables
+	SharedNow func() (time.Duration, bool)
+	Logger    *log.Logger
 }
 
 // Tracker is what a host knows of requests under which endpoints crash: what it saw itself and
 // what others told; safe for use at once.
 type Tracker struct {
-	options  Options
-	witness  *Witness
-	clock    clock.Steady
-	watching atomic.Bool // something has crashed lately
-	news     wake.Signal // there is other evidence
-	due      wake.Signal // there is something to tell other hosts
-	save     wake.Signal // there may be something to keep
-	relays   *relays
-
-	mu       sync.Mutex     // guards all below
-	rows     map[string]row // by host; always one of this host
-	view     *view          // of all that; nil if it has changed since
-	unproven map[string][]BrokenAttempt
-	ongoing  map[*OngoingResponse]struct{}
-	verdicts map[Fingerprint]Verdict
-	judged   bool // verdicts stand on the view
-	// heard has each crash, by the endpoint's start, as it was known last, and since when; settles is when the
+	options         Options
+	detector        *CrashDetector
+	clock           clock.Steady
+	hasEvidence     atomic.Bool // something has crashed lately
+	evidenceChanged wake.Signal // there is other evidence
+	sendDue         wake.Signal // there is something to tell other hosts
+	persistDue      wake.Signal // there may be something to keep
+	relayQueue      *relayQueue
+
+	mu          sync.Mutex     // guards all below
+	rows        map[string]row // by host; always one of this host
+	merged      *mergedView    // of all that; nil if it has changed since
+	unconfirmed map[string][]BrokenAttempt
+	ongoing     map[*OngoingResponse]struct{}
+	quarantined map[Fingerprint]Attribution
+	upToDate    bool // verdicts stand on the view
+	// lastKnown has each crash, by the endpoint's start, as it was known last, and since when; settles is when the
 	// next one settles.
-	heard   map[string]Crash
-	settles time.Duration
-	kept    bool // the store has a row of this host
+	lastKnown   map[string]Crash
+	nextSettles time.Duration
+	stored      bool // the store has a row of this host
 	// loaded tells that what hosts have told and kept is known, this one's earlier lives included.
 	// Until then it tells and keeps nothing of its own: that would take the place of what it told
 	// before.
@@ -85,10 +85,10 @@
 	version int64 // grows with each change
 }
 
-// view is all evidence that a host has.
-type view struct {
+// mergedView is all evidence that a host has.
+type mergedView struct {
 	Evidence
-	counts map[Fingerprint]int // crashes, by those that were there
+	crashCounts map[Fingerprint]int // crashes, by those that were there
 }
 
 // NewTracker returns a book of a host that has seen nothing.
@@ -97,19 +97,19 @@
 		options.Members = func() []Member { return nil }
 	}
 	return &Tracker{
-		options: options, witness: NewWitness(options.Probe), clock: clock.NewSteady(),
-		news: wake.NewSignal(), due: wake.NewSignal(), save: wake.NewSignal(), relays: newRelays(),
-		rows: map[string]row{options.Host: {record: newRecord()}}, unproven: map[string][]BrokenAttempt{}, ongoing: map[*OngoingResponse]struct{}{},
-		verdicts: map[Fingerprint]Verdict{}, heard: map[string]Crash{}, settles: never, loaded: options.FreshStart,
+		options: options, detector: NewCrashDetector(options.Probe), clock: clock.NewSteady(),
+		evidenceChanged: wake.NewSignal(), sendDue: wake.NewSignal(), persistDue: wake.NewSignal(), relayQueue: newRelayQueue(),
+		rows: map[string]row{options.Host: {record: newRecord()}}, unconfirmed: map[string][]BrokenAttempt{}, ongoing: map[*OngoingResponse]struct{}{},
+		quarantined: map[Fingerprint]Attribution{}, lastKnown: map[string]Crash{}, nextSettles: never, loaded: options.FreshStart,
 	}
 }
 
-// own is what this host has seen.
-func (b *Tracker) own() row { return b.rows[b.options.Host] }
+// ownRow is what this host has seen.
+func (t *Tracker) ownRow() row { return t.rows[t.options.Host] }
 
 // HasEvidence reports whether endpoints have crashed lately. While none has, no request needs a
 // fingerprint.
-func (b *Tracker) HasEvidence() bool { return b.watching.Load() }
+func (t *Tracker) HasEvidence() bool { return t.hasEvidence.Load() }
 
 // BrokenAttempt is the end of an attempt whose connection broke.
 type BrokenAttempt struct {
@@ -119,93 +119,93 @@
 	Request  Fingerprint
 	Run      Run
 
-	at time.Duration // when it was told, while it is not known whether the endpoint crashed
+	reportedAt time.Duration // when it was told, while it is not known whether the endpoint crashed
 }
 
 // crash is the endpoint's, if it did.
-func (k BrokenAttempt) crash(at time.Duration) Crash {
-	return Crash{Endpoint: k.Endpoint, Service: k.Service, At: at, Under: map[Fingerprint]Run{k.Request: k.Run}}
+func (a BrokenAttempt) crash(at time.Duration) Crash {
+	return Crash{Endpoint: a.Endpoint, Service: a.Service, At: at, Runs: map[Fingerprint]Run{a.Request: a.Run}}
 }
 
 // ConnectionBroke finds out whether the endpoint has crashed, and if so takes it in; false also if that
 // is not known yet. It waits for the proof for a short while.
-func (b *Tracker) ConnectionBroke(ctx context.Context, k BrokenAttempt) bool {
-	k.at = b.clock.Now()
-	crashed := b.witness.Crashed(ctx, k.Endpoint, k.Address)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) ConnectionBroke(ctx context.Context, a BrokenAttempt) bool {
+	a.reportedAt = t.clock.Now()
+	crashed := t.detector.Crashed(ctx, a.Endpoint, a.Address)
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if !crashed {
-		b.unproven[k.Endpoint] = append(b.unproven[k.Endpoint], k)
+		t.unconfirmed[a.Endpoint] = append(t.unconfirmed[a.Endpoint], a)
 		return false
 	}
-	k.Run.Copies = b.copies(k.Request)
-	b.crashed(k.crash(k.at))
+	a.Run.Copies = t.countOngoing(a.Request)
+	t.recordCrash(a.crash(a.reportedAt))
 	return true
 }
 
 // EndpointGone takes in that an endpoint's start is listed no more though it was not to leave. If
 // nothing listens at its address either, what broke off there a moment ago crashed with it; one
 // that leaves without notice serves on for a while.
-func (b *Tracker) EndpointGone(ctx context.Context, endpoint string) {
-	b.mu.Lock()
-	runs := b.unproven[endpoint]
-	b.mu.Unlock()
-	if len(runs) > 0 && b.witness.refuses(ctx, runs[0].Address) {
-		b.prove(func(k BrokenAttempt) bool { return k.Endpoint == endpoint })
+func (t *Tracker) EndpointGone(ctx context.Context, endpoint string) {
+	t.mu.Lock()
+	runs := t.unconfirmed[endpoint]
+	t.mu.Unlock()
+	if len(runs) > 0 && t.detector.refusesConnections(ctx, runs[0].Address) {
+		t.confirm(func(k BrokenAttempt) bool { return k.Endpoint == endpoint })
 	}
 }
 
 // EndpointListed takes in that an endpoint's start is listed at an address: any other that was there has
 // ended, and what broke off there a moment ago crashed with it.
-func (b *Tracker) EndpointListed(endpoint, address string) {
-	b.prove(func(k BrokenAttempt) bool { return k.Address == address && k.Endpoint != endpoint })
+func (t *Tracker) EndpointListed(endpoint, address string) {
+	t.confirm(func(k BrokenAttempt) bool { return k.Address == address && k.Endpoint != endpoint })
 }
 
-// prove takes in crashes of endpoints at which connections broke a moment ago.
-func (b *Tracker) prove(crashed func(k BrokenAttempt) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for endpoint, runs := range b.unproven {
+// confirm takes in crashes of endpoints at which connections broke a moment ago.
+func (t *Tracker) confirm(crashed func(k BrokenAttempt) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for endpoint, runs := range t.unconfirmed {
 		if !crashed(runs[0]) {
 			continue
 		}
 		for _, k := range runs {
-			if b.clock.Now()-k.at <= unprovenFor {
-				b.crashed(k.crash(k.at))
+			if t.clock.Now()-k.reportedAt <= unconfirmedTTL {
+				t.recordCrash(k.crash(k.reportedAt))
 			}
 		}
-		delete(b.unproven, endpoint)
+		delete(t.unconfirmed, endpoint)
 	}
 }
 
-// crashed takes in a crash that this host saw.
-func (b *Tracker) crashed(c Crash) {
-	b.own().add(c)
-	b.tell()
+// recordCrash takes in a crash that this host saw.
+func (t *Tracker) recordCrash(c Crash) {
+	t.ownRow().add(c)
+	t.publish()
 }
 
-// changed notes that there is other evidence.
-func (b *Tracker) changed() {
-	b.view, b.judged = nil, false
-	b.watching.Store(slices.ContainsFunc(slices.Collect(maps.Values(b.rows)), func(r row) bool { return !r.isEmpty() }))
-	b.news.Poke()
+// invalidate notes that there is other evidence.
+func (t *Tracker) invalidate() {
+	t.merged, t.upToDate = nil, false
+	t.hasEvidence.Store(slices.ContainsFunc(slices.Collect(maps.Values(t.rows)), func(r row) bool { return !r.isEmpty() }))
+	t.evidenceChanged.Poke()
 }
 
-// tell notes that there is other evidence which others have to know.
-func (b *Tracker) tell() {
-	mine := b.own()
+// publish notes that there is other evidence which others have to know.
+func (t *Tracker) publish() {
+	mine := t.ownRow()
 	mine.version++
-	if shared, known := b.options.now(); known { // goes on from an earlier life of the host
+	if shared, known := t.options.sharedNow(); known { // goes on from an earlier life of the host
 		mine.version = max(mine.version, shared.Milliseconds())
 	}
-	b.rows[b.options.Host] = mine
-	b.changed()
-	b.due.Poke()
-	b.save.Poke()
+	t.rows[t.options.Host] = mine
+	t.invalidate()
+	t.sendDue.Poke()
+	t.persistDue.Poke()
 }
 
-// now is the clock that all hosts share.
-func (o Options) now() (time.Duration, bool) {
+// sharedNow is the clock that all hosts share.
+func (o Options) sharedNow() (time.Duration, bool) {
 	if o.SharedNow == nil {
 		return 0, false
 	}
@@ -213,150 +213,150 @@
 }
 
 // RequestCompleted takes in that a request came to a good end: the endpoint that ran it lives.
-func (b *Tracker) RequestCompleted(f Fingerprint) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.finish(f, b.clock.Now(), "it came to a good end")
+func (t *Tracker) RequestCompleted(f Fingerprint) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.clearRequest(f, t.clock.Now(), "it came to a good end")
 }
 
 // Release takes a request out of quarantine by order of an operator; false if it is not there.
-func (b *Tracker) Release(f Fingerprint) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.judge()
-	if _, held := b.verdicts[f]; !held {
+func (t *Tracker) Release(f Fingerprint) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.refresh()
+	if _, held := t.quarantined[f]; !held {
 		return false
 	}
-	b.finish(f, b.clock.Now(), "by order of an operator")
-	b.judge()
+	t.clearRequest(f, t.clock.Now(), "by order of an operator")
+	t.refresh()
 	return true
 }
 
-// finish clears a request of what crashed beside it. Others hear of it where it matters: a
+// clearRequest clears a request of what crashed beside it. Others hear of it where it matters: a
 // crash more would take it for guilty.
-func (b *Tracker) finish(f Fingerprint, at time.Duration, reason string) {
-	moments := b.seen().of(f).moments
+func (t *Tracker) clearRequest(f Fingerprint, at time.Duration, reason string) {
+	moments := t.view().assess(f).moments
 	if moments == 0 {
 		return
 	}
-	b.own().finish(f, at)
-	b.changed()
-	if moments >= crashesLeast-1 {
-		b.options.Logger.Info("request cleared", "fingerprint", f, "crashes", moments, "reason", reason)
-		b.tell()
+	t.ownRow().complete(f, at)
+	t.invalidate()
+	if moments >= minMoments-1 {
+		t.options.Logger.Info("request cleared", "fingerprint", f, "crashes", moments, "reason", reason)
+		t.publish()
 	}
 }
 
 // Status returns what is known of a request.
-func (b *Tracker) Status(f Fingerprint) Status {
-	if !b.HasEvidence() {
+func (t *Tracker) Status(f Fingerprint) Status {
+	if !t.HasEvidence() {
 		return Status{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.judge()
-	_, held := b.verdicts[f]
-	s := b.seen().of(f)
-	return Status{Quarantined: held, Moments: s.moments, Chance: s.Chance, Crashed: len(s.crashed), Beside: s.beside}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.refresh()
+	_, held := t.quarantined[f]
+	s := t.view().assess(f)
+	return Status{Quarantined: held, Moments: s.moments, Chance: s.Chance, Crashed: len(s.crashed), Beside: s.otherCrashes}
 }
 
-// ago is how long ago a moment of the book's clock was.
-func (b *Tracker) ago(at time.Duration) time.Duration { return b.clock.Now() - at }
+// since is how long since a moment of the book's clock was.
+func (t *Tracker) since(at time.Duration) time.Duration { return t.clock.Now() - at }
 
-// seen is what this host saw and others told, in the order of time.
-func (b *Tracker) seen() *view {
-	if b.view != nil {
-		return b.view
+// view is what this host saw and others told, in the order of time.
+func (t *Tracker) view() *mergedView {
+	if t.merged != nil {
+		return t.merged
 	}
 	all := newRecord()
-	for _, r := range b.rows {
+	for _, r := range t.rows {
 		all.merge(r.record)
 	}
 	crashes := sortedCrashes(all)
-	b.hear(crashes)
-	b.view = &view{
-		Evidence: Evidence{Crashes: crashes, Finished: all.finished, Endpoints: b.options.CountEndpoints}, counts: suspects(crashes, 1),
+	t.stampUpdates(crashes)
+	t.merged = &mergedView{
+		Evidence: Evidence{Crashes: crashes, Completed: all.completed, CountEndpoints: t.options.CountEndpoints}, crashCounts: countCrashes(crashes, 1),
 	}
-	return b.view
+	return t.merged
 }
 
-// hear notes in crashes since when as much is known of each. What a host learns as it starts is taken to be
+// stampUpdates notes in crashes since when as much is known of each. What a host learns as it starts is taken to be
 // complete.
-func (b *Tracker) hear(crashes []Crash) {
-	now, heard := b.clock.Now(), make(map[string]Crash, len(crashes))
+func (t *Tracker) stampUpdates(crashes []Crash) {
+	now, heard := t.clock.Now(), make(map[string]Crash, len(crashes))
 	for i, c := range crashes {
-		known, ok := b.heard[c.Endpoint]
+		known, ok := t.lastKnown[c.Endpoint]
 		switch {
-		case !b.loaded:
-			c.Heard = c.At
-		case ok && !c.adds(known):
-			c.Heard = known.Heard
+		case !t.loaded:
+			c.UpdatedAt = c.At
+		case ok && !c.addsTo(known):
+			c.UpdatedAt = known.UpdatedAt
 		default:
-			c.Heard = now
+			c.UpdatedAt = now
 		}
 		crashes[i], heard[c.Endpoint] = c, c
 	}
-	b.heard = heard
+	t.lastKnown = heard
 }
 
-// of is what speaks against a request since it last came to a good end.
-func (v *view) of(f Fingerprint) suspicion {
-	if v.counts[f] == 0 {
-		return suspicion{}
+// assess is what speaks against a request since it last came to a good end.
+func (v *mergedView) assess(f Fingerprint) assessment {
+	if v.crashCounts[f] == 0 {
+		return assessment{}
 	}
 	return v.suspect(f, v.Crashes)
 }
 
-// judge brings the verdicts up to date.
-func (b *Tracker) judge() {
-	if b.judged && b.clock.Now() < b.settles {
+// refresh brings the verdicts up to date.
+func (t *Tracker) refresh() {
+	if t.upToDate && t.clock.Now() < t.nextSettles {
 		return
 	}
-	b.forget()
-	b.outlast()
-	b.news.Drain()
-	before := b.verdicts
-	v := b.seen()
+	t.dropExpired()
+	t.clearOutlasting()
+	t.evidenceChanged.Drain()
+	before := t.quarantined
+	v := t.view()
 	e := v.Evidence
-	e.Held, e.Now = before, b.clock.Now()
-	b.verdicts, b.judged, b.settles = Review(e), true, e.nextSettled()
-	for f, d := range b.verdicts {
+	e.Quarantined, e.Now = before, t.clock.Now()
+	t.quarantined, t.upToDate, t.nextSettles = AttributePartial(e), true, e.nextSettles()
+	for f, d := range t.quarantined {
 		if _, known := before[f]; !known {
-			b.options.Logger.Warn("request quarantined", "fingerprint", f, "of", v.whose(f), "crashes", d.Crashes, "chance", d.Chance,
-				"first_ms_ago", b.ago(d.First).Milliseconds(), "last_ms_ago", b.ago(d.Last).Milliseconds(), "crashes_known", len(v.Crashes), "hosts", len(b.rows))
+			t.options.Logger.Warn("request quarantined", "fingerprint", f, "of", v.label(f), "crashes", d.Crashes, "chance", d.Chance,
+				"first_ms_ago", t.since(d.First).Milliseconds(), "last_ms_ago", t.since(d.Last).Milliseconds(), "crashes_known", len(v.Crashes), "hosts", len(t.rows))
 		}
 	}
 	for f := range before {
-		if _, held := b.verdicts[f]; !held {
-			b.options.Logger.Info("request let out of quarantine", "fingerprint", f)
+		if _, held := t.quarantined[f]; !held {
+			t.options.Logger.Info("request let out of quarantine", "fingerprint", f)
 		}
 	}
 }
 
-// forget drops what is too old to count.
-func (b *Tracker) forget() {
-	oldest := b.clock.Now() - rememberedFor
-	held := func(f Fingerprint) bool { _, ok := b.verdicts[f]; return ok }
-	for host, r := range b.rows {
+// dropExpired drops what is too old to count.
+func (t *Tracker) dropExpired() {
+	oldest := t.clock.Now() - crashTTL
+	held := func(f Fingerprint) bool { _, ok := t.quarantined[f]; return ok }
+	for host, r := range t.rows {
 		r.trim(oldest, held)
-		if r.isEmpty() && host != b.options.Host {
-			delete(b.rows, host)
+		if r.isEmpty() && host != t.options.Host {
+			delete(t.rows, host)
 		}
 	}
-	b.changed()
-	if b.kept && b.own().isEmpty() {
-		b.save.Poke() // the row goes
+	t.invalidate()
+	if t.stored && t.ownRow().isEmpty() {
+		t.persistDue.Poke() // the row goes
 	}
 }
 
 // Sweep drops what is too old to count, though nothing new comes.
-func (b *Tracker) Sweep() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock.Now()
-	maps.DeleteFunc(b.unproven, func(_ string, runs []BrokenAttempt) bool { return now-runs[len(runs)-1].at > unprovenFor })
-	if b.HasEvidence() {
-		b.judged = false
-		b.judge()
+func (t *Tracker) Sweep() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.clock.Now()
+	maps.DeleteFunc(t.unconfirmed, func(_ string, runs []BrokenAttempt) bool { return now-runs[len(runs)-1].reportedAt > unconfirmedTTL })
+	if t.HasEvidence() {
+		t.upToDate = false
+		t.refresh()
 	}
 }
--- a/internal/quarantine/grpc.go
+++ b/internal/quarantine/grpc.go
@@ -15,8 +15,8 @@
 type Handler func(ctx context.Context, n Update) (Update, error)
 
 // Register has a gRPC server take in what other hosts tell.
-func Register(s grpc.ServiceRegistrar, hear Handler) {
-	quarantinepb.RegisterQuarantineServer(s, &server{hear: hear})
+func Register(s grpc.ServiceRegistrar, handle Handler) {
+	quarantinepb.RegisterQuarantineServer(s, &server{hear: handle})
 }
 
 // server answers other hosts.
@@ -37,14 +37,14 @@
 // Connect returns the connection to an address.
 type Connect func(address string) (grpc.ClientConnInterface, error)
 
-// grpcCaller sends over gRPC.
-type grpcCaller struct{ connect Connect }
+// grpcClient sends over gRPC.
+type grpcClient struct{ connect Connect }
 
 // NewPeerClient returns a caller over connections that other services share.
-func NewPeerClient(connect Connect) PeerClient { return grpcCaller{connect} }
+func NewPeerClient(connect Connect) PeerClient { return grpcClient{connect} }
 
 // Tell implements Caller.
-func (c grpcCaller) Tell(ctx context.Context, address string, n Update) (Update, error) {
+func (c grpcClient) Tell(ctx context.Context, address string, n Update) (Update, error) {
 	connection, err := c.connect(address)
 	if err != nil {
 		return Update{}, fmt.Errorf("tell %s: %w", address, err)
--- a/internal/quarantine/judge_test.go
+++ b/internal/quarantine/judge_test.go
@@ -40,7 +40,7 @@
 	innocentMost = 1.0 / 500
 )
 
-func nobody(Evidence) map[Fingerprint]Verdict { return nil }
+func nobody(Evidence) map[Fingerprint]Attribution { return nil }
 
 func TestJudge(t *testing.T) {
 	for name, change := range poolDays {
@@ -49,7 +49,7 @@
 			change(&d)
 			var sum, without poolResult
 			for seed := range uint64(poolSeeds) {
-				r := playPool(d, seed, Judge)
+				r := playPool(d, seed, Attribute)
 				if r.late > lateMost {
 					t.Errorf("seed %d: %d sends later than 3 s after the third crash, %d allowed", seed, r.late, lateMost)
 				}
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -10,34 +10,34 @@
 // value.
 type ListEntry struct {
 	Request     Fingerprint
-	Label          string // workspace and route
+	Label       string // workspace and route
 	Quarantined bool
 	Crashes     int           // of endpoints that ran it, since it last came to a good end
 	Chance      float64       // that it was beside them by chance
 	First, Last time.Duration // crash, ago
 }
 
-// listedFrom is at how many crashes a request is listed: nearly all that were at one were
+// minListedMoments is at how many crashes a request is listed: nearly all that were at one were
 // beside it.
-const listedFrom = 2
+const minListedMoments = 2
 
 // List lists the requests in quarantine and those that a crash more may bring there, the latest
 // first.
-func (b *Tracker) List() []ListEntry {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.judge()
-	v := b.seen()
-	now := b.clock.Now()
+func (t *Tracker) List() []ListEntry {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.refresh()
+	v := t.view()
+	now := t.clock.Now()
 	var list []ListEntry
-	for f, n := range v.counts {
-		s := v.of(f)
-		_, held := b.verdicts[f]
-		if n < listedFrom || (s.moments < listedFrom && !held) {
+	for f, n := range v.crashCounts {
+		s := v.assess(f)
+		_, held := t.quarantined[f]
+		if n < minListedMoments || (s.moments < minListedMoments && !held) {
 			continue
 		}
 		list = append(list, ListEntry{
-			Request: f, Label: v.whose(f), Quarantined: held, Crashes: s.Crashes, Chance: s.Chance, First: now - s.First, Last: now - s.Last,
+			Request: f, Label: v.label(f), Quarantined: held, Crashes: s.Crashes, Chance: s.Chance, First: now - s.First, Last: now - s.Last,
 		})
 	}
 	slices.SortFunc(list, func(a, b ListEntry) int {
@@ -47,17 +47,17 @@
 }
 
 // QuarantinedCount counts the requests in quarantine.
-func (b *Tracker) QuarantinedCount() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.judge()
-	return len(b.verdicts)
+func (t *Tracker) QuarantinedCount() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.refresh()
+	return len(t.quarantined)
 }
 
-// whose tells a request's workspace and route; empty if nobody said.
-func (v *view) whose(f Fingerprint) string {
+// label tells a request's workspace and route; empty if nobody said.
+func (v *mergedView) label(f Fingerprint) string {
 	for _, c := range v.Crashes {
-		if of := c.Under[f].Label; of != "" {
+		if of := c.Runs[f].Label; of != "" {
 			return of
 		}
 	}
--- a/internal/quarantine/pool_test.go
+++ b/internal/quarantine/pool_test.go
@@ -16,7 +16,7 @@
 type pool struct {
 	day    poolDay
 	random *rand.Rand
-	judge  func(Evidence) map[Fingerprint]Verdict
+	judge  func(Evidence) map[Fingerprint]Attribution
 	now    time.Duration
 	events events
 
@@ -24,7 +24,7 @@
 	crashes   []Crash // as far as they are known
 	finished  map[Fingerprint]time.Duration
 	held      map[Fingerprint]time.Duration // in quarantine, and from when on all hosts know
-	verdicts  map[Fingerprint]Verdict
+	verdicts  map[Fingerprint]Attribution
 	ever      map[Fingerprint]bool // that were in quarantine
 	serial    uint64
 	sent      int
@@ -108,7 +108,7 @@
 }
 
 // playPool plays a day.
-func playPool(d poolDay, seed uint64, judge func(Evidence) map[Fingerprint]Verdict) poolResult {
+func playPool(d poolDay, seed uint64, judge func(Evidence) map[Fingerprint]Attribution) poolResult {
 	p := &pool{
 		day: d, random: rand.New(rand.NewPCG(seed, 7)), judge: judge, finished: map[Fingerprint]time.Duration{},
 		held: map[Fingerprint]time.Duration{}, ever: map[Fingerprint]bool{}, serial: 1000, third: map[Fingerprint]time.Duration{}, count: map[Fingerprint]int{}, late: map[Fingerprint]int{},
@@ -265,7 +265,7 @@
 	e.up = false
 	p.serial++
 	e.name = p.serial
-	c := Crash{Endpoint: printOf(e.name).String(), Service: "s", At: p.now, Under: map[Fingerprint]Run{}}
+	c := Crash{Endpoint: printOf(e.name).String(), Service: "s", At: p.now, Runs: map[Fingerprint]Run{}}
 	var broken []*poolRequest
 	for r, since := range e.running {
 		run := Run{Lasted: p.now - since}
@@ -273,7 +273,7 @@
 			run.ResponseLasted = p.now - r.began
 		}
 		run.Copies = p.copies(r.print) / poolHosts
-		c.Under[r.print] = c.Under[r.print].Longer(run)
+		c.Runs[r.print] = c.Runs[r.print].Max(run)
 		broken = append(broken, r)
 		r.at = nil
 	}
@@ -301,16 +301,16 @@
 	parts := make([]Crash, p.day.hosts)
 	for _, r := range broken {
 		part := &parts[r.number%p.day.hosts]
-		if part.Under == nil {
-			*part = Crash{Endpoint: c.Endpoint, Service: c.Service, At: c.At, Under: map[Fingerprint]Run{}}
+		if part.Runs == nil {
+			*part = Crash{Endpoint: c.Endpoint, Service: c.Service, At: c.At, Runs: map[Fingerprint]Run{}}
 		}
-		part.Under[r.print] = c.Under[r.print]
+		part.Runs[r.print] = c.Runs[r.print]
 	}
 	for _, part := range parts {
-		if part.Under == nil {
+		if part.Runs == nil {
 			continue
 		}
-		after := gather + time.Duration(p.random.ExpFloat64()*float64(p.day.news))
+		after := batchDelay + time.Duration(p.random.ExpFloat64()*float64(p.day.news))
 		if p.random.Float64() < p.day.unproven {
 			after += poolLapse + time.Duration(p.random.Float64()*float64(p.day.spread))
 		}
@@ -325,16 +325,16 @@
 func (p *pool) learn(c Crash) {
 	i := slices.IndexFunc(p.crashes, func(known Crash) bool { return known.Endpoint == c.Endpoint })
 	if i < 0 {
-		c.Heard = p.now
+		c.UpdatedAt = p.now
 		p.crashes = append(p.crashes, c)
 	} else {
-		known := Crash{Endpoint: c.Endpoint, Service: c.Service, At: c.At, Heard: p.now, Under: maps.Clone(p.crashes[i].Under)}
-		maps.Copy(known.Under, c.Under)
+		known := Crash{Endpoint: c.Endpoint, Service: c.Service, At: c.At, UpdatedAt: p.now, Runs: maps.Clone(p.crashes[i].Runs)}
+		maps.Copy(known.Runs, c.Runs)
 		p.crashes[i] = known
 	}
 	p.weigh()
-	p.after(settleFresh, p.weigh)
-	p.after(settleLate, p.weigh)
+	p.after(settleDelay, p.weigh)
+	p.after(lateSettleDelay, p.weigh)
 }
 
 // weigh brings the verdicts up to date.
@@ -353,20 +353,20 @@
 
 // evidence is all that is known.
 func (p *pool) evidence() Evidence {
-	return Evidence{Crashes: p.crashes, Finished: p.finished, Endpoints: func(string) int { return p.day.endpoints }, Held: p.verdicts, Now: p.now}
+	return Evidence{Crashes: p.crashes, Completed: p.finished, CountEndpoints: func(string) int { return p.day.endpoints }, Quarantined: p.verdicts, Now: p.now}
 }
 
 // outlast clears requests of which a run goes on for longer than any at a crash.
 func (p *pool) outlast() {
 	longest := map[Fingerprint]time.Duration{}
 	for _, c := range p.crashes {
-		for f, run := range c.Under {
+		for f, run := range c.Runs {
 			longest[f] = max(longest[f], run.ResponseLasted)
 		}
 	}
 	for _, e := range p.endpoints {
 		for r := range e.running {
-			if l, ok := longest[r.print]; ok && e.up && r.began > 0 && p.now-r.began > 2*l+outlastsBy {
+			if l, ok := longest[r.print]; ok && e.up && r.began > 0 && p.now-r.began > 2*l+clearMargin {
 				p.finished[r.print] = p.now
 			}
 		}
--- a/internal/quarantine/relay.go
+++ b/internal/quarantine/relay.go
@@ -18,14 +18,14 @@
 // goes on together. So messages are as many as the hosts and those that saw something, not their
 // product: when a seventh of the endpoints crash, hundreds of hosts have had something there.
 const (
-	// directMost hosts are told one by one.
-	directMost = 16
-	// relayGather is how long what comes to the first of a group shares messages.
-	relayGather = 100 * time.Millisecond
-	// nextAfter is when the next host of a group is told too, if the one before has not answered:
+	// maxDirectPeers hosts are told one by one.
+	maxDirectPeers = 16
+	// relayBatchDelay is how long what comes to the first of a group shares messages.
+	relayBatchDelay = 100 * time.Millisecond
+	// nextPeerDelay is when the next host of a group is told too, if the one before has not answered:
 	// a connection and a slow processor.
-	nextAfter  = 150 * time.Millisecond
-	relayTries = 3
+	nextPeerDelay = 150 * time.Millisecond
+	maxRelayPeers = 3
 )
 
 // Scope is how far who hears news passes it on.
@@ -38,21 +38,21 @@
 	ScopeAll         // to its group, and to the others
 )
 
-// relays are the rows that this host is to pass on.
-type relays struct {
+// relayQueue are the rows that this host is to pass on.
+type relayQueue struct {
 	due wake.Signal // there are some
 
 	mu   sync.Mutex       // guards rows
 	rows map[string]Scope // by host that they are of
-	// whole is to which hosts it is passed on that the rows are all that hosts have told and kept.
-	whole Scope
+	// completeScope is to which hosts it is passed on that the rows are all that hosts have told and kept.
+	completeScope Scope
 }
 
-func newRelays() *relays { return &relays{due: wake.NewSignal(), rows: map[string]Scope{}} }
+func newRelayQueue() *relayQueue { return &relayQueue{due: wake.NewSignal(), rows: map[string]Scope{}} }
 
 // add has rows passed on.
-func (r *relays) add(rows []Row, scope Scope, whole bool) {
-	if scope == ScopeNone || (len(rows) == 0 && !whole) {
+func (r *relayQueue) add(rows []Row, scope Scope, complete bool) {
+	if scope == ScopeNone || (len(rows) == 0 && !complete) {
 		return
 	}
 	r.mu.Lock()
@@ -60,15 +60,15 @@
 	for _, row := range rows {
 		r.rows[row.Host] = max(r.rows[row.Host], scope)
 	}
-	if whole {
-		r.whole = max(r.whole, scope)
+	if complete {
+		r.completeScope = max(r.completeScope, scope)
 	}
 	r.due.Poke()
 }
 
 // take returns the hosts whose rows are to be passed on to the group, and of them those for all hosts,
 // and to which hosts they are all that hosts have told and kept.
-func (r *relays) take() (group, all []string, whole Scope) {
+func (r *relayQueue) take() (group, all []string, completeScope Scope) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for host, scope := range r.rows {
@@ -80,63 +80,63 @@
 	clear(r.rows)
 	slices.Sort(group)
 	slices.Sort(all)
-	whole, r.whole = r.whole, ScopeNone
-	return group, all, whole
+	completeScope, r.completeScope = r.completeScope, ScopeNone
+	return group, all, completeScope
 }
 
-// pass passes on what this host is to, as long as the context lasts.
-func (b *Tracker) pass(ctx context.Context) {
-	for b.relays.due.Await(ctx) {
-		clock.Sleep(ctx, relayGather)
-		b.relays.due.Drain()
-		group, all, whole := b.relays.take()
-		b.mu.Lock()
-		near, far := b.encoded(group), b.encoded(all)
-		b.mu.Unlock()
-		own, others := b.groups()
-		var telling sync.WaitGroup
-		telling.Go(func() { b.tellAll(ctx, own, Update{Rows: near, Loaded: whole >= ScopeGroup}) })
-		if len(far) > 0 || whole == ScopeAll {
+// relayLoop passes on what this host is to, as long as the context lasts.
+func (t *Tracker) relayLoop(ctx context.Context) {
+	for t.relayQueue.due.Await(ctx) {
+		clock.Sleep(ctx, relayBatchDelay)
+		t.relayQueue.due.Drain()
+		group, all, completeScope := t.relayQueue.take()
+		t.mu.Lock()
+		groupRows, allRows := t.encodeRows(group), t.encodeRows(all)
+		t.mu.Unlock()
+		own, others := t.relayGroups()
+		var sending sync.WaitGroup
+		sending.Go(func() { t.sendAll(ctx, own, Update{Rows: groupRows, Loaded: completeScope >= ScopeGroup}) })
+		if len(allRows) > 0 || completeScope == ScopeAll {
 			for _, g := range others {
-				telling.Go(func() {
-					b.tellFirst(ctx, g[:min(relayTries, len(g))], Update{Rows: far, Loaded: whole == ScopeAll, Scope: ScopeGroup})
+				sending.Go(func() {
+					t.sendToFirst(ctx, g[:min(maxRelayPeers, len(g))], Update{Rows: allRows, Loaded: completeScope == ScopeAll, Scope: ScopeGroup})
 				})
 			}
 		}
-		telling.Wait()
+		sending.Wait()
 	}
 }
 
-// spread tells all other hosts; whole tells that the rows are all that hosts have told and kept.
-func (b *Tracker) spread(ctx context.Context, rows []Row, whole bool) {
-	members, n := b.options.Members(), Update{Rows: rows, Loaded: whole}
-	if len(members) <= directMost {
-		b.tellAll(ctx, members, n)
+// broadcast tells all other hosts; whole tells that the rows are all that hosts have told and kept.
+func (t *Tracker) broadcast(ctx context.Context, rows []Row, complete bool) {
+	members, n := t.options.Members(), Update{Rows: rows, Loaded: complete}
+	if len(members) <= maxDirectPeers {
+		t.sendAll(ctx, members, n)
 		return
 	}
-	own, others := b.groups()
-	if len(own) == 0 || b.options.Host < own[0].Name {
-		b.relays.add(rows, ScopeAll, whole) // this host is the first of its group
+	own, others := t.relayGroups()
+	if len(own) == 0 || t.options.Host < own[0].Name {
+		t.relayQueue.add(rows, ScopeAll, complete) // this host is the first of its group
 		return
 	}
 	n.Scope = ScopeAll
-	tried := slices.Clone(own[:min(relayTries, len(own))])
-	for _, g := range others[:min(relayTries, len(others))] {
-		tried = append(tried, g[0]) // any of them passes on to all as well
+	candidates := slices.Clone(own[:min(maxRelayPeers, len(own))])
+	for _, g := range others[:min(maxRelayPeers, len(others))] {
+		candidates = append(candidates, g[0]) // any of them passes on to all as well
 	}
-	if !b.tellFirst(ctx, tried, n) && ctx.Err() == nil {
+	if !t.sendToFirst(ctx, candidates, n) && ctx.Err() == nil {
 		// Most likely nobody reaches this host; it compares with the next one again and again.
-		b.options.Logger.Info("nobody passes on what was seen of crashes", "tried", len(tried))
+		t.options.Logger.Info("nobody passes on what was seen of crashes", "tried", len(candidates))
 	}
 }
 
-// groups are the other hosts of this host's group, and the other groups, each in order.
-func (b *Tracker) groups() (own []Member, others [][]Member) {
-	members := append(b.options.Members(), Member{Name: b.options.Host})
+// relayGroups are the other hosts of this host's group, and the other relayGroups, each in order.
+func (t *Tracker) relayGroups() (own []Member, others [][]Member) {
+	members := append(t.options.Members(), Member{Name: t.options.Host})
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	size := int(math.Ceil(math.Sqrt(float64(len(members)))))
 	for g := range slices.Chunk(members, size) {
-		if i := slices.IndexFunc(g, func(m Member) bool { return m.Name == b.options.Host }); i >= 0 {
+		if i := slices.IndexFunc(g, func(m Member) bool { return m.Name == t.options.Host }); i >= 0 {
 			own = slices.Delete(slices.Clone(g), i, i+1)
 			continue
 		}
@@ -145,23 +145,23 @@
 	return own, others
 }
 
-// tellFirst tells the first of some hosts, and the next ones where it does not answer soon; false
+// sendToFirst tells the first of some hosts, and the next ones where it does not answer soon; false
 // if none does.
-func (b *Tracker) tellFirst(ctx context.Context, tried []Member, n Update) bool {
-	answers := make(chan bool, len(tried))
+func (t *Tracker) sendToFirst(ctx context.Context, candidates []Member, n Update) bool {
+	answers := make(chan bool, len(candidates))
 	failed := 0
-	for _, m := range tried {
-		go func() { answers <- b.tellOne(ctx, m, n) }()
+	for _, m := range candidates {
+		go func() { answers <- t.send(ctx, m, n) }()
 		select {
 		case ok := <-answers:
 			if ok {
 				return true
 			}
 			failed++
-		case <-time.After(nextAfter):
+		case <-time.After(nextPeerDelay):
 		}
 	}
-	for ; failed < len(tried); failed++ {
+	for ; failed < len(candidates); failed++ {
 		if <-answers {
 			return true
 		}
--- a/internal/quarantine/relay_test.go
+++ b/internal/quarantine/relay_test.go
@@ -18,7 +18,7 @@
 // TestGroupsAreAlikeForAllHosts works out the groups of fleets of all sizes at each host: every other
 // host stands in one of them, and a host alone in its group tells the others all the same.
 func TestGroupsAreAlikeForAllHosts(t *testing.T) {
-	for count := directMost + 2; count < 130; count++ {
+	for count := maxDirectPeers + 2; count < 130; count++ {
 		groupOf := map[string]string{}
 		for i := range count {
 			name := fmt.Sprintf("host-%03d", i)
@@ -28,7 +28,7 @@
 				members = append(members, Member{Name: other, Address: other})
 			}
 			b := NewTracker(Options{Host: name, Members: func() []Member { return members }, Peers: deaf{}, Logger: log.New(io.Discard)})
-			own, others := b.groups()
+			own, others := b.relayGroups()
 			known := len(own)
 			for _, g := range others {
 				known += len(g)
@@ -46,7 +46,7 @@
 					t.Fatalf("%d hosts: %s and %s disagree on their group", count, name, m.Name)
 				}
 			}
-			b.spread(context.Background(), []Row{{Host: name}}, false)
+			b.broadcast(context.Background(), []Row{{Host: name}}, false)
 		}
 	}
 }
--- a/internal/quarantine/settle_test.go
+++ b/internal/quarantine/settle_test.go
@@ -25,14 +25,14 @@
 			change(&d)
 			var sum, before, unproven poolResult
 			for seed := range uint64(partSeeds) {
-				r := playPool(d, seed, Review)
+				r := playPool(d, seed, AttributePartial)
 				if r.late > lateMost {
 					t.Errorf("seed %d: %d sends later than 3 s after the third crash, %d allowed", seed, r.late, lateMost)
 				}
-				sum, before = sum.plus(r), before.plus(playPool(d, seed, Judge))
+				sum, before = sum.plus(r), before.plus(playPool(d, seed, Attribute))
 				listed := d
 				listed.unproven = 0.2
-				unproven = unproven.plus(playPool(listed, seed, Review))
+				unproven = unproven.plus(playPool(listed, seed, AttributePartial))
 			}
 			t.Logf("in quarantine though they crash nothing: %d of %d (%d by all news at once), %d where the list tells a fifth; %.1f crashes a day (%.1f)",
 				sum.innocent, sum.requests, before.innocent, unproven.innocent, float64(sum.crashes)/partSeeds, float64(before.crashes)/partSeeds)
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -11,16 +11,16 @@
 
 // Times of what hosts tell each other.
 const (
-	// gather is how long what breaks at the same crash shares a message.
-	gather = 20 * time.Millisecond
-	// tellTimeout is ample for a small message between data halls; who is passed over by it
+	// batchDelay is how long what breaks at the same crash shares a message.
+	batchDelay = 20 * time.Millisecond
+	// sendTimeout is ample for a small message between data halls; who is passed over by it
 	// hears when it compares what it has.
-	tellTimeout = 500 * time.Millisecond
-	// compareEvery is how often a host compares what it has with another: hosts that were
+	sendTimeout = 500 * time.Millisecond
+	// syncInterval is how often a host compares what it has with another: hosts that were
 	// frozen or cut off have three seconds to know what others do.
-	compareEvery = 2 * time.Second
-	compareTries = 3
-	sweepEvery   = 30 * time.Second
+	syncInterval  = 2 * time.Second
+	maxSyncPeers  = 3
+	sweepInterval = 30 * time.Second
 )
 
 // Member is another host.
@@ -51,186 +51,186 @@
 
 // Run judges what comes to be known, tells other hosts what this one has seen and keeps it, as
 // long as the context lasts.
-func (b *Tracker) Run(ctx context.Context) {
-	var working sync.WaitGroup
-	defer working.Wait()
-	for _, work := range []func(context.Context){b.load, b.review, b.push, b.pass, b.compare, b.keep, b.sweep} {
-		working.Go(func() { work(ctx) })
+func (t *Tracker) Run(ctx context.Context) {
+	var running sync.WaitGroup
+	defer running.Wait()
+	for _, loop := range []func(context.Context){t.load, t.refreshLoop, t.publishLoop, t.relayLoop, t.syncLoop, t.persistLoop, t.sweepLoop} {
+		running.Go(func() { loop(ctx) })
 	}
 }
 
-// review brings the verdicts up to date though no request asks: an answer that goes on here may
+// refreshLoop brings the verdicts up to date though no request asks: an answer that goes on here may
 // clear a request that others take for guilty.
-func (b *Tracker) review(ctx context.Context) {
-	for b.awaitReview(ctx) {
-		clock.Sleep(ctx, gather)
-		b.mu.Lock()
-		b.judge()
-		b.mu.Unlock()
+func (t *Tracker) refreshLoop(ctx context.Context) {
+	for t.awaitRefresh(ctx) {
+		clock.Sleep(ctx, batchDelay)
+		t.mu.Lock()
+		t.refresh()
+		t.mu.Unlock()
 	}
 }
 
-// awaitReview waits for other evidence, or until some that is known counts; false if the context ends.
-func (b *Tracker) awaitReview(ctx context.Context) bool {
-	b.mu.Lock()
-	wait := b.settles - b.clock.Now()
-	b.mu.Unlock()
+// awaitRefresh waits for other evidence, or until some that is known counts; false if the context ends.
+func (t *Tracker) awaitRefresh(ctx context.Context) bool {
+	t.mu.Lock()
+	wait := t.nextSettles - t.clock.Now()
+	t.mu.Unlock()
 	timer := time.NewTimer(max(wait, 0))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-b.news:
+	case <-t.evidenceChanged:
 	case <-timer.C:
 	}
 	return true
 }
 
-// push tells all other hosts what this one has seen, as soon as there is something.
-func (b *Tracker) push(ctx context.Context) {
-	for b.due.Await(ctx) {
-		if !b.isLoaded() {
+// publishLoop tells all other hosts what this one has seen, as soon as there is something.
+func (t *Tracker) publishLoop(ctx context.Context) {
+	for t.sendDue.Await(ctx) {
+		if !t.isLoaded() {
 			continue // it is told then
 		}
-		clock.Sleep(ctx, gather)
-		b.due.Drain()
-		b.mu.Lock()
-		rows := b.encoded([]string{b.options.Host})
-		b.mu.Unlock()
-		b.spread(ctx, rows, false)
+		clock.Sleep(ctx, batchDelay)
+		t.sendDue.Drain()
+		t.mu.Lock()
+		rows := t.encodeRows([]string{t.options.Host})
+		t.mu.Unlock()
+		t.broadcast(ctx, rows, false)
 	}
 }
 
-// tellAll sends the same to some hosts at once.
-func (b *Tracker) tellAll(ctx context.Context, members []Member, n Update) {
-	var telling sync.WaitGroup
+// sendAll sends the same to some hosts at once.
+func (t *Tracker) sendAll(ctx context.Context, members []Member, n Update) {
+	var sending sync.WaitGroup
 	for _, m := range members {
-		telling.Go(func() { b.tellOne(ctx, m, n) })
+		sending.Go(func() { t.send(ctx, m, n) })
 	}
-	telling.Wait()
+	sending.Wait()
 }
 
-// tellOne sends to a host; false if it does not answer.
-func (b *Tracker) tellOne(ctx context.Context, m Member, n Update) bool {
-	limited, cancel := context.WithTimeout(ctx, tellTimeout)
+// send sends to a host; false if it does not answer.
+func (t *Tracker) send(ctx context.Context, m Member, n Update) bool {
+	limited, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	_, err := b.options.Peers.Tell(limited, m.Address, n)
+	_, err := t.options.Peers.Tell(limited, m.Address, n)
 	if err != nil && ctx.Err() == nil {
-		b.options.Logger.Info("host not told of a crash", "peer", m.Name, "address", m.Address, "error", err)
+		t.options.Logger.Info("host not told of a crash", "peer", m.Name, "address", m.Address, "error", err)
 	}
 	return err == nil
 }
 
 // HandleUpdate takes in news and returns what the sender lacks; it is a HandleUpdate.
-func (b *Tracker) HandleUpdate(_ context.Context, n Update) (Update, error) {
-	b.mu.Lock()
-	b.take(n)
-	reply := Update{Versions: b.versions(), Loaded: b.loaded}
+func (t *Tracker) HandleUpdate(_ context.Context, n Update) (Update, error) {
+	t.mu.Lock()
+	t.mergeUpdate(n)
+	reply := Update{Versions: t.versions(), Loaded: t.loaded}
 	if n.Compare {
-		reply.Rows = b.encoded(b.newerThan(n.Versions))
+		reply.Rows = t.encodeRows(t.newerThan(n.Versions))
 	}
-	b.mu.Unlock()
-	b.relays.add(n.Rows, n.Scope, n.Loaded)
+	t.mu.Unlock()
+	t.relayQueue.add(n.Rows, n.Scope, n.Loaded)
 	return reply, nil
 }
 
-// compare has what this host has and what the next one has become the same, now and then.
-func (b *Tracker) compare(ctx context.Context) {
-	for clock.Sleep(ctx, clock.Around(compareEvery)) {
-		b.compareOnce(ctx)
+// syncLoop has what this host has and what the next one has become the same, now and then.
+func (t *Tracker) syncLoop(ctx context.Context) {
+	for clock.Sleep(ctx, clock.Around(syncInterval)) {
+		t.syncOnce(ctx)
 	}
 }
 
-// compareOnce compares with the next host that answers.
-func (b *Tracker) compareOnce(ctx context.Context) {
-	members := b.options.Members()
-	for _, m := range members[:min(compareTries, len(members))] {
-		if b.compareWith(ctx, m) == nil {
+// syncOnce compares with the next host that answers.
+func (t *Tracker) syncOnce(ctx context.Context) {
+	members := t.options.Members()
+	for _, m := range members[:min(maxSyncPeers, len(members))] {
+		if t.syncWith(ctx, m) == nil {
 			return
 		}
 	}
 }
 
-func (b *Tracker) compareWith(ctx context.Context, m Member) error {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+func (t *Tracker) syncWith(ctx context.Context, m Member) error {
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	b.mu.Lock()
-	n := Update{Versions: b.versions(), Compare: true}
-	b.mu.Unlock()
-	reply, err := b.options.Peers.Tell(ctx, m.Address, n)
+	t.mu.Lock()
+	n := Update{Versions: t.versions(), Compare: true}
+	t.mu.Unlock()
+	reply, err := t.options.Peers.Tell(ctx, m.Address, n)
 	if err != nil {
 		return err
 	}
-	b.mu.Lock()
-	b.take(reply)
-	lacking := b.encoded(b.newerThan(reply.Versions))
-	b.mu.Unlock()
-	if len(lacking) == 0 {
+	t.mu.Lock()
+	t.mergeUpdate(reply)
+	missing := t.encodeRows(t.newerThan(reply.Versions))
+	t.mu.Unlock()
+	if len(missing) == 0 {
 		return nil
 	}
-	_, err = b.options.Peers.Tell(ctx, m.Address, Update{Rows: lacking, Loaded: b.isLoaded()})
+	_, err = t.options.Peers.Tell(ctx, m.Address, Update{Rows: missing, Loaded: t.isLoaded()})
 	return err
 }
 
-// sweep drops what is too old to count, now and then.
-func (b *Tracker) sweep(ctx context.Context) {
-	for clock.Sleep(ctx, sweepEvery) {
-		b.Sweep()
+// sweepLoop drops what is too old to count, now and then.
+func (t *Tracker) sweepLoop(ctx context.Context) {
+	for clock.Sleep(ctx, sweepInterval) {
+		t.Sweep()
 	}
 }
 
-// take takes in rows that are newer than those that are known, and what this host told in an earlier
+// mergeUpdate takes in rows that are newer than those that are known, and what this host told in an earlier
 // life; the caller holds mu.
-func (b *Tracker) take(n Update) {
-	for _, told := range n.Rows {
-		earlier := told.Host == b.options.Host && !b.loaded
-		if told.Version <= b.rows[told.Host].version && !earlier {
+func (t *Tracker) mergeUpdate(n Update) {
+	for _, received := range n.Rows {
+		ownEarlier := received.Host == t.options.Host && !t.loaded
+		if received.Version <= t.rows[received.Host].version && !ownEarlier {
 			continue
 		}
-		r, err := decodeRecord(told.Value, -b.clock.Now())
+		r, err := decodeRecord(received.Value, -t.clock.Now())
 		if err != nil {
-			b.options.Logger.Error("what a host told of crashes can't be read", "from", told.Host, "version", told.Version, "error", err)
+			t.options.Logger.Error("what a host told of crashes can't be read", "from", received.Host, "version", received.Version, "error", err)
 			continue
 		}
-		b.takeRow(told.Host, row{r, told.Version})
+		t.mergeRow(received.Host, row{r, received.Version})
 	}
 	if n.Loaded {
-		b.learned()
+		t.markLoaded()
 	}
 }
 
-// learned notes that what hosts have told and kept is known; the caller holds mu.
-func (b *Tracker) learned() {
-	if b.loaded {
+// markLoaded notes that what hosts have told and kept is known; the caller holds mu.
+func (t *Tracker) markLoaded() {
+	if t.loaded {
 		return
 	}
-	b.seen() // what was known before counts at once
-	b.loaded = true
-	if !b.own().isEmpty() {
-		b.tell()
+	t.view() // what was known before counts at once
+	t.loaded = true
+	if !t.ownRow().isEmpty() {
+		t.publish()
 	}
 }
 
-// takeRow takes in a host's row. One of this host is from an earlier life: what it saw counts
+// mergeRow takes in a host's row. One of this host is from an earlier life: what it saw counts
 // on.
-func (b *Tracker) takeRow(host string, r row) {
-	if host != b.options.Host {
-		b.rows[host] = r
-		b.changed()
+func (t *Tracker) mergeRow(host string, r row) {
+	if host != t.options.Host {
+		t.rows[host] = r
+		t.invalidate()
 		return
 	}
-	mine := b.own()
+	mine := t.ownRow()
 	mine.merge(r.record)
 	mine.version = max(mine.version, r.version)
-	b.rows[host] = mine
-	b.tell()
+	t.rows[host] = mine
+	t.publish()
 }
 
 // versions are those of the rows that have something, and may be told.
-func (b *Tracker) versions() map[string]int64 {
+func (t *Tracker) versions() map[string]int64 {
 	versions := map[string]int64{}
-	for host, r := range b.rows {
-		if !r.isEmpty() && (b.loaded || host != b.options.Host) {
+	for host, r := range t.rows {
+		if !r.isEmpty() && (t.loaded || host != t.options.Host) {
 			versions[host] = r.version
 		}
 	}
@@ -238,9 +238,9 @@
 }
 
 // newerThan lists the hosts of whose rows this host has newer ones.
-func (b *Tracker) newerThan(known map[string]int64) []string {
+func (t *Tracker) newerThan(known map[string]int64) []string {
 	var newer []string
-	for host, version := range b.versions() {
+	for host, version := range t.versions() {
 		if version > known[host] {
 			newer = append(newer, host)
 		}
@@ -249,14 +249,14 @@
 	return newer
 }
 
-// encoded makes rows to be told; times in them are relative to now.
-func (b *Tracker) encoded(hosts []string) []Row {
+// encodeRows makes rows to be told; times in them are relative to now.
+func (t *Tracker) encodeRows(hosts []string) []Row {
 	rows := make([]Row, 0, len(hosts))
 	for _, host := range hosts {
-		r := b.rows[host]
-		value, err := r.encode(-b.clock.Now())
+		r := t.rows[host]
+		value, err := r.encode(-t.clock.Now())
 		if err != nil {
-			b.options.Logger.Error("what was seen of crashes can't be told", "of", host, "error", err)
+			t.options.Logger.Error("what was seen of crashes can't be told", "of", host, "error", err)
 			continue
 		}
 		rows = append(rows, Row{Host: host, Version: r.version, Value: value})
--- a/internal/quarantine/standing.go
+++ b/internal/quarantine/standing.go
@@ -33,7 +33,7 @@
 
 // IsSuspect reports whether as many endpoints have crashed beside the request as one has to crash to be
 // told from others, though it is not told from them yet.
-func (s Status) IsSuspect() bool { return !s.Quarantined && s.Crashed >= crashesLeast }
+func (s Status) IsSuspect() bool { return !s.Quarantined && s.Crashed >= minMoments }
 
 // HostMayRetry reports whether a host may repeat the request on its own that so many endpoints have
 // crashed under since it came this time.
--- a/internal/quarantine/standing_test.go
+++ b/internal/quarantine/standing_test.go
@@ -9,7 +9,7 @@
 func crashesAt(service string, under map[Fingerprint]Run, moments ...int) []Crash {
 	crashes := make([]Crash, 0, len(moments))
 	for _, at := range moments {
-		crashes = append(crashes, Crash{Service: service, At: time.Duration(at) * time.Millisecond, Under: under})
+		crashes = append(crashes, Crash{Service: service, At: time.Duration(at) * time.Millisecond, Runs: under})
 	}
 	return crashes
 }
@@ -33,8 +33,8 @@
 	for what, c := range emptied {
 		t.Run(what, func(t *testing.T) {
 			crashes := append(crashesAt("s", under, 1000, 1020), c.beside...)
-			s := Evidence{Endpoints: func(string) int { return 12 }}.suspect(request, crashes)
-			standing := Status{Crashed: len(s.crashed), Beside: s.beside}
+			s := Evidence{CountEndpoints: func(string) int { return 12 }}.suspect(request, crashes)
+			standing := Status{Crashed: len(s.crashed), Beside: s.otherCrashes}
 			if standing.MayHaveEmptiedService() != c.may {
 				t.Errorf("%+v, want %v", standing, c.may)
 			}
