--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -148,9 +148,9 @@
 // that leaves without notice serves on for a while.
 func (t *Tracker) EndpointGone(ctx context.Context, endpoint string) {
 	t.mu.Lock()
-	runs := t.unconfirmed[endpoint]
+	attempts := t.unconfirmed[endpoint]
 	t.mu.Unlock()
-	if len(runs) > 0 && t.detector.refusesConnections(ctx, runs[0].Address) {
+	if len(attempts) > 0 && t.detector.refusesConnections(ctx, attempts[0].Address) {
 		t.confirm(func(k BrokenAttempt) bool { return k.Endpoint == endpoint })
 	}
 }
@@ -165,11 +165,11 @@
 func (t *Tracker) confirm(crashed func(k BrokenAttempt) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for endpoint, runs := range t.unconfirmed {
-		if !crashed(runs[0]) {
+	for endpoint, attempts := range t.unconfirmed {
+		if !crashed(attempts[0]) {
 			continue
 		}
-		for _, k := range runs {
+		for _, k := range attempts {
 			if t.clock.Now()-k.reportedAt <= unconfirmedTTL {
 				t.recordCrash(k.crash(k.reportedAt))
 			}
@@ -193,12 +193,12 @@
 
 // publish notes that there is other evidence which others have to know.
 func (t *Tracker) publish() {
-	mine := t.ownRow()
-	mine.version++
+	own := t.ownRow()
+	own.version++
 	if shared, known := t.options.sharedNow(); known { // goes on from an earlier life of the host
-		mine.version = max(mine.version, shared.Milliseconds())
+		own.version = max(own.version, shared.Milliseconds())
 	}
-	t.rows[t.options.Host] = mine
+	t.rows[t.options.Host] = own
 	t.invalidate()
 	t.sendDue.Poke()
 	t.persistDue.Poke()
@@ -235,7 +235,7 @@
 // clearRequest clears a request of what crashed beside it. Others hear of it where it matters: a
 // crash more would take it for guilty.
 func (t *Tracker) clearRequest(f Fingerprint, at time.Duration, reason string) {
-	moments := t.view().assess(f).moments
+	moments := t.view().assessRequest(f).moments
 	if moments == 0 {
 		return
 	}
@@ -256,7 +256,7 @@
 	defer t.mu.Unlock()
 	t.refresh()
 	_, held := t.quarantined[f]
-	s := t.view().assess(f)
+	s := t.view().assessRequest(f)
 	return Status{Quarantined: held, Moments: s.moments, Chance: s.Chance, Crashed: len(s.crashed), Beside: s.otherCrashes}
 }
 
@@ -299,12 +299,12 @@
 	t.lastKnown = heard
 }
 
-// assess is what speaks against a request since it last came to a good end.
-func (v *mergedView) assess(f Fingerprint) assessment {
+// assessRequest is what speaks against a request since it last came to a good end.
+func (v *mergedView) assessRequest(f Fingerprint) assessment {
 	if v.crashCounts[f] == 0 {
 		return assessment{}
 	}
-	return v.suspect(f, v.Crashes)
+	return v.assess(f, v.Crashes)
 }
 
 // refresh brings the verdicts up to date.
@@ -320,10 +320,10 @@
 	e := v.Evidence
 	e.Quarantined, e.Now = before, t.clock.Now()
 	t.quarantined, t.upToDate, t.nextSettles = AttributePartial(e), true, e.nextSettles()
-	for f, d := range t.quarantined {
+	for f, attribution := range t.quarantined {
 		if _, known := before[f]; !known {
-			t.options.Logger.Warn("request quarantined", "fingerprint", f, "of", v.label(f), "crashes", d.Crashes, "chance", d.Chance,
-				"first_ms_ago", t.since(d.First).Milliseconds(), "last_ms_ago", t.since(d.Last).Milliseconds(), "crashes_known", len(v.Crashes), "hosts", len(t.rows))
+			t.options.Logger.Warn("request quarantined", "fingerprint", f, "of", v.label(f), "crashes", attribution.Crashes, "chance", attribution.Chance,
+				"first_ms_ago", t.since(attribution.First).Milliseconds(), "last_ms_ago", t.since(attribution.Last).Milliseconds(), "crashes_known", len(v.Crashes), "hosts", len(t.rows))
 		}
 	}
 	for f := range before {
@@ -336,9 +336,9 @@
 // dropExpired drops what is too old to count.
 func (t *Tracker) dropExpired() {
 	oldest := t.clock.Now() - crashTTL
-	held := func(f Fingerprint) bool { _, ok := t.quarantined[f]; return ok }
+	isQuarantined := func(f Fingerprint) bool { _, ok := t.quarantined[f]; return ok }
 	for host, r := range t.rows {
-		r.trim(oldest, held)
+		r.trim(oldest, isQuarantined)
 		if r.isEmpty() && host != t.options.Host {
 			delete(t.rows, host)
 		}
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -13,108 +13,108 @@
 )
 
 var (
-	guilty = printOf(1)
-	beside = printOf(2)
-	all    = []bool{true, true, true}
-	none   = []bool{false, false, false}
+	crashing = fingerprintOf(1)
+	harmless = fingerprintOf(2)
+	all      = []bool{true, true, true}
+	none     = []bool{false, false, false}
 )
 
-// apart is longer than crashes that count as one, and than it takes to tell.
-const apart = time.Second
+// crashSpacing is longer than crashes that count as one, and than it takes to tell.
+const crashSpacing = time.Second
 
 const (
-	// toldWithin is how soon hosts are to know what others have seen, as the users tell.
-	toldWithin = 3 * time.Second
-	// hears is how often a host of many is told of a crash that many others have seen, at most.
-	hears = 8
+	// maxPropagation is how soon hosts are to know what others have seen, as the users tell.
+	maxPropagation = 3 * time.Second
+	// maxReportsPerHost is how often a host of many is told of a crash that many others have seen, at most.
+	maxReportsPerHost = 8
 )
 
 var _ = Describe("hosts that see endpoints crash under a request", func() {
 	It("quarantine it all together, however few crashes each has seen", func() {
-		sharing(3, func(h *hosts) {
-			h.crash(0, "e0", guilty)
-			h.crash(1, "e1", guilty)
-			time.Sleep(apart)
-			h.crash(2, "e2", guilty)
-			time.Sleep(apart)
-			Expect(h.quarantined(guilty)).To(Equal(none), "two moments")
-			h.crash(0, "e3", guilty)
-			time.Sleep(apart)
-			Expect(h.quarantined(guilty)).To(Equal(all))
-			Expect(h.quarantined(beside)).To(Equal(none))
+		withCluster(3, func(h *cluster) {
+			h.crash(0, "e0", crashing)
+			h.crash(1, "e1", crashing)
+			time.Sleep(crashSpacing)
+			h.crash(2, "e2", crashing)
+			time.Sleep(crashSpacing)
+			Expect(h.quarantined(crashing)).To(Equal(none), "two moments")
+			h.crash(0, "e3", crashing)
+			time.Sleep(crashSpacing)
+			Expect(h.quarantined(crashing)).To(Equal(all))
+			Expect(h.quarantined(harmless)).To(Equal(none))
 		})
 	})
 
 	It("know it a moment after the third crash", func() {
-		sharing(3, func(h *hosts) {
-			h.thrice(guilty)
-			h.letOut(guilty)
-			h.crash(0, "e0", guilty)
-			time.Sleep(apart)
-			h.crash(1, "e1", guilty)
-			time.Sleep(apart)
-			h.crash(1, "e2", guilty)
+		withCluster(3, func(h *cluster) {
+			h.crashThrice(crashing)
+			h.release(crashing)
+			h.crash(0, "e0", crashing)
+			time.Sleep(crashSpacing)
+			h.crash(1, "e1", crashing)
+			time.Sleep(crashSpacing)
+			h.crash(1, "e2", crashing)
 			time.Sleep(50 * time.Millisecond)
-			Expect(h.quarantined(guilty)).To(Equal(all))
+			Expect(h.quarantined(crashing)).To(Equal(all))
 		})
 	})
 
 	It("count an endpoint that crashed under several copies once", func() {
-		sharing(3, func(h *hosts) {
+		withCluster(3, func(h *cluster) {
 			for i := range 3 {
 				for _, endpoint := range []string{"e0", "e1"} {
-					h.crash(i, endpoint, guilty)
+					h.crash(i, endpoint, crashing)
 				}
-				time.Sleep(apart)
+				time.Sleep(crashSpacing)
 			}
-			Expect(h.quarantined(guilty)).To(Equal(none))
+			Expect(h.quarantined(crashing)).To(Equal(none))
 		})
 	})
 
 	It("take endpoints that crash at one moment for one crash", func() {
-		sharing(3, func(h *hosts) {
+		withCluster(3, func(h *cluster) {
 			for i := range 9 {
-				h.crash(i%3, fmt.Sprint("e", i), guilty)
+				h.crash(i%3, fmt.Sprint("e", i), crashing)
 			}
-			time.Sleep(apart)
-			Expect(h.quarantined(guilty)).To(Equal(none))
+			time.Sleep(crashSpacing)
+			Expect(h.quarantined(crashing)).To(Equal(none))
 		})
 	})
 
 	It("do not quarantine what came to a good end anywhere in between", func() {
-		sharing(3, func(h *hosts) {
+		withCluster(3, func(h *cluster) {
 			for i := range 6 {
-				h.crash(i%3, fmt.Sprint("e", i), guilty)
-				time.Sleep(apart)
+				h.crash(i%3, fmt.Sprint("e", i), crashing)
+				time.Sleep(crashSpacing)
 				if i%2 == 1 {
-					h.books[(i+1)%3].RequestCompleted(guilty)
-					time.Sleep(apart)
+					h.trackers[(i+1)%3].RequestCompleted(crashing)
+					time.Sleep(crashSpacing)
 				}
 			}
-			Expect(h.quarantined(guilty)).To(Equal(none))
+			Expect(h.quarantined(crashing)).To(Equal(none))
 		})
 	})
 
 	It("let it out when a copy that was under way comes to a good end", func() {
-		sharing(3, func(h *hosts) {
-			h.thrice(guilty)
-			Expect(h.quarantined(guilty)).To(Equal(all))
-			h.books[2].RequestCompleted(guilty)
-			time.Sleep(apart)
-			Expect(h.quarantined(guilty)).To(Equal(none))
+		withCluster(3, func(h *cluster) {
+			h.crashThrice(crashing)
+			Expect(h.quarantined(crashing)).To(Equal(all))
+			h.trackers[2].RequestCompleted(crashing)
+			time.Sleep(crashSpacing)
+			Expect(h.quarantined(crashing)).To(Equal(none))
 		})
 	})
 
 	It("clear what goes on elsewhere for longer than endpoints took to crash under it", func() {
-		sharing(3, func(h *hosts) {
-			ongoing := h.books[1].BeginResponse(func() quarantine.Fingerprint { return beside })
-			time.Sleep(apart)
+		withCluster(3, func(h *cluster) {
+			ongoing := h.trackers[1].BeginResponse(func() quarantine.Fingerprint { return harmless })
+			time.Sleep(crashSpacing)
 			ongoing.DataArrived(clock.Now())
-			h.thrice(beside)
-			Expect(h.quarantined(beside)).To(Equal(none))
-			h.books[1].EndResponse(ongoing)
-			h.thrice(guilty)
-			Expect(h.quarantined(guilty)).To(Equal(all))
+			h.crashThrice(harmless)
+			Expect(h.quarantined(harmless)).To(Equal(none))
+			h.trackers[1].EndResponse(ongoing)
+			h.crashThrice(crashing)
+			Expect(h.quarantined(crashing)).To(Equal(all))
 		})
 	})
 
@@ -122,108 +122,108 @@
 	// with one of them: by time alone its answer had gone on all along, and it let out, for all
 	// hosts, a request that crashes endpoints.
 	It("take no answer for one that goes on of which nothing more has come", func() {
-		sharing(3, func(h *hosts) {
-			ongoing := h.books[1].BeginResponse(func() quarantine.Fingerprint { return guilty })
+		withCluster(3, func(h *cluster) {
+			ongoing := h.trackers[1].BeginResponse(func() quarantine.Fingerprint { return crashing })
 			ongoing.DataArrived(clock.Now())
-			time.Sleep(apart)
-			h.thrice(guilty)
-			Expect(h.quarantined(guilty)).To(Equal(all))
-			h.books[1].EndResponse(ongoing)
+			time.Sleep(crashSpacing)
+			h.crashThrice(crashing)
+			Expect(h.quarantined(crashing)).To(Equal(all))
+			h.trackers[1].EndResponse(ongoing)
 		})
 	})
 
 	It("leave it to its caller after two crashes, and what was beside one is repeated", func() {
-		sharing(3, func(h *hosts) {
-			h.crash(0, "e0", guilty, beside)
-			Expect(h.books[0].Status(guilty).HostMayRetry(1)).To(BeTrue())
-			time.Sleep(apart)
-			h.crash(0, "e1", guilty)
-			Expect(h.books[0].Status(guilty).HostMayRetry(2)).To(BeFalse())
-			Expect(h.books[0].Status(guilty).HostMayRetry(1)).To(BeTrue(), "another copy")
-			Expect(h.books[0].Status(beside).HostMayRetry(1)).To(BeTrue())
+		withCluster(3, func(h *cluster) {
+			h.crash(0, "e0", crashing, harmless)
+			Expect(h.trackers[0].Status(crashing).HostMayRetry(1)).To(BeTrue())
+			time.Sleep(crashSpacing)
+			h.crash(0, "e1", crashing)
+			Expect(h.trackers[0].Status(crashing).HostMayRetry(2)).To(BeFalse())
+			Expect(h.trackers[0].Status(crashing).HostMayRetry(1)).To(BeTrue(), "another copy")
+			Expect(h.trackers[0].Status(harmless).HostMayRetry(1)).To(BeTrue())
 		})
 	})
 
 	It("tell it from what was beside it, once the two part", func() {
-		sharing(3, func(h *hosts) {
+		withCluster(3, func(h *cluster) {
 			for i := range 3 {
-				h.crash(i, fmt.Sprint("e", i), guilty, beside)
-				time.Sleep(apart)
+				h.crash(i, fmt.Sprint("e", i), crashing, harmless)
+				time.Sleep(crashSpacing)
 			}
-			Expect(h.quarantined(guilty)).To(Equal(none), "nothing tells the two apart")
-			h.crash(0, "e3", guilty)
-			time.Sleep(apart)
-			Expect(h.quarantined(guilty)).To(Equal(all))
-			Expect(h.quarantined(beside)).To(Equal(none))
+			Expect(h.quarantined(crashing)).To(Equal(none), "nothing tells the two apart")
+			h.crash(0, "e3", crashing)
+			time.Sleep(crashSpacing)
+			Expect(h.quarantined(crashing)).To(Equal(all))
+			Expect(h.quarantined(harmless)).To(Equal(none))
 		})
 	})
 
 	It("quarantine neither while others crash as often without it", func() {
-		sharing(3, func(h *hosts) {
+		withCluster(3, func(h *cluster) {
 			for i := range 40 {
-				h.crash(i%3, fmt.Sprint("e", i), printOf(uint64(100+i)))
+				h.crash(i%3, fmt.Sprint("e", i), fingerprintOf(uint64(100+i)))
 				if i%10 == 0 {
-					h.slow(i%3, fmt.Sprint("f", i), guilty)
+					h.crashAfterLongRun(i%3, fmt.Sprint("f", i), crashing)
 				}
 				time.Sleep(200 * time.Millisecond)
 			}
-			Expect(h.quarantined(guilty)).To(Equal(none))
+			Expect(h.quarantined(crashing)).To(Equal(none))
 		})
 	})
 
 	It("let it out by order of an operator at any host", func() {
-		sharing(3, func(h *hosts) {
-			h.thrice(guilty)
-			Expect(h.books[1].Release(beside)).To(BeFalse())
-			Expect(h.books[1].Release(guilty)).To(BeTrue())
-			time.Sleep(apart)
-			Expect(h.quarantined(guilty)).To(Equal(none))
-			h.thrice(guilty)
-			Expect(h.quarantined(guilty)).To(Equal(all), "it crashes on")
+		withCluster(3, func(h *cluster) {
+			h.crashThrice(crashing)
+			Expect(h.trackers[1].Release(harmless)).To(BeFalse())
+			Expect(h.trackers[1].Release(crashing)).To(BeTrue())
+			time.Sleep(crashSpacing)
+			Expect(h.quarantined(crashing)).To(Equal(none))
+			h.crashThrice(crashing)
+			Expect(h.quarantined(crashing)).To(Equal(all), "it crashes on")
 		})
 	})
 
 	It("let it out an hour after its last crash, and leave nothing in the store", func() {
-		sharing(3, func(h *hosts) {
-			h.thrice(guilty)
+		withCluster(3, func(h *cluster) {
+			h.crashThrice(crashing)
 			time.Sleep(time.Hour - 10*time.Second)
-			Expect(h.quarantined(guilty)).To(Equal(all))
+			Expect(h.quarantined(crashing)).To(Equal(all))
 			time.Sleep(2 * time.Minute)
-			Expect(h.quarantined(guilty)).To(Equal(none))
-			Expect(h.kept()).To(BeZero())
+			Expect(h.quarantined(crashing)).To(Equal(none))
+			Expect(h.storedRows()).To(BeZero())
 		})
 	})
 
 	It("leave no rows of hosts that are gone", func() {
-		sharing(3, func(h *hosts) {
-			h.thrice(guilty)
-			time.Sleep(apart)
-			Expect(h.kept()).To(Equal(3))
+		withCluster(3, func(h *cluster) {
+			h.crashThrice(crashing)
+			time.Sleep(crashSpacing)
+			Expect(h.storedRows()).To(Equal(3))
 			h.kill(1)
 			time.Sleep(2 * time.Hour)
-			Expect(h.kept()).To(Equal(1))
+			Expect(h.storedRows()).To(Equal(1))
 			for i := range 3 {
 				h.kill(i)
 			}
 			h.start(0)
 			h.start(2)
-			time.Sleep(2 * apart)
-			Expect(h.kept()).To(BeZero())
+			time.Sleep(2 * crashSpacing)
+			Expect(h.storedRows()).To(BeZero())
 		})
 	})
 })
 
-// letOut takes a request out of quarantine.
-func (h *hosts) letOut(f quarantine.Fingerprint) {
-	Expect(h.books[0].Release(f)).To(BeTrue())
-	time.Sleep(apart)
+// release takes a request out of quarantine.
+func (h *cluster) release(f quarantine.Fingerprint) {
+	Expect(h.trackers[0].Release(f)).To(BeTrue())
+	time.Sleep(crashSpacing)
 	Expect(h.quarantined(f)).To(Equal(none))
 }
 
-// kept counts the rows in the store.
-func (h *hosts) kept() int {
+// storedRows counts the rows in the store.
+func (h *cluster) storedRows() int {
 	n := 0
-	for i := range h.books {
+	for i := range h.trackers {
 		if h.store.Value(quarantine.Table, fmt.Sprint("host-", i)) != nil {
 			n++
 		}
@@ -231,7 +231,7 @@
 	return n
 }
 
-// slow has a request run at an endpoint for long, until that crashes.
-func (h *hosts) slow(host int, endpoint string, f quarantine.Fingerprint) {
-	h.books[host].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: 3 * time.Second}})
+// crashAfterLongRun has a request run at an endpoint for long, until that crashes.
+func (h *cluster) crashAfterLongRun(host int, endpoint string, f quarantine.Fingerprint) {
+	h.trackers[host].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: 3 * time.Second}})
 }
--- a/internal/quarantine/broke_test.go
+++ b/internal/quarantine/broke_test.go
@@ -11,57 +11,57 @@
 )
 
 var _ = Describe("an endpoint whose connections broke", func() {
-	broke := func(h *hosts, endpoint string) bool {
-		return h.books[0].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: guilty, Run: quarantine.Run{Lasted: time.Second}})
+	connectionBroke := func(h *cluster, endpoint string) bool {
+		return h.trackers[0].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: crashing, Run: quarantine.Run{Lasted: time.Second}})
 	}
 
 	ctx := context.Background()
 
 	It("has crashed if it is gone from the list a moment later, and nothing listens there", func() {
-		sharing(1, func(h *hosts) {
-			h.up["e0"] = true // its process is not gone yet
-			Expect(broke(h, "e0")).To(BeFalse())
-			Expect(h.books[0].HasEvidence()).To(BeFalse())
+		withCluster(1, func(h *cluster) {
+			h.listening["e0"] = true // its process is not gone yet
+			Expect(connectionBroke(h, "e0")).To(BeFalse())
+			Expect(h.trackers[0].HasEvidence()).To(BeFalse())
 			time.Sleep(4 * time.Second)
-			h.up["e0"] = false
-			h.books[0].EndpointGone(ctx, "e0")
-			Expect(h.books[0].Status(guilty).Moments).To(Equal(1))
+			h.listening["e0"] = false
+			h.trackers[0].EndpointGone(ctx, "e0")
+			Expect(h.trackers[0].Status(crashing).Moments).To(Equal(1))
 		})
 	})
 
 	It("has crashed if another start is listed at its address a moment later", func() {
-		sharing(1, func(h *hosts) {
-			h.up["e0"] = true // something listens there again already
-			Expect(broke(h, "e0")).To(BeFalse())
-			h.books[0].EndpointListed("e0", "e0")
-			h.books[0].EndpointListed("e2", "e2")
-			Expect(h.books[0].HasEvidence()).To(BeFalse())
+		withCluster(1, func(h *cluster) {
+			h.listening["e0"] = true // something listens there again already
+			Expect(connectionBroke(h, "e0")).To(BeFalse())
+			h.trackers[0].EndpointListed("e0", "e0")
+			h.trackers[0].EndpointListed("e2", "e2")
+			Expect(h.trackers[0].HasEvidence()).To(BeFalse())
 			time.Sleep(time.Second)
-			h.books[0].EndpointListed("e1", "e0")
-			Expect(h.books[0].Status(guilty).Moments).To(Equal(1))
+			h.trackers[0].EndpointListed("e1", "e0")
+			Expect(h.trackers[0].Status(crashing).Moments).To(Equal(1))
 		})
 	})
 
 	It("has not if it leaves without notice and serves on", func() {
-		sharing(1, func(h *hosts) {
-			h.up["e0"] = true
-			Expect(broke(h, "e0")).To(BeFalse())
+		withCluster(1, func(h *cluster) {
+			h.listening["e0"] = true
+			Expect(connectionBroke(h, "e0")).To(BeFalse())
 			time.Sleep(time.Second)
-			h.books[0].EndpointGone(ctx, "e0")
-			Expect(h.books[0].HasEvidence()).To(BeFalse())
+			h.trackers[0].EndpointGone(ctx, "e0")
+			Expect(h.trackers[0].HasEvidence()).To(BeFalse())
 		})
 	})
 
 	It("has not if it goes long after, or nothing broke there", func() {
-		sharing(1, func(h *hosts) {
-			h.up["e0"] = true
-			Expect(broke(h, "e0")).To(BeFalse())
+		withCluster(1, func(h *cluster) {
+			h.listening["e0"] = true
+			Expect(connectionBroke(h, "e0")).To(BeFalse())
 			time.Sleep(10 * time.Second)
-			h.up["e0"] = false
-			h.books[0].EndpointGone(ctx, "e0")
-			h.books[0].EndpointGone(ctx, "e1")
-			h.books[0].EndpointListed("e3", "e0")
-			Expect(h.books[0].HasEvidence()).To(BeFalse())
+			h.listening["e0"] = false
+			h.trackers[0].EndpointGone(ctx, "e0")
+			h.trackers[0].EndpointGone(ctx, "e1")
+			h.trackers[0].EndpointListed("e3", "e0")
+			Expect(h.trackers[0].HasEvidence()).To(BeFalse())
 		})
 	})
 })
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -178,7 +178,7 @@
 func (e Evidence) strongestSuspect(unexplained []Crash) (assessment, bool) {
 	var found []assessment
 	for f := range countCrashes(unexplained, minMoments) {
-		if s := e.suspect(f, unexplained); s.moments >= minMoments && (s.Chance <= maxChance || s.moments >= certainMoments) {
+		if s := e.assess(f, unexplained); s.moments >= minMoments && (s.Chance <= maxChance || s.moments >= certainMoments) {
 			found = append(found, s)
 		}
 	}
@@ -212,13 +212,13 @@
 	return counts
 }
 
-// suspect weighs what speaks against a request: how likely it is that endpoints crashed by
+// assess weighs what speaks against a request: how likely it is that endpoints crashed by
 // chance while it ran there, each time that they did, by how often others crash, how long it
 // ran and how many of its copies ran elsewhere. Crashes are in the order of time.
-func (e Evidence) suspect(f Fingerprint, open []Crash) assessment {
+func (e Evidence) assess(f Fingerprint, crashes []Crash) assessment {
 	s := assessment{request: f}
 	var relevant []Crash
-	for _, c := range open {
+	for _, c := range crashes {
 		if _, under := c.Runs[f]; under && !e.completedSince(f, c.At) {
 			relevant = append(relevant, c)
 			s.crashed = append(s.crashed, c.Endpoint)
@@ -229,22 +229,22 @@
 	}
 	last := relevant[len(relevant)-1].At
 	s.Attribution = Attribution{Crashes: len(relevant), Chance: 1, First: relevant[0].At, Last: last}
-	rate := max(otherCrashRate(f, open, relevant[0].At-relevant[0].Runs[f].Lasted, last), otherCrashRate(f, open, last-recentWindow, last))
-	moment := time.Duration(math.MinInt64 / 2)
-	chance := 1.0 // of what happened at that moment
+	rate := max(otherCrashRate(f, crashes, relevant[0].At-relevant[0].Runs[f].Lasted, last), otherCrashRate(f, crashes, last-recentWindow, last))
+	lastMoment := time.Duration(math.MinInt64 / 2)
+	momentChance := 1.0 // of what happened at that moment
 	for _, c := range relevant {
 		run := c.Runs[f]
 		coincidence := 1 - math.Exp(-rate/float64(max(e.CountEndpoints(c.Service), 1))*run.Lasted.Seconds()*float64(1+run.Copies))
-		if c.At-moment < sameMoment {
-			chance = max(chance, coincidence)
+		if c.At-lastMoment < sameMoment {
+			momentChance = max(momentChance, coincidence)
 			continue
 		}
-		s.Chance *= chance
-		chance, moment = coincidence, c.At
+		s.Chance *= momentChance
+		momentChance, lastMoment = coincidence, c.At
 		s.moments++
 	}
-	s.Chance *= chance
-	s.otherCrashes = countOtherCrashes(f, open, relevant)
+	s.Chance *= momentChance
+	s.otherCrashes = countOtherCrashes(f, crashes, relevant)
 	return s
 }
 
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -85,7 +85,7 @@
 	v := t.view()
 	for _, c := range t.ownRow().crashes {
 		for f := range c.Runs {
-			if _, held := t.quarantined[f]; held || v.assess(f).moments >= minMoments-1 {
+			if _, held := t.quarantined[f]; held || v.assessRequest(f).moments >= minMoments-1 {
 				return true
 			}
 		}
@@ -195,12 +195,12 @@
 		}
 		return
 	}
-	old := t.mergeStored(rows)
+	expired := t.mergeStored(rows)
 	t.mu.Lock()
 	all := t.encodeRows(slices.Sorted(maps.Keys(t.versions())))
 	t.mu.Unlock()
 	t.broadcast(ctx, all, true)
-	for _, kept := range old {
+	for _, kept := range expired {
 		txn := store.Transaction{Conditions: []store.Condition{store.AtVersion(Table, kept)}, Writes: []store.Write{store.Delete(Table, kept.Key)}}
 		if err := t.options.Tables.Commit(ctx, txn); err != nil {
 			t.options.Logger.Info("a row that is too old to count stays for now", "row", kept.Key, "error", err)
--- a/internal/quarantine/lasting_test.go
+++ b/internal/quarantine/lasting_test.go
@@ -19,78 +19,78 @@
 
 var _ = Describe("what hosts have seen of crashes", func() {
 	It("outlasts each of them, and all of them at once", func() {
-		sharing(3, func(h *hosts) {
-			h.crash(0, "e0", guilty)
-			time.Sleep(apart)
-			h.crash(0, "e1", guilty)
-			time.Sleep(apart)
-			h.killAll()
-			h.crash(1, "e2", guilty)
-			time.Sleep(apart)
-			Expect(h.quarantined(guilty)).To(Equal(all))
-			h.killAll()
-			Expect(h.quarantined(guilty)).To(Equal(all))
+		withCluster(3, func(h *cluster) {
+			h.crash(0, "e0", crashing)
+			time.Sleep(crashSpacing)
+			h.crash(0, "e1", crashing)
+			time.Sleep(crashSpacing)
+			h.restartAll()
+			h.crash(1, "e2", crashing)
+			time.Sleep(crashSpacing)
+			Expect(h.quarantined(crashing)).To(Equal(all))
+			h.restartAll()
+			Expect(h.quarantined(crashing)).To(Equal(all))
 			h.kill(2)
 			h.start(2)
-			time.Sleep(apart)
-			Expect(h.quarantined(guilty)).To(Equal(all))
+			time.Sleep(crashSpacing)
+			Expect(h.quarantined(crashing)).To(Equal(all))
 		})
 	})
 
 	for name, away := range map[string]bool{"": false, ", while the store is away": true} {
 		It("outlasts a host that starts again and sees a crash before it has heard of its earlier life"+name, func() {
-			sharing(3, func(h *hosts) {
+			withCluster(3, func(h *cluster) {
 				for i := range 3 {
-					h.crash(0, fmt.Sprint("e", i), guilty)
-					time.Sleep(apart)
+					h.crash(0, fmt.Sprint("e", i), crashing)
+					time.Sleep(crashSpacing)
 				}
-				Expect(h.quarantined(guilty)).To(Equal(all))
+				Expect(h.quarantined(crashing)).To(Equal(all))
 				if away {
 					h.store.Break(standin.Silent)
 				}
 				h.kill(0)
 				h.start(0)
-				h.crash(0, "e9", beside)
+				h.crash(0, "e9", harmless)
 				for range 50 {
 					time.Sleep(100 * time.Millisecond)
-					Expect(h.quarantined(guilty)[1:]).To(Equal(all[1:]), "at the other hosts")
+					Expect(h.quarantined(crashing)[1:]).To(Equal(all[1:]), "at the other hosts")
 				}
-				Expect(h.quarantined(guilty)).To(Equal(all))
+				Expect(h.quarantined(crashing)).To(Equal(all))
 				h.store.Break(standin.Healthy)
 			})
 		})
 	}
 
 	It("does not come back with a host's earlier life once it was cleared", func() {
-		sharing(3, func(h *hosts) {
-			h.thrice(guilty)
-			h.letOut(guilty)
+		withCluster(3, func(h *cluster) {
+			h.crashThrice(crashing)
+			h.release(crashing)
 			time.Sleep(3 * time.Second)
-			h.killAll()
-			Expect(h.quarantined(guilty)).To(Equal(none))
+			h.restartAll()
+			Expect(h.quarantined(crashing)).To(Equal(none))
 		})
 	})
 
 	for name, fault := range storeFaults {
 		It("is known to all while the store "+name+", and kept once it is back", func() {
-			sharing(3, func(h *hosts) {
+			withCluster(3, func(h *cluster) {
 				h.store.Break(fault)
-				h.thrice(guilty)
-				Expect(h.quarantined(guilty)).To(Equal(all))
+				h.crashThrice(crashing)
+				Expect(h.quarantined(crashing)).To(Equal(all))
 				h.store.Break(standin.Healthy)
 				time.Sleep(3 * time.Second)
-				h.killAll()
-				Expect(h.quarantined(guilty)).To(Equal(all))
+				h.restartAll()
+				Expect(h.quarantined(crashing)).To(Equal(all))
 			})
 		})
 	}
 
 	It("is the newest in the store though an older write is done late", func() {
-		sharing(1, func(h *hosts) {
+		withCluster(1, func(h *cluster) {
 			h.store.Break(standin.Silent)
-			h.crash(0, "e0", guilty)
-			time.Sleep(apart)
-			h.crash(0, "e1", guilty)
+			h.crash(0, "e0", crashing)
+			time.Sleep(crashSpacing)
+			h.crash(0, "e1", crashing)
 			time.Sleep(3 * time.Second)
 			old := []byte(`{"version":1,"row":{}}`)
 			h.store.Break(standin.Healthy)
@@ -102,28 +102,28 @@
 	})
 
 	It("reaches hosts that were cut off, or were passed over, within three seconds of their return", func() {
-		sharing(3, func(h *hosts) {
-			h.cutOff(2, true)
-			h.thrice(guilty)
-			h.crash(1, "f", guilty)
-			time.Sleep(apart)
-			Expect(h.quarantined(guilty)).To(Equal([]bool{true, true, false}))
-			h.cutOff(2, false)
+		withCluster(3, func(h *cluster) {
+			h.setPartitioned(2, true)
+			h.crashThrice(crashing)
+			h.crash(1, "f", crashing)
+			time.Sleep(crashSpacing)
+			Expect(h.quarantined(crashing)).To(Equal([]bool{true, true, false}))
+			h.setPartitioned(2, false)
 			time.Sleep(3 * time.Second)
-			Expect(h.quarantined(guilty)).To(Equal(all))
+			Expect(h.quarantined(crashing)).To(Equal(all))
 		})
 	})
 
 	It("reaches 60 hosts at once, though some of them do not answer", func() {
-		sharing(60, func(h *hosts) {
+		withCluster(60, func(h *cluster) {
 			for i := range 9 {
-				h.cutOff(10+i*5, true)
+				h.setPartitioned(10+i*5, true)
 			}
-			before := h.told()
-			h.thrice(guilty)
-			Expect(h.told()-before).To(BeNumerically("<", 3*60+60*3*2), "what is told, and 60 hosts that compare in three seconds")
-			for i, held := range h.quarantined(guilty) {
-				Expect(held).To(Equal(!h.isCut(i)), "host %d", i)
+			before := h.callCount()
+			h.crashThrice(crashing)
+			Expect(h.callCount()-before).To(BeNumerically("<", 3*60+60*3*2), "what is told, and 60 hosts that compare in three seconds")
+			for i, held := range h.quarantined(crashing) {
+				Expect(held).To(Equal(!h.isPartitioned(i)), "host %d", i)
 			}
 		})
 	})
@@ -131,64 +131,64 @@
 	// When a seventh of thousands of endpoints crash, hundreds of hosts have had something there. A
 	// request that crashes endpoints is to be known to all within three seconds all the same.
 	It("is told with messages that grow no faster than the hosts, however many have seen it", func() {
-		const count, saw = 400, 200
-		sharing(count, func(h *hosts) {
+		const count, observers = 400, 200
+		withCluster(count, func(h *cluster) {
 			time.Sleep(2 * time.Second)
-			before := h.told()
+			before := h.callCount()
 			for i := range 3 {
-				for j := range saw {
-					h.crash((2*j+i)%count, fmt.Sprint("e", i), guilty, printOf(uint64(1000*i+j+10)))
+				for j := range observers {
+					h.crash((2*j+i)%count, fmt.Sprint("e", i), crashing, fingerprintOf(uint64(1000*i+j+10)))
 				}
-				time.Sleep(apart)
+				time.Sleep(crashSpacing)
 			}
-			sent := h.told() - before
-			time.Sleep(toldWithin - apart)
-			for i, held := range h.quarantined(guilty) {
+			sent := h.callCount() - before
+			time.Sleep(maxPropagation - crashSpacing)
+			for i, held := range h.quarantined(crashing) {
 				Expect(held).To(BeTrue(), "host %d", i)
 			}
 			// For each crash each host hears of it some times, and those that saw it tell one each;
 			// besides, each compares with another one now and then.
-			Expect(sent).To(BeNumerically("<", 3*(saw+hears*count)+2*count*2))
+			Expect(sent).To(BeNumerically("<", 3*(observers+maxReportsPerHost*count)+2*count*2))
 		})
 	})
 
 	It("is passed over where it can't be read", func() {
-		sharing(3, func(h *hosts) {
-			h.thrice(guilty)
+		withCluster(3, func(h *cluster) {
+			h.crashThrice(crashing)
 			h.store.Put(quarantine.Table, "host-9", []byte(`{"row":7}`))
-			_, err := h.books[0].HandleUpdate(context.Background(), quarantine.Update{Rows: []quarantine.Row{{Host: "host-8", Version: 9, Value: []byte("{")}}})
+			_, err := h.trackers[0].HandleUpdate(context.Background(), quarantine.Update{Rows: []quarantine.Row{{Host: "host-8", Version: 9, Value: []byte("{")}}})
 			Expect(err).NotTo(HaveOccurred())
-			h.killAll()
-			Expect(h.quarantined(guilty)).To(Equal(all))
-			Expect(h.log.read()).To(ContainSubstring("can't be read"))
+			h.restartAll()
+			Expect(h.quarantined(crashing)).To(Equal(all))
+			Expect(h.log.contents()).To(ContainSubstring("can't be read"))
 		})
 	})
 
 	It("is bounded, and those in quarantine stay", func() {
-		sharing(3, func(h *hosts) {
-			h.thrice(guilty)
+		withCluster(3, func(h *cluster) {
+			h.crashThrice(crashing)
 			for i := range 300 {
-				h.crash(0, fmt.Sprint("x", i), printOf(uint64(1000+i)))
+				h.crash(0, fmt.Sprint("x", i), fingerprintOf(uint64(1000+i)))
 				time.Sleep(300 * time.Millisecond)
 			}
-			time.Sleep(apart)
-			Expect(h.quarantined(guilty)).To(Equal(all))
+			time.Sleep(crashSpacing)
+			Expect(h.quarantined(crashing)).To(Equal(all))
 			Expect(len(h.store.Value(quarantine.Table, "host-0"))).To(BeNumerically("<", 30_000))
 		})
 	})
 
 	It("costs no write while nothing crashes, or all that ran there comes to a good end elsewhere", func() {
-		sharing(3, func(h *hosts) {
+		withCluster(3, func(h *cluster) {
 			time.Sleep(time.Minute)
-			h.crash(0, "e0", guilty, beside)
-			h.crash(1, "e0", printOf(3))
-			time.Sleep(apart)
-			h.books[0].RequestCompleted(guilty)
-			h.books[0].RequestCompleted(beside)
-			h.books[1].RequestCompleted(printOf(3))
+			h.crash(0, "e0", crashing, harmless)
+			h.crash(1, "e0", fingerprintOf(3))
+			time.Sleep(crashSpacing)
+			h.trackers[0].RequestCompleted(crashing)
+			h.trackers[0].RequestCompleted(harmless)
+			h.trackers[1].RequestCompleted(fingerprintOf(3))
 			time.Sleep(time.Minute)
 			Expect(h.store.Writes()).To(BeZero())
-			h.crash(0, "e1", guilty)
+			h.crash(0, "e1", crashing)
 			time.Sleep(time.Minute)
 			Expect(h.store.Writes()).To(Equal(1))
 		})
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -31,7 +31,7 @@
 	now := t.clock.Now()
 	var list []ListEntry
 	for f, n := range v.crashCounts {
-		s := v.assess(f)
+		s := v.assessRequest(f)
 		_, held := t.quarantined[f]
 		if n < minListedMoments || (s.moments < minListedMoments && !held) {
 			continue
--- a/internal/quarantine/ongoing.go
+++ b/internal/quarantine/ongoing.go
@@ -63,8 +63,8 @@
 	}
 	for o := range t.ongoing {
 		f := o.request()
-		l, suspected := longest[f]
-		if suspected && time.Duration(o.receivedFor.Load()) > 2*l+clearMargin {
+		longestRun, suspected := longest[f]
+		if suspected && time.Duration(o.receivedFor.Load()) > 2*longestRun+clearMargin {
 			t.clearRequest(f, t.clock.Now(), "an answer to it goes on elsewhere")
 		}
 	}
--- a/internal/quarantine/relay_test.go
+++ b/internal/quarantine/relay_test.go
@@ -9,11 +9,13 @@
 	"github.com/charmbracelet/log"
 )
 
-// deaf is a caller whose messages are lost.
-type deaf struct{}
+// unreachablePeers is a caller whose messages are lost.
+type unreachablePeers struct{}
 
 // Tell implements Caller.
-func (deaf) Tell(context.Context, string, Update) (Update, error) { return Update{}, context.Canceled }
+func (unreachablePeers) Tell(context.Context, string, Update) (Update, error) {
+	return Update{}, context.Canceled
+}
 
 // TestGroupsAreAlikeForAllHosts works out the groups of fleets of all sizes at each host: every other
 // host stands in one of them, and a host alone in its group tells the others all the same.
@@ -27,7 +29,7 @@
 				other := fmt.Sprintf("host-%03d", (i+j)%count)
 				members = append(members, Member{Name: other, Address: other})
 			}
-			b := NewTracker(Options{Host: name, Members: func() []Member { return members }, Peers: deaf{}, Logger: log.New(io.Discard)})
+			b := NewTracker(Options{Host: name, Members: func() []Member { return members }, Peers: unreachablePeers{}, Logger: log.New(io.Discard)})
 			own, others := b.relayGroups()
 			known := len(own)
 			for _, g := range others {
--- a/internal/quarantine/rig_test.go
+++ b/internal/quarantine/rig_test.go
@@ -21,94 +21,94 @@
 	"quaybarrow/platform/standin"
 )
 
-// hosts are the books of some hosts that tell each other and share a store.
-type hosts struct {
-	net   *memnet.Network
-	store *standin.Store
-	clock clock.Steady // that all share
-	log   *lines
-	up    map[string]bool // addresses that take connections
-	count int             // endpoints that have crashed
-
-	mu    sync.Mutex // guards all below
-	books []*quarantine.Tracker
-	lives []*life
-	cut   map[int]bool // hosts that nobody reaches
-	calls int          // of hosts to others
-}
-
-// life is a host's, until it is killed.
-type life struct {
+// cluster are the books of some cluster that tell each other and share a store.
+type cluster struct {
+	net        *memnet.Network
+	store      *standin.Store
+	clock      clock.Steady // that all share
+	log        *logBuffer
+	listening  map[string]bool // addresses that take connections
+	crashCount int             // endpoints that have crashed
+
+	mu          sync.Mutex // guards all below
+	trackers    []*quarantine.Tracker
+	processes   []*hostProcess
+	partitioned map[int]bool // hosts that nobody reaches
+	calls       int          // of hosts to others
+}
+
+// hostProcess is a host's, until it is killed.
+type hostProcess struct {
 	cancel  context.CancelFunc
 	working sync.WaitGroup
 }
 
-// caller reaches the other hosts.
-type caller struct {
-	hosts *hosts
-	from  int
+// peerClient reaches the other hosts.
+type peerClient struct {
+	cluster *cluster
+	from    int
 }
 
-var errCut = errors.New("no answer")
+var errPartitioned = errors.New("no answer")
 
 // Tell implements quarantine.Caller.
-func (c caller) Tell(ctx context.Context, address string, n quarantine.Update) (quarantine.Update, error) {
+func (c peerClient) Tell(ctx context.Context, address string, n quarantine.Update) (quarantine.Update, error) {
 	var to int
 	if _, err := fmt.Sscanf(address, "host-%d", &to); err != nil {
 		return quarantine.Update{}, err
 	}
-	h := c.hosts
+	h := c.cluster
 	h.mu.Lock()
 	h.calls++
-	cut, book := h.cut[to] || h.cut[c.from], h.books[to]
+	cut, book := h.partitioned[to] || h.partitioned[c.from], h.trackers[to]
 	h.mu.Unlock()
 	if cut || book == nil {
 		<-ctx.Done()
-		return quarantine.Update{}, errCut
+		return quarantine.Update{}, errPartitioned
 	}
 	return book.HandleUpdate(ctx, n)
 }
 
 // members are the other hosts, from the next one on.
-func (c caller) members() []quarantine.Member {
-	c.hosts.mu.Lock()
-	defer c.hosts.mu.Unlock()
+func (c peerClient) members() []quarantine.Member {
+	c.cluster.mu.Lock()
+	defer c.cluster.mu.Unlock()
 	var list []quarantine.Member
-	for i := 1; i < len(c.hosts.books); i++ {
-		name := fmt.Sprint("host-", (c.from+i)%len(c.hosts.books))
+	for i := 1; i < len(c.cluster.trackers); i++ {
+		name := fmt.Sprint("host-", (c.from+i)%len(c.cluster.trackers))
 		list = append(list, quarantine.Member{Name: name, Address: name})
 	}
 	return list
 }
 
-// told counts the messages of hosts to others.
-func (h *hosts) told() int {
+// callCount counts the messages of hosts to others.
+func (h *cluster) callCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.calls
 }
 
-func (h *hosts) isCut(i int) bool {
+func (h *cluster) isPartitioned(i int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.cut[i]
+	return h.partitioned[i]
 }
 
-// lines counts what was logged.
-type lines struct {
+// logBuffer counts what was logged.
+type logBuffer struct {
 	mu   sync.Mutex // guards text
 	text string
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text += string(p)
 	return len(p), nil
 }
 
-func (l *lines) read() string {
+func (l *logBuffer) contents() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text
@@ -116,12 +116,12 @@
 
 const storeAddress = "10.9.0.1:80"
 
-// sharing runs a body beside hosts.
-func sharing(count int, body func(h *hosts)) {
+// withCluster runs a body beside hosts.
+func withCluster(count int, body func(h *cluster)) {
 	suite.Paused(func() {
-		h := &hosts{
-			net: memnet.New(), store: standin.NewStore(), clock: clock.NewSteady(), log: &lines{}, up: map[string]bool{}, cut: map[int]bool{},
-			books: make([]*quarantine.Tracker, count), lives: make([]*life, count),
+		h := &cluster{
+			net: memnet.New(), store: standin.NewStore(), clock: clock.NewSteady(), log: &logBuffer{}, listening: map[string]bool{}, partitioned: map[int]bool{},
+			trackers: make([]*quarantine.Tracker, count), processes: make([]*hostProcess, count),
 		}
 		server := &http.Server{Handler: h.store}
 		l := h.net.Listen(storeAddress)
@@ -140,27 +140,27 @@
 }
 
 // start starts a host, also again.
-func (h *hosts) start(i int) {
+func (h *cluster) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	client := platform.NewStore(storeAddress, h.net.Dial)
-	to := caller{h, i}
+	to := peerClient{h, i}
 	b := quarantine.NewTracker(quarantine.Options{
-		Host: fmt.Sprint("host-", i), Probe: h.reach, CountEndpoints: func(string) int { return 12 }, Tables: client, Logger: log.New(h.log),
+		Host: fmt.Sprint("host-", i), Probe: h.probe, CountEndpoints: func(string) int { return 12 }, Tables: client, Logger: log.New(h.log),
 		Members: to.members, Peers: to, IsFirstHost: func() bool { return i == 0 },
 		SharedNow: func() (time.Duration, bool) { return h.clock.Now(), true },
 	})
-	l := &life{cancel: cancel}
+	l := &hostProcess{cancel: cancel}
 	l.working.Go(func() { b.Run(ctx) })
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.books[i], h.lives[i] = b, l
+	h.trackers[i], h.processes[i] = b, l
 }
 
 // kill ends a host; what it has not told is lost.
-func (h *hosts) kill(i int) {
+func (h *cluster) kill(i int) {
 	h.mu.Lock()
-	l := h.lives[i]
-	h.books[i] = nil
+	l := h.processes[i]
+	h.trackers[i] = nil
 	h.mu.Unlock()
 	if l == nil {
 		return
@@ -169,59 +169,59 @@
 	l.working.Wait()
 }
 
-// killAll ends all hosts and starts them again.
-func (h *hosts) killAll() {
-	for i := range h.books {
+// restartAll ends all hosts and starts them again.
+func (h *cluster) restartAll() {
+	for i := range h.trackers {
 		h.kill(i)
 	}
-	for i := range h.books {
+	for i := range h.trackers {
 		h.start(i)
 	}
-	time.Sleep(apart)
+	time.Sleep(crashSpacing)
 }
 
-// cutOff has nobody reach a host, or ends that.
-func (h *hosts) cutOff(i int, on bool) {
+// setPartitioned has nobody reach a host, or ends that.
+func (h *cluster) setPartitioned(i int, on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.cut[i] = on
+	h.partitioned[i] = on
 }
 
-// reach is how hosts open connections to endpoints.
-func (h *hosts) reach(_ context.Context, address string, _ time.Duration) (bool, error) {
-	if h.up[address] {
+// probe is how hosts open connections to endpoints.
+func (h *cluster) probe(_ context.Context, address string, _ time.Duration) (bool, error) {
+	if h.listening[address] {
 		return true, nil
 	}
 	return false, syscall.ECONNREFUSED
 }
 
 // crash has requests run at an endpoint that crashes, as a host sees it.
-func (h *hosts) crash(host int, endpoint string, requests ...quarantine.Fingerprint) {
+func (h *cluster) crash(host int, endpoint string, requests ...quarantine.Fingerprint) {
 	for _, f := range requests {
-		Expect(h.books[host].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: 80 * time.Millisecond}})).To(BeTrue())
+		Expect(h.trackers[host].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: 80 * time.Millisecond}})).To(BeTrue())
 	}
 }
 
-// thrice has endpoints crash under a request at several hosts.
-func (h *hosts) thrice(f quarantine.Fingerprint) {
+// crashThrice has endpoints crash under a request at several hosts.
+func (h *cluster) crashThrice(f quarantine.Fingerprint) {
 	for i := range 3 {
-		h.count++
-		h.crash(i%len(h.books), fmt.Sprint("again-", h.count), f)
-		time.Sleep(apart)
+		h.crashCount++
+		h.crash(i%len(h.trackers), fmt.Sprint("again-", h.crashCount), f)
+		time.Sleep(crashSpacing)
 	}
 }
 
 // quarantined tells which hosts have a request in quarantine.
-func (h *hosts) quarantined(f quarantine.Fingerprint) []bool {
+func (h *cluster) quarantined(f quarantine.Fingerprint) []bool {
 	var held []bool
-	for _, b := range h.books {
+	for _, b := range h.trackers {
 		held = append(held, b.Status(f).Quarantined)
 	}
 	return held
 }
 
-// printOf is the fingerprint of one of many requests.
-func printOf(n uint64) (f quarantine.Fingerprint) {
+// fingerprintOf is the fingerprint of one of many requests.
+func fingerprintOf(n uint64) (f quarantine.Fingerprint) {
 	binary.BigEndian.PutUint64(f[:], n)
 	return f
 }
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -219,10 +219,10 @@
 		t.invalidate()
 		return
 	}
-	mine := t.ownRow()
-	mine.merge(r.record)
-	mine.version = max(mine.version, r.version)
-	t.rows[host] = mine
+	own := t.ownRow()
+	own.merge(r.record)
+	own.version = max(own.version, r.version)
+	t.rows[host] = own
 	t.publish()
 }
 
--- a/internal/quarantine/standing_test.go
+++ b/internal/quarantine/standing_test.go
@@ -14,9 +14,9 @@
 	return crashes
 }
 
-// emptied are crashes, two of them under a request that waits for their service, and whether it may be why.
-var emptied = map[string]struct {
-	beside []Crash
+// emptiedCases are crashes, two of them under a request that waits for their service, and whether it may be why.
+var emptiedCases = map[string]struct {
+	others []Crash
 	may    bool
 }{
 	"nothing else crashed":         {nil, true},
@@ -28,12 +28,12 @@
 
 // TestRequestsThatMayHaveEmptiedAService guards against turns for all that ran where endpoints lost power.
 func TestRequestsThatMayHaveEmptiedAService(t *testing.T) {
-	request := printOf(1)
+	request := fingerprintOf(1)
 	under := map[Fingerprint]Run{request: {Lasted: 50 * time.Millisecond}}
-	for what, c := range emptied {
+	for what, c := range emptiedCases {
 		t.Run(what, func(t *testing.T) {
-			crashes := append(crashesAt("s", under, 1000, 1020), c.beside...)
-			s := Evidence{CountEndpoints: func(string) int { return 12 }}.suspect(request, crashes)
+			crashes := append(crashesAt("s", under, 1000, 1020), c.others...)
+			s := Evidence{CountEndpoints: func(string) int { return 12 }}.assess(request, crashes)
 			standing := Status{Crashed: len(s.crashed), Beside: s.otherCrashes}
 			if standing.MayHaveEmptiedService() != c.may {
 				t.Errorf("%+v, want %v", standing, c.may)
