--- a/internal/quarantine/attribution.go
+++ b/internal/quarantine/attribution.go
@@ -197,7 +197,7 @@
 func (s assessment) sameCrashes(other assessment) bool { return slices.Equal(s.crashed, other.crashed) }
 
 // countCrashes counts the crashes of the requests that were at so many at least.
-func countCrashes(crashes []Crash, least int) map[Fingerprint]int {
+func countCrashes(crashes []Crash, minCount int) map[Fingerprint]int {
 	counts := map[Fingerprint]int{}
 	for _, c := range crashes {
 		for f := range c.Runs {
@@ -205,7 +205,7 @@
 		}
 	}
 	for f, n := range counts {
-		if n < least {
+		if n < minCount {
 			delete(counts, f)
 		}
 	}
--- a/internal/quarantine/cluster_test.go
+++ b/internal/quarantine/cluster_test.go
@@ -142,31 +142,31 @@
 // start starts a host, also again.
 func (h *cluster) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
-	client := platform.NewStore(storeAddress, h.net.Dial)
+	tables := platform.NewStore(storeAddress, h.net.Dial)
 	to := peerClient{h, i}
 	b := quarantine.NewTracker(quarantine.Options{
-		Host: fmt.Sprint("host-", i), Probe: h.probe, CountEndpoints: func(string) int { return 12 }, Tables: client, Logger: log.New(h.log),
+		Host: fmt.Sprint("host-", i), Probe: h.probe, CountEndpoints: func(string) int { return 12 }, Tables: tables, Logger: log.New(h.log),
 		Members: to.members, Peers: to, IsFirstHost: func() bool { return i == 0 },
 		SharedNow: func() (time.Duration, bool) { return h.clock.Now(), true },
 	})
-	l := &hostProcess{cancel: cancel}
-	l.working.Go(func() { b.Run(ctx) })
+	process := &hostProcess{cancel: cancel}
+	process.working.Go(func() { b.Run(ctx) })
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.trackers[i], h.processes[i] = b, l
+	h.trackers[i], h.processes[i] = b, process
 }
 
 // kill ends a host; what it has not told is lost.
 func (h *cluster) kill(i int) {
 	h.mu.Lock()
-	l := h.processes[i]
+	process := h.processes[i]
 	h.trackers[i] = nil
 	h.mu.Unlock()
-	if l == nil {
+	if process == nil {
 		return
 	}
-	l.cancel()
-	l.working.Wait()
+	process.cancel()
+	process.working.Wait()
 }
 
 // restartAll ends all hosts and starts them again.
--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -46,43 +46,43 @@
 }
 
 // NewCrashDetector returns a witness that looks by opening connections.
-func NewCrashDetector(reach ProbeFunc) *CrashDetector {
-	return &CrashDetector{probe: reach, probes: map[string]*probeResult{}}
+func NewCrashDetector(probe ProbeFunc) *CrashDetector {
+	return &CrashDetector{probe: probe, probes: map[string]*probeResult{}}
 }
 
 // Crashed reports whether the endpoint that was at an address has crashed: nothing listens
 // there any more. The id names this start of the endpoint.
 func (d *CrashDetector) Crashed(ctx context.Context, id, address string) bool {
-	l, first := d.probeFor(id)
+	result, first := d.probeFor(id)
 	if first {
 		// Others wait for it too, so it goes on if the first of them leaves.
-		l.crashed = d.refusesConnections(context.WithoutCancel(ctx), address)
-		close(l.done)
+		result.crashed = d.refusesConnections(context.WithoutCancel(ctx), address)
+		close(result.done)
 	}
 	select {
-	case <-l.done:
-		return l.crashed
+	case <-result.done:
+		return result.crashed
 	case <-ctx.Done():
 		return false
 	}
 }
 
 // probeFor returns the look at an endpoint, and whether it is still to be made.
-func (d *CrashDetector) probeFor(id string) (l *probeResult, first bool) {
+func (d *CrashDetector) probeFor(id string) (result *probeResult, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
-	if l, ok := d.probes[id]; ok && now.Sub(l.at) < probeTTL {
-		return l, false
+	if recent, ok := d.probes[id]; ok && now.Sub(recent.at) < probeTTL {
+		return recent, false
 	}
-	for old, l := range d.probes {
-		if now.Sub(l.at) >= probeTTL {
-			delete(d.probes, old)
+	for staleID, stale := range d.probes {
+		if now.Sub(stale.at) >= probeTTL {
+			delete(d.probes, staleID)
 		}
 	}
-	l = &probeResult{done: make(chan struct{}), at: now}
-	d.probes[id] = l
-	return l, true
+	result = &probeResult{done: make(chan struct{}), at: now}
+	d.probes[id] = result
+	return result, true
 }
 
 // refusesConnections reports whether nothing listens at an address.
--- a/internal/quarantine/grpc.go
+++ b/internal/quarantine/grpc.go
@@ -16,18 +16,18 @@
 
 // Register has a gRPC server take in what other hosts tell.
 func Register(s grpc.ServiceRegistrar, handle Handler) {
-	quarantinepb.RegisterQuarantineServer(s, &server{hear: handle})
+	quarantinepb.RegisterQuarantineServer(s, &server{handle: handle})
 }
 
 // server answers other hosts.
 type server struct {
 	quarantinepb.UnimplementedQuarantineServer
-	hear Handler
+	handle Handler
 }
 
 // Tell implements quarantinepb.QuarantineServer.
 func (s *server) Tell(ctx context.Context, n *quarantinepb.News) (*quarantinepb.News, error) {
-	reply, err := s.hear(ctx, newsFromWire(n))
+	reply, err := s.handle(ctx, newsFromWire(n))
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
--- a/internal/quarantine/ongoing.go
+++ b/internal/quarantine/ongoing.go
@@ -47,7 +47,7 @@
 	v := t.view()
 	longest := map[Fingerprint]time.Duration{}
 	for f, n := range v.crashCounts {
-		if n >= leftAt {
+		if n >= callerRetryMoments {
 			longest[f] = 0
 		}
 	}
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -295,7 +295,7 @@
 // report has what hosts saw of a crash become known, in parts if each of them tells its own.
 func (p *simulation) report(c Crash, broken []*simRequest) {
 	if p.scenario.hosts == 0 {
-		p.learn(c)
+		p.receiveReport(c)
 		return
 	}
 	parts := make([]Crash, p.scenario.hosts)
@@ -314,15 +314,15 @@
 		if p.random.Float64() < p.scenario.lateReportFraction {
 			after += listDelay + time.Duration(p.random.Float64()*float64(p.scenario.lateReportSpread))
 		}
-		p.after(after, func() { p.learn(part) })
+		p.after(after, func() { p.receiveReport(part) })
 	}
 }
 
 // listDelay is after how long the list tells a crash.
 const listDelay = 3600 * time.Millisecond
 
-// learn takes in what is told of a crash, and has it weighed, again once it may count.
-func (p *simulation) learn(c Crash) {
+// receiveReport takes in what is told of a crash, and has it weighed, again once it may count.
+func (p *simulation) receiveReport(c Crash) {
 	i := slices.IndexFunc(p.crashes, func(known Crash) bool { return known.Endpoint == c.Endpoint })
 	if i < 0 {
 		c.UpdatedAt = p.now
--- a/internal/quarantine/status.go
+++ b/internal/quarantine/status.go
@@ -4,10 +4,10 @@
 const (
 	// From so many crashes on, of its own and of all its copies, hosts do not repeat a request
 	// any more if it is as unlikely as this to have been beside them by chance; its caller may.
-	leftAt     = 2
-	leftChance = 1e-3
-	// emptiedLeast is from how many crashes on a request may be what has emptied a service.
-	emptiedLeast = 2
+	callerRetryMoments = 2
+	callerRetryChance  = 1e-3
+	// minEmptyingCrashes is from how many crashes on a request may be what has emptied a service.
+	minEmptyingCrashes = 2
 )
 
 // Status is what is known of a request; an immutable value.
@@ -28,7 +28,7 @@
 // there were none: it was at most of the crashes, of which one more may be known to nobody yet. What loses its
 // endpoints to a power cut was at few of them.
 func (s Status) MayHaveEmptiedService() bool {
-	return !s.Quarantined && s.Crashed >= emptiedLeast && s.Beside <= s.Crashed
+	return !s.Quarantined && s.Crashed >= minEmptyingCrashes && s.Beside <= s.Crashed
 }
 
 // IsSuspect reports whether as many endpoints have crashed beside the request as one has to crash to be
@@ -38,5 +38,5 @@
 // HostMayRetry reports whether a host may repeat the request on its own that so many endpoints have
 // crashed under since it came this time.
 func (s Status) HostMayRetry(crashes int) bool {
-	return !s.Quarantined && (min(crashes, s.Moments) < leftAt || s.Chance > leftChance)
+	return !s.Quarantined && (min(crashes, s.Moments) < callerRetryMoments || s.Chance > callerRetryChance)
 }
--- a/internal/quarantine/storage.go
+++ b/internal/quarantine/storage.go
@@ -128,11 +128,11 @@
 		t.stored = false
 		return store.Transaction{Writes: []store.Write{store.Delete(Table, t.options.Host)}}, nil
 	}
-	ahead, err := t.sharedClockOffset()
+	offset, err := t.sharedClockOffset()
 	if err != nil {
 		return store.Transaction{}, err
 	}
-	data, err := encodeStored(unresolved, t.ownRow().version, ahead)
+	data, err := encodeStored(unresolved, t.ownRow().version, offset)
 	if err != nil {
 		return store.Transaction{}, fmt.Errorf("keep crashes: %w", err)
 	}
@@ -157,10 +157,10 @@
 // the store. The first of all hosts reads it, and tells the others; they read it themselves if
 // they hear nothing for a while, so after a loss of power it is one call.
 func (t *Tracker) load(ctx context.Context) {
-	began, alone := clock.Now(), loadFromPeersFor+rand.N(loadJitter)
+	began, peersOnly := clock.Now(), loadFromPeersFor+rand.N(loadJitter)
 	for clock.Sleep(ctx, clock.Around(loadInterval)) && !t.isLoaded() {
 		t.syncOnce(ctx)
-		if t.isLoaded() || (!t.options.isFirstHost() && clock.Since(began) < alone) {
+		if t.isLoaded() || (!t.options.isFirstHost() && clock.Since(began) < peersOnly) {
 			continue
 		}
 		t.loadFromStore(ctx)
@@ -200,10 +200,10 @@
 	all := t.encodeRows(slices.Sorted(maps.Keys(t.versions())))
 	t.mu.Unlock()
 	t.broadcast(ctx, all, true)
-	for _, kept := range expired {
-		txn := store.Transaction{Conditions: []store.Condition{store.AtVersion(Table, kept)}, Writes: []store.Write{store.Delete(Table, kept.Key)}}
+	for _, storedRow := range expired {
+		txn := store.Transaction{Conditions: []store.Condition{store.AtVersion(Table, storedRow)}, Writes: []store.Write{store.Delete(Table, storedRow.Key)}}
 		if err := t.options.Tables.Commit(ctx, txn); err != nil {
-			t.options.Logger.Info("a row that is too old to count stays for now", "row", kept.Key, "error", err)
+			t.options.Logger.Info("a row that is too old to count stays for now", "row", storedRow.Key, "error", err)
 		}
 	}
 }
@@ -216,19 +216,19 @@
 	if err != nil {
 		ahead = 0 // what is kept counts as seen when this host started
 	}
-	for _, kept := range rows {
-		r, err := decodeStored(kept.Value, ahead)
+	for _, storedRow := range rows {
+		r, err := decodeStored(storedRow.Value, ahead)
 		if err != nil {
-			t.options.Logger.Error("what a host has kept of crashes can't be read", "row", kept.Key, "row_version", kept.Version, "error", err)
+			t.options.Logger.Error("what a host has kept of crashes can't be read", "row", storedRow.Key, "row_version", storedRow.Version, "error", err)
 			continue
 		}
-		t.stored = t.stored || kept.Key == t.options.Host
+		t.stored = t.stored || storedRow.Key == t.options.Host
 		r.trim(t.clock.Now()-crashTTL, func(Fingerprint) bool { return false })
 		switch {
 		case r.isEmpty():
-			expired = append(expired, kept)
-		case r.version > t.rows[kept.Key].version:
-			t.mergeRow(kept.Key, r)
+			expired = append(expired, storedRow)
+		case r.version > t.rows[storedRow.Key].version:
+			t.mergeRow(storedRow.Key, r)
 		}
 	}
 	t.markLoaded()
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -151,27 +151,27 @@
 	attempts := t.unconfirmed[endpoint]
 	t.mu.Unlock()
 	if len(attempts) > 0 && t.detector.refusesConnections(ctx, attempts[0].Address) {
-		t.confirm(func(k BrokenAttempt) bool { return k.Endpoint == endpoint })
+		t.confirm(func(a BrokenAttempt) bool { return a.Endpoint == endpoint })
 	}
 }
 
 // EndpointListed takes in that an endpoint's start is listed at an address: any other that was there has
 // ended, and what broke off there a moment ago crashed with it.
 func (t *Tracker) EndpointListed(endpoint, address string) {
-	t.confirm(func(k BrokenAttempt) bool { return k.Address == address && k.Endpoint != endpoint })
+	t.confirm(func(a BrokenAttempt) bool { return a.Address == address && a.Endpoint != endpoint })
 }
 
 // confirm takes in crashes of endpoints at which connections broke a moment ago.
-func (t *Tracker) confirm(crashed func(k BrokenAttempt) bool) {
+func (t *Tracker) confirm(crashed func(a BrokenAttempt) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for endpoint, attempts := range t.unconfirmed {
 		if !crashed(attempts[0]) {
 			continue
 		}
-		for _, k := range attempts {
-			if t.clock.Now()-k.reportedAt <= unconfirmedTTL {
-				t.recordCrash(k.crash(k.reportedAt))
+		for _, a := range attempts {
+			if t.clock.Now()-a.reportedAt <= unconfirmedTTL {
+				t.recordCrash(a.crash(a.reportedAt))
 			}
 		}
 		delete(t.unconfirmed, endpoint)
