--- a/internal/quarantine/attribution.go
+++ b/internal/quarantine/attribution.go
@@ -7,74 +7,78 @@
 	"time"
 )
 
-// Crash is that of an endpoint, with the requests that ran there; an immutable value.
+// Crash is the crash of an endpoint, with the requests that ran there; an immutable value.
 type Crash struct {
-	Endpoint  string        // this start of it
-	Service   string        // of which it was one
-	At        time.Duration // of a steady clock
+	Endpoint  string        // the endpoint instance, that is one start of the endpoint
+	Service   string        // the endpoint's service
+	At        time.Duration // on a steady clock
 	UpdatedAt time.Duration // when this host last learned of a request that ran there
 	Runs      map[Fingerprint]Run
 }
 
-// Run is a request's at an endpoint, until that crashed; an immutable value.
+// Run is the run of a request at an endpoint that ended with the endpoint's crash; an immutable
+// value.
 type Run struct {
 	Lasted         time.Duration // since the request was sent there
-	ResponseLasted time.Duration // since the head of its answer; 0 if none had come
-	Copies         int           // of the request that its host had answers to elsewhere
+	ResponseLasted time.Duration // since the header of its response; 0 if none had arrived
+	Copies         int           // responses to the same request that were in progress at other endpoints, as its host saw
 	Label          string        // the request's workspace and route, for operators
 }
 
-// Max returns a run that lasted as long as either of two.
+// Max returns the field-wise maximum of two runs.
 func (r Run) Max(o Run) Run {
 	return Run{Lasted: max(r.Lasted, o.Lasted), ResponseLasted: max(r.ResponseLasted, o.ResponseLasted), Copies: max(r.Copies, o.Copies), Label: cmp.Or(r.Label, o.Label)}
 }
 
-// Parameters of the judgement.
+// Parameters of crash attribution.
 const (
-	// minMoments is at how many crashes a request is told from those that were beside it
-	// by chance; the users allow three.
+	// minMoments is the number of crashes at which a request can be told from those that ran beside
+	// it by chance; the user requirements allow three.
 	minMoments = 3
-	// certainMoments is from how many on one of several that can't be told apart is taken: those
-	// that share a caller and a prompt go to the same endpoints again and again. A request that
-	// gets so far without one good end has been sent by its caller twice at least.
+	// certainMoments is the number of crashes from which on one of several indistinguishable
+	// requests is selected: requests with the same caller and prompt go to the same endpoints again
+	// and again. A request that gets this far without completing once has been sent by its caller at
+	// least twice.
 	certainMoments = 5
-	// maxChance is how likely a request may have been beside all of its crashes by chance.
+	// maxChance is the highest probability of coincidence, that is that a request was at all of its
+	// crashes by chance, at which it is quarantined.
 	maxChance = 1e-4
-	// sameMoment is how far apart crashes are at least that speak for themselves: endpoints of a
-	// rack end at one moment. A request that is sent on after a crash crashes the next endpoint
-	// no sooner than after its way there and the look at the one before.
+	// sameMoment is the minimum time between two crashes that count as separate evidence: the
+	// endpoints of a rack fail at the same moment. A request that is retried after a crash cannot
+	// crash the next endpoint sooner, because of its way there and the probe of the endpoint before.
 	sameMoment = 30 * time.Millisecond
-	// priorCrashes stands for the crash that was about to come by chance: without it nothing would
-	// be chance before the first crash that is not the request's.
+	// priorCrashes stands for the coincidental crash that was about to happen: without it, no crash
+	// could be a coincidence before the first one that is not the request's.
 	priorCrashes = 0.5
-	// recentWindow is over how long crashes that are not the request's are counted at least.
+	// recentWindow is the minimum time over which crashes that are not the request's are counted.
 	recentWindow = 10 * time.Second
-	// minRateWindow is the shortest time over which crashes are taken to come at a rate.
+	// minRateWindow is the shortest time over which a crash rate is computed.
 	minRateWindow = 10 * time.Millisecond
 )
 
 // Evidence is what is known of crashes.
 type Evidence struct {
 	Crashes []Crash
-	// Completed tells when requests last came to a good end; what crashed beside them before
-	// was not their doing.
+	// Completed has the time at which each request last completed; the request did not cause crashes
+	// before that.
 	Completed map[Fingerprint]time.Duration
-	// CountEndpoints counts those of a service.
+	// CountEndpoints returns the number of endpoints of a service.
 	CountEndpoints func(service string) int
-	Quarantined    map[Fingerprint]Attribution // the verdicts before
+	Quarantined    map[Fingerprint]Attribution // the previous attributions
 	Now            time.Duration
 }
 
-// Attribution is on a request that crashes endpoints; an immutable value.
+// Attribution describes a request that crashes endpoints; an immutable value.
 type Attribution struct {
-	Crashes int           // of endpoints that ran it
-	Chance  float64       // that it was beside them by chance
-	First   time.Duration // crash
-	Last    time.Duration // crash
+	Crashes int           // endpoints that crashed while they ran it
+	Chance  float64       // probability that it ran at all of them by coincidence
+	First   time.Duration // first crash
+	Last    time.Duration // last crash
 }
 
-// Attribute finds the requests that crash what runs them. The one that most speaks against goes
-// first, and the crashes that it explains speak against nobody else.
+// Attribute finds the requests that crash the endpoints that run them. It selects the request with
+// the strongest evidence first; the crashes that this request explains no longer count against any
+// other.
 func Attribute(e Evidence) map[Fingerprint]Attribution {
 	attributions := map[Fingerprint]Attribution{}
 	unexplained := slices.Clone(e.Crashes)
@@ -89,20 +93,20 @@
 	}
 }
 
-// Times after which a crash brings a request into quarantine: hosts tell one after the other what ran
-// there, and those that stood beside a guilty request may be known before it is.
+// Delays until a crash may put a request into quarantine. Hosts report one after the other what ran
+// there, so that harmless requests beside the one that crashes endpoints may be known before it is.
 const (
-	// settleDelay is counted from a crash of which hosts told at once.
+	// settleDelay is counted from a crash that hosts reported at once.
 	settleDelay = 2 * batchDelay
-	// lateSettleDelay is counted from the last news of a crash that hosts learned of from the list of endpoints,
-	// which reaches them at different moments.
+	// lateSettleDelay is counted from the last report of a crash that hosts learned of from the
+	// endpoint list, which reaches them at different times.
 	lateSettleDelay = 400 * time.Millisecond
-	// lateThreshold the crash on news of it are such.
+	// lateThreshold is the time after a crash from which on its reports are handled as late.
 	lateThreshold = time.Second
 )
 
-// settlesAt returns when the crash begins to count against requests that are not in quarantine yet, unless
-// more is heard of it before.
+// settlesAt returns the time at which the crash begins to count against requests that are not
+// quarantined yet, unless more is reported of it before.
 func (c Crash) settlesAt() time.Duration {
 	if c.UpdatedAt-c.At >= lateThreshold {
 		return c.UpdatedAt + lateSettleDelay
@@ -110,7 +114,7 @@
 	return c.At + settleDelay
 }
 
-// addsTo reports whether the crash has requests that another account of it has not.
+// addsTo reports whether the crash has requests that another report of it lacks.
 func (c Crash) addsTo(other Crash) bool {
 	for f := range c.Runs {
 		if _, known := other.Runs[f]; !known {
@@ -120,10 +124,10 @@
 	return false
 }
 
-// never is later than all moments of a steady clock.
+// never is later than all readings of a steady clock.
 const never = time.Duration(math.MaxInt64)
 
-// nextSettles returns when the next crash settles; never if all have.
+// nextSettles returns the time at which the next crash settles, or never if all have.
 func (e Evidence) nextSettles() time.Duration {
 	next := never
 	for _, c := range e.Crashes {
@@ -134,14 +138,15 @@
 	return next
 }
 
-// settled returns the evidence without crashes of which more may come to be known.
+// settled returns the evidence without the crashes of which more may be reported.
 func (e Evidence) settled() Evidence {
 	e.Crashes = slices.DeleteFunc(slices.Clone(e.Crashes), func(c Crash) bool { return c.settlesAt() > e.Now })
 	return e
 }
 
-// AttributePartial judges evidence that comes in parts. A request that is not in quarantine comes there if Judge finds it
-// guilty by all crashes and by the settled ones alone; one that is there stays if either does.
+// AttributePartial attributes crashes whose evidence arrives in parts. A request is newly
+// quarantined only if Attribute selects it both from all crashes and from the settled ones alone; it
+// stays quarantined if either selects it.
 func AttributePartial(e Evidence) map[Fingerprint]Attribution {
 	all := Attribute(e)
 	settled := e.settled()
@@ -164,17 +169,17 @@
 	return attributions
 }
 
-// assessment is what speaks against a request.
+// assessment is the evidence against a request.
 type assessment struct {
 	Attribution
 	request      Fingerprint
-	moments      int      // at which endpoints crashed
-	crashed      []string // their starts
-	otherCrashes int      // endpoints of the same services that crashed meanwhile without it
+	moments      int      // number of separate moments at which endpoints crashed
+	crashed      []string // the instances that crashed
+	otherCrashes int      // endpoints of the same services that crashed in that time without the request
 }
 
-// strongestSuspect returns what speaks against the request against which most does, if that is
-// enough.
+// strongestSuspect returns the request with the strongest evidence against it, if that is
+// sufficient.
 func (e Evidence) strongestSuspect(unexplained []Crash) (assessment, bool) {
 	var found []assessment
 	for f := range countCrashes(unexplained, minMoments) {
@@ -193,10 +198,10 @@
 	return assessment{}, false
 }
 
-// sameCrashes reports whether another request was at the same crashes.
+// sameCrashes reports whether another request ran at the same crashes.
 func (s assessment) sameCrashes(other assessment) bool { return slices.Equal(s.crashed, other.crashed) }
 
-// countCrashes counts the crashes of the requests that were at so many at least.
+// countCrashes returns the number of crashes of each request that ran at minCount crashes or more.
 func countCrashes(crashes []Crash, minCount int) map[Fingerprint]int {
 	counts := map[Fingerprint]int{}
 	for _, c := range crashes {
@@ -212,9 +217,9 @@
 	return counts
 }
 
-// assess weighs what speaks against a request: how likely it is that endpoints crashed by
-// chance while it ran there, each time that they did, by how often others crash, how long it
-// ran and how many of its copies ran elsewhere. Crashes are in the order of time.
+// assess computes the evidence against a request: the probability that at each crash the endpoint
+// crashed by coincidence while the request ran there, from the rate of other crashes, the time that
+// the request ran and the number of its copies that ran elsewhere. Crashes are in order of time.
 func (e Evidence) assess(f Fingerprint, crashes []Crash) assessment {
 	s := assessment{request: f}
 	var relevant []Crash
@@ -231,7 +236,7 @@
 	s.Attribution = Attribution{Crashes: len(relevant), Chance: 1, First: relevant[0].At, Last: last}
 	rate := max(otherCrashRate(f, crashes, relevant[0].At-relevant[0].Runs[f].Lasted, last), otherCrashRate(f, crashes, last-recentWindow, last))
 	lastMoment := time.Duration(math.MinInt64 / 2)
-	momentChance := 1.0 // of what happened at that moment
+	momentChance := 1.0 // probability of coincidence at the current moment
 	for _, c := range relevant {
 		run := c.Runs[f]
 		coincidence := 1 - math.Exp(-rate/float64(max(e.CountEndpoints(c.Service), 1))*run.Lasted.Seconds()*float64(1+run.Copies))
@@ -248,7 +253,8 @@
 	return s
 }
 
-// countOtherCrashes counts the endpoints that crashed without a request while others of their services crashed beside it.
+// countOtherCrashes counts the endpoints that crashed without the request in the time in which other
+// endpoints of their services crashed under it.
 func countOtherCrashes(f Fingerprint, crashes, relevant []Crash) int {
 	from, to := relevant[0].At-sameMoment, relevant[len(relevant)-1].At+sameMoment
 	n := 0
@@ -261,7 +267,8 @@
 	return n
 }
 
-// otherCrashRate is how many endpoints a second crashed in a time without a request.
+// otherCrashRate returns the number of endpoint crashes per second, in a period, at which the
+// request did not run.
 func otherCrashRate(f Fingerprint, crashes []Crash, from, to time.Duration) float64 {
 	others := priorCrashes
 	for _, c := range crashes {
@@ -272,7 +279,7 @@
 	return others / max(to-from, minRateWindow).Seconds()
 }
 
-// completedSince reports whether a request came to a good end after a moment.
+// completedSince reports whether a request completed at or after a time.
 func (e Evidence) completedSince(f Fingerprint, at time.Duration) bool {
 	end, ok := e.Completed[f]
 	return ok && end >= at
--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -11,51 +11,51 @@
 	"quaybarrow/internal/clock"
 )
 
-// Times of a look at an endpoint.
 const (
-	// probeTimeout is how long a connection is waited for: a few times what one takes between
-	// data halls. Requests that broke wait for it before they are sent again.
+	// probeTimeout is how long a probe waits for a connection: a few times what a connection takes
+	// between data halls. Requests whose connections broke wait for the probe before they are sent
+	// again.
 	probeTimeout = 100 * time.Millisecond
-	// reprobeDelay after a connection was made it is looked at once more: a process that is
-	// ending may still have taken it.
+	// reprobeDelay is how long after a successful connection the endpoint is probed once more: a
+	// process that is exiting may still have accepted the first one.
 	reprobeDelay = 25 * time.Millisecond
-	// probeTTL is for how long what was seen counts for requests that broke at the same
-	// endpoint: its connections all break within milliseconds.
+	// probeTTL is how long a result is used for other requests that broke at the same endpoint: its
+	// connections all break within milliseconds.
 	probeTTL = time.Second
 )
 
-// ProbeFunc opens a connection to an address and tells whether it is still open after a while;
-// the error is that of the dial.
+// ProbeFunc opens a connection to an address and reports whether it is still open after the given
+// time; the error is that of the dial.
 type ProbeFunc func(ctx context.Context, address string, after time.Duration) (open bool, err error)
 
-// CrashDetector finds out whether an endpoint has crashed at which a connection broke. A reset of
-// single connections, a link that is cut and an endpoint without power look otherwise: the
-// address takes a new connection, or says nothing. Safe for use at once.
+// CrashDetector finds out whether an endpoint at which a connection broke has crashed. Resets of
+// single connections, a cut link and an endpoint without power look different: the address accepts a
+// new connection, or does not answer. It is safe for concurrent use.
 type CrashDetector struct {
 	probe ProbeFunc
 
-	mu     sync.Mutex // guards looks
+	mu     sync.Mutex // guards probes
 	probes map[string]*probeResult
 }
 
-// probeResult is one at an endpoint, which all share whose connections broke there.
+// probeResult is the result of one probe, shared by all whose connections broke at the endpoint.
 type probeResult struct {
-	done    chan struct{} // closed once the below are known
+	done    chan struct{} // closed once crashed is set
 	at      clock.Instant
 	crashed bool
 }
 
-// NewCrashDetector returns a witness that looks by opening connections.
+// NewCrashDetector returns a detector that opens connections with probe.
 func NewCrashDetector(probe ProbeFunc) *CrashDetector {
 	return &CrashDetector{probe: probe, probes: map[string]*probeResult{}}
 }
 
-// Crashed reports whether the endpoint that was at an address has crashed: nothing listens
-// there any more. The id names this start of the endpoint.
+// Crashed reports whether the endpoint that was at an address has crashed, that is whether nothing
+// listens there any more. The id names the endpoint instance.
 func (d *CrashDetector) Crashed(ctx context.Context, id, address string) bool {
 	result, first := d.probeFor(id)
 	if first {
-		// Others wait for it too, so it goes on if the first of them leaves.
+		// Others wait for the result too, so the probe continues if the first caller leaves.
 		result.crashed = d.refusesConnections(context.WithoutCancel(ctx), address)
 		close(result.done)
 	}
@@ -67,7 +67,7 @@
 	}
 }
 
-// probeFor returns the look at an endpoint, and whether it is still to be made.
+// probeFor returns the probe result of an endpoint, and whether the caller has to make the probe.
 func (d *CrashDetector) probeFor(id string) (result *probeResult, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -9,15 +9,15 @@
 	"quaybarrow/internal/clock"
 )
 
-// Times of what hosts tell each other.
 const (
-	// batchDelay is how long what breaks at the same crash shares a message.
+	// batchDelay is how long a host collects the connections that break at one crash, to report them
+	// in one message.
 	batchDelay = 20 * time.Millisecond
-	// sendTimeout is ample for a small message between data halls; who is passed over by it
-	// hears when it compares what it has.
+	// sendTimeout is ample for a small message between data halls; a host that is skipped because of
+	// it learns of the rows when it compares its own with another host.
 	sendTimeout = 500 * time.Millisecond
-	// syncInterval is how often a host compares what it has with another: hosts that were
-	// frozen or cut off have three seconds to know what others do.
+	// syncInterval is how often a host compares its rows with another host: hosts that were frozen
+	// or partitioned must know within three seconds what others know.
 	syncInterval  = 2 * time.Second
 	maxSyncPeers  = 3
 	sweepInterval = 30 * time.Second
@@ -26,31 +26,31 @@
 // Member is another host.
 type Member struct{ Name, Address string }
 
-// Row is what a host has seen, as it is told.
+// Row is what one host has seen, in the encoded form.
 type Row struct {
 	Host    string
 	Version int64 // grows with each change
 	Value   []byte
 }
 
-// Update is what one host tells another.
+// Update is a message from one host to another.
 type Update struct {
 	Versions map[string]int64 // of the rows that the sender has
-	Compare  bool             // the receiver is to return what the sender lacks by them
-	// Loaded tells that with the rows the receiver knows all that hosts have told and kept.
+	Compare  bool             // asks the receiver to return the rows that the sender lacks, by its Versions
+	// Loaded means that with these rows the receiver knows all that hosts have sent and stored.
 	Loaded bool
 	Rows   []Row
-	Scope  Scope // to which hosts the receiver passes the rows on
+	Scope  Scope // to which hosts the receiver forwards the rows
 }
 
-// PeerClient sends news to other hosts.
+// PeerClient sends updates to other hosts.
 type PeerClient interface {
-	// Tell brings news and returns what this host lacks.
+	// Tell sends an update and returns what this host lacks.
 	Tell(ctx context.Context, address string, n Update) (Update, error)
 }
 
-// Run judges what comes to be known, tells other hosts what this one has seen and keeps it, as
-// long as the context lasts.
+// Run evaluates new evidence, sends what this host has seen to other hosts and stores it, until the
+// context ends.
 func (t *Tracker) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -59,8 +59,8 @@
 	}
 }
 
-// refreshLoop brings the verdicts up to date though no request asks: an answer that goes on here may
-// clear a request that others take for guilty.
+// refreshLoop keeps the quarantine up to date even if no request asks: an ongoing response at this
+// host may clear a request that other hosts would quarantine.
 func (t *Tracker) refreshLoop(ctx context.Context) {
 	for t.awaitRefresh(ctx) {
 		clock.Sleep(ctx, batchDelay)
@@ -70,7 +70,8 @@
 	}
 }
 
-// awaitRefresh waits for other evidence, or until some that is known counts; false if the context ends.
+// awaitRefresh waits until the evidence changes or a known crash settles; it returns false if the
+// context ends.
 func (t *Tracker) awaitRefresh(ctx context.Context) bool {
 	t.mu.Lock()
 	wait := t.nextSettles - t.clock.Now()
@@ -86,11 +87,11 @@
 	return true
 }
 
-// publishLoop tells all other hosts what this one has seen, as soon as there is something.
+// publishLoop sends what this host has seen to all other hosts as soon as it changes.
 func (t *Tracker) publishLoop(ctx context.Context) {
 	for t.sendDue.Await(ctx) {
 		if !t.isLoaded() {
-			continue // it is told then
+			continue // sent once it is loaded
 		}
 		clock.Sleep(ctx, batchDelay)
 		t.sendDue.Drain()
@@ -101,7 +102,7 @@
 	}
 }
 
-// sendAll sends the same to some hosts at once.
+// sendAll sends an update to several hosts in parallel.
 func (t *Tracker) sendAll(ctx context.Context, members []Member, n Update) {
 	var sending sync.WaitGroup
 	for _, m := range members {
@@ -110,18 +111,18 @@
 	sending.Wait()
 }
 
-// send sends to a host; false if it does not answer.
+// send sends an update to a host; it returns false if that host does not answer.
 func (t *Tracker) send(ctx context.Context, m Member, n Update) bool {
 	limited, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	_, err := t.options.Peers.Tell(limited, m.Address, n)
 	if err != nil && ctx.Err() == nil {
-		t.options.Logger.Info("host not told of a crash", "peer", m.Name, "address", m.Address, "error", err)
+		t.options.Logger.Info("crash evidence not sent to host", "peer", m.Name, "address", m.Address, "error", err)
 	}
 	return err == nil
 }
 
-// HandleUpdate takes in news and returns what the sender lacks; it is a HandleUpdate.
+// HandleUpdate merges an update and returns what the sender lacks; it is a Handler.
 func (t *Tracker) HandleUpdate(_ context.Context, n Update) (Update, error) {
 	t.mu.Lock()
 	t.mergeUpdate(n)
@@ -134,14 +135,14 @@
 	return reply, nil
 }
 
-// syncLoop has what this host has and what the next one has become the same, now and then.
+// syncLoop periodically reconciles this host's rows with those of the next host.
 func (t *Tracker) syncLoop(ctx context.Context) {
 	for clock.Sleep(ctx, clock.Around(syncInterval)) {
 		t.syncOnce(ctx)
 	}
 }
 
-// syncOnce compares with the next host that answers.
+// syncOnce reconciles with the next host that answers.
 func (t *Tracker) syncOnce(ctx context.Context) {
 	members := t.options.Members()
 	for _, m := range members[:min(maxSyncPeers, len(members))] {
@@ -172,15 +173,15 @@
 	return err
 }
 
-// sweepLoop drops what is too old to count, now and then.
+// sweepLoop periodically drops evidence that is too old to count.
 func (t *Tracker) sweepLoop(ctx context.Context) {
 	for clock.Sleep(ctx, sweepInterval) {
 		t.Sweep()
 	}
 }
 
-// mergeUpdate takes in rows that are newer than those that are known, and what this host told in an earlier
-// life; the caller holds mu.
+// mergeUpdate merges rows that are newer than the known ones, and rows that this host sent before a
+// restart; the caller holds mu.
 func (t *Tracker) mergeUpdate(n Update) {
 	for _, received := range n.Rows {
 		ownEarlier := received.Host == t.options.Host && !t.loaded
@@ -189,7 +190,7 @@
 		}
 		r, err := decodeRecord(received.Value, -t.clock.Now())
 		if err != nil {
-			t.options.Logger.Error("what a host told of crashes can't be read", "from", received.Host, "version", received.Version, "error", err)
+			t.options.Logger.Error("crash evidence from a host can't be read", "from", received.Host, "version", received.Version, "error", err)
 			continue
 		}
 		t.mergeRow(received.Host, row{r, received.Version})
@@ -199,20 +200,20 @@
 	}
 }
 
-// markLoaded notes that what hosts have told and kept is known; the caller holds mu.
+// markLoaded notes that what hosts have sent and stored before is known; the caller holds mu.
 func (t *Tracker) markLoaded() {
 	if t.loaded {
 		return
 	}
-	t.view() // what was known before counts at once
+	t.view() // earlier crashes count at once, without a settling delay
 	t.loaded = true
 	if !t.ownRow().isEmpty() {
 		t.publish()
 	}
 }
 
-// mergeRow takes in a host's row. One of this host is from an earlier life: what it saw counts
-// on.
+// mergeRow merges a host's row. A row of this host itself is from before a restart, and its contents
+// still count.
 func (t *Tracker) mergeRow(host string, r row) {
 	if host != t.options.Host {
 		t.rows[host] = r
@@ -226,7 +227,7 @@
 	t.publish()
 }
 
-// versions are those of the rows that have something, and may be told.
+// versions returns the versions of the rows that are not empty and may be sent.
 func (t *Tracker) versions() map[string]int64 {
 	versions := map[string]int64{}
 	for host, r := range t.rows {
@@ -237,7 +238,7 @@
 	return versions
 }
 
-// newerThan lists the hosts of whose rows this host has newer ones.
+// newerThan returns the hosts of which this host has newer rows.
 func (t *Tracker) newerThan(known map[string]int64) []string {
 	var newer []string
 	for host, version := range t.versions() {
@@ -249,14 +250,14 @@
 	return newer
 }
 
-// encodeRows makes rows to be told; times in them are relative to now.
+// encodeRows encodes rows to be sent; their times are relative to now.
 func (t *Tracker) encodeRows(hosts []string) []Row {
 	rows := make([]Row, 0, len(hosts))
 	for _, host := range hosts {
 		r := t.rows[host]
 		value, err := r.encode(-t.clock.Now())
 		if err != nil {
-			t.options.Logger.Error("what was seen of crashes can't be told", "of", host, "error", err)
+			t.options.Logger.Error("crash evidence can't be encoded", "of", host, "error", err)
 			continue
 		}
 		rows = append(rows, Row{Host: host, Version: r.version, Value: value})
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -9,34 +9,34 @@
 	"github.com/pkg/errors"
 )
 
-// fingerprintBytes of the hash are kept: no caller can make two requests that agree in them.
+// fingerprintBytes is the number of hash bytes that are kept: enough that no caller can construct
+// two requests that agree in them.
 const fingerprintBytes = 16
 
-// Fingerprint is the same for a request each time that it comes, under whatever id and at
-// whichever host.
+// Fingerprint identifies a request each time that it is sent again, under any id and at any host.
 type Fingerprint [fingerprintBytes]byte
 
-// Identity is what stays the same of a request that comes again.
+// Identity has the parts of a request that stay the same when it is sent again.
 type Identity struct {
-	Workspace string // whose it is; one workspace's requests never are another's
+	Workspace string // the owner; requests of different workspaces are always different
 	Target    string // host name, method and path with its query
 	Body      []byte
 }
 
-// Fingerprint hashes the identity. A cryptographic hash keeps callers from making requests
-// that agree with those of others.
+// Fingerprint hashes the identity. The hash is cryptographic so that callers can't construct
+// requests that have the fingerprints of others' requests.
 func (i Identity) Fingerprint() Fingerprint {
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range [][]byte{[]byte(i.Workspace), []byte(i.Target), i.Body} {
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-		_, _ = h.Write(length[:]) // a hash takes all bytes
+		_, _ = h.Write(length[:]) // a hash's Write never fails
 		_, _ = h.Write(part)
 	}
 	return Fingerprint(h.Sum(nil)[:fingerprintBytes])
 }
 
-// IsZero reports whether it is no request's.
+// IsZero reports whether the fingerprint is unset.
 func (f Fingerprint) IsZero() bool { return f == Fingerprint{} }
 
 // String returns the fingerprint in hex.
@@ -49,10 +49,10 @@
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	data, err := hex.DecodeString(string(text))
 	if err != nil {
-		return fmt.Errorf("read fingerprint: %w", err)
+		return fmt.Errorf("parse fingerprint: %w", err)
 	}
 	if len(data) != fingerprintBytes {
-		return errors.Errorf("a fingerprint has %d bytes, not %d", fingerprintBytes, len(data))
+		return errors.Errorf("fingerprint must have %d bytes, not %d", fingerprintBytes, len(data))
 	}
 	copy(f[:], data)
 	return nil
--- a/internal/quarantine/grpc.go
+++ b/internal/quarantine/grpc.go
@@ -11,15 +11,15 @@
 	"quaybarrow/internal/quarantine/quarantinepb"
 )
 
-// Handler takes in news of another host and returns what that one lacks.
+// Handler handles an update from another host and returns what that host lacks.
 type Handler func(ctx context.Context, n Update) (Update, error)
 
-// Register has a gRPC server take in what other hosts tell.
+// Register registers the gRPC service at which a host receives updates from others.
 func Register(s grpc.ServiceRegistrar, handle Handler) {
 	quarantinepb.RegisterQuarantineServer(s, &server{handle: handle})
 }
 
-// server answers other hosts.
+// server implements the gRPC service.
 type server struct {
 	quarantinepb.UnimplementedQuarantineServer
 	handle Handler
@@ -37,27 +37,27 @@
 // Connect returns the connection to an address.
 type Connect func(address string) (grpc.ClientConnInterface, error)
 
-// grpcClient sends over gRPC.
+// grpcClient sends updates over gRPC.
 type grpcClient struct{ connect Connect }
 
-// NewPeerClient returns a caller over connections that other services share.
+// NewPeerClient returns a client that uses connections which other services share.
 func NewPeerClient(connect Connect) PeerClient { return grpcClient{connect} }
 
 // Tell implements Caller.
 func (c grpcClient) Tell(ctx context.Context, address string, n Update) (Update, error) {
 	connection, err := c.connect(address)
 	if err != nil {
-		return Update{}, fmt.Errorf("tell %s: %w", address, err)
+		return Update{}, fmt.Errorf("send update to %s: %w", address, err)
 	}
 	reply, err := quarantinepb.NewQuarantineClient(connection).Tell(ctx, newsToWire(n))
 	if err != nil {
-		return Update{}, fmt.Errorf("tell %s: %w", address, err)
+		return Update{}, fmt.Errorf("send update to %s: %w", address, err)
 	}
 	return newsFromWire(reply), nil
 }
 
 func newsToWire(n Update) *quarantinepb.News {
-	w := &quarantinepb.News{Versions: n.Versions, Compare: n.Compare, Loaded: n.Loaded, Scope: int32(n.Scope)} //nolint:gosec // one of three
+	w := &quarantinepb.News{Versions: n.Versions, Compare: n.Compare, Loaded: n.Loaded, Scope: int32(n.Scope)} //nolint:gosec // one of three values
 	for _, r := range n.Rows {
 		w.Rows = append(w.Rows, &quarantinepb.Row{Host: r.Host, Version: r.Version, Value: r.Value})
 	}
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// ListEntry is what operators see of a request that endpoints crash under, or may; an immutable
+// ListEntry describes, for operators, a request that is or may be crashing endpoints; an immutable
 // value.
 type ListEntry struct {
 	Request     Fingerprint
 	Label       string // workspace and route
 	Quarantined bool
-	Crashes     int           // of endpoints that ran it, since it last came to a good end
-	Chance      float64       // that it was beside them by chance
-	First, Last time.Duration // crash, ago
+	Crashes     int           // endpoints that crashed while they ran it, since it last completed
+	Chance      float64       // probability that it ran at all of them by coincidence
+	First, Last time.Duration // time since the first and the last crash
 }
 
-// minListedMoments is at how many crashes a request is listed: nearly all that were at one were
-// beside it.
+// minListedMoments is the number of crashes at which a request is listed: nearly all requests that
+// were at a single crash did not cause it.
 const minListedMoments = 2
 
-// List lists the requests in quarantine and those that a crash more may bring there, the latest
-// first.
+// List returns the requests in quarantine and those that one more crash may put there, the latest
+// crash first.
 func (t *Tracker) List() []ListEntry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,7 +46,7 @@
 	return list
 }
 
-// QuarantinedCount counts the requests in quarantine.
+// QuarantinedCount returns the number of requests in quarantine.
 func (t *Tracker) QuarantinedCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,7 +54,7 @@
 	return len(t.quarantined)
 }
 
-// label tells a request's workspace and route; empty if nobody said.
+// label returns a request's workspace and route, or "" if no host reported them.
 func (v *mergedView) label(f Fingerprint) string {
 	for _, c := range v.Crashes {
 		if of := c.Runs[f].Label; of != "" {
--- a/internal/quarantine/ongoing.go
+++ b/internal/quarantine/ongoing.go
@@ -7,25 +7,27 @@
 	"quaybarrow/internal/clock"
 )
 
-// clearMargin is how much longer than at any of its crashes a request's answer has to have
-// come elsewhere to show that it crashes nothing: twice as long and this.
+// clearMargin determines how long a response to a request must have been arriving elsewhere to show
+// that the request does not crash endpoints: twice as long as at any of its crashes, plus this.
 const clearMargin = 50 * time.Millisecond
 
-// OngoingResponse is a request whose answer has begun.
+// OngoingResponse is a response that has begun to arrive.
 type OngoingResponse struct {
 	request     func() Fingerprint
 	began       clock.Instant
-	receivedFor atomic.Int64 // ns from then until the last of it came
+	receivedFor atomic.Int64 // ns from began until the latest data arrived
 }
 
-// DataArrived notes that more of the answer has come. What counts is how long the endpoint has been
-// seen at work: a host that was frozen or suspended hears of crashes before it has read that its
-// own connection ended with one of them, and would let the request out for all hosts.
+// DataArrived notes that more of the response has arrived. The evidence is the time for which the
+// endpoint has been seen at work, not the time that has passed: a host that was frozen or suspended
+// learns of crashes before it has read that its own connection ended with one of them, and would
+// release the request on all hosts.
 func (o *OngoingResponse) DataArrived(now clock.Instant) {
 	o.receivedFor.Store(int64(now.Sub(o.began)))
 }
 
-// BeginResponse notes that a request's answer has begun; End is to be called once it has ended.
+// BeginResponse notes that a response to a request has begun; the caller must call EndResponse once
+// it has ended.
 func (t *Tracker) BeginResponse(request func() Fingerprint) *OngoingResponse {
 	o := &OngoingResponse{request: request, began: clock.Now()}
 	t.mu.Lock()
@@ -34,15 +36,16 @@
 	return o
 }
 
-// EndResponse notes that a request's answer has ended, however it did.
+// EndResponse notes that a response has ended, whether it succeeded or not.
 func (t *Tracker) EndResponse(o *OngoingResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.ongoing, o)
 }
 
-// clearOutlasting clears requests of which an answer goes on elsewhere for longer than endpoints took to
-// crash under them. What is asked often runs at all endpoints, so also at those that crash.
+// clearOutlasting clears requests that have an ongoing response which has run for longer than
+// endpoints took to crash under them. A request that is sent often runs at all endpoints, so also at
+// those that crash for another reason.
 func (t *Tracker) clearOutlasting() {
 	v := t.view()
 	longest := map[Fingerprint]time.Duration{}
@@ -65,12 +68,12 @@
 		f := o.request()
 		longestRun, suspected := longest[f]
 		if suspected && time.Duration(o.receivedFor.Load()) > 2*longestRun+clearMargin {
-			t.clearRequest(f, t.clock.Now(), "an answer to it goes on elsewhere")
+			t.clearRequest(f, t.clock.Now(), "an ongoing response has outlasted its crashes")
 		}
 	}
 }
 
-// countOngoing counts the answers to a request that are under way.
+// countOngoing returns the number of responses to a request that are in progress.
 func (t *Tracker) countOngoing(f Fingerprint) int {
 	n := 0
 	for o := range t.ongoing {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,25 +1,26 @@
-// Package quarantine knows requests under which endpoints crash, and keeps them from the
-// others.
+// Package quarantine identifies requests that crash endpoints and keeps them from being sent to
+// further endpoints.
 //
 // # Usage
 //
-//	b := quarantine.NewBook(quarantine.Options{Host: "front-1", Reach: pool.Reach, Tables: tables, ...})
-//	go b.Run(ctx)
-//	go follow.Run(ctx, follow.Options{Table: quarantine.Table, ...}, b)
+//	t := quarantine.NewTracker(quarantine.Options{Host: "front-1", Probe: pool.Reach, Tables: tables, ...})
+//	go t.Run(ctx)
+//	quarantine.Register(server, t.HandleUpdate)
 //
-//	if b.Watching() && b.Standing(fingerprint).Quarantined {
+//	if t.HasEvidence() && t.Status(fingerprint).Quarantined {
 //		...refuse the request: it has not run and will not...
 //	}
-//	crashed := b.Broke(ctx, quarantine.Break{Endpoint: id, Address: address, Request: fingerprint, ...})
-//	b.Finished(fingerprint)
+//	crashed := t.ConnectionBroke(ctx, quarantine.BrokenAttempt{Endpoint: id, Address: address, Request: fingerprint, ...})
+//	t.RequestCompleted(fingerprint)
 //
-// A request that crashes what runs it comes again, from its caller and from hosts that repeat
-// it, under an id of its own each time. What stays the same is its Fingerprint. A crash breaks
-// all that ran at the endpoint, at all hosts; the guilty one is what crashes have in common. So
-// hosts tell each other, by a row each in the store, what they had at endpoints that crashed,
-// and each judges by all of it: Judge is a pure function, hosts that know the same find the
-// same. What comes to a good end anywhere is cleared of all before.
+// A request that crashes its endpoint is sent again, by its caller and by hosts that retry it, each
+// time under a new id; its Fingerprint stays the same. A crash breaks all requests that run at the
+// endpoint, from all hosts, and the request that caused it is the one that several crashes have in
+// common. So hosts exchange, in one row per host, which requests they had at endpoints that crashed,
+// and each host evaluates all rows: Attribute is a pure function, so hosts with the same rows reach
+// the same result. A request that completes anywhere is cleared of all earlier crashes. The rows
+// are also in the store.
 //
-// While nothing has crashed lately no request is hashed. A host that starts reads what all
-// have seen, its own earlier lives included.
+// While nothing has crashed lately, no request is hashed. A host that starts reads the rows of all
+// hosts, including its own row from before the restart.
 package quarantine
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -9,17 +9,17 @@
 	"quaybarrow/internal/codec"
 )
 
-// Bounds of what a host tells. A row is some 20 KB at most; what callers make a host keep is
-// no more than that.
+// Limits on what a host sends. A row is about 20 KB at most, which also bounds what callers can make
+// a host store.
 const (
 	maxCrashes   = 64
 	maxRuns      = 256 // of all crashes together
 	maxCompleted = 128
 )
 
-// record is what a host has seen, on a steady clock of its own.
+// record is what a host has seen, with times on its own steady clock.
 type record struct {
-	crashes   map[string]Crash // by the endpoint's start
+	crashes   map[string]Crash // by endpoint instance
 	completed map[Fingerprint]time.Duration
 }
 
@@ -30,7 +30,7 @@
 // isEmpty reports whether the host has seen nothing.
 func (r record) isEmpty() bool { return len(r.crashes) == 0 && len(r.completed) == 0 }
 
-// add takes in a crash, or more of one that is known.
+// add adds a crash, or more of one that is known.
 func (r record) add(c Crash) {
 	known, ok := r.crashes[c.Endpoint]
 	if !ok {
@@ -44,14 +44,14 @@
 	r.crashes[c.Endpoint] = known
 }
 
-// complete takes in that a request came to a good end.
+// complete notes that a request completed.
 func (r record) complete(f Fingerprint, at time.Duration) {
 	if old, ok := r.completed[f]; !ok || old < at {
 		r.completed[f] = at
 	}
 }
 
-// merge takes in what another record has.
+// merge adds the contents of another record.
 func (r record) merge(o record) {
 	for _, c := range o.crashes {
 		r.add(c)
@@ -61,8 +61,8 @@
 	}
 }
 
-// trim drops what is older than a moment, and what is beyond the bounds: the oldest crashes
-// but those of requests that are to be kept.
+// trim drops entries older than a time, and entries beyond the limits: the oldest crashes first,
+// except those of requests for which keep returns true.
 func (r record) trim(oldest time.Duration, keep func(f Fingerprint) bool) {
 	maps.DeleteFunc(r.crashes, func(_ string, c Crash) bool { return c.At < oldest })
 	maps.DeleteFunc(r.completed, func(_ Fingerprint, at time.Duration) bool { return at < oldest })
@@ -84,7 +84,7 @@
 	}
 }
 
-// hasAny reports whether one of some requests was at the crash.
+// hasAny reports whether a request for which wanted returns true ran at the crash.
 func (c Crash) hasAny(wanted func(f Fingerprint) bool) bool {
 	for f := range c.Runs {
 		if wanted(f) {
@@ -105,15 +105,15 @@
 	}
 }
 
-// byTime compares crashes by when they were.
+// byTime compares crashes by their time.
 func byTime(a, b Crash) int {
 	return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Endpoint, b.Endpoint))
 }
 
-// sortedCrashes lists crashes in the order of time.
+// sortedCrashes returns the crashes in order of time.
 func sortedCrashes(r record) []Crash { return slices.SortedFunc(maps.Values(r.crashes), byTime) }
 
-// unresolved is the part of the record that still speaks against somebody.
+// unresolved returns the part of the record that still counts against some request.
 func (r record) unresolved() record {
 	o := newRecord()
 	for _, c := range r.crashes {
@@ -130,7 +130,7 @@
 	return o
 }
 
-// Wire forms of what a host has seen. Times are ms, on a clock that the reader knows.
+// Encoded forms of what a host has seen. Times are in ms, on a clock that the reader knows.
 type (
 	// storedJSON is a host's row in the store.
 	storedJSON struct {
@@ -160,8 +160,8 @@
 	}
 )
 
-// toJSON makes the wire form; ahead is how far the reader's clock is ahead of the record's. Runs
-// of requests that came to a good end afterwards are left out.
+// toJSON returns the encoded form; offset is how far the reader's clock is ahead of the record's.
+// Runs of requests that completed afterwards are left out.
 func (r record) toJSON(offset time.Duration) rowJSON {
 	var w rowJSON
 	at := func(d time.Duration) int64 { return (d + offset).Milliseconds() }
@@ -184,12 +184,12 @@
 	return w
 }
 
-// sortedFingerprints lists the requests of a map in an order.
+// sortedFingerprints returns the keys of a map in a fixed order.
 func sortedFingerprints[V any](m map[Fingerprint]V) []Fingerprint {
 	return slices.SortedFunc(maps.Keys(m), func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
 }
 
-// toRecord reads the wire form.
+// toRecord decodes the encoded form.
 func (w rowJSON) toRecord(offset time.Duration) record {
 	r := newRecord()
 	at := func(ms int64) time.Duration { return time.Duration(ms)*time.Millisecond - offset }
@@ -208,10 +208,10 @@
 	return r
 }
 
-// encode makes what is told other hosts.
+// encode encodes the record for other hosts.
 func (r record) encode(offset time.Duration) ([]byte, error) { return codec.Encode(r.toJSON(offset)) }
 
-// decodeRecord reads what another host told.
+// decodeRecord decodes a record that another host sent.
 func decodeRecord(data []byte, offset time.Duration) (record, error) {
 	w, err := codec.Decode[rowJSON](data)
 	if err != nil {
@@ -220,12 +220,12 @@
 	return w.toRecord(offset), nil
 }
 
-// encodeStored makes a host's row in the store.
+// encodeStored encodes a host's row in the store.
 func encodeStored(r record, version int64, offset time.Duration) ([]byte, error) {
 	return codec.Encode(storedJSON{Version: version, Row: r.toJSON(offset)})
 }
 
-// decodeStored reads a host's row in the store.
+// decodeStored decodes a host's row in the store.
 func decodeStored(data []byte, offset time.Duration) (row, error) {
 	w, err := codec.Decode[storedJSON](data)
 	if err != nil {
--- a/internal/quarantine/relay.go
+++ b/internal/quarantine/relay.go
@@ -12,45 +12,48 @@
 	"quaybarrow/internal/wake"
 )
 
-// Where there are many hosts, each belongs to one of as many groups as a group has hosts, which all
-// hosts work out alike from the list. Who has seen something tells the first host of its group; that
-// one tells the first of each other group, and its own; so do they. What each gathers for a moment
-// goes on together. So messages are as many as the hosts and those that saw something, not their
-// product: when a seventh of the endpoints crash, hundreds of hosts have had something there.
+// In large deployments, hosts form groups. There are about as many groups as a group has hosts, and
+// all hosts compute the same groups from the list of hosts. A host that has seen something sends it
+// to the first host of its group, which sends it to the first host of each other group and to all
+// hosts of its own; the first hosts of the other groups send it to their groups. Rows that a host
+// receives within a short delay are forwarded together. So the number of messages grows with the
+// number of hosts plus the number of observers, not with their product: when a seventh of the
+// endpoints crash, hundreds of hosts have had requests there.
 const (
-	// maxDirectPeers hosts are told one by one.
+	// maxDirectPeers is the number of other hosts up to which a host sends to each of them directly.
 	maxDirectPeers = 16
-	// relayBatchDelay is how long what comes to the first of a group shares messages.
+	// relayBatchDelay is how long the first host of a group collects rows before it forwards them
+	// together.
 	relayBatchDelay = 100 * time.Millisecond
-	// nextPeerDelay is when the next host of a group is told too, if the one before has not answered:
-	// a connection and a slow processor.
+	// nextPeerDelay is the time after which the next host of a group is sent the update too, if the
+	// one before has not answered: enough for a new connection and a slow processor.
 	nextPeerDelay = 150 * time.Millisecond
 	maxRelayPeers = 3
 )
 
-// Scope is how far who hears news passes it on.
+// Scope determines to which hosts the receiver of an update forwards it.
 type Scope int
 
-// Scopes of news.
 const (
 	ScopeNone  Scope = iota
 	ScopeGroup       // to its group
-	ScopeAll         // to its group, and to the others
+	ScopeAll         // to its group and to the other groups
 )
 
-// relayQueue are the rows that this host is to pass on.
+// relayQueue holds the hosts whose rows this host has to forward.
 type relayQueue struct {
-	due wake.Signal // there are some
+	due wake.Signal // poked when there are some
 
-	mu   sync.Mutex       // guards rows
-	rows map[string]Scope // by host that they are of
-	// completeScope is to which hosts it is passed on that the rows are all that hosts have told and kept.
+	mu   sync.Mutex       // guards all fields below
+	rows map[string]Scope // by the host whose row it is
+	// completeScope is the scope of forwarding, along with the rows, that they are all that hosts
+	// have sent and stored.
 	completeScope Scope
 }
 
 func newRelayQueue() *relayQueue { return &relayQueue{due: wake.NewSignal(), rows: map[string]Scope{}} }
 
-// add has rows passed on.
+// add queues rows for forwarding.
 func (r *relayQueue) add(rows []Row, scope Scope, complete bool) {
 	if scope == ScopeNone || (len(rows) == 0 && !complete) {
 		return
@@ -66,8 +69,9 @@
 	r.due.Poke()
 }
 
-// take returns the hosts whose rows are to be passed on to the group, and of them those for all hosts,
-// and to which hosts they are all that hosts have told and kept.
+// take empties the queue. It returns the hosts whose rows are to be forwarded to the group, those of
+// them whose rows go to all hosts, and the scope in which the rows are all that hosts have sent and
+// stored.
 func (r *relayQueue) take() (group, all []string, completeScope Scope) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,7 +88,7 @@
 	return group, all, completeScope
 }
 
-// relayLoop passes on what this host is to, as long as the context lasts.
+// relayLoop forwards the queued rows until the context ends.
 func (t *Tracker) relayLoop(ctx context.Context) {
 	for t.relayQueue.due.Await(ctx) {
 		clock.Sleep(ctx, relayBatchDelay)
@@ -107,7 +111,8 @@
 	}
 }
 
-// broadcast tells all other hosts; whole tells that the rows are all that hosts have told and kept.
+// broadcast sends rows to all other hosts; complete means that they are all that hosts have sent and
+// stored.
 func (t *Tracker) broadcast(ctx context.Context, rows []Row, complete bool) {
 	members, n := t.options.Members(), Update{Rows: rows, Loaded: complete}
 	if len(members) <= maxDirectPeers {
@@ -122,15 +127,17 @@
 	n.Scope = ScopeAll
 	candidates := slices.Clone(own[:min(maxRelayPeers, len(own))])
 	for _, g := range others[:min(maxRelayPeers, len(others))] {
-		candidates = append(candidates, g[0]) // any of them passes on to all as well
+		candidates = append(candidates, g[0]) // any of them forwards to all hosts as well
 	}
 	if !t.sendToFirst(ctx, candidates, n) && ctx.Err() == nil {
-		// Most likely nobody reaches this host; it compares with the next one again and again.
+		// Most likely no host can reach this one; it compares its rows with the next host
+		// periodically.
 		t.options.Logger.Info("nobody passes on what was seen of crashes", "tried", len(candidates))
 	}
 }
 
-// relayGroups are the other hosts of this host's group, and the other relayGroups, each in order.
+// relayGroups returns the other hosts of this host's group, and the other groups, each sorted by
+// name.
 func (t *Tracker) relayGroups() (own []Member, others [][]Member) {
 	members := append(t.options.Members(), Member{Name: t.options.Host})
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
@@ -145,8 +152,8 @@
 	return own, others
 }
 
-// sendToFirst tells the first of some hosts, and the next ones where it does not answer soon; false
-// if none does.
+// sendToFirst sends to the first candidate, and to the next ones while there is no prompt answer; it
+// returns false if none answers.
 func (t *Tracker) sendToFirst(ctx context.Context, candidates []Member, n Update) bool {
 	answers := make(chan bool, len(candidates))
 	failed := 0
--- a/internal/quarantine/storage.go
+++ b/internal/quarantine/storage.go
@@ -14,40 +14,40 @@
 	"quaybarrow/internal/store"
 )
 
-// Table is where each host keeps what it has seen, in a row named after it, for hosts that start
-// when no other is there to ask.
+// Table is the table in which each host stores what it has seen, in a row named after the host, for
+// hosts that start when no other host is there to ask.
 const Table = "quarantine"
 
-// Times of what is kept.
 const (
-	// persistDelay is how long a host waits before it keeps a crash under requests that were at no
-	// other: nearly all come to a good end elsewhere by then, and nothing is to be kept.
+	// persistDelay is how long a host waits before it stores a crash under requests that were at no
+	// other crash: nearly all of them complete elsewhere by then, and nothing has to be stored.
 	persistDelay  = 2 * time.Second
 	minRetryDelay = 150 * time.Millisecond
 	maxRetryDelay = 1200 * time.Millisecond
-	// lateWriteDelay a write of which the answer was lost it may still be done, in place of one
-	// that came later.
+	// lateWriteDelay is the time after a write whose reply was lost within which the store may still
+	// execute it, over a write that came later.
 	lateWriteDelay = 8 * time.Second
-	// loadInterval is how often a host that has started looks for one that knows what is kept, and
-	// loadAlone for how long before it reads the store itself, or up to loadSpread longer: of many
-	// that start together the first ones tell the others. It sends again to endpoints three
-	// seconds after its start what others know.
+	// loadInterval is how often a host that has started looks for another host that knows the stored
+	// rows. loadFromPeersFor is how long it does so before it reads the store itself; up to
+	// loadJitter is added, so that of many hosts that start together the first ones send the rows to
+	// the others. Three seconds after its start, a host sends to endpoints again what
+	// others know.
 	loadInterval     = 300 * time.Millisecond
 	loadFromPeersFor = 1500 * time.Millisecond
 	loadJitter       = time.Second
-	// loadTimeout is for how long a host that has started tells nothing of its own while neither
-	// another host nor the store tells what it told before.
+	// loadTimeout is how long a host that has started sends nothing of its own while neither another
+	// host nor the store returns what it sent before.
 	loadTimeout = 4 * time.Second
 )
 
 // errNoClock means that the clock which hosts share is not known yet.
 var errNoClock = errors.New("the shared clock is not known yet")
 
-// persistLoop keeps what this host has seen in the store.
+// persistLoop stores what this host has seen.
 func (t *Tracker) persistLoop(ctx context.Context) {
 	for t.persistDue.Await(ctx) {
 		if !t.isLoaded() {
-			continue // it is kept then
+			continue // stored once it is loaded
 		}
 		if !t.awaitPersist(ctx) {
 			return
@@ -59,8 +59,8 @@
 	}
 }
 
-// awaitPersist waits for a while, or until something is to be kept at once; false if the context
-// ends.
+// awaitPersist waits for persistDelay, or until something has to be stored at once; it returns false
+// if the context ends.
 func (t *Tracker) awaitPersist(ctx context.Context) bool {
 	timer := time.NewTimer(persistDelay)
 	defer timer.Stop()
@@ -76,8 +76,8 @@
 	return ctx.Err() == nil
 }
 
-// persistUrgent reports whether this host has seen something of a request that is in quarantine, or
-// would be after a crash more.
+// persistUrgent reports whether this host has seen a crash under a request that is quarantined, or
+// would be after one more crash.
 func (t *Tracker) persistUrgent() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,8 +93,8 @@
 	return false
 }
 
-// persist brings the host's row in the store up to date, and tries until it is; it reports whether
-// an answer was lost on the way.
+// persist updates the host's row in the store and retries until it succeeds; it reports whether a
+// reply was lost on the way.
 func (t *Tracker) persist(ctx context.Context) (lost bool) {
 	for retry := minRetryDelay; ctx.Err() == nil; retry = min(2*retry, maxRetryDelay) {
 		txn, err := t.nextTransaction()
@@ -105,7 +105,7 @@
 			return lost
 		}
 		if !lost && ctx.Err() == nil {
-			t.options.Logger.Warn("what was seen of crashes can't be kept; trying on", "error", err)
+			t.options.Logger.Warn("crash evidence can't be stored; retrying", "error", err)
 		}
 		lost = true
 		clock.Sleep(ctx, clock.Jitter(retry))
@@ -113,7 +113,7 @@
 	return lost
 }
 
-// nextTransaction makes the write that is due; without writes if none is.
+// nextTransaction returns the write that is due, or a transaction without writes if none is.
 func (t *Tracker) nextTransaction() (store.Transaction, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,14 +134,14 @@
 	}
 	data, err := encodeStored(unresolved, t.ownRow().version, offset)
 	if err != nil {
-		return store.Transaction{}, fmt.Errorf("keep crashes: %w", err)
+		return store.Transaction{}, fmt.Errorf("encode crash evidence: %w", err)
 	}
 	t.stored = true
 	return store.Transaction{Writes: []store.Write{store.Put(Table, t.options.Host, data)}}, nil
 }
 
-// sharedClockOffset is how far the shared clock is sharedClockOffset of the book's; where there is none, what is written
-// is relative to now.
+// sharedClockOffset returns how far the shared clock is ahead of the tracker's. Without a shared
+// clock, stored times are relative to the time of writing.
 func (t *Tracker) sharedClockOffset() (time.Duration, error) {
 	if t.options.SharedNow == nil {
 		return -t.clock.Now(), nil
@@ -153,9 +153,9 @@
 	return shared - t.clock.Now(), nil
 }
 
-// load learns what hosts have kept, once: from another host that knows, and if none does from
-// the store. The first of all hosts reads it, and tells the others; they read it themselves if
-// they hear nothing for a while, so after a loss of power it is one call.
+// load learns once what hosts have stored: from another host that knows it, or else from the store.
+// The first of all hosts reads the store and sends the rows to the others, which read it themselves
+// only if they receive nothing for a while. So after a power loss there is one read.
 func (t *Tracker) load(ctx context.Context) {
 	began, peersOnly := clock.Now(), loadFromPeersFor+rand.N(loadJitter)
 	for clock.Sleep(ctx, clock.Around(loadInterval)) && !t.isLoaded() {
@@ -172,18 +172,18 @@
 	}
 }
 
-// isLoaded reports whether what hosts have told and kept is known.
+// isLoaded reports whether the host knows what hosts have sent and stored before.
 func (t *Tracker) isLoaded() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.loaded
 }
 
-// isFirstHost reports whether this host is the first of all.
+// isFirstHost reports whether this host is the first of all hosts.
 func (o Options) isFirstHost() bool { return o.IsFirstHost == nil || o.IsFirstHost() }
 
-// loadFromStore reads what hosts have kept, and tells all others, who may have just started too. Rows of
-// which nothing counts any more are removed: their hosts may be gone.
+// loadFromStore reads what hosts have stored, and sends it to all others, which may have just
+// started too. It deletes rows that have only expired evidence: their hosts may be gone.
 func (t *Tracker) loadFromStore(ctx context.Context) {
 	if t.options.Tables == nil {
 		return
@@ -191,7 +191,7 @@
 	rows, err := t.options.Tables.Scan(ctx, store.Range{Table: Table})
 	if err != nil {
 		if ctx.Err() == nil {
-			t.options.Logger.Warn("what hosts have kept of crashes can't be read; trying on", "error", err)
+			t.options.Logger.Warn("stored crash evidence can't be read; retrying", "error", err)
 		}
 		return
 	}
@@ -203,23 +203,23 @@
 	for _, storedRow := range expired {
 		txn := store.Transaction{Conditions: []store.Condition{store.AtVersion(Table, storedRow)}, Writes: []store.Write{store.Delete(Table, storedRow.Key)}}
 		if err := t.options.Tables.Commit(ctx, txn); err != nil {
-			t.options.Logger.Info("a row that is too old to count stays for now", "row", storedRow.Key, "error", err)
+			t.options.Logger.Info("expired crash evidence of a host not deleted", "row", storedRow.Key, "error", err)
 		}
 	}
 }
 
-// mergeStored takes in rows of the store and returns those of which nothing counts any more.
+// mergeStored merges rows of the store and returns those that have only expired evidence.
 func (t *Tracker) mergeStored(rows []store.Row) (expired []store.Row) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ahead, err := t.sharedClockOffset()
 	if err != nil {
-		ahead = 0 // what is kept counts as seen when this host started
+		ahead = 0 // stored crashes count as seen when this host started
 	}
 	for _, storedRow := range rows {
 		r, err := decodeStored(storedRow.Value, ahead)
 		if err != nil {
-			t.options.Logger.Error("what a host has kept of crashes can't be read", "row", storedRow.Key, "row_version", storedRow.Version, "error", err)
+			t.options.Logger.Error("stored crash evidence of a host can't be read", "row", storedRow.Key, "row_version", storedRow.Version, "error", err)
 			continue
 		}
 		t.stored = t.stored || storedRow.Key == t.options.Host
@@ -233,6 +233,6 @@
 	}
 	t.markLoaded()
 	t.refresh()
-	t.options.Logger.Info("crashes read", "rows", len(rows), "quarantined", len(t.quarantined))
+	t.options.Logger.Info("stored crash evidence loaded", "rows", len(rows), "quarantined", len(t.quarantined))
 	return expired
 }
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -15,71 +15,71 @@
 	"quaybarrow/internal/wake"
 )
 
-// Times of what a host knows.
 const (
-	// crashTTL is how long a crash speaks against those that ran there. A request in
-	// quarantine is let go an hour after its last crash: whoever runs the endpoints may have
-	// mended them by then, and if not, three crashes an hour are what it costs.
+	// crashTTL is how long a crash counts as evidence. A request leaves quarantine an hour after its
+	// last crash: the operators of the endpoints may have fixed them by then, and if not, the cost
+	// is three crashes an hour.
 	crashTTL = time.Hour
-	// unconfirmedTTL is how long a broken connection waits for a proof by the list that its
-	// endpoint has crashed: three heartbeats, and two hops.
+	// unconfirmedTTL is how long a broken connection waits for the endpoint list to confirm that its
+	// endpoint has crashed: three heartbeats and two network hops.
 	unconfirmedTTL = 6 * time.Second
 )
 
-// Options set up a Book.
+// Options configure a Tracker.
 type Options struct {
 	Host string
 	// Probe opens a connection to an endpoint that may have crashed.
 	Probe ProbeFunc
-	// CountEndpoints counts those of a service.
+	// CountEndpoints returns the number of endpoints of a service.
 	CountEndpoints func(service string) int
-	// Members are the other hosts, the next in an order that all of them agree on first; Caller
-	// sends to them. Nil for a host alone.
+	// Members returns the other hosts, starting with this host's successor in an order that all
+	// hosts agree on. Peers sends updates to them. Members is nil for a host alone.
 	Members func() []Member
 	Peers   PeerClient
-	// IsFirstHost reports whether this host is the first of all, which reads for the others what hosts
-	// have kept; nil for a host alone.
+	// IsFirstHost reports whether this host is the first of all hosts; the first host reads the
+	// stored rows on behalf of the others. Nil for a host alone.
 	IsFirstHost func() bool
-	// FreshStart tells that all hosts start for the first time: nothing was kept before.
+	// FreshStart means that all hosts start for the first time, so nothing has been stored before.
 	FreshStart bool
-	// Tables keep what hosts have seen for those that start; Now is the clock that all share,
-	// false while it is not known. Without one what was kept counts as old as it was then.
+	// Tables store the crashes that hosts have seen, for hosts that start later. SharedNow reads the
+	// clock that all hosts share; it returns false while that clock is not known. Without SharedNow,
+	// stored crashes are as old as they were when they were stored.
 	Tables    store.Tables
 	SharedNow func() (time.Duration, bool)
 	Logger    *log.Logger
 }
 
-// Tracker is what a host knows of requests under which endpoints crash: what it saw itself and
-// what others told; safe for use at once.
+// Tracker holds what a host knows of requests that crash endpoints, both from its own observations
+// and from other hosts. It is safe for concurrent use.
 type Tracker struct {
 	options         Options
 	detector        *CrashDetector
 	clock           clock.Steady
-	hasEvidence     atomic.Bool // something has crashed lately
-	evidenceChanged wake.Signal // there is other evidence
-	sendDue         wake.Signal // there is something to tell other hosts
-	persistDue      wake.Signal // there may be something to keep
+	hasEvidence     atomic.Bool // there is evidence of recent crashes
+	evidenceChanged wake.Signal // poked when the evidence changes
+	sendDue         wake.Signal // poked when there is something to send to other hosts
+	persistDue      wake.Signal // poked when there may be something to store
 	relayQueue      *relayQueue
 
-	mu          sync.Mutex     // guards all below
-	rows        map[string]row // by host; always one of this host
-	merged      *mergedView    // of all that; nil if it has changed since
+	mu          sync.Mutex     // guards all fields below
+	rows        map[string]row // by host; always has a row of this host
+	merged      *mergedView    // of all rows; nil if they have changed since it was built
 	unconfirmed map[string][]BrokenAttempt
 	ongoing     map[*OngoingResponse]struct{}
 	quarantined map[Fingerprint]Attribution
-	upToDate    bool // verdicts stand on the view
-	// lastKnown has each crash, by the endpoint's start, as it was known last, and since when; settles is when the
-	// next one settles.
+	upToDate    bool // quarantined reflects merged
+	// lastKnown has, by endpoint instance, each crash as it was last known, and since when;
+	// nextSettles is when the next crash settles.
 	lastKnown   map[string]Crash
 	nextSettles time.Duration
 	stored      bool // the store has a row of this host
-	// loaded tells that what hosts have told and kept is known, this one's earlier lives included.
-	// Until then it tells and keeps nothing of its own: that would take the place of what it told
-	// before.
+	// loaded means that the host knows what hosts have sent and stored before, including what it did
+	// itself before a restart. Until then it sends and stores nothing of its own, because that would
+	// replace what it sent before.
 	loaded bool
 }
 
-// row is what a host has seen.
+// row is what one host has seen.
 type row struct {
 	record
 	version int64 // grows with each change
@@ -88,10 +88,10 @@
 // mergedView is all evidence that a host has.
 type mergedView struct {
 	Evidence
-	crashCounts map[Fingerprint]int // crashes, by those that were there
+	crashCounts map[Fingerprint]int // number of crashes by the requests that ran at them
 }
 
-// NewTracker returns a book of a host that has seen nothing.
+// NewTracker returns the tracker of a host that has seen nothing.
 func NewTracker(options Options) *Tracker {
 	if options.Members == nil {
 		options.Members = func() []Member { return nil }
@@ -104,31 +104,31 @@
 	}
 }
 
-// ownRow is what this host has seen.
+// ownRow returns what this host has seen.
 func (t *Tracker) ownRow() row { return t.rows[t.options.Host] }
 
-// HasEvidence reports whether endpoints have crashed lately. While none has, no request needs a
+// HasEvidence reports whether endpoints have crashed lately. While none has, requests need no
 // fingerprint.
 func (t *Tracker) HasEvidence() bool { return t.hasEvidence.Load() }
 
-// BrokenAttempt is the end of an attempt whose connection broke.
+// BrokenAttempt is an attempt to run a request that ended because its connection broke.
 type BrokenAttempt struct {
-	Endpoint string // its start
+	Endpoint string // the endpoint instance, that is one start of the endpoint
 	Address  string
 	Service  string
 	Request  Fingerprint
 	Run      Run
 
-	reportedAt time.Duration // when it was told, while it is not known whether the endpoint crashed
+	reportedAt time.Duration // when the attempt was reported; used while it is not known whether the endpoint crashed
 }
 
-// crash is the endpoint's, if it did.
+// crash returns the crash of the attempt's endpoint, on the assumption that it crashed.
 func (a BrokenAttempt) crash(at time.Duration) Crash {
 	return Crash{Endpoint: a.Endpoint, Service: a.Service, At: at, Runs: map[Fingerprint]Run{a.Request: a.Run}}
 }
 
-// ConnectionBroke finds out whether the endpoint has crashed, and if so takes it in; false also if that
-// is not known yet. It waits for the proof for a short while.
+// ConnectionBroke finds out whether the endpoint has crashed and, if so, records the crash. It waits
+// briefly for the detector's result, and returns false also if that is not known yet.
 func (t *Tracker) ConnectionBroke(ctx context.Context, a BrokenAttempt) bool {
 	a.reportedAt = t.clock.Now()
 	crashed := t.detector.Crashed(ctx, a.Endpoint, a.Address)
@@ -143,9 +143,10 @@
 	return true
 }
 
-// EndpointGone takes in that an endpoint's start is listed no more though it was not to leave. If
-// nothing listens at its address either, what broke off there a moment ago crashed with it; one
-// that leaves without notice serves on for a while.
+// EndpointGone handles the removal of an endpoint instance from the list though it did not announce
+// that it leaves. If nothing listens at its address either, the endpoint crashed, and the attempts
+// that broke there a moment ago count against their requests. An endpoint that leaves without notice
+// continues to serve for a while.
 func (t *Tracker) EndpointGone(ctx context.Context, endpoint string) {
 	t.mu.Lock()
 	attempts := t.unconfirmed[endpoint]
@@ -155,13 +156,13 @@
 	}
 }
 
-// EndpointListed takes in that an endpoint's start is listed at an address: any other that was there has
-// ended, and what broke off there a moment ago crashed with it.
+// EndpointListed handles the listing of an endpoint instance at an address: any other instance at
+// that address has ended, and the attempts that broke there a moment ago count as crashes.
 func (t *Tracker) EndpointListed(endpoint, address string) {
 	t.confirm(func(a BrokenAttempt) bool { return a.Address == address && a.Endpoint != endpoint })
 }
 
-// confirm takes in crashes of endpoints at which connections broke a moment ago.
+// confirm records the crashes of endpoints at which connections broke a moment ago.
 func (t *Tracker) confirm(crashed func(a BrokenAttempt) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -178,24 +179,24 @@
 	}
 }
 
-// recordCrash takes in a crash that this host saw.
+// recordCrash records a crash that this host saw.
 func (t *Tracker) recordCrash(c Crash) {
 	t.ownRow().add(c)
 	t.publish()
 }
 
-// invalidate notes that there is other evidence.
+// invalidate notes that the evidence has changed.
 func (t *Tracker) invalidate() {
 	t.merged, t.upToDate = nil, false
 	t.hasEvidence.Store(slices.ContainsFunc(slices.Collect(maps.Values(t.rows)), func(r row) bool { return !r.isEmpty() }))
 	t.evidenceChanged.Poke()
 }
 
-// publish notes that there is other evidence which others have to know.
+// publish notes that the evidence of this host has changed in a way that others have to know.
 func (t *Tracker) publish() {
 	own := t.ownRow()
 	own.version++
-	if shared, known := t.options.sharedNow(); known { // goes on from an earlier life of the host
+	if shared, known := t.options.sharedNow(); known { // continues the versions from before a restart
 		own.version = max(own.version, shared.Milliseconds())
 	}
 	t.rows[t.options.Host] = own
@@ -204,7 +205,7 @@
 	t.persistDue.Poke()
 }
 
-// sharedNow is the clock that all hosts share.
+// sharedNow reads the clock that all hosts share.
 func (o Options) sharedNow() (time.Duration, bool) {
 	if o.SharedNow == nil {
 		return 0, false
@@ -212,14 +213,16 @@
 	return o.SharedNow()
 }
 
-// RequestCompleted takes in that a request came to a good end: the endpoint that ran it lives.
+// RequestCompleted notes that a request completed successfully: the endpoint that ran it is still
+// alive.
 func (t *Tracker) RequestCompleted(f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.clearRequest(f, t.clock.Now(), "it came to a good end")
+	t.clearRequest(f, t.clock.Now(), "the request completed")
 }
 
-// Release takes a request out of quarantine by order of an operator; false if it is not there.
+// Release takes a request out of quarantine by order of an operator; it returns false if the request
+// is not quarantined.
 func (t *Tracker) Release(f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -227,13 +230,13 @@
 	if _, held := t.quarantined[f]; !held {
 		return false
 	}
-	t.clearRequest(f, t.clock.Now(), "by order of an operator")
+	t.clearRequest(f, t.clock.Now(), "released by an operator")
 	t.refresh()
 	return true
 }
 
-// clearRequest clears a request of what crashed beside it. Others hear of it where it matters: a
-// crash more would take it for guilty.
+// clearRequest discards the earlier crashes of a request as evidence against it. Other hosts are
+// told only if it matters, which is when one more crash would put the request into quarantine.
 func (t *Tracker) clearRequest(f Fingerprint, at time.Duration, reason string) {
 	moments := t.view().assessRequest(f).moments
 	if moments == 0 {
@@ -260,10 +263,10 @@
 	return Status{Quarantined: held, Moments: s.moments, Chance: s.Chance, Crashed: len(s.crashed), Beside: s.otherCrashes}
 }
 
-// since is how long since a moment of the book's clock was.
+// since returns the time since a reading of the tracker's clock.
 func (t *Tracker) since(at time.Duration) time.Duration { return t.clock.Now() - at }
 
-// view is what this host saw and others told, in the order of time.
+// view returns what this host saw and what others sent, in order of time.
 func (t *Tracker) view() *mergedView {
 	if t.merged != nil {
 		return t.merged
@@ -280,8 +283,8 @@
 	return t.merged
 }
 
-// stampUpdates notes in crashes since when as much is known of each. What a host learns as it starts is taken to be
-// complete.
+// stampUpdates sets the UpdatedAt of each crash: the time since which its set of requests is known.
+// Crashes that a host learns of while it starts are taken to be complete.
 func (t *Tracker) stampUpdates(crashes []Crash) {
 	now, heard := t.clock.Now(), make(map[string]Crash, len(crashes))
 	for i, c := range crashes {
@@ -299,7 +302,7 @@
 	t.lastKnown = heard
 }
 
-// assessRequest is what speaks against a request since it last came to a good end.
+// assessRequest assesses the evidence against a request since it last completed.
 func (v *mergedView) assessRequest(f Fingerprint) assessment {
 	if v.crashCounts[f] == 0 {
 		return assessment{}
@@ -307,7 +310,7 @@
 	return v.assess(f, v.Crashes)
 }
 
-// refresh brings the verdicts up to date.
+// refresh brings the quarantine up to date.
 func (t *Tracker) refresh() {
 	if t.upToDate && t.clock.Now() < t.nextSettles {
 		return
@@ -328,12 +331,12 @@
 	}
 	for f := range before {
 		if _, held := t.quarantined[f]; !held {
-			t.options.Logger.Info("request let out of quarantine", "fingerprint", f)
+			t.options.Logger.Info("request released from quarantine", "fingerprint", f)
 		}
 	}
 }
 
-// dropExpired drops what is too old to count.
+// dropExpired drops evidence that is too old to count.
 func (t *Tracker) dropExpired() {
 	oldest := t.clock.Now() - crashTTL
 	isQuarantined := func(f Fingerprint) bool { _, ok := t.quarantined[f]; return ok }
@@ -345,11 +348,11 @@
 	}
 	t.invalidate()
 	if t.stored && t.ownRow().isEmpty() {
-		t.persistDue.Poke() // the row goes
+		t.persistDue.Poke() // the stored row is deleted
 	}
 }
 
-// Sweep drops what is too old to count, though nothing new comes.
+// Sweep drops evidence that is too old to count, even if nothing new arrives.
 func (t *Tracker) Sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
