--- a/internal/quarantine/attribution.go
+++ b/internal/quarantine/attribution.go
@@ -155,14 +155,14 @@
 	}
 	attributions, settledOnly := map[Fingerprint]Attribution{}, Attribute(settled)
 	for f, v := range all {
-		_, sure := settledOnly[f]
-		if _, held := e.Quarantined[f]; sure || held {
+		_, inSettled := settledOnly[f]
+		if _, quarantined := e.Quarantined[f]; inSettled || quarantined {
 			attributions[f] = v
 		}
 	}
 	for f, v := range settledOnly {
 		_, known := attributions[f]
-		if _, held := e.Quarantined[f]; held && !known {
+		if _, quarantined := e.Quarantined[f]; quarantined && !known {
 			attributions[f] = v
 		}
 	}
--- a/internal/quarantine/attribution_test.go
+++ b/internal/quarantine/attribution_test.go
@@ -53,17 +53,17 @@
 		t.Run(name, func(t *testing.T) {
 			d := baseScenario
 			change(&d)
-			var sum, without simResult
+			var sum, unquarantined simResult
 			for seed := range uint64(scenarioSeeds) {
 				r := simulate(d, seed, Attribute)
 				if r.lateSends > maxLate {
 					t.Errorf("seed %d: %d sends later than 3 s after the third crash, %d allowed", seed, r.lateSends, maxLate)
 				}
-				sum, without = sum.plus(r), without.plus(simulate(d, seed, attributeNothing))
+				sum, unquarantined = sum.plus(r), unquarantined.plus(simulate(d, seed, attributeNothing))
 			}
 			t.Logf("%.1f crashes a day under requests (%.1f without), %.2f in quarantine that crash nothing; of %d others %.4f lost (%.4f without)",
-				float64(sum.crashes)/scenarioSeeds, float64(without.crashes)/scenarioSeeds, float64(sum.wronglyQuarantined)/scenarioSeeds,
-				sum.requests, sum.lostFraction(), without.lostFraction())
+				float64(sum.crashes)/scenarioSeeds, float64(unquarantined.crashes)/scenarioSeeds, float64(sum.wronglyQuarantined)/scenarioSeeds,
+				sum.requests, sum.lostFraction(), unquarantined.lostFraction())
 			if fraction := float64(sum.wronglyQuarantined) / float64(sum.requests); fraction > maxWronglyQuarantined {
 				t.Errorf("%d of %d requests are in quarantine that crash nothing, %.4f allowed", sum.wronglyQuarantined, sum.requests, maxWronglyQuarantined)
 			}
--- a/internal/quarantine/cluster_test.go
+++ b/internal/quarantine/cluster_test.go
@@ -21,8 +21,8 @@
 	"quaybarrow/platform/standin"
 )
 
-// cluster are the books of some cluster that tell each other and share a store.
-type cluster struct {
+// testHosts are the books of some testHosts that tell each other and share a store.
+type testHosts struct {
 	net        *memnet.Network
 	store      *standin.Store
 	clock      clock.Steady // that all share
@@ -45,8 +45,8 @@
 
 // peerClient reaches the other hosts.
 type peerClient struct {
-	cluster *cluster
-	from    int
+	hosts *testHosts
+	from  int
 }
 
 var errPartitioned = errors.New("no answer")
@@ -57,7 +57,7 @@
 	if _, err := fmt.Sscanf(address, "host-%d", &to); err != nil {
 		return quarantine.Update{}, err
 	}
-	h := c.cluster
+	h := c.hosts
 	h.mu.Lock()
 	h.calls++
 	cut, book := h.partitioned[to] || h.partitioned[c.from], h.trackers[to]
@@ -71,24 +71,24 @@
 
 // members are the other hosts, from the next one on.
 func (c peerClient) members() []quarantine.Member {
-	c.cluster.mu.Lock()
-	defer c.cluster.mu.Unlock()
+	c.hosts.mu.Lock()
+	defer c.hosts.mu.Unlock()
 	var list []quarantine.Member
-	for i := 1; i < len(c.cluster.trackers); i++ {
-		name := fmt.Sprint("host-", (c.from+i)%len(c.cluster.trackers))
+	for i := 1; i < len(c.hosts.trackers); i++ {
+		name := fmt.Sprint("host-", (c.from+i)%len(c.hosts.trackers))
 		list = append(list, quarantine.Member{Name: name, Address: name})
 	}
 	return list
 }
 
 // callCount counts the messages of hosts to others.
-func (h *cluster) callCount() int {
+func (h *testHosts) callCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.calls
 }
 
-func (h *cluster) isPartitioned(i int) bool {
+func (h *testHosts) isPartitioned(i int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.partitioned[i]
@@ -116,10 +116,10 @@
 
 const storeAddress = "10.9.0.1:80"
 
-// withCluster runs a body beside hosts.
-func withCluster(count int, body func(h *cluster)) {
+// withHosts runs a body beside hosts.
+func withHosts(count int, body func(h *testHosts)) {
 	suite.Paused(func() {
-		h := &cluster{
+		h := &testHosts{
 			net: memnet.New(), store: standin.NewStore(), clock: clock.NewSteady(), log: &logBuffer{}, listening: map[string]bool{}, partitioned: map[int]bool{},
 			trackers: make([]*quarantine.Tracker, count), processes: make([]*hostProcess, count),
 		}
@@ -140,13 +140,13 @@
 }
 
 // start starts a host, also again.
-func (h *cluster) start(i int) {
+func (h *testHosts) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	tables := platform.NewStore(storeAddress, h.net.Dial)
-	to := peerClient{h, i}
+	peers := peerClient{h, i}
 	b := quarantine.NewTracker(quarantine.Options{
 		Host: fmt.Sprint("host-", i), Probe: h.probe, CountEndpoints: func(string) int { return 12 }, Tables: tables, Logger: log.New(h.log),
-		Members: to.members, Peers: to, IsFirstHost: func() bool { return i == 0 },
+		Members: peers.members, Peers: peers, IsFirstHost: func() bool { return i == 0 },
 		SharedNow: func() (time.Duration, bool) { return h.clock.Now(), true },
 	})
 	process := &hostProcess{cancel: cancel}
@@ -157,7 +157,7 @@
 }
 
 // kill ends a host; what it has not told is lost.
-func (h *cluster) kill(i int) {
+func (h *testHosts) kill(i int) {
 	h.mu.Lock()
 	process := h.processes[i]
 	h.trackers[i] = nil
@@ -170,7 +170,7 @@
 }
 
 // restartAll ends all hosts and starts them again.
-func (h *cluster) restartAll() {
+func (h *testHosts) restartAll() {
 	for i := range h.trackers {
 		h.kill(i)
 	}
@@ -181,14 +181,14 @@
 }
 
 // setPartitioned has nobody reach a host, or ends that.
-func (h *cluster) setPartitioned(i int, on bool) {
+func (h *testHosts) setPartitioned(i int, on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.partitioned[i] = on
 }
 
 // probe is how hosts open connections to endpoints.
-func (h *cluster) probe(_ context.Context, address string, _ time.Duration) (bool, error) {
+func (h *testHosts) probe(_ context.Context, address string, _ time.Duration) (bool, error) {
 	if h.listening[address] {
 		return true, nil
 	}
@@ -196,14 +196,14 @@
 }
 
 // crash has requests run at an endpoint that crashes, as a host sees it.
-func (h *cluster) crash(host int, endpoint string, requests ...quarantine.Fingerprint) {
+func (h *testHosts) crash(host int, endpoint string, requests ...quarantine.Fingerprint) {
 	for _, f := range requests {
 		Expect(h.trackers[host].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: 80 * time.Millisecond}})).To(BeTrue())
 	}
 }
 
 // crashThrice has endpoints crash under a request at several hosts.
-func (h *cluster) crashThrice(f quarantine.Fingerprint) {
+func (h *testHosts) crashThrice(f quarantine.Fingerprint) {
 	for i := range 3 {
 		h.crashCount++
 		h.crash(i%len(h.trackers), fmt.Sprint("again-", h.crashCount), f)
@@ -212,7 +212,7 @@
 }
 
 // quarantined tells which hosts have a request in quarantine.
-func (h *cluster) quarantined(f quarantine.Fingerprint) []bool {
+func (h *testHosts) quarantined(f quarantine.Fingerprint) []bool {
 	var held []bool
 	for _, b := range h.trackers {
 		held = append(held, b.Status(f).Quarantined)
--- a/internal/quarantine/detection_test.go
+++ b/internal/quarantine/detection_test.go
@@ -11,14 +11,14 @@
 )
 
 var _ = Describe("an endpoint whose connections broke", func() {
-	connectionBroke := func(h *cluster, endpoint string) bool {
+	connectionBroke := func(h *testHosts, endpoint string) bool {
 		return h.trackers[0].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: crashing, Run: quarantine.Run{Lasted: time.Second}})
 	}
 
 	ctx := context.Background()
 
 	It("has crashed if it is gone from the list a moment later, and nothing listens there", func() {
-		withCluster(1, func(h *cluster) {
+		withHosts(1, func(h *testHosts) {
 			h.listening["e0"] = true // its process is not gone yet
 			Expect(connectionBroke(h, "e0")).To(BeFalse())
 			Expect(h.trackers[0].HasEvidence()).To(BeFalse())
@@ -30,7 +30,7 @@
 	})
 
 	It("has crashed if another start is listed at its address a moment later", func() {
-		withCluster(1, func(h *cluster) {
+		withHosts(1, func(h *testHosts) {
 			h.listening["e0"] = true // something listens there again already
 			Expect(connectionBroke(h, "e0")).To(BeFalse())
 			h.trackers[0].EndpointListed("e0", "e0")
@@ -43,7 +43,7 @@
 	})
 
 	It("has not if it leaves without notice and serves on", func() {
-		withCluster(1, func(h *cluster) {
+		withHosts(1, func(h *testHosts) {
 			h.listening["e0"] = true
 			Expect(connectionBroke(h, "e0")).To(BeFalse())
 			time.Sleep(time.Second)
@@ -53,7 +53,7 @@
 	})
 
 	It("has not if it goes long after, or nothing broke there", func() {
-		withCluster(1, func(h *cluster) {
+		withHosts(1, func(h *testHosts) {
 			h.listening["e0"] = true
 			Expect(connectionBroke(h, "e0")).To(BeFalse())
 			time.Sleep(10 * time.Second)
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -32,12 +32,12 @@
 	var list []ListEntry
 	for f, n := range v.crashCounts {
 		s := v.assessRequest(f)
-		_, held := t.quarantined[f]
-		if n < minListedMoments || (s.moments < minListedMoments && !held) {
+		_, quarantined := t.quarantined[f]
+		if n < minListedMoments || (s.moments < minListedMoments && !quarantined) {
 			continue
 		}
 		list = append(list, ListEntry{
-			Request: f, Label: v.label(f), Quarantined: held, Crashes: s.Crashes, Chance: s.Chance, First: now - s.First, Last: now - s.Last,
+			Request: f, Label: v.label(f), Quarantined: quarantined, Crashes: s.Crashes, Chance: s.Chance, First: now - s.First, Last: now - s.Last,
 		})
 	}
 	slices.SortFunc(list, func(a, b ListEntry) int {
--- a/internal/quarantine/partial_test.go
+++ b/internal/quarantine/partial_test.go
@@ -14,7 +14,7 @@
 	// A harmless request was refused for 23 ms: it had stood beside the same crashes as a guilty one, and one host's
 	// list told of an older crash before another's did.
 	It("do not bring a request into quarantine that is beside a guilty one", func() {
-		withCluster(2, func(h *cluster) {
+		withHosts(2, func(h *testHosts) {
 			connectionBroke := func(host int, endpoint string, f quarantine.Fingerprint, lasted time.Duration) {
 				Expect(h.trackers[host].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{
 					Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: lasted},
@@ -50,7 +50,7 @@
 
 var _ = Describe("a host that starts", func() {
 	It("has requests in quarantine as soon as it knows what others know", func() {
-		withCluster(2, func(h *cluster) {
+		withHosts(2, func(h *testHosts) {
 			h.crashThrice(crashing)
 			h.kill(1)
 			time.Sleep(10 * time.Second)
--- a/internal/quarantine/persistence_test.go
+++ b/internal/quarantine/persistence_test.go
@@ -19,7 +19,7 @@
 
 var _ = Describe("what hosts have seen of crashes", func() {
 	It("outlasts each of them, and all of them at once", func() {
-		withCluster(3, func(h *cluster) {
+		withHosts(3, func(h *testHosts) {
 			h.crash(0, "e0", crashing)
 			time.Sleep(crashSpacing)
 			h.crash(0, "e1", crashing)
@@ -27,24 +27,24 @@
 			h.restartAll()
 			h.crash(1, "e2", crashing)
 			time.Sleep(crashSpacing)
-			Expect(h.quarantined(crashing)).To(Equal(all))
+			Expect(h.quarantined(crashing)).To(Equal(everyHost))
 			h.restartAll()
-			Expect(h.quarantined(crashing)).To(Equal(all))
+			Expect(h.quarantined(crashing)).To(Equal(everyHost))
 			h.kill(2)
 			h.start(2)
 			time.Sleep(crashSpacing)
-			Expect(h.quarantined(crashing)).To(Equal(all))
+			Expect(h.quarantined(crashing)).To(Equal(everyHost))
 		})
 	})
 
 	for name, away := range map[string]bool{"": false, ", while the store is away": true} {
 		It("outlasts a host that starts again and sees a crash before it has heard of its earlier life"+name, func() {
-			withCluster(3, func(h *cluster) {
+			withHosts(3, func(h *testHosts) {
 				for i := range 3 {
 					h.crash(0, fmt.Sprint("e", i), crashing)
 					time.Sleep(crashSpacing)
 				}
-				Expect(h.quarantined(crashing)).To(Equal(all))
+				Expect(h.quarantined(crashing)).To(Equal(everyHost))
 				if away {
 					h.store.Break(standin.Silent)
 				}
@@ -53,40 +53,40 @@
 				h.crash(0, "e9", harmless)
 				for range 50 {
 					time.Sleep(100 * time.Millisecond)
-					Expect(h.quarantined(crashing)[1:]).To(Equal(all[1:]), "at the other hosts")
+					Expect(h.quarantined(crashing)[1:]).To(Equal(everyHost[1:]), "at the other hosts")
 				}
-				Expect(h.quarantined(crashing)).To(Equal(all))
+				Expect(h.quarantined(crashing)).To(Equal(everyHost))
 				h.store.Break(standin.Healthy)
 			})
 		})
 	}
 
 	It("does not come back with a host's earlier life once it was cleared", func() {
-		withCluster(3, func(h *cluster) {
+		withHosts(3, func(h *testHosts) {
 			h.crashThrice(crashing)
 			h.release(crashing)
 			time.Sleep(3 * time.Second)
 			h.restartAll()
-			Expect(h.quarantined(crashing)).To(Equal(none))
+			Expect(h.quarantined(crashing)).To(Equal(noHost))
 		})
 	})
 
 	for name, fault := range storeFaults {
 		It("is known to all while the store "+name+", and kept once it is back", func() {
-			withCluster(3, func(h *cluster) {
+			withHosts(3, func(h *testHosts) {
 				h.store.Break(fault)
 				h.crashThrice(crashing)
-				Expect(h.quarantined(crashing)).To(Equal(all))
+				Expect(h.quarantined(crashing)).To(Equal(everyHost))
 				h.store.Break(standin.Healthy)
 				time.Sleep(3 * time.Second)
 				h.restartAll()
-				Expect(h.quarantined(crashing)).To(Equal(all))
+				Expect(h.quarantined(crashing)).To(Equal(everyHost))
 			})
 		})
 	}
 
 	It("is the newest in the store though an older write is done late", func() {
-		withCluster(1, func(h *cluster) {
+		withHosts(1, func(h *testHosts) {
 			h.store.Break(standin.Silent)
 			h.crash(0, "e0", crashing)
 			time.Sleep(crashSpacing)
@@ -102,7 +102,7 @@
 	})
 
 	It("reaches hosts that were cut off, or were passed over, within three seconds of their return", func() {
-		withCluster(3, func(h *cluster) {
+		withHosts(3, func(h *testHosts) {
 			h.setPartitioned(2, true)
 			h.crashThrice(crashing)
 			h.crash(1, "f", crashing)
@@ -110,12 +110,12 @@
 			Expect(h.quarantined(crashing)).To(Equal([]bool{true, true, false}))
 			h.setPartitioned(2, false)
 			time.Sleep(3 * time.Second)
-			Expect(h.quarantined(crashing)).To(Equal(all))
+			Expect(h.quarantined(crashing)).To(Equal(everyHost))
 		})
 	})
 
 	It("reaches 60 hosts at once, though some of them do not answer", func() {
-		withCluster(60, func(h *cluster) {
+		withHosts(60, func(h *testHosts) {
 			for i := range 9 {
 				h.setPartitioned(10+i*5, true)
 			}
@@ -132,7 +132,7 @@
 	// request that crashes endpoints is to be known to all within three seconds all the same.
 	It("is told with messages that grow no faster than the hosts, however many have seen it", func() {
 		const count, observers = 400, 200
-		withCluster(count, func(h *cluster) {
+		withHosts(count, func(h *testHosts) {
 			time.Sleep(2 * time.Second)
 			before := h.callCount()
 			for i := range 3 {
@@ -153,32 +153,32 @@
 	})
 
 	It("is passed over where it can't be read", func() {
-		withCluster(3, func(h *cluster) {
+		withHosts(3, func(h *testHosts) {
 			h.crashThrice(crashing)
 			h.store.Put(quarantine.Table, "host-9", []byte(`{"row":7}`))
 			_, err := h.trackers[0].HandleUpdate(context.Background(), quarantine.Update{Rows: []quarantine.Row{{Host: "host-8", Version: 9, Value: []byte("{")}}})
 			Expect(err).NotTo(HaveOccurred())
 			h.restartAll()
-			Expect(h.quarantined(crashing)).To(Equal(all))
+			Expect(h.quarantined(crashing)).To(Equal(everyHost))
 			Expect(h.log.contents()).To(ContainSubstring("can't be read"))
 		})
 	})
 
 	It("is bounded, and those in quarantine stay", func() {
-		withCluster(3, func(h *cluster) {
+		withHosts(3, func(h *testHosts) {
 			h.crashThrice(crashing)
 			for i := range 300 {
 				h.crash(0, fmt.Sprint("x", i), fingerprintOf(uint64(1000+i)))
 				time.Sleep(300 * time.Millisecond)
 			}
 			time.Sleep(crashSpacing)
-			Expect(h.quarantined(crashing)).To(Equal(all))
+			Expect(h.quarantined(crashing)).To(Equal(everyHost))
 			Expect(len(h.store.Value(quarantine.Table, "host-0"))).To(BeNumerically("<", 30_000))
 		})
 	})
 
 	It("costs no write while nothing crashes, or all that ran there comes to a good end elsewhere", func() {
-		withCluster(3, func(h *cluster) {
+		withHosts(3, func(h *testHosts) {
 			time.Sleep(time.Minute)
 			h.crash(0, "e0", crashing, harmless)
 			h.crash(1, "e0", fingerprintOf(3))
--- a/internal/quarantine/relay.go
+++ b/internal/quarantine/relay.go
@@ -155,12 +155,12 @@
 // sendToFirst sends to the first candidate, and to the next ones while there is no prompt answer; it
 // returns false if none answers.
 func (t *Tracker) sendToFirst(ctx context.Context, candidates []Member, n Update) bool {
-	answers := make(chan bool, len(candidates))
+	results := make(chan bool, len(candidates))
 	failed := 0
 	for _, m := range candidates {
-		go func() { answers <- t.send(ctx, m, n) }()
+		go func() { results <- t.send(ctx, m, n) }()
 		select {
-		case ok := <-answers:
+		case ok := <-results:
 			if ok {
 				return true
 			}
@@ -169,7 +169,7 @@
 		}
 	}
 	for ; failed < len(candidates); failed++ {
-		if <-answers {
+		if <-results {
 			return true
 		}
 	}
--- a/internal/quarantine/settle_test.go
+++ b/internal/quarantine/settle_test.go
@@ -29,20 +29,20 @@
 			d := baseScenario
 			d.crashingRequests, d.copyInterval, d.identicalFraction, d.endpoints = 3, 600*time.Millisecond, 0.3, 7
 			change(&d)
-			var sum, before, unproven simResult
+			var sum, unsettled, late simResult
 			for seed := range uint64(partialReportSeeds) {
 				r := simulate(d, seed, AttributePartial)
 				if r.lateSends > maxLate {
 					t.Errorf("seed %d: %d sends later than 3 s after the third crash, %d allowed", seed, r.lateSends, maxLate)
 				}
-				sum, before = sum.plus(r), before.plus(simulate(d, seed, Attribute))
-				listed := d
-				listed.lateReportFraction = 0.2
-				unproven = unproven.plus(simulate(listed, seed, AttributePartial))
+				sum, unsettled = sum.plus(r), unsettled.plus(simulate(d, seed, Attribute))
+				lateReports := d
+				lateReports.lateReportFraction = 0.2
+				late = late.plus(simulate(lateReports, seed, AttributePartial))
 			}
 			t.Logf("in quarantine though they crash nothing: %d of %d (%d by all news at once), %d where the list tells a fifth; %.1f crashes a day (%.1f)",
-				sum.wronglyQuarantined, sum.requests, before.wronglyQuarantined, unproven.wronglyQuarantined, float64(sum.crashes)/partialReportSeeds, float64(before.crashes)/partialReportSeeds)
-			for _, r := range []simResult{sum, unproven} {
+				sum.wronglyQuarantined, sum.requests, unsettled.wronglyQuarantined, late.wronglyQuarantined, float64(sum.crashes)/partialReportSeeds, float64(unsettled.crashes)/partialReportSeeds)
+			for _, r := range []simResult{sum, late} {
 				if part := float64(r.wronglyQuarantined) / float64(r.requests); part > maxWronglyQuarantined {
 					t.Errorf("%d of %d requests are in quarantine that crash nothing, %.4f allowed", r.wronglyQuarantined, r.requests, maxWronglyQuarantined)
 				}
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -109,104 +109,106 @@
 
 // simulate plays a day.
 func simulate(d scenario, seed uint64, attribute func(Evidence) map[Fingerprint]Attribution) simResult {
-	s := &simulation{
+	sim := &simulation{
 		scenario: d, random: rand.New(rand.NewPCG(seed, 7)), attribute: attribute, completed: map[Fingerprint]time.Duration{},
 		quarantined: map[Fingerprint]time.Duration{}, everQuarantined: map[Fingerprint]bool{}, serial: 1000, thirdCrash: map[Fingerprint]time.Duration{}, crashCount: map[Fingerprint]int{}, lateSends: map[Fingerprint]int{},
 	}
 	for i := range d.endpoints {
-		s.endpoints = append(s.endpoints, &simEndpoint{name: uint64(i), up: true, running: map[*simRequest]time.Duration{}})
+		sim.endpoints = append(sim.endpoints, &simEndpoint{name: uint64(i), up: true, running: map[*simRequest]time.Duration{}})
 	}
 	rate := d.load * float64(d.endpoints) / d.meanDuration.Seconds()
-	s.every(time.Duration(float64(time.Second)/rate), s.arrive)
+	sim.every(time.Duration(float64(time.Second)/rate), sim.arrive)
 	if d.randomCrashInterval > 0 {
-		s.every(d.randomCrashInterval, func() {
+		sim.every(d.randomCrashInterval, func() {
 			for range max(d.randomCrashBurst, 1) {
-				s.crash(s.endpoints[s.random.IntN(d.endpoints)], Fingerprint{})
+				sim.crash(sim.endpoints[sim.random.IntN(d.endpoints)], Fingerprint{})
 			}
 		})
 	}
 	for i := range d.crashingRequests {
-		s.every(d.copyInterval, func() { s.send(&simRequest{fingerprint: fingerprintOf(uint64(i + 1)), crashing: true}) })
+		sim.every(d.copyInterval, func() { sim.send(&simRequest{fingerprint: fingerprintOf(uint64(i + 1)), crashing: true}) })
 	}
-	for len(s.events) > 0 && s.now < d.duration {
-		e := heap.Pop(&s.events).(event)
-		s.now = e.at
+	for len(sim.events) > 0 && sim.now < d.duration {
+		e := heap.Pop(&sim.events).(event)
+		sim.now = e.at
 		e.do()
 	}
-	for f := range s.everQuarantined {
+	for f := range sim.everQuarantined {
 		if binary.BigEndian.Uint64(f[:]) > uint64(d.crashingRequests) {
-			s.result.wronglyQuarantined++
+			sim.result.wronglyQuarantined++
 		}
 	}
-	return s.result
+	return sim.result
 }
 
-func (p *simulation) after(d time.Duration, do func()) { heap.Push(&p.events, event{p.now + d, do}) }
+func (sim *simulation) after(d time.Duration, do func()) {
+	heap.Push(&sim.events, event{sim.now + d, do})
+}
 
 // every does something again and again, at times by chance.
-func (p *simulation) every(mean time.Duration, do func()) {
+func (sim *simulation) every(mean time.Duration, do func()) {
 	var again func()
 	again = func() {
 		do()
-		p.after(time.Duration(p.random.ExpFloat64()*float64(mean)), again)
+		sim.after(time.Duration(sim.random.ExpFloat64()*float64(mean)), again)
 	}
-	p.after(time.Duration(p.random.ExpFloat64()*float64(mean)), again)
+	sim.after(time.Duration(sim.random.ExpFloat64()*float64(mean)), again)
 }
 
-func (p *simulation) arrive() {
-	p.serial++
-	r := &simRequest{fingerprint: fingerprintOf(p.serial)}
-	if p.random.Float64() < p.scenario.identicalFraction {
+func (sim *simulation) arrive() {
+	sim.serial++
+	r := &simRequest{fingerprint: fingerprintOf(sim.serial)}
+	if sim.random.Float64() < sim.scenario.identicalFraction {
 		r.fingerprint = fingerprintOf(999)
 	}
-	p.result.requests++
-	p.send(r)
+	sim.result.requests++
+	sim.send(r)
 }
 
-func (p *simulation) send(r *simRequest) {
+func (sim *simulation) send(r *simRequest) {
 	if r.number == 0 {
-		p.sentCount++
-		r.number = p.sentCount
+		sim.sentCount++
+		r.number = sim.sentCount
 	}
-	if known, held := p.quarantined[r.fingerprint]; held && p.now >= known {
+	if known, held := sim.quarantined[r.fingerprint]; held && sim.now >= known {
 		if !r.crashing {
-			p.result.lost++
-			p.result.refused++
+			sim.result.lost++
+			sim.result.refused++
 		}
 		return
 	}
-	if !p.maySend(r) {
+	if !sim.maySend(r) {
 		return
 	}
-	e := p.pick()
-	if e == nil || r.attempts >= p.scenario.maxAttempts || p.leftToCaller(r) {
+	e := sim.pick()
+	if e == nil || r.attempts >= sim.scenario.maxAttempts || sim.hostsStopRetrying(r) {
 		if !r.crashing {
-			p.result.lost++
+			sim.result.lost++
 		}
 		return
 	}
 	r.attempts++
 	r.run++
 	r.endpoint, r.responseBegan = e, 0
-	e.running[r] = p.now
-	p.run(r, e)
+	e.running[r] = sim.now
+	sim.run(r, e)
 }
 
 // maySend reports whether a request may go that endpoints may crash under; one of all such goes a second, and
 // the others look again.
-func (p *simulation) maySend(r *simRequest) bool {
-	if p.scenario.hosts == 0 {
+func (sim *simulation) maySend(r *simRequest) bool {
+	if sim.scenario.hosts == 0 {
 		return true
 	}
-	s := p.evidence().assess(r.fingerprint, p.crashes)
+	s := sim.evidence().assess(r.fingerprint, sim.crashes)
 	if !(Status{Crashed: len(s.crashed)}).IsSuspect() {
 		return true
 	}
-	if p.now >= p.nextSuspectSend {
-		p.nextSuspectSend = p.now + time.Second
+	if sim.now >= sim.nextSuspectSend {
+		sim.nextSuspectSend = sim.now + time.Second
 		return true
 	}
-	p.after(suspectRetryDelay, func() { p.send(r) })
+	sim.after(suspectRetryDelay, func() { sim.send(r) })
 	return false
 }
 
@@ -214,37 +216,37 @@
 const suspectRetryDelay = 100 * time.Millisecond
 
 // run has a request run at an endpoint, to its end or the endpoint's.
-func (p *simulation) run(r *simRequest, e *simEndpoint) {
-	if third, ok := p.thirdCrash[r.fingerprint]; ok && r.crashing && p.now > third+3*time.Second {
-		p.lateSends[r.fingerprint]++
-		p.result.lateSends = max(p.result.lateSends, p.lateSends[r.fingerprint])
+func (sim *simulation) run(r *simRequest, e *simEndpoint) {
+	if thirdAt, ok := sim.thirdCrash[r.fingerprint]; ok && r.crashing && sim.now > thirdAt+3*time.Second {
+		sim.lateSends[r.fingerprint]++
+		sim.result.lateSends = max(sim.result.lateSends, sim.lateSends[r.fingerprint])
 	}
 	run := r.run
-	then := func(after time.Duration, do func()) {
-		p.after(after, func() {
+	ifStillRunning := func(after time.Duration, do func()) {
+		sim.after(after, func() {
 			if r.run == run && r.endpoint == e {
 				do()
 			}
 		})
 	}
-	wait := time.Duration(p.random.Float64() * float64(p.scenario.maxQueueWait))
-	if p.scenario.headsBeforeCrash {
-		then(wait+p.scenario.crashAfter/2, func() { r.responseBegan = p.now })
+	wait := time.Duration(sim.random.Float64() * float64(sim.scenario.maxQueueWait))
+	if sim.scenario.headsBeforeCrash {
+		ifStillRunning(wait+sim.scenario.crashAfter/2, func() { r.responseBegan = sim.now })
 	}
 	if r.crashing {
-		then(wait+p.scenario.crashAfter, func() { p.crash(e, r.fingerprint) })
+		ifStillRunning(wait+sim.scenario.crashAfter, func() { sim.crash(e, r.fingerprint) })
 		return
 	}
-	then(wait+time.Duration(math.Exp(p.random.NormFloat64()*0.7-0.25)*float64(p.scenario.meanDuration)), func() {
+	ifStillRunning(wait+time.Duration(math.Exp(sim.random.NormFloat64()*0.7-0.25)*float64(sim.scenario.meanDuration)), func() {
 		delete(e.running, r)
 		r.endpoint = nil
-		p.completed[r.fingerprint] = p.now
+		sim.completed[r.fingerprint] = sim.now
 	})
 }
 
-func (p *simulation) pick() *simEndpoint {
+func (sim *simulation) pick() *simEndpoint {
 	var up []*simEndpoint
-	for _, e := range p.endpoints {
+	for _, e := range sim.endpoints {
 		if e.up {
 			up = append(up, e)
 		}
@@ -252,55 +254,55 @@
 	if len(up) == 0 {
 		return nil
 	}
-	if p.random.Float64() < p.scenario.affinityFraction {
+	if sim.random.Float64() < sim.scenario.affinityFraction {
 		return up[0]
 	}
-	return up[p.random.IntN(len(up))]
+	return up[sim.random.IntN(len(up))]
 }
 
-func (p *simulation) crash(e *simEndpoint, by Fingerprint) {
+func (sim *simulation) crash(e *simEndpoint, by Fingerprint) {
 	if !e.up {
 		return
 	}
 	e.up = false
-	p.serial++
-	e.name = p.serial
-	c := Crash{Endpoint: fingerprintOf(e.name).String(), Service: "s", At: p.now, Runs: map[Fingerprint]Run{}}
+	sim.serial++
+	e.name = sim.serial
+	c := Crash{Endpoint: fingerprintOf(e.name).String(), Service: "s", At: sim.now, Runs: map[Fingerprint]Run{}}
 	var broken []*simRequest
-	for r, since := range e.running {
-		run := Run{Lasted: p.now - since}
+	for r, sentAt := range e.running {
+		run := Run{Lasted: sim.now - sentAt}
 		if r.responseBegan > 0 {
-			run.ResponseLasted = p.now - r.responseBegan
+			run.ResponseLasted = sim.now - r.responseBegan
 		}
-		run.Copies = p.countOngoing(r.fingerprint) / hostCount
+		run.Copies = sim.countOngoing(r.fingerprint) / hostCount
 		c.Runs[r.fingerprint] = c.Runs[r.fingerprint].Max(run)
 		broken = append(broken, r)
 		r.endpoint = nil
 	}
 	if !by.IsZero() {
-		p.result.crashes++
-		if p.crashCount[by]++; p.crashCount[by] == 3 {
-			p.thirdCrash[by] = p.now
+		sim.result.crashes++
+		if sim.crashCount[by]++; sim.crashCount[by] == 3 {
+			sim.thirdCrash[by] = sim.now
 		}
 	}
 	slices.SortFunc(broken, func(a, b *simRequest) int { return cmp.Compare(a.number, b.number) })
 	e.running = map[*simRequest]time.Duration{}
-	p.report(c, broken)
+	sim.report(c, broken)
 	for _, r := range broken {
-		p.after(5*time.Millisecond, func() { p.send(r) })
+		sim.after(5*time.Millisecond, func() { sim.send(r) })
 	}
-	p.after(3*time.Second, func() { e.up = true })
+	sim.after(3*time.Second, func() { e.up = true })
 }
 
 // report has what hosts saw of a crash become known, in parts if each of them tells its own.
-func (p *simulation) report(c Crash, broken []*simRequest) {
-	if p.scenario.hosts == 0 {
-		p.receiveReport(c)
+func (sim *simulation) report(c Crash, broken []*simRequest) {
+	if sim.scenario.hosts == 0 {
+		sim.receiveReport(c)
 		return
 	}
-	parts := make([]Crash, p.scenario.hosts)
+	parts := make([]Crash, sim.scenario.hosts)
 	for _, r := range broken {
-		part := &parts[r.number%p.scenario.hosts]
+		part := &parts[r.number%sim.scenario.hosts]
 		if part.Runs == nil {
 			*part = Crash{Endpoint: c.Endpoint, Service: c.Service, At: c.At, Runs: map[Fingerprint]Run{}}
 		}
@@ -310,11 +312,11 @@
 		if part.Runs == nil {
 			continue
 		}
-		after := batchDelay + time.Duration(p.random.ExpFloat64()*float64(p.scenario.reportDelay))
-		if p.random.Float64() < p.scenario.lateReportFraction {
-			after += listDelay + time.Duration(p.random.Float64()*float64(p.scenario.lateReportSpread))
+		after := batchDelay + time.Duration(sim.random.ExpFloat64()*float64(sim.scenario.reportDelay))
+		if sim.random.Float64() < sim.scenario.lateReportFraction {
+			after += listDelay + time.Duration(sim.random.Float64()*float64(sim.scenario.lateReportSpread))
 		}
-		p.after(after, func() { p.receiveReport(part) })
+		sim.after(after, func() { sim.receiveReport(part) })
 	}
 }
 
@@ -322,52 +324,52 @@
 const listDelay = 3600 * time.Millisecond
 
 // receiveReport takes in what is told of a crash, and has it weighed, again once it may count.
-func (p *simulation) receiveReport(c Crash) {
-	i := slices.IndexFunc(p.crashes, func(known Crash) bool { return known.Endpoint == c.Endpoint })
+func (sim *simulation) receiveReport(c Crash) {
+	i := slices.IndexFunc(sim.crashes, func(known Crash) bool { return known.Endpoint == c.Endpoint })
 	if i < 0 {
-		c.UpdatedAt = p.now
-		p.crashes = append(p.crashes, c)
+		c.UpdatedAt = sim.now
+		sim.crashes = append(sim.crashes, c)
 	} else {
-		known := Crash{Endpoint: c.Endpoint, Service: c.Service, At: c.At, UpdatedAt: p.now, Runs: maps.Clone(p.crashes[i].Runs)}
+		known := Crash{Endpoint: c.Endpoint, Service: c.Service, At: c.At, UpdatedAt: sim.now, Runs: maps.Clone(sim.crashes[i].Runs)}
 		maps.Copy(known.Runs, c.Runs)
-		p.crashes[i] = known
+		sim.crashes[i] = known
 	}
-	p.refresh()
-	p.after(settleDelay, p.refresh)
-	p.after(lateSettleDelay, p.refresh)
+	sim.refresh()
+	sim.after(settleDelay, sim.refresh)
+	sim.after(lateSettleDelay, sim.refresh)
 }
 
 // refresh brings the verdicts up to date.
-func (p *simulation) refresh() {
-	p.clearOutlasting()
+func (sim *simulation) refresh() {
+	sim.clearOutlasting()
 	// What is long over counts no more; a day is short.
-	p.attributions = p.attribute(p.evidence())
-	maps.DeleteFunc(p.quarantined, func(f Fingerprint, _ time.Duration) bool { _, held := p.attributions[f]; return !held })
-	for f := range p.attributions {
-		p.everQuarantined[f] = true
-		if _, held := p.quarantined[f]; !held {
-			p.quarantined[f] = p.now + p.scenario.quarantineDelay
+	sim.attributions = sim.attribute(sim.evidence())
+	maps.DeleteFunc(sim.quarantined, func(f Fingerprint, _ time.Duration) bool { _, held := sim.attributions[f]; return !held })
+	for f := range sim.attributions {
+		sim.everQuarantined[f] = true
+		if _, held := sim.quarantined[f]; !held {
+			sim.quarantined[f] = sim.now + sim.scenario.quarantineDelay
 		}
 	}
 }
 
 // evidence is all that is known.
-func (p *simulation) evidence() Evidence {
-	return Evidence{Crashes: p.crashes, Completed: p.completed, CountEndpoints: func(string) int { return p.scenario.endpoints }, Quarantined: p.attributions, Now: p.now}
+func (sim *simulation) evidence() Evidence {
+	return Evidence{Crashes: sim.crashes, Completed: sim.completed, CountEndpoints: func(string) int { return sim.scenario.endpoints }, Quarantined: sim.attributions, Now: sim.now}
 }
 
 // clearOutlasting clears requests of which a run goes on for longer than any at a crash.
-func (p *simulation) clearOutlasting() {
+func (sim *simulation) clearOutlasting() {
 	longest := map[Fingerprint]time.Duration{}
-	for _, c := range p.crashes {
+	for _, c := range sim.crashes {
 		for f, run := range c.Runs {
 			longest[f] = max(longest[f], run.ResponseLasted)
 		}
 	}
-	for _, e := range p.endpoints {
+	for _, e := range sim.endpoints {
 		for r := range e.running {
-			if l, ok := longest[r.fingerprint]; ok && e.up && r.responseBegan > 0 && p.now-r.responseBegan > 2*l+clearMargin {
-				p.completed[r.fingerprint] = p.now
+			if l, ok := longest[r.fingerprint]; ok && e.up && r.responseBegan > 0 && sim.now-r.responseBegan > 2*l+clearMargin {
+				sim.completed[r.fingerprint] = sim.now
 			}
 		}
 	}
@@ -377,9 +379,9 @@
 const hostCount = 4
 
 // countOngoing counts a request's runs that have begun.
-func (p *simulation) countOngoing(f Fingerprint) int {
+func (sim *simulation) countOngoing(f Fingerprint) int {
 	n := 0
-	for _, e := range p.endpoints {
+	for _, e := range sim.endpoints {
 		for r := range e.running {
 			if r.fingerprint == f && r.responseBegan > 0 {
 				n++
@@ -389,8 +391,8 @@
 	return n
 }
 
-// leftToCaller reports whether hosts do not repeat a request any more.
-func (p *simulation) leftToCaller(r *simRequest) bool {
-	s := p.evidence().assess(r.fingerprint, p.crashes)
+// hostsStopRetrying reports whether hosts do not repeat a request any more.
+func (sim *simulation) hostsStopRetrying(r *simRequest) bool {
+	s := sim.evidence().assess(r.fingerprint, sim.crashes)
 	return r.attempts > 0 && !Status{Moments: s.moments, Chance: s.Chance}.HostMayRetry(r.attempts)
 }
--- a/internal/quarantine/status_test.go
+++ b/internal/quarantine/status_test.go
@@ -30,8 +30,8 @@
 func TestRequestsThatMayHaveEmptiedAService(t *testing.T) {
 	request := fingerprintOf(1)
 	under := map[Fingerprint]Run{request: {Lasted: 50 * time.Millisecond}}
-	for what, c := range emptiedCases {
-		t.Run(what, func(t *testing.T) {
+	for name, c := range emptiedCases {
+		t.Run(name, func(t *testing.T) {
 			crashes := append(crashesAt("s", under, 1000, 1020), c.others...)
 			s := Evidence{CountEndpoints: func(string) int { return 12 }}.assess(request, crashes)
 			standing := Status{Crashed: len(s.crashed), Beside: s.otherCrashes}
--- a/internal/quarantine/storage.go
+++ b/internal/quarantine/storage.go
@@ -85,7 +85,7 @@
 	v := t.view()
 	for _, c := range t.ownRow().crashes {
 		for f := range c.Runs {
-			if _, held := t.quarantined[f]; held || v.assessRequest(f).moments >= minMoments-1 {
+			if _, quarantined := t.quarantined[f]; quarantined || v.assessRequest(f).moments >= minMoments-1 {
 				return true
 			}
 		}
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -227,7 +227,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refresh()
-	if _, held := t.quarantined[f]; !held {
+	if _, quarantined := t.quarantined[f]; !quarantined {
 		return false
 	}
 	t.clearRequest(f, t.clock.Now(), "released by an operator")
@@ -258,9 +258,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.refresh()
-	_, held := t.quarantined[f]
+	_, quarantined := t.quarantined[f]
 	s := t.view().assessRequest(f)
-	return Status{Quarantined: held, Moments: s.moments, Chance: s.Chance, Crashed: len(s.crashed), Beside: s.otherCrashes}
+	return Status{Quarantined: quarantined, Moments: s.moments, Chance: s.Chance, Crashed: len(s.crashed), Beside: s.otherCrashes}
 }
 
 // since returns the time since a reading of the tracker's clock.
@@ -318,18 +318,18 @@
 	t.dropExpired()
 	t.clearOutlasting()
 	t.evidenceChanged.Drain()
-	before := t.quarantined
+	previous := t.quarantined
 	v := t.view()
 	e := v.Evidence
-	e.Quarantined, e.Now = before, t.clock.Now()
+	e.Quarantined, e.Now = previous, t.clock.Now()
 	t.quarantined, t.upToDate, t.nextSettles = AttributePartial(e), true, e.nextSettles()
 	for f, attribution := range t.quarantined {
-		if _, known := before[f]; !known {
+		if _, known := previous[f]; !known {
 			t.options.Logger.Warn("request quarantined", "fingerprint", f, "of", v.label(f), "crashes", attribution.Crashes, "chance", attribution.Chance,
 				"first_ms_ago", t.since(attribution.First).Milliseconds(), "last_ms_ago", t.since(attribution.Last).Milliseconds(), "crashes_known", len(v.Crashes), "hosts", len(t.rows))
 		}
 	}
-	for f := range before {
+	for f := range previous {
 		if _, held := t.quarantined[f]; !held {
 			t.options.Logger.Info("request released from quarantine", "fingerprint", f)
 		}
@@ -357,7 +357,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	maps.DeleteFunc(t.unconfirmed, func(_ string, runs []BrokenAttempt) bool { return now-runs[len(runs)-1].reportedAt > unconfirmedTTL })
+	maps.DeleteFunc(t.unconfirmed, func(_ string, attempts []BrokenAttempt) bool {
+		return now-attempts[len(attempts)-1].reportedAt > unconfirmedTTL
+	})
 	if t.HasEvidence() {
 		t.upToDate = false
 		t.refresh()
