--- a/internal/quarantine/attribution_test.go
+++ b/internal/quarantine/attribution_test.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// baseScenario has as many endpoints and requests as a small deployment, and nothing that crashes.
+// baseScenario has the endpoints and requests of a small deployment, and no crashes.
 var baseScenario = scenario{
 	endpoints: 9, load: 8, meanDuration: 2 * time.Second, maxAttempts: 3, crashAfter: 100 * time.Millisecond, maxQueueWait: 300 * time.Millisecond,
 	headsBeforeCrash: true, quarantineDelay: 200 * time.Millisecond, duration: 30 * time.Second,
 }
 
-// scenarios are days with requests that crash endpoints, and days on which endpoints crash by
+// scenarios are periods with requests that crash endpoints, and periods in which endpoints crash by
 // themselves.
 var scenarios = map[string]func(d *scenario){
 	"one request, each second":         func(d *scenario) { d.crashingRequests, d.copyInterval = 1, time.Second },
 	"one, four times a second":         func(d *scenario) { d.crashingRequests, d.copyInterval = 1, 250*time.Millisecond },
-	"one, now and then":                func(d *scenario) { d.crashingRequests, d.copyInterval = 1, 4*time.Second },
+	"one, every four seconds":          func(d *scenario) { d.crashingRequests, d.copyInterval = 1, 4*time.Second },
 	"one that crashes after a while":   func(d *scenario) { d.crashingRequests, d.copyInterval, d.crashAfter = 1, time.Second, 2*time.Second },
 	"one that crashes before its head": func(d *scenario) { d.crashingRequests, d.copyInterval, d.headsBeforeCrash = 1, time.Second, false },
-	"one beside crashes by chance": func(d *scenario) {
+	"one beside random crashes": func(d *scenario) {
 		d.crashingRequests, d.copyInterval, d.randomCrashInterval = 1, time.Second, 1500*time.Millisecond
 	},
-	"one whose neighbours go where it goes":  func(d *scenario) { d.crashingRequests, d.copyInterval, d.affinityFraction = 1, time.Second, 0.8 },
-	"one among many endpoints":               func(d *scenario) { d.crashingRequests, d.copyInterval, d.endpoints = 1, time.Second, 140 },
-	"crashes by chance":                      func(d *scenario) { d.randomCrashInterval = 700 * time.Millisecond },
-	"crashes by chance, half asked the same": func(d *scenario) { d.randomCrashInterval, d.identicalFraction = 700*time.Millisecond, 0.5 },
-	"crashes by chance, three at once":       func(d *scenario) { d.randomCrashInterval, d.randomCrashBurst = 2*time.Second, 3 },
-	"three at once, half asked the same": func(d *scenario) {
+	"one whose neighbours go to the same endpoint":   func(d *scenario) { d.crashingRequests, d.copyInterval, d.affinityFraction = 1, time.Second, 0.8 },
+	"one among many endpoints":                       func(d *scenario) { d.crashingRequests, d.copyInterval, d.endpoints = 1, time.Second, 140 },
+	"random crashes":                                 func(d *scenario) { d.randomCrashInterval = 700 * time.Millisecond },
+	"random crashes, half of the requests identical": func(d *scenario) { d.randomCrashInterval, d.identicalFraction = 700*time.Millisecond, 0.5 },
+	"random crashes, three at once":                  func(d *scenario) { d.randomCrashInterval, d.randomCrashBurst = 2*time.Second, 3 },
+	"random crashes, three at once, half of the requests identical": func(d *scenario) {
 		d.randomCrashInterval, d.randomCrashBurst, d.identicalFraction = 2*time.Second, 3, 0.5
 	},
-	"crashes by chance under short requests": func(d *scenario) {
+	"random crashes with short requests": func(d *scenario) {
 		d.randomCrashInterval, d.meanDuration, d.load = 700*time.Millisecond, 200*time.Millisecond, 2
 	},
 }
 
-// Bounds of a day.
+// Limits for a scenario.
 const (
 	scenarioSeeds = 12
-	// maxLate is how often a request may be sent that crashes endpoints, later than three
-	// seconds after the third crash, as the users tell.
+	// maxLate is how often a request that crashes endpoints may be sent later than three seconds
+	// after its third crash, by the user requirements.
 	maxLate = 3
-	// maxWronglyQuarantined of the requests may be taken for one that crashes endpoints: as few as the
-	// users allow to be turned away without a reason.
+	// maxWronglyQuarantined is the fraction of the requests that may be quarantined though they
+	// crash nothing: as few as the user requirements allow to be rejected without a reason.
 	maxWronglyQuarantined = 1.0 / 500
 )
 
@@ -61,11 +61,11 @@
 				}
 				sum, unquarantined = sum.plus(r), unquarantined.plus(simulate(d, seed, attributeNothing))
 			}
-			t.Logf("%.1f crashes a day under requests (%.1f without), %.2f in quarantine that crash nothing; of %d others %.4f lost (%.4f without)",
+			t.Logf("%.1f crashes per run caused by requests (%.1f without quarantine), %.2f harmless requests in quarantine; of %d other requests %.4f lost (%.4f without)",
 				float64(sum.crashes)/scenarioSeeds, float64(unquarantined.crashes)/scenarioSeeds, float64(sum.wronglyQuarantined)/scenarioSeeds,
 				sum.requests, sum.lostFraction(), unquarantined.lostFraction())
 			if fraction := float64(sum.wronglyQuarantined) / float64(sum.requests); fraction > maxWronglyQuarantined {
-				t.Errorf("%d of %d requests are in quarantine that crash nothing, %.4f allowed", sum.wronglyQuarantined, sum.requests, maxWronglyQuarantined)
+				t.Errorf("%d of %d requests are in quarantine though they crash nothing, %.4f allowed", sum.wronglyQuarantined, sum.requests, maxWronglyQuarantined)
 			}
 			if sum.refused > 0 && d.crashingRequests == 0 {
 				t.Errorf("%d requests refused though none crashes anything", sum.refused)
--- a/internal/quarantine/cluster_test.go
+++ b/internal/quarantine/cluster_test.go
@@ -21,29 +21,29 @@
 	"quaybarrow/platform/standin"
 )
 
-// testHosts are the books of some testHosts that tell each other and share a store.
+// testHosts are the trackers of several hosts that exchange updates and share a store.
 type testHosts struct {
 	net        *memnet.Network
 	store      *standin.Store
-	clock      clock.Steady // that all share
+	clock      clock.Steady // shared by all hosts
 	log        *logBuffer
-	listening  map[string]bool // addresses that take connections
-	crashCount int             // endpoints that have crashed
+	listening  map[string]bool // addresses that accept connections
+	crashCount int             // endpoints that have crashed in crashThrice
 
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards all fields below
 	trackers    []*quarantine.Tracker
 	processes   []*hostProcess
-	partitioned map[int]bool // hosts that nobody reaches
-	calls       int          // of hosts to others
+	partitioned map[int]bool // hosts that no other host reaches
+	calls       int          // from hosts to others
 }
 
-// hostProcess is a host's, until it is killed.
+// hostProcess is a running host, until it is killed.
 type hostProcess struct {
 	cancel  context.CancelFunc
 	working sync.WaitGroup
 }
 
-// peerClient reaches the other hosts.
+// peerClient sends updates to the other hosts.
 type peerClient struct {
 	hosts *testHosts
 	from  int
@@ -69,7 +69,7 @@
 	return book.HandleUpdate(ctx, n)
 }
 
-// members are the other hosts, from the next one on.
+// members returns the other hosts, starting with the next one.
 func (c peerClient) members() []quarantine.Member {
 	c.hosts.mu.Lock()
 	defer c.hosts.mu.Unlock()
@@ -81,7 +81,7 @@
 	return list
 }
 
-// callCount counts the messages of hosts to others.
+// callCount returns the number of messages from hosts to others.
 func (h *testHosts) callCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,7 +94,7 @@
 	return h.partitioned[i]
 }
 
-// logBuffer counts what was logged.
+// logBuffer collects the log output.
 type logBuffer struct {
 	mu   sync.Mutex // guards text
 	text string
@@ -116,7 +116,7 @@
 
 const storeAddress = "10.9.0.1:80"
 
-// withHosts runs a body beside hosts.
+// withHosts runs body with a number of running hosts.
 func withHosts(count int, body func(h *testHosts)) {
 	suite.Paused(func() {
 		h := &testHosts{
@@ -139,7 +139,7 @@
 	})
 }
 
-// start starts a host, also again.
+// start starts or restarts a host.
 func (h *testHosts) start(i int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	tables := platform.NewStore(storeAddress, h.net.Dial)
@@ -156,7 +156,7 @@
 	h.trackers[i], h.processes[i] = b, process
 }
 
-// kill ends a host; what it has not told is lost.
+// kill stops a host; what it has not sent is lost.
 func (h *testHosts) kill(i int) {
 	h.mu.Lock()
 	process := h.processes[i]
@@ -169,7 +169,7 @@
 	process.working.Wait()
 }
 
-// restartAll ends all hosts and starts them again.
+// restartAll stops all hosts and starts them again.
 func (h *testHosts) restartAll() {
 	for i := range h.trackers {
 		h.kill(i)
@@ -180,14 +180,14 @@
 	time.Sleep(crashSpacing)
 }
 
-// setPartitioned has nobody reach a host, or ends that.
+// setPartitioned cuts a host off from all others, or reconnects it.
 func (h *testHosts) setPartitioned(i int, on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.partitioned[i] = on
 }
 
-// probe is how hosts open connections to endpoints.
+// probe is the probe that hosts use for endpoints.
 func (h *testHosts) probe(_ context.Context, address string, _ time.Duration) (bool, error) {
 	if h.listening[address] {
 		return true, nil
@@ -195,14 +195,14 @@
 	return false, syscall.ECONNREFUSED
 }
 
-// crash has requests run at an endpoint that crashes, as a host sees it.
+// crash reports to a host that an endpoint crashed while it ran the requests.
 func (h *testHosts) crash(host int, endpoint string, requests ...quarantine.Fingerprint) {
 	for _, f := range requests {
 		Expect(h.trackers[host].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: 80 * time.Millisecond}})).To(BeTrue())
 	}
 }
 
-// crashThrice has endpoints crash under a request at several hosts.
+// crashThrice has endpoints crash under a request, as seen by several hosts.
 func (h *testHosts) crashThrice(f quarantine.Fingerprint) {
 	for i := range 3 {
 		h.crashCount++
@@ -211,7 +211,7 @@
 	}
 }
 
-// quarantined tells which hosts have a request in quarantine.
+// quarantined returns for each host whether a request is in quarantine there.
 func (h *testHosts) quarantined(f quarantine.Fingerprint) []bool {
 	var held []bool
 	for _, b := range h.trackers {
@@ -220,7 +220,7 @@
 	return held
 }
 
-// fingerprintOf is the fingerprint of one of many requests.
+// fingerprintOf returns the fingerprint of the n-th request.
 func fingerprintOf(n uint64) (f quarantine.Fingerprint) {
 	binary.BigEndian.PutUint64(f[:], n)
 	return f
--- a/internal/quarantine/detection_test.go
+++ b/internal/quarantine/detection_test.go
@@ -17,9 +17,9 @@
 
 	ctx := context.Background()
 
-	It("has crashed if it is gone from the list a moment later, and nothing listens there", func() {
+	It("has crashed if it leaves the endpoint list shortly after and nothing listens at its address", func() {
 		withHosts(1, func(h *testHosts) {
-			h.listening["e0"] = true // its process is not gone yet
+			h.listening["e0"] = true // its process has not exited yet
 			Expect(connectionBroke(h, "e0")).To(BeFalse())
 			Expect(h.trackers[0].HasEvidence()).To(BeFalse())
 			time.Sleep(4 * time.Second)
@@ -29,9 +29,9 @@
 		})
 	})
 
-	It("has crashed if another start is listed at its address a moment later", func() {
+	It("has crashed if another instance is listed at its address shortly after", func() {
 		withHosts(1, func(h *testHosts) {
-			h.listening["e0"] = true // something listens there again already
+			h.listening["e0"] = true // a new process already listens there
 			Expect(connectionBroke(h, "e0")).To(BeFalse())
 			h.trackers[0].EndpointListed("e0", "e0")
 			h.trackers[0].EndpointListed("e2", "e2")
@@ -42,7 +42,7 @@
 		})
 	})
 
-	It("has not if it leaves without notice and serves on", func() {
+	It("has not crashed if it leaves without notice and continues to serve", func() {
 		withHosts(1, func(h *testHosts) {
 			h.listening["e0"] = true
 			Expect(connectionBroke(h, "e0")).To(BeFalse())
@@ -52,7 +52,7 @@
 		})
 	})
 
-	It("has not if it goes long after, or nothing broke there", func() {
+	It("has not crashed if it leaves long after, or no connection broke there", func() {
 		withHosts(1, func(h *testHosts) {
 			h.listening["e0"] = true
 			Expect(connectionBroke(h, "e0")).To(BeFalse())
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -21,7 +21,7 @@
 		})
 	}
 
-	It("is read as it is written, and nothing else is", func() {
+	It("is parsed from its text form, and invalid text is rejected", func() {
 		text, err := one.Fingerprint().MarshalText()
 		Expect(err).NotTo(HaveOccurred())
 		var f quarantine.Fingerprint
--- a/internal/quarantine/partial_test.go
+++ b/internal/quarantine/partial_test.go
@@ -11,16 +11,17 @@
 )
 
 var _ = Describe("news of a crash that come in parts", func() {
-	// A harmless request was refused for 23 ms: it had stood beside the same crashes as a guilty one, and one host's
-	// list told of an older crash before another's did.
-	It("do not bring a request into quarantine that is beside a guilty one", func() {
+	// Guards against the refusal of a harmless request, once for 23 ms: it had run at the same
+	// crashes as a request that crashes endpoints, and one host's endpoint list showed an older
+	// crash before another host's list did.
+	It("do not put a harmless request into quarantine that ran beside one that crashes endpoints", func() {
 		withHosts(2, func(h *testHosts) {
 			connectionBroke := func(host int, endpoint string, f quarantine.Fingerprint, lasted time.Duration) {
 				Expect(h.trackers[host].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{
 					Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: lasted},
 				})).To(Equal(!h.listening[endpoint]))
 			}
-			h.listening["e0"] = true // something listens there again already
+			h.listening["e0"] = true // a new process already listens there
 			connectionBroke(0, "e0", harmless, 0)
 			connectionBroke(1, "e0", crashing, 80*time.Millisecond)
 			time.Sleep(crashSpacing / 2)
--- a/internal/quarantine/persistence_test.go
+++ b/internal/quarantine/persistence_test.go
@@ -12,13 +12,13 @@
 	"quaybarrow/platform/standin"
 )
 
-// storeFaults are ways in which the store is away.
+// storeFaults are ways in which the store is unavailable.
 var storeFaults = map[string]standin.Fault{
 	"is silent": standin.Silent, "is busy": standin.Busy, "loses the answers to writes": standin.LoseTx, "limits calls": standin.Limited,
 }
 
 var _ = Describe("what hosts have seen of crashes", func() {
-	It("outlasts each of them, and all of them at once", func() {
+	It("survives the restart of each of them, and of all at once", func() {
 		withHosts(3, func(h *testHosts) {
 			h.crash(0, "e0", crashing)
 			time.Sleep(crashSpacing)
@@ -37,8 +37,8 @@
 		})
 	})
 
-	for name, away := range map[string]bool{"": false, ", while the store is away": true} {
-		It("outlasts a host that starts again and sees a crash before it has heard of its earlier life"+name, func() {
+	for name, away := range map[string]bool{"": false, ", while the store is unavailable": true} {
+		It("survives the restart of a host that sees a crash before it has loaded what it sent before"+name, func() {
 			withHosts(3, func(h *testHosts) {
 				for i := range 3 {
 					h.crash(0, fmt.Sprint("e", i), crashing)
@@ -61,7 +61,7 @@
 		})
 	}
 
-	It("does not come back with a host's earlier life once it was cleared", func() {
+	It("does not come back after a restart once it was cleared", func() {
 		withHosts(3, func(h *testHosts) {
 			h.crashThrice(crashing)
 			h.release(crashing)
@@ -72,7 +72,7 @@
 	})
 
 	for name, fault := range storeFaults {
-		It("is known to all while the store "+name+", and kept once it is back", func() {
+		It("is known to all while the store "+name+", and stored once it is back", func() {
 			withHosts(3, func(h *testHosts) {
 				h.store.Break(fault)
 				h.crashThrice(crashing)
@@ -85,7 +85,7 @@
 		})
 	}
 
-	It("is the newest in the store though an older write is done late", func() {
+	It("is the newest in the store even if an older write is executed late", func() {
 		withHosts(1, func(h *testHosts) {
 			h.store.Break(standin.Silent)
 			h.crash(0, "e0", crashing)
@@ -101,7 +101,7 @@
 		})
 	})
 
-	It("reaches hosts that were cut off, or were passed over, within three seconds of their return", func() {
+	It("reaches hosts that were partitioned or skipped within three seconds of their return", func() {
 		withHosts(3, func(h *testHosts) {
 			h.setPartitioned(2, true)
 			h.crashThrice(crashing)
@@ -121,16 +121,16 @@
 			}
 			before := h.callCount()
 			h.crashThrice(crashing)
-			Expect(h.callCount()-before).To(BeNumerically("<", 3*60+60*3*2), "what is told, and 60 hosts that compare in three seconds")
+			Expect(h.callCount()-before).To(BeNumerically("<", 3*60+60*3*2), "the reports, and 60 hosts that compare their rows for three seconds")
 			for i, held := range h.quarantined(crashing) {
 				Expect(held).To(Equal(!h.isPartitioned(i)), "host %d", i)
 			}
 		})
 	})
 
-	// When a seventh of thousands of endpoints crash, hundreds of hosts have had something there. A
-	// request that crashes endpoints is to be known to all within three seconds all the same.
-	It("is told with messages that grow no faster than the hosts, however many have seen it", func() {
+	// When a seventh of thousands of endpoints crash, hundreds of hosts have had requests there. All
+	// hosts must still know a request that crashes endpoints within three seconds.
+	It("is sent with messages that grow no faster than the number of hosts, however many have seen it", func() {
 		const count, observers = 400, 200
 		withHosts(count, func(h *testHosts) {
 			time.Sleep(2 * time.Second)
@@ -146,13 +146,13 @@
 			for i, held := range h.quarantined(crashing) {
 				Expect(held).To(BeTrue(), "host %d", i)
 			}
-			// For each crash each host hears of it some times, and those that saw it tell one each;
-			// besides, each compares with another one now and then.
+			// For each crash, each host receives several reports of it, and each observer sends one;
+			// besides, each host periodically compares its rows with another one.
 			Expect(sent).To(BeNumerically("<", 3*(observers+maxReportsPerHost*count)+2*count*2))
 		})
 	})
 
-	It("is passed over where it can't be read", func() {
+	It("is skipped where it can't be decoded", func() {
 		withHosts(3, func(h *testHosts) {
 			h.crashThrice(crashing)
 			h.store.Put(quarantine.Table, "host-9", []byte(`{"row":7}`))
@@ -164,7 +164,7 @@
 		})
 	})
 
-	It("is bounded, and those in quarantine stay", func() {
+	It("is bounded, and requests in quarantine stay there", func() {
 		withHosts(3, func(h *testHosts) {
 			h.crashThrice(crashing)
 			for i := range 300 {
@@ -177,7 +177,7 @@
 		})
 	})
 
-	It("costs no write while nothing crashes, or all that ran there comes to a good end elsewhere", func() {
+	It("causes no write while nothing crashes, or if all requests that ran there complete elsewhere", func() {
 		withHosts(3, func(h *testHosts) {
 			time.Sleep(time.Minute)
 			h.crash(0, "e0", crashing, harmless)
--- a/internal/quarantine/relay_test.go
+++ b/internal/quarantine/relay_test.go
@@ -9,7 +9,7 @@
 	"github.com/charmbracelet/log"
 )
 
-// unreachablePeers is a caller whose messages are lost.
+// unreachablePeers is a client whose messages are lost.
 type unreachablePeers struct{}
 
 // Tell implements Caller.
@@ -17,8 +17,9 @@
 	return Update{}, context.Canceled
 }
 
-// TestGroupsAreAlikeForAllHosts works out the groups of fleets of all sizes at each host: every other
-// host stands in one of them, and a host alone in its group tells the others all the same.
+// TestGroupsAreAlikeForAllHosts computes the groups at each host of deployments of many sizes. Every
+// other host must be in exactly one group, and a host that is alone in its group must be able to
+// broadcast too.
 func TestGroupsAreAlikeForAllHosts(t *testing.T) {
 	for count := maxDirectPeers + 2; count < 130; count++ {
 		groupOf := map[string]string{}
@@ -36,7 +37,7 @@
 				known += len(g)
 			}
 			if known != count-1 {
-				t.Fatalf("%d hosts: %s knows %d others", count, name, known)
+				t.Fatalf("%d hosts: the groups of %s have %d other hosts", count, name, known)
 			}
 			first := name
 			if len(own) > 0 {
--- a/internal/quarantine/settle_test.go
+++ b/internal/quarantine/settle_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// partialReportScenarios are days on which hosts tell one after the other what ran at an endpoint that crashed, and some hear of
-// crashes from the list of endpoints only.
+// partialReportScenarios are scenarios in which hosts report one after the other what ran at an
+// endpoint that crashed, and some learn of crashes only from the endpoint list.
 var partialReportScenarios = map[string]func(d *scenario){
 	"7 hosts": func(d *scenario) {
 		d.hosts, d.reportDelay, d.lateReportSpread = 7, 20*time.Millisecond, 50*time.Millisecond
@@ -21,8 +21,9 @@
 
 const partialReportSeeds = 15
 
-// TestRequestsWhileNewsOfACrashComeInParts guards against the refusal of requests that were beside crashes under
-// others, of which a host hears before it hears of those, and against late sends of the others.
+// TestRequestsWhileNewsOfACrashComeInParts guards against the refusal of requests that ran at
+// crashes which other requests caused, when a host receives their reports before those of the other
+// requests. It also guards against late sends of the requests that crash endpoints.
 func TestRequestsWhileNewsOfACrashComeInParts(t *testing.T) {
 	for name, change := range partialReportScenarios {
 		t.Run(name, func(t *testing.T) {
@@ -40,11 +41,11 @@
 				lateReports.lateReportFraction = 0.2
 				late = late.plus(simulate(lateReports, seed, AttributePartial))
 			}
-			t.Logf("in quarantine though they crash nothing: %d of %d (%d by all news at once), %d where the list tells a fifth; %.1f crashes a day (%.1f)",
+			t.Logf("in quarantine though they crash nothing: %d of %d (%d without settling), %d if a fifth of the hosts learn from the list; %.1f crashes per run (%.1f)",
 				sum.wronglyQuarantined, sum.requests, unsettled.wronglyQuarantined, late.wronglyQuarantined, float64(sum.crashes)/partialReportSeeds, float64(unsettled.crashes)/partialReportSeeds)
 			for _, r := range []simResult{sum, late} {
 				if part := float64(r.wronglyQuarantined) / float64(r.requests); part > maxWronglyQuarantined {
-					t.Errorf("%d of %d requests are in quarantine that crash nothing, %.4f allowed", r.wronglyQuarantined, r.requests, maxWronglyQuarantined)
+					t.Errorf("%d of %d requests are in quarantine though they crash nothing, %.4f allowed", r.wronglyQuarantined, r.requests, maxWronglyQuarantined)
 				}
 			}
 		})
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// simulation plays endpoints under requests, of which some crash them, in virtual time of its own:
-// hundreds of days a second, to weigh judgements against each other.
+// simulation simulates endpoints and requests, some of which crash endpoints, in its own virtual
+// time. It runs hundreds of scenarios per second, to compare attribution functions.
 type simulation struct {
 	scenario  scenario
 	random    *rand.Rand
@@ -21,68 +21,68 @@
 	events    events
 
 	endpoints       []*simEndpoint
-	crashes         []Crash // as far as they are known
+	crashes         []Crash // those known so far
 	completed       map[Fingerprint]time.Duration
-	quarantined     map[Fingerprint]time.Duration // in quarantine, and from when on all hosts know
+	quarantined     map[Fingerprint]time.Duration // quarantined requests, and the time from which on all hosts know
 	attributions    map[Fingerprint]Attribution
-	everQuarantined map[Fingerprint]bool // that were in quarantine
+	everQuarantined map[Fingerprint]bool // requests that have been in quarantine
 	serial          uint64
 	sentCount       int
-	nextSuspectSend time.Duration // turn of a request that endpoints may crash under
+	nextSuspectSend time.Duration // when the next suspect request may be sent
 
 	result     simResult
-	thirdCrash map[Fingerprint]time.Duration // crash
-	crashCount map[Fingerprint]int           // crashes
+	thirdCrash map[Fingerprint]time.Duration // time of a request's third crash
+	crashCount map[Fingerprint]int
 	lateSends  map[Fingerprint]int
 }
 
-// scenario is what happens.
+// scenario describes what happens in a simulation.
 type scenario struct {
 	endpoints           int
 	load                float64       // requests at an endpoint on average
-	meanDuration        time.Duration // a request, on average
+	meanDuration        time.Duration // of a request
 	maxAttempts         int
-	randomCrashInterval time.Duration // endpoints crash by themselves, one each so long; 0 for none
-	randomCrashBurst    int           // so many at once
-	copyInterval        time.Duration // of a crashing request, one each so long; 0 for none
-	crashingRequests    int           // such requests
-	crashAfter          time.Duration // of one that has begun to run
-	maxQueueWait        time.Duration // before a request runs, at most
-	identicalFraction   float64       // part of the other requests that are one and the same
-	affinityFraction    float64       // part of the repeats that go where the crashing request goes
-	headsBeforeCrash    bool          // answers begin before the endpoint crashes
-	quarantineDelay     time.Duration // until all hosts know a verdict
+	randomCrashInterval time.Duration // mean time between crashes that no request causes; 0 for none
+	randomCrashBurst    int           // endpoints that crash at once in such a crash
+	copyInterval        time.Duration // mean time between sends of a crashing request; 0 for none
+	crashingRequests    int           // number of requests that crash endpoints
+	crashAfter          time.Duration // time from the start of a crashing request's run to the crash
+	maxQueueWait        time.Duration // maximum time before a request runs
+	identicalFraction   float64       // fraction of the other requests that are the same request
+	affinityFraction    float64       // fraction of the requests that go to the first endpoint that is up
+	headsBeforeCrash    bool          // responses begin before the endpoint crashes
+	quarantineDelay     time.Duration // until all hosts know of a quarantined request
 	duration            time.Duration
-	hosts               int           // that see the crashes and tell of them in parts; 0 for all at once
-	reportDelay         time.Duration // until a host's part of a crash is known, on average
-	lateReportFraction  float64       // part of the hosts that learn of a crash from the list only
-	lateReportSpread    time.Duration // between hosts' lists, at most
+	hosts               int           // hosts that see the crashes and report them separately; 0 for one common report
+	reportDelay         time.Duration // mean time until a host's report of a crash is known
+	lateReportFraction  float64       // fraction of the hosts that learn of a crash only from the endpoint list
+	lateReportSpread    time.Duration // maximum difference between the times of hosts' endpoint lists
 }
 
-// simResult is how a day went.
+// simResult is the outcome of a simulation.
 type simResult struct {
 	requests           int
-	lost               int // ordinary ones without an answer
-	refused            int // of them, refused for good
-	wronglyQuarantined int // ordinary requests in quarantine
-	crashes            int // under crashing requests
-	lateSends          int // sends of them later than 3 s after their third crash
+	lost               int // requests that crash nothing and got no response
+	refused            int // those of them that were refused because of quarantine
+	wronglyQuarantined int // requests in quarantine that crash nothing
+	crashes            int // caused by crashing requests
+	lateSends          int // highest number of sends of one of them later than 3 s after its third crash
 }
 
 type simEndpoint struct {
 	name    uint64
 	up      bool
-	running map[*simRequest]time.Duration // since when
+	running map[*simRequest]time.Duration // requests and when they were sent there
 }
 
 type simRequest struct {
-	number        int // in the order of arrival
+	number        int // in order of arrival
 	fingerprint   Fingerprint
 	crashing      bool
 	attempts      int
 	endpoint      *simEndpoint
-	responseBegan time.Duration // the run; 0 before
-	run           uint64        // counts its runs, so that the end of an earlier one means nothing
+	responseBegan time.Duration // 0 before the header
+	run           uint64        // number of the run, to ignore events of earlier runs
 }
 
 type event struct {
@@ -107,7 +107,7 @@
 	return f
 }
 
-// simulate plays a day.
+// simulate runs a scenario.
 func simulate(d scenario, seed uint64, attribute func(Evidence) map[Fingerprint]Attribution) simResult {
 	sim := &simulation{
 		scenario: d, random: rand.New(rand.NewPCG(seed, 7)), attribute: attribute, completed: map[Fingerprint]time.Duration{},
@@ -145,7 +145,7 @@
 	heap.Push(&sim.events, event{sim.now + d, do})
 }
 
-// every does something again and again, at times by chance.
+// every calls do repeatedly, at exponentially distributed intervals.
 func (sim *simulation) every(mean time.Duration, do func()) {
 	var again func()
 	again = func() {
@@ -194,8 +194,8 @@
 	sim.run(r, e)
 }
 
-// maySend reports whether a request may go that endpoints may crash under; one of all such goes a second, and
-// the others look again.
+// maySend reports whether a request may be sent now: one suspect request is sent per second, and the
+// others try again later.
 func (sim *simulation) maySend(r *simRequest) bool {
 	if sim.scenario.hosts == 0 {
 		return true
@@ -212,10 +212,10 @@
 	return false
 }
 
-// suspectRetryDelay is after how long a request that waits for its turn looks again.
+// suspectRetryDelay is the time after which a request that waits as a suspect tries again.
 const suspectRetryDelay = 100 * time.Millisecond
 
-// run has a request run at an endpoint, to its end or the endpoint's.
+// run runs a request at an endpoint, until the request ends or the endpoint crashes.
 func (sim *simulation) run(r *simRequest, e *simEndpoint) {
 	if thirdAt, ok := sim.thirdCrash[r.fingerprint]; ok && r.crashing && sim.now > thirdAt+3*time.Second {
 		sim.lateSends[r.fingerprint]++
@@ -294,7 +294,7 @@
 	sim.after(3*time.Second, func() { e.up = true })
 }
 
-// report has what hosts saw of a crash become known, in parts if each of them tells its own.
+// report makes the crash known, in parts if each host reports its own requests.
 func (sim *simulation) report(c Crash, broken []*simRequest) {
 	if sim.scenario.hosts == 0 {
 		sim.receiveReport(c)
@@ -320,10 +320,11 @@
 	}
 }
 
-// listDelay is after how long the list tells a crash.
+// listDelay is the time after which the endpoint list shows a crash.
 const listDelay = 3600 * time.Millisecond
 
-// receiveReport takes in what is told of a crash, and has it weighed, again once it may count.
+// receiveReport merges a report of a crash and evaluates the evidence, and does so again once the
+// crash may settle.
 func (sim *simulation) receiveReport(c Crash) {
 	i := slices.IndexFunc(sim.crashes, func(known Crash) bool { return known.Endpoint == c.Endpoint })
 	if i < 0 {
@@ -339,10 +340,10 @@
 	sim.after(lateSettleDelay, sim.refresh)
 }
 
-// refresh brings the verdicts up to date.
+// refresh brings the quarantine up to date.
 func (sim *simulation) refresh() {
 	sim.clearOutlasting()
-	// What is long over counts no more; a day is short.
+	// Evidence does not expire here, since a scenario is short.
 	sim.attributions = sim.attribute(sim.evidence())
 	maps.DeleteFunc(sim.quarantined, func(f Fingerprint, _ time.Duration) bool { _, held := sim.attributions[f]; return !held })
 	for f := range sim.attributions {
@@ -353,12 +354,13 @@
 	}
 }
 
-// evidence is all that is known.
+// evidence returns all evidence that is known.
 func (sim *simulation) evidence() Evidence {
 	return Evidence{Crashes: sim.crashes, Completed: sim.completed, CountEndpoints: func(string) int { return sim.scenario.endpoints }, Quarantined: sim.attributions, Now: sim.now}
 }
 
-// clearOutlasting clears requests of which a run goes on for longer than any at a crash.
+// clearOutlasting clears requests that have a run which has lasted longer than all their runs that
+// ended in a crash.
 func (sim *simulation) clearOutlasting() {
 	longest := map[Fingerprint]time.Duration{}
 	for _, c := range sim.crashes {
@@ -375,10 +377,10 @@
 	}
 }
 
-// hostCount see a part of the requests each.
+// hostCount is the number of hosts, each of which sees a part of the requests.
 const hostCount = 4
 
-// countOngoing counts a request's runs that have begun.
+// countOngoing returns the number of runs of a request whose responses have begun.
 func (sim *simulation) countOngoing(f Fingerprint) int {
 	n := 0
 	for _, e := range sim.endpoints {
@@ -391,7 +393,7 @@
 	return n
 }
 
-// hostsStopRetrying reports whether hosts do not repeat a request any more.
+// hostsStopRetrying reports whether hosts no longer retry a request.
 func (sim *simulation) hostsStopRetrying(r *simRequest) bool {
 	s := sim.evidence().assess(r.fingerprint, sim.crashes)
 	return r.attempts > 0 && !Status{Moments: s.moments, Chance: s.Chance}.HostMayRetry(r.attempts)
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -19,13 +19,14 @@
 	noHost    = []bool{false, false, false}
 )
 
-// crashSpacing is longer than crashes that count as one, and than it takes to tell.
+// crashSpacing is longer than the time within which crashes count as one, and than an update takes.
 const crashSpacing = time.Second
 
 const (
-	// maxPropagation is how soon hosts are to know what others have seen, as the users tell.
+	// maxPropagation is how soon hosts must know what others have seen, by the user requirements.
 	maxPropagation = 3 * time.Second
-	// maxReportsPerHost is how often a host of many is told of a crash that many others have seen, at most.
+	// maxReportsPerHost is how often each of many hosts is told, at most, of a crash that many
+	// others have seen.
 	maxReportsPerHost = 8
 )
 
@@ -45,7 +46,7 @@
 		})
 	})
 
-	It("know it a moment after the third crash", func() {
+	It("know it shortly after the third crash", func() {
 		withHosts(3, func(h *testHosts) {
 			h.crashThrice(crashing)
 			h.release(crashing)
@@ -71,7 +72,7 @@
 		})
 	})
 
-	It("take endpoints that crash at one moment for one crash", func() {
+	It("count endpoints that crash at the same moment as one crash", func() {
 		withHosts(3, func(h *testHosts) {
 			for i := range 9 {
 				h.crash(i%3, fmt.Sprint("e", i), crashing)
@@ -81,7 +82,7 @@
 		})
 	})
 
-	It("do not quarantine what came to a good end anywhere in between", func() {
+	It("do not quarantine a request that completed anywhere in between", func() {
 		withHosts(3, func(h *testHosts) {
 			for i := range 6 {
 				h.crash(i%3, fmt.Sprint("e", i), crashing)
@@ -95,7 +96,7 @@
 		})
 	})
 
-	It("let it out when a copy that was under way comes to a good end", func() {
+	It("release it when an ongoing copy completes", func() {
 		withHosts(3, func(h *testHosts) {
 			h.crashThrice(crashing)
 			Expect(h.quarantined(crashing)).To(Equal(everyHost))
@@ -105,7 +106,7 @@
 		})
 	})
 
-	It("clear what goes on elsewhere for longer than endpoints took to crash under it", func() {
+	It("clear a request whose response is still arriving elsewhere after longer than endpoints took to crash", func() {
 		withHosts(3, func(h *testHosts) {
 			ongoing := h.trackers[1].BeginResponse(func() quarantine.Fingerprint { return harmless })
 			time.Sleep(crashSpacing)
@@ -118,10 +119,10 @@
 		})
 	})
 
-	// A host that was frozen learns of crashes before it has read that its own connection ended
-	// with one of them: by time alone its answer had gone on all along, and it let out, for all
-	// hosts, a request that crashes endpoints.
-	It("take no answer for one that goes on of which nothing more has come", func() {
+	// Guards against a host that was frozen and learns of crashes before it has read that its own
+	// connection ended with one of them: judged by the clock alone, its response had been arriving
+	// all along, and the host released, for all hosts, a request that crashes endpoints.
+	It("do not count a response as ongoing if no more of it has arrived", func() {
 		withHosts(3, func(h *testHosts) {
 			ongoing := h.trackers[1].BeginResponse(func() quarantine.Fingerprint { return crashing })
 			ongoing.DataArrived(clock.Now())
@@ -132,7 +133,7 @@
 		})
 	})
 
-	It("leave it to its caller after two crashes, and what was beside one is repeated", func() {
+	It("leave retries to its caller after two crashes, and retry a request that was at one of them", func() {
 		withHosts(3, func(h *testHosts) {
 			h.crash(0, "e0", crashing, harmless)
 			Expect(h.trackers[0].Status(crashing).HostMayRetry(1)).To(BeTrue())
@@ -144,13 +145,13 @@
 		})
 	})
 
-	It("tell it from what was beside it, once the two part", func() {
+	It("tell it from a request beside it, once their crashes differ", func() {
 		withHosts(3, func(h *testHosts) {
 			for i := range 3 {
 				h.crash(i, fmt.Sprint("e", i), crashing, harmless)
 				time.Sleep(crashSpacing)
 			}
-			Expect(h.quarantined(crashing)).To(Equal(noHost), "nothing tells the two apart")
+			Expect(h.quarantined(crashing)).To(Equal(noHost), "the two have the same crashes")
 			h.crash(0, "e3", crashing)
 			time.Sleep(crashSpacing)
 			Expect(h.quarantined(crashing)).To(Equal(everyHost))
@@ -158,7 +159,7 @@
 		})
 	})
 
-	It("quarantine neither while others crash as often without it", func() {
+	It("do not quarantine it while other endpoints crash as often without it", func() {
 		withHosts(3, func(h *testHosts) {
 			for i := range 40 {
 				h.crash(i%3, fmt.Sprint("e", i), fingerprintOf(uint64(100+i)))
@@ -171,7 +172,7 @@
 		})
 	})
 
-	It("let it out by order of an operator at any host", func() {
+	It("release it by order of an operator at any host", func() {
 		withHosts(3, func(h *testHosts) {
 			h.crashThrice(crashing)
 			Expect(h.trackers[1].Release(harmless)).To(BeFalse())
@@ -179,11 +180,11 @@
 			time.Sleep(crashSpacing)
 			Expect(h.quarantined(crashing)).To(Equal(noHost))
 			h.crashThrice(crashing)
-			Expect(h.quarantined(crashing)).To(Equal(everyHost), "it crashes on")
+			Expect(h.quarantined(crashing)).To(Equal(everyHost), "it continues to crash endpoints")
 		})
 	})
 
-	It("let it out an hour after its last crash, and leave nothing in the store", func() {
+	It("release it an hour after its last crash, and leave nothing in the store", func() {
 		withHosts(3, func(h *testHosts) {
 			h.crashThrice(crashing)
 			time.Sleep(time.Hour - 10*time.Second)
@@ -194,7 +195,7 @@
 		})
 	})
 
-	It("leave no rows of hosts that are gone", func() {
+	It("leave no rows of hosts that are gone in the store", func() {
 		withHosts(3, func(h *testHosts) {
 			h.crashThrice(crashing)
 			time.Sleep(crashSpacing)
@@ -220,7 +221,7 @@
 	Expect(h.quarantined(f)).To(Equal(noHost))
 }
 
-// storedRows counts the rows in the store.
+// storedRows returns the number of rows in the store.
 func (h *testHosts) storedRows() int {
 	n := 0
 	for i := range h.trackers {
@@ -231,7 +232,7 @@
 	return n
 }
 
-// crashAfterLongRun has a request run at an endpoint for long, until that crashes.
+// crashAfterLongRun reports an endpoint's crash under a request that had run there for long.
 func (h *testHosts) crashAfterLongRun(host int, endpoint string, f quarantine.Fingerprint) {
 	h.trackers[host].ConnectionBroke(context.Background(), quarantine.BrokenAttempt{Endpoint: endpoint, Address: endpoint, Service: "s", Request: f, Run: quarantine.Run{Lasted: 3 * time.Second}})
 }
