--- a/internal/quarantine/cluster_test.go
+++ b/internal/quarantine/cluster_test.go
@@ -51,7 +51,7 @@
 
 var errPartitioned = errors.New("no answer")
 
-// Tell implements quarantine.Caller.
+// Tell implements quarantine.PeerClient.
 func (c peerClient) Tell(ctx context.Context, address string, n quarantine.Update) (quarantine.Update, error) {
 	var to int
 	if _, err := fmt.Sscanf(address, "host-%d", &to); err != nil {
@@ -213,11 +213,11 @@
 
 // quarantined returns for each host whether a request is in quarantine there.
 func (h *testHosts) quarantined(f quarantine.Fingerprint) []bool {
-	var held []bool
+	var quarantined []bool
 	for _, b := range h.trackers {
-		held = append(held, b.Status(f).Quarantined)
+		quarantined = append(quarantined, b.Status(f).Quarantined)
 	}
-	return held
+	return quarantined
 }
 
 // fingerprintOf returns the fingerprint of the n-th request.
--- a/internal/quarantine/exchange.go
+++ b/internal/quarantine/exchange.go
@@ -46,7 +46,7 @@
 // PeerClient sends updates to other hosts.
 type PeerClient interface {
 	// Tell sends an update and returns what this host lacks.
-	Tell(ctx context.Context, address string, n Update) (Update, error)
+	Tell(ctx context.Context, address string, u Update) (Update, error)
 }
 
 // Run evaluates new evidence, sends what this host has seen to other hosts and stores it, until the
@@ -103,19 +103,19 @@
 }
 
 // sendAll sends an update to several hosts in parallel.
-func (t *Tracker) sendAll(ctx context.Context, members []Member, n Update) {
+func (t *Tracker) sendAll(ctx context.Context, members []Member, u Update) {
 	var sending sync.WaitGroup
 	for _, m := range members {
-		sending.Go(func() { t.send(ctx, m, n) })
+		sending.Go(func() { t.send(ctx, m, u) })
 	}
 	sending.Wait()
 }
 
 // send sends an update to a host; it returns false if that host does not answer.
-func (t *Tracker) send(ctx context.Context, m Member, n Update) bool {
+func (t *Tracker) send(ctx context.Context, m Member, u Update) bool {
 	limited, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	_, err := t.options.Peers.Tell(limited, m.Address, n)
+	_, err := t.options.Peers.Tell(limited, m.Address, u)
 	if err != nil && ctx.Err() == nil {
 		t.options.Logger.Info("crash evidence not sent to host", "peer", m.Name, "address", m.Address, "error", err)
 	}
@@ -123,15 +123,15 @@
 }
 
 // HandleUpdate merges an update and returns what the sender lacks; it is a Handler.
-func (t *Tracker) HandleUpdate(_ context.Context, n Update) (Update, error) {
+func (t *Tracker) HandleUpdate(_ context.Context, u Update) (Update, error) {
 	t.mu.Lock()
-	t.mergeUpdate(n)
+	t.mergeUpdate(u)
 	reply := Update{Versions: t.versions(), Loaded: t.loaded}
-	if n.Compare {
-		reply.Rows = t.encodeRows(t.newerThan(n.Versions))
+	if u.Compare {
+		reply.Rows = t.encodeRows(t.newerThan(u.Versions))
 	}
 	t.mu.Unlock()
-	t.relayQueue.add(n.Rows, n.Scope, n.Loaded)
+	t.relayQueue.add(u.Rows, u.Scope, u.Loaded)
 	return reply, nil
 }
 
@@ -156,9 +156,9 @@
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	t.mu.Lock()
-	n := Update{Versions: t.versions(), Compare: true}
+	u := Update{Versions: t.versions(), Compare: true}
 	t.mu.Unlock()
-	reply, err := t.options.Peers.Tell(ctx, m.Address, n)
+	reply, err := t.options.Peers.Tell(ctx, m.Address, u)
 	if err != nil {
 		return err
 	}
@@ -182,8 +182,8 @@
 
 // mergeUpdate merges rows that are newer than the known ones, and rows that this host sent before a
 // restart; the caller holds mu.
-func (t *Tracker) mergeUpdate(n Update) {
-	for _, received := range n.Rows {
+func (t *Tracker) mergeUpdate(u Update) {
+	for _, received := range u.Rows {
 		ownEarlier := received.Host == t.options.Host && !t.loaded
 		if received.Version <= t.rows[received.Host].version && !ownEarlier {
 			continue
@@ -195,7 +195,7 @@
 		}
 		t.mergeRow(received.Host, row{r, received.Version})
 	}
-	if n.Loaded {
+	if u.Loaded {
 		t.markLoaded()
 	}
 }
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -52,7 +52,7 @@
 		return fmt.Errorf("parse fingerprint: %w", err)
 	}
 	if len(data) != fingerprintBytes {
-		return errors.Errorf("fingerprint must have %d bytes, not %d", fingerprintBytes, len(data))
+		return errors.Errorf("a fingerprint must have %d bytes, not %d", fingerprintBytes, len(data))
 	}
 	copy(f[:], data)
 	return nil
--- a/internal/quarantine/grpc.go
+++ b/internal/quarantine/grpc.go
@@ -12,7 +12,7 @@
 )
 
 // Handler handles an update from another host and returns what that host lacks.
-type Handler func(ctx context.Context, n Update) (Update, error)
+type Handler func(ctx context.Context, u Update) (Update, error)
 
 // Register registers the gRPC service at which a host receives updates from others.
 func Register(s grpc.ServiceRegistrar, handle Handler) {
@@ -27,11 +27,11 @@
 
 // Tell implements quarantinepb.QuarantineServer.
 func (s *server) Tell(ctx context.Context, n *quarantinepb.News) (*quarantinepb.News, error) {
-	reply, err := s.handle(ctx, newsFromWire(n))
+	reply, err := s.handle(ctx, updateFromProto(n))
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
-	return newsToWire(reply), nil
+	return updateToProto(reply), nil
 }
 
 // Connect returns the connection to an address.
@@ -43,31 +43,31 @@
 // NewPeerClient returns a client that uses connections which other services share.
 func NewPeerClient(connect Connect) PeerClient { return grpcClient{connect} }
 
-// Tell implements Caller.
-func (c grpcClient) Tell(ctx context.Context, address string, n Update) (Update, error) {
+// Tell implements PeerClient.
+func (c grpcClient) Tell(ctx context.Context, address string, u Update) (Update, error) {
 	connection, err := c.connect(address)
 	if err != nil {
-		return Update{}, fmt.Errorf("send update to %s: %w", address, err)
+		return Update{}, fmt.Errorf("tell %s: %w", address, err)
 	}
-	reply, err := quarantinepb.NewQuarantineClient(connection).Tell(ctx, newsToWire(n))
+	reply, err := quarantinepb.NewQuarantineClient(connection).Tell(ctx, updateToProto(u))
 	if err != nil {
-		return Update{}, fmt.Errorf("send update to %s: %w", address, err)
+		return Update{}, fmt.Errorf("tell %s: %w", address, err)
 	}
-	return newsFromWire(reply), nil
+	return updateFromProto(reply), nil
 }
 
-func newsToWire(n Update) *quarantinepb.News {
-	w := &quarantinepb.News{Versions: n.Versions, Compare: n.Compare, Loaded: n.Loaded, Scope: int32(n.Scope)} //nolint:gosec // one of three values
-	for _, r := range n.Rows {
+func updateToProto(u Update) *quarantinepb.News {
+	w := &quarantinepb.News{Versions: u.Versions, Compare: u.Compare, Loaded: u.Loaded, Scope: int32(u.Scope)} //nolint:gosec // one of three
+	for _, r := range u.Rows {
 		w.Rows = append(w.Rows, &quarantinepb.Row{Host: r.Host, Version: r.Version, Value: r.Value})
 	}
 	return w
 }
 
-func newsFromWire(w *quarantinepb.News) Update {
-	n := Update{Versions: w.GetVersions(), Compare: w.GetCompare(), Loaded: w.GetLoaded(), Scope: Scope(w.GetScope())}
+func updateFromProto(w *quarantinepb.News) Update {
+	u := Update{Versions: w.GetVersions(), Compare: w.GetCompare(), Loaded: w.GetLoaded(), Scope: Scope(w.GetScope())}
 	for _, r := range w.GetRows() {
-		n.Rows = append(n.Rows, Row{Host: r.GetHost(), Version: r.GetVersion(), Value: r.GetValue()})
+		u.Rows = append(u.Rows, Row{Host: r.GetHost(), Version: r.GetVersion(), Value: r.GetValue()})
 	}
-	return n
+	return u
 }
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -57,8 +57,8 @@
 // label returns a request's workspace and route, or "" if no host reported them.
 func (v *mergedView) label(f Fingerprint) string {
 	for _, c := range v.Crashes {
-		if of := c.Runs[f].Label; of != "" {
-			return of
+		if label := c.Runs[f].Label; label != "" {
+			return label
 		}
 	}
 	return ""
--- a/internal/quarantine/ongoing.go
+++ b/internal/quarantine/ongoing.go
@@ -68,7 +68,7 @@
 		f := o.request()
 		longestRun, suspected := longest[f]
 		if suspected && time.Duration(o.receivedFor.Load()) > 2*longestRun+clearMargin {
-			t.clearRequest(f, t.clock.Now(), "an ongoing response has outlasted its crashes")
+			t.clearRequest(f, t.clock.Now(), "an answer to it is still arriving elsewhere")
 		}
 	}
 }
--- a/internal/quarantine/persistence_test.go
+++ b/internal/quarantine/persistence_test.go
@@ -122,8 +122,8 @@
 			before := h.callCount()
 			h.crashThrice(crashing)
 			Expect(h.callCount()-before).To(BeNumerically("<", 3*60+60*3*2), "the reports, and 60 hosts that compare their rows for three seconds")
-			for i, held := range h.quarantined(crashing) {
-				Expect(held).To(Equal(!h.isPartitioned(i)), "host %d", i)
+			for i, quarantined := range h.quarantined(crashing) {
+				Expect(quarantined).To(Equal(!h.isPartitioned(i)), "host %d", i)
 			}
 		})
 	})
--- a/internal/quarantine/relay.go
+++ b/internal/quarantine/relay.go
@@ -35,9 +35,9 @@
 type Scope int
 
 const (
-	ScopeNone  Scope = iota
-	ScopeGroup       // to its group
-	ScopeAll         // to its group and to the other groups
+	ScopeNone  Scope = iota // to no host
+	ScopeGroup              // to its group
+	ScopeAll                // to its group and to the other groups
 )
 
 // relayQueue holds the hosts whose rows this host has to forward.
@@ -114,9 +114,9 @@
 // broadcast sends rows to all other hosts; complete means that they are all that hosts have sent and
 // stored.
 func (t *Tracker) broadcast(ctx context.Context, rows []Row, complete bool) {
-	members, n := t.options.Members(), Update{Rows: rows, Loaded: complete}
+	members, u := t.options.Members(), Update{Rows: rows, Loaded: complete}
 	if len(members) <= maxDirectPeers {
-		t.sendAll(ctx, members, n)
+		t.sendAll(ctx, members, u)
 		return
 	}
 	own, others := t.relayGroups()
@@ -124,12 +124,12 @@
 		t.relayQueue.add(rows, ScopeAll, complete) // this host is the first of its group
 		return
 	}
-	n.Scope = ScopeAll
+	u.Scope = ScopeAll
 	candidates := slices.Clone(own[:min(maxRelayPeers, len(own))])
 	for _, g := range others[:min(maxRelayPeers, len(others))] {
 		candidates = append(candidates, g[0]) // any of them forwards to all hosts as well
 	}
-	if !t.sendToFirst(ctx, candidates, n) && ctx.Err() == nil {
+	if !t.sendToFirst(ctx, candidates, u) && ctx.Err() == nil {
 		// Most likely no host can reach this one; it compares its rows with the next host
 		// periodically.
 		t.options.Logger.Info("nobody passes on what was seen of crashes", "tried", len(candidates))
@@ -154,11 +154,11 @@
 
 // sendToFirst sends to the first candidate, and to the next ones while there is no prompt answer; it
 // returns false if none answers.
-func (t *Tracker) sendToFirst(ctx context.Context, candidates []Member, n Update) bool {
+func (t *Tracker) sendToFirst(ctx context.Context, candidates []Member, u Update) bool {
 	results := make(chan bool, len(candidates))
 	failed := 0
 	for _, m := range candidates {
-		go func() { results <- t.send(ctx, m, n) }()
+		go func() { results <- t.send(ctx, m, u) }()
 		select {
 		case ok := <-results:
 			if ok {
--- a/internal/quarantine/relay_test.go
+++ b/internal/quarantine/relay_test.go
@@ -12,7 +12,7 @@
 // unreachablePeers is a client whose messages are lost.
 type unreachablePeers struct{}
 
-// Tell implements Caller.
+// Tell implements PeerClient.
 func (unreachablePeers) Tell(context.Context, string, Update) (Update, error) {
 	return Update{}, context.Canceled
 }
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -170,7 +170,7 @@
 		sim.sentCount++
 		r.number = sim.sentCount
 	}
-	if known, held := sim.quarantined[r.fingerprint]; held && sim.now >= known {
+	if known, quarantined := sim.quarantined[r.fingerprint]; quarantined && sim.now >= known {
 		if !r.crashing {
 			sim.result.lost++
 			sim.result.refused++
@@ -345,10 +345,10 @@
 	sim.clearOutlasting()
 	// Evidence does not expire here, since a scenario is short.
 	sim.attributions = sim.attribute(sim.evidence())
-	maps.DeleteFunc(sim.quarantined, func(f Fingerprint, _ time.Duration) bool { _, held := sim.attributions[f]; return !held })
+	maps.DeleteFunc(sim.quarantined, func(f Fingerprint, _ time.Duration) bool { _, attributed := sim.attributions[f]; return !attributed })
 	for f := range sim.attributions {
 		sim.everQuarantined[f] = true
-		if _, held := sim.quarantined[f]; !held {
+		if _, quarantined := sim.quarantined[f]; !quarantined {
 			sim.quarantined[f] = sim.now + sim.scenario.quarantineDelay
 		}
 	}
--- a/internal/quarantine/storage.go
+++ b/internal/quarantine/storage.go
@@ -30,8 +30,8 @@
 	// loadInterval is how often a host that has started looks for another host that knows the stored
 	// rows. loadFromPeersFor is how long it does so before it reads the store itself; up to
 	// loadJitter is added, so that of many hosts that start together the first ones send the rows to
-	// the others. Three seconds after its start, a host sends to endpoints again what
-	// others know.
+	// the others. Three seconds after its start, a host sends to endpoints
+	// again what others know.
 	loadInterval     = 300 * time.Millisecond
 	loadFromPeersFor = 1500 * time.Millisecond
 	loadJitter       = time.Second
@@ -212,12 +212,12 @@
 func (t *Tracker) mergeStored(rows []store.Row) (expired []store.Row) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ahead, err := t.sharedClockOffset()
+	offset, err := t.sharedClockOffset()
 	if err != nil {
-		ahead = 0 // stored crashes count as seen when this host started
+		offset = 0 // stored crashes count as seen when this host started
 	}
 	for _, storedRow := range rows {
-		r, err := decodeStored(storedRow.Value, ahead)
+		r, err := decodeStored(storedRow.Value, offset)
 		if err != nil {
 			t.options.Logger.Error("stored crash evidence of a host can't be read", "row", storedRow.Key, "row_version", storedRow.Version, "error", err)
 			continue
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -144,9 +144,9 @@
 }
 
 // EndpointGone handles the removal of an endpoint instance from the list though it did not announce
-// that it leaves. If nothing listens at its address either, the endpoint crashed, and the attempts
-// that broke there a moment ago count against their requests. An endpoint that leaves without notice
-// continues to serve for a while.
+// that it leaves. If nothing listens at its address either, the connections that broke
+// there a moment ago did so because it crashed. An endpoint that leaves without notice continues to
+// serve for a while.
 func (t *Tracker) EndpointGone(ctx context.Context, endpoint string) {
 	t.mu.Lock()
 	attempts := t.unconfirmed[endpoint]
@@ -157,7 +157,7 @@
 }
 
 // EndpointListed handles the listing of an endpoint instance at an address: any other instance at
-// that address has ended, and the attempts that broke there a moment ago count as crashes.
+// that address has ended, and if connections to it broke a moment ago, it crashed.
 func (t *Tracker) EndpointListed(endpoint, address string) {
 	t.confirm(func(a BrokenAttempt) bool { return a.Address == address && a.Endpoint != endpoint })
 }
@@ -286,7 +286,7 @@
 // stampUpdates sets the UpdatedAt of each crash: the time since which its set of requests is known.
 // Crashes that a host learns of while it starts are taken to be complete.
 func (t *Tracker) stampUpdates(crashes []Crash) {
-	now, heard := t.clock.Now(), make(map[string]Crash, len(crashes))
+	now, stamped := t.clock.Now(), make(map[string]Crash, len(crashes))
 	for i, c := range crashes {
 		known, ok := t.lastKnown[c.Endpoint]
 		switch {
@@ -297,9 +297,9 @@
 		default:
 			c.UpdatedAt = now
 		}
-		crashes[i], heard[c.Endpoint] = c, c
+		crashes[i], stamped[c.Endpoint] = c, c
 	}
-	t.lastKnown = heard
+	t.lastKnown = stamped
 }
 
 // assessRequest assesses the evidence against a request since it last completed.
@@ -330,7 +330,7 @@
 		}
 	}
 	for f := range previous {
-		if _, held := t.quarantined[f]; !held {
+		if _, quarantined := t.quarantined[f]; !quarantined {
 			t.options.Logger.Info("request released from quarantine", "fingerprint", f)
 		}
 	}
