--- a/internal/quarantine/relay.go
+++ b/internal/quarantine/relay.go
@@ -34,6 +34,7 @@
 // Scope determines to which hosts the receiver of an update forwards it.
 type Scope int
 
+// Values of Scope.
 const (
 	ScopeNone  Scope = iota // to no host
 	ScopeGroup              // to its group
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -194,8 +194,7 @@
 	sim.run(r, e)
 }
 
-// maySend reports whether a request may be sent now: one suspect request is sent per second, and the
-// others try again later.
+// maySend reports whether a request may be sent now. One suspect is sent per second; others wait.
 func (sim *simulation) maySend(r *simRequest) bool {
 	if sim.scenario.hosts == 0 {
 		return true
@@ -359,8 +358,7 @@
 	return Evidence{Crashes: sim.crashes, Completed: sim.completed, CountEndpoints: func(string) int { return sim.scenario.endpoints }, Quarantined: sim.attributions, Now: sim.now}
 }
 
-// clearOutlasting clears requests that have a run which has lasted longer than all their runs that
-// ended in a crash.
+// clearOutlasting clears requests with a run that has outlasted all their runs that ended in a crash.
 func (sim *simulation) clearOutlasting() {
 	longest := map[Fingerprint]time.Duration{}
 	for _, c := range sim.crashes {
