--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -11,11 +11,11 @@
 )
 
 // standing is what is known of a request when it came before.
-func (d *Dispatcher) standing(fingerprint func() quarantine.Fingerprint) quarantine.Standing {
-	if !d.options.Quarantine.Watching() {
-		return quarantine.Standing{}
+func (d *Dispatcher) standing(fingerprint func() quarantine.Fingerprint) quarantine.Status {
+	if !d.options.Quarantine.HasEvidence() {
+		return quarantine.Status{}
 	}
-	return d.options.Quarantine.Standing(fingerprint())
+	return d.options.Quarantine.Status(fingerprint())
 }
 
 // Quarantined is the problem of a request under which endpoints crash.
@@ -36,16 +36,16 @@
 // crashed takes in that an attempt failed, and reports whether its endpoint has crashed.
 func (d *Dispatcher) crashed(ctx context.Context, hold *fleet.Hold, request asked, run quarantine.Run, err error) bool {
 	e := hold.Endpoint
-	run.Of = request.of
+	run.Label = request.of
 	if !conn.BrokeOff(err) || ctx.Err() != nil || !d.options.Fleet.Serves(e.ID) {
 		return false
 	}
-	return d.options.Quarantine.Broke(ctx, quarantine.Break{Endpoint: e.ID, Address: e.Address, Service: e.Service, Request: request.fingerprint(), Run: run})
+	return d.options.Quarantine.ConnectionBroke(ctx, quarantine.BrokenAttempt{Endpoint: e.ID, Address: e.Address, Service: e.Service, Request: request.fingerprint(), Run: run})
 }
 
 // finished takes in that a request came to a good end.
 func (d *Dispatcher) finished(fingerprint func() quarantine.Fingerprint) {
-	if d.options.Quarantine.Watching() {
-		d.options.Quarantine.Finished(fingerprint())
+	if d.options.Quarantine.HasEvidence() {
+		d.options.Quarantine.RequestCompleted(fingerprint())
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -59,7 +59,7 @@
 	FirstToken time.Duration
 	Telemetry  *telemetry.Telemetry
 	// Quarantine knows requests under which endpoints crash.
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Tracker
 }
 
 // Dispatcher sends requests to endpoints.
@@ -122,7 +122,7 @@
 		if standing.Quarantined {
 			return nil, Quarantined(run)
 		}
-		if !standing.Repeats(crashes) {
+		if !standing.HostMayRetry(crashes) {
 			break
 		}
 		if attempt > 0 && !d.budgets.Repeat(endpoint.Engines, 1) {
@@ -248,7 +248,7 @@
 	}
 	hold.Head(fleet.Load{})
 	s.sent, s.begun = sent, clock.Now()
-	s.going = d.options.Quarantine.Begin(request.Fingerprint)
+	s.going = d.options.Quarantine.BeginResponse(request.Fingerprint)
 	return s, nil
 }
 
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -41,7 +41,7 @@
 
 	sent    clock.Instant // to the endpoint
 	begun   clock.Instant // the answer
-	going   *quarantine.Ongoing
+	going   *quarantine.OngoingResponse
 	answer  *answer
 	reader  *bufio.Reader
 	event   []byte // the last event; reused
@@ -147,7 +147,7 @@
 			break
 		}
 	}
-	s.going.Arrived(clock.Now())
+	s.going.DataArrived(clock.Now())
 	event := s.eventOf(data)
 	event.More = s.hasWhole()
 	return event, nil
@@ -218,7 +218,7 @@
 
 // broke takes in that the answer broke off.
 func (s *Stream) broke(err error) {
-	run := quarantine.Run{Lasted: clock.Since(s.sent), Answered: clock.Since(s.begun)}
+	run := quarantine.Run{Lasted: clock.Since(s.sent), ResponseLasted: clock.Since(s.begun)}
 	s.dispatcher.crashed(s.context, s.hold, s.request.asked(), run, err)
 }
 
@@ -259,7 +259,7 @@
 	}
 	s.over = true
 	if s.going != nil {
-		s.dispatcher.options.Quarantine.End(s.going)
+		s.dispatcher.options.Quarantine.EndResponse(s.going)
 	}
 	if s.answer != nil {
 		s.answer.release(whole)
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -26,7 +26,7 @@
 // turn.
 func (x *exchange) isSuspect() bool {
 	s := x.standing()
-	return s.Suspect() || (x.foundNoEndpoint && s.MayHaveEmptied())
+	return s.IsSuspect() || (x.foundNoEndpoint && s.MayHaveEmptiedService())
 }
 
 // awaitSuspectTurn waits until a request that may make endpoints crash may be sent. Copies that
@@ -70,11 +70,11 @@
 }
 
 // standing returns what is known of the request from earlier times that it came.
-func (x *exchange) standing() quarantine.Standing {
-	if !x.g.Quarantine.Watching() {
-		return quarantine.Standing{}
+func (x *exchange) standing() quarantine.Status {
+	if !x.g.Quarantine.HasEvidence() {
+		return quarantine.Status{}
 	}
-	return x.g.Quarantine.Standing(x.fingerprint())
+	return x.g.Quarantine.Status(x.fingerprint())
 }
 
 // checkQuarantine refuses a request that makes endpoints crash. It has not run and will not, and
@@ -91,9 +91,9 @@
 // endBroken ends an attempt whose response could not be read, and records whether its endpoint has
 // crashed.
 func (a *attempt) endBroken(err error) {
-	run := quarantine.Run{Lasted: clock.Since(a.sentAt), Of: a.x.workspace + " " + a.x.route.Name}
+	run := quarantine.Run{Lasted: clock.Since(a.sentAt), Label: a.x.workspace + " " + a.x.route.Name}
 	if !a.headerAt.IsZero() {
-		run.Answered = clock.Since(a.headerAt)
+		run.ResponseLasted = clock.Since(a.headerAt)
 	}
 	a.endFailed()
 	x := a.x
@@ -101,12 +101,12 @@
 	if !conn.BrokeOff(err) || x.ctx.Err() != nil || !x.g.Fleet.Serves(e.ID) {
 		return
 	}
-	if !x.g.Quarantine.Broke(x.ctx, quarantine.Break{Endpoint: e.ID, Address: e.Address, Service: x.service, Request: x.fingerprint(), Run: run}) {
+	if !x.g.Quarantine.ConnectionBroke(x.ctx, quarantine.BrokenAttempt{Endpoint: e.ID, Address: e.Address, Service: x.service, Request: x.fingerprint(), Run: run}) {
 		return
 	}
 	x.crashes++
 	x.g.Telemetry.Count("endpoint_crashes_met", 1)
 	x.g.Logger.Warn("endpoint crashed under a request", "id", x.header.ID, "fingerprint", x.fingerprint(), "workspace", x.workspace,
 		"endpoint", e.ID, "address", e.Address, "service", x.service, "ran_ms", run.Lasted.Milliseconds(),
-		"answered_ms", run.Answered.Milliseconds(), "crashes", x.crashes)
+		"answered_ms", run.ResponseLasted.Milliseconds(), "crashes", x.crashes)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -46,7 +46,7 @@
 	Codec    Codec
 	Advice   *advice.Advisor // advice on endpoints for long prompts; nil for none
 	// Quarantine tracks the requests that make endpoints crash.
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Tracker
 	// Limits makes all hosts together send suspect requests one after the other; nil for no bound.
 	Limits    *ratelimit.Desk
 	Deadlines *clock.Deadlines // watched by the host
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -50,7 +50,7 @@
 	response      *http.Response
 	header        ResponseHeader
 	headerAt      clock.Instant // when the response header had been read; zero before
-	ongoingRun    *quarantine.Ongoing
+	ongoingRun    *quarantine.OngoingResponse
 	stopInterrupt func() bool // stops interrupting conn at the end of the context
 	ended         bool
 }
@@ -258,7 +258,7 @@
 	// endpoints process prompts instantly and have no requests waiting.
 	a.hold.Head(a.header.Load)
 	x.countUsage()
-	a.headerAt, a.ongoingRun = clock.Now(), x.g.Quarantine.Begin(x.fingerprint)
+	a.headerAt, a.ongoingRun = clock.Now(), x.g.Quarantine.BeginResponse(x.fingerprint)
 	x.lastHeaderDelay, x.expected = clock.Since(a.sentAt), hold.Expected
 	return a, nil
 }
@@ -359,9 +359,9 @@
 	a.ended = true
 	if a.ongoingRun != nil {
 		x := a.x
-		x.g.Quarantine.End(a.ongoingRun)
-		if complete && x.g.Quarantine.Watching() {
-			x.g.Quarantine.Finished(x.fingerprint())
+		x.g.Quarantine.EndResponse(a.ongoingRun)
+		if complete && x.g.Quarantine.HasEvidence() {
+			x.g.Quarantine.RequestCompleted(x.fingerprint())
 		}
 	}
 	a.conn.Release(a.stopInterrupt() && complete)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -124,7 +124,7 @@
 		if len(chunk.data) > 0 {
 			now := clock.Now()
 			pauses.add(now, chunk.events)
-			a.ongoingRun.Arrived(now)
+			a.ongoingRun.DataArrived(now)
 			a.reportPaceOnce(pauses, false)
 			if _, writeErr := x.w.Write(chunk.data); writeErr != nil {
 				a.end(fleet.OutcomeNeutral, false)
--- a/internal/gatewayd/endpoints.go
+++ b/internal/gatewayd/endpoints.go
@@ -21,7 +21,7 @@
 type endpoints struct {
 	fleet      *fleet.Fleet
 	pool       *conn.Pool
-	quarantine *quarantine.Book
+	quarantine *quarantine.Tracker
 	upgrades   *upgrade.Tracker
 	halls      map[string]string // all that there are; empty if that is not known
 	logger     *log.Logger
@@ -70,7 +70,7 @@
 	old, known := e.fleet.Listed(c.Key)
 	again := e.fleet.Put(decoded)
 	services[decoded.Service] = true
-	e.quarantine.Listed(decoded.ID, decoded.Address)
+	e.quarantine.EndpointListed(decoded.ID, decoded.Address)
 	if again {
 		// A request that is sent on a connection to the start before may run nowhere.
 		e.pool.Forget(old.Address)
@@ -91,7 +91,7 @@
 	} else {
 		e.fleet.Remove(c.Key)
 		if !old.Draining {
-			go e.quarantine.Gone(context.Background(), old.ID)
+			go e.quarantine.EndpointGone(context.Background(), old.ID)
 		}
 	}
 	services[old.Service] = true
--- a/internal/gatewayd/host.go
+++ b/internal/gatewayd/host.go
@@ -63,7 +63,7 @@
 	Upgrades   *upgrade.Tracker
 	Advice     *advice.Advisor
 	Limits     *ratelimit.Desk
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Tracker
 	Duties     *duty.Keeper
 	Gateway    *gateway.Gateway
 	Deadlines  *clock.Deadlines
@@ -87,7 +87,7 @@
 	h.probes = &http.Server{Handler: h.readiness(), ReadHeaderTimeout: headTimeout}
 	h.peers = p.Spread.Server(p.TLS.ServerCredentials())
 	p.Advice.Register(h.peers)
-	quarantine.Register(h.peers, p.Quarantine.Hear)
+	quarantine.Register(h.peers, p.Quarantine.HandleUpdate)
 	ratelimit.Register(h.peers, p.Limits)
 	p.Duties.Register(h.peers)
 	h.control = &http.Server{Handler: h.figures(), ReadHeaderTimeout: headTimeout}
@@ -130,7 +130,7 @@
 	h.Telemetry.Gauge("requests_in_flight", float64(h.Gateway.InFlight()))
 	h.Telemetry.Gauge("endpoints", float64(h.Fleet.Size()))
 	h.Telemetry.Gauge("endpoints_limited", float64(h.Fleet.LimitedCount()))
-	h.Telemetry.Gauge("requests_quarantined", float64(h.Quarantine.Held()))
+	h.Telemetry.Gauge("requests_quarantined", float64(h.Quarantine.QuarantinedCount()))
 	h.Telemetry.Gauge("log_lines_dropped", float64(h.Lines.Dropped()))
 	if age, ok := h.Holder.Age(); ok {
 		h.Telemetry.Gauge("config_age_seconds", age.Seconds())
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -42,11 +42,11 @@
 	// the hosts' own refusal; nil if there is none.
 	Unload func(ctx context.Context, ref declare.Ref)
 
-	quarantine *quarantine.Book
+	quarantine *quarantine.Tracker
 }
 
 // NewCommands returns the commands of a host.
-func NewCommands(log *config.Log, holder *config.Holder, spread *config.Spreader, q *quarantine.Book) *Commands {
+func NewCommands(log *config.Log, holder *config.Holder, spread *config.Spreader, q *quarantine.Tracker) *Commands {
 	return &Commands{log: log, holder: holder, spread: spread, quarantine: q}
 }
 
@@ -199,7 +199,7 @@
 	if err := f.UnmarshalText([]byte(r.Fingerprint)); err != nil {
 		return Outcome{}, fmt.Errorf("%w: %s: %w", ErrNotHeld, r.Fingerprint, err)
 	}
-	if !c.quarantine.Lift(f) {
+	if !c.quarantine.Release(f) {
 		return Outcome{}, fmt.Errorf("%w: %s", ErrNotHeld, r.Fingerprint)
 	}
 	return Outcome{Revision: e.Base, Notes: []string{"released; other hosts hear of it within seconds"}}, nil
--- a/internal/quarantine/grpc.go
+++ b/internal/quarantine/grpc.go
@@ -11,63 +11,63 @@
 	"quaybarrow/internal/quarantine/quarantinepb"
 )
 
-// Hear takes in news of another host and returns what that one lacks.
-type Hear func(ctx context.Context, n News) (News, error)
+// Handler handles an update from another host and returns what that host lacks.
+type Handler func(ctx context.Context, u Update) (Update, error)
 
-// Register has a gRPC server take in what other hosts tell.
-func Register(s grpc.ServiceRegistrar, hear Hear) {
-	quarantinepb.RegisterQuarantineServer(s, &server{hear: hear})
+// Register registers the gRPC service at which a host receives updates from others.
+func Register(s grpc.ServiceRegistrar, handle Handler) {
+	quarantinepb.RegisterQuarantineServer(s, &server{handle: handle})
 }
 
-// server answers other hosts.
+// server implements the gRPC service.
 type server struct {
 	quarantinepb.UnimplementedQuarantineServer
-	hear Hear
+	handle Handler
 }
 
 // Tell implements quarantinepb.QuarantineServer.
 func (s *server) Tell(ctx context.Context, n *quarantinepb.News) (*quarantinepb.News, error) {
-	reply, err := s.hear(ctx, newsFromWire(n))
+	reply, err := s.handle(ctx, updateFromProto(n))
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
-	return newsToWire(reply), nil
+	return updateToProto(reply), nil
 }
 
 // Connect returns the connection to an address.
 type Connect func(address string) (grpc.ClientConnInterface, error)
 
-// grpcCaller sends over gRPC.
-type grpcCaller struct{ connect Connect }
+// grpcClient sends updates over gRPC.
+type grpcClient struct{ connect Connect }
 
-// NewCaller returns a caller over connections that other services share.
-func NewCaller(connect Connect) Caller { return grpcCaller{connect} }
+// NewPeerClient returns a client that uses connections which other services share.
+func NewPeerClient(connect Connect) PeerClient { return grpcClient{connect} }
 
-// Tell implements Caller.
-func (c grpcCaller) Tell(ctx context.Context, address string, n News) (News, error) {
+// Tell implements PeerClient.
+func (c grpcClient) Tell(ctx context.Context, address string, u Update) (Update, error) {
 	connection, err := c.connect(address)
 	if err != nil {
-		return News{}, fmt.Errorf("tell %s: %w", address, err)
+		return Update{}, fmt.Errorf("tell %s: %w", address, err)
 	}
-	reply, err := quarantinepb.NewQuarantineClient(connection).Tell(ctx, newsToWire(n))
+	reply, err := quarantinepb.NewQuarantineClient(connection).Tell(ctx, updateToProto(u))
 	if err != nil {
-		return News{}, fmt.Errorf("tell %s: %w", address, err)
+		return Update{}, fmt.Errorf("tell %s: %w", address, err)
 	}
-	return newsFromWire(reply), nil
+	return updateFromProto(reply), nil
 }
 
-func newsToWire(n News) *quarantinepb.News {
-	w := &quarantinepb.News{Versions: n.Versions, Compare: n.Compare, Loaded: n.Loaded, Scope: int32(n.Scope)} //nolint:gosec // one of three
-	for _, r := range n.Rows {
+func updateToProto(u Update) *quarantinepb.News {
+	w := &quarantinepb.News{Versions: u.Versions, Compare: u.Compare, Loaded: u.Loaded, Scope: int32(u.Scope)} //nolint:gosec // one of three
+	for _, r := range u.Rows {
 		w.Rows = append(w.Rows, &quarantinepb.Row{Host: r.Host, Version: r.Version, Value: r.Value})
 	}
 	return w
 }
 
-func newsFromWire(w *quarantinepb.News) News {
-	n := News{Versions: w.GetVersions(), Compare: w.GetCompare(), Loaded: w.GetLoaded(), Scope: Scope(w.GetScope())}
+func updateFromProto(w *quarantinepb.News) Update {
+	u := Update{Versions: w.GetVersions(), Compare: w.GetCompare(), Loaded: w.GetLoaded(), Scope: Scope(w.GetScope())}
 	for _, r := range w.GetRows() {
-		n.Rows = append(n.Rows, Row{Host: r.GetHost(), Version: r.GetVersion(), Value: r.GetValue()})
+		u.Rows = append(u.Rows, Row{Host: r.GetHost(), Version: r.GetVersion(), Value: r.GetValue()})
 	}
-	return n
+	return u
 }
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-// Listed is what operators see of a request that endpoints crash under, or may; an immutable
+// ListEntry describes, for operators, a request that is or may be crashing endpoints; an immutable
 // value.
-type Listed struct {
+type ListEntry struct {
 	Request     Fingerprint
-	Of          string // workspace and route
+	Label       string // workspace and route
 	Quarantined bool
-	Crashes     int           // of endpoints that ran it, since it last came to a good end
-	Chance      float64       // that it was beside them by chance
-	First, Last time.Duration // crash, ago
+	Crashes     int           // endpoints that crashed while they ran it, since it last completed
+	Chance      float64       // probability that it ran at all of them by coincidence
+	First, Last time.Duration // time since the first and the last crash
 }
 
-// listedFrom is at how many crashes a request is listed: nearly all that were at one were
-// beside it.
-const listedFrom = 2
+// minListedMoments is the number of crashes at which a request is listed: nearly all requests that
+// were at a single crash did not cause it.
+const minListedMoments = 2
 
-// List lists the requests in quarantine and those that a crash more may bring there, the latest
-// first.
-func (b *Book) List() []Listed {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.judge()
-	v := b.seen()
-	now := b.clock.Now()
-	var list []Listed
-	for f, n := range v.counts {
-		s := v.of(f)
-		_, held := b.verdicts[f]
-		if n < listedFrom || (s.moments < listedFrom && !held) {
+// List returns the requests in quarantine and those that one more crash may put there, the latest
+// crash first.
+func (t *Tracker) List() []ListEntry {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.refresh()
+	v := t.view()
+	now := t.clock.Now()
+	var list []ListEntry
+	for f, n := range v.crashCounts {
+		s := v.assessRequest(f)
+		_, quarantined := t.quarantined[f]
+		if n < minListedMoments || (s.moments < minListedMoments && !quarantined) {
 			continue
 		}
-		list = append(list, Listed{
-			Request: f, Of: v.whose(f), Quarantined: held, Crashes: s.Crashes, Chance: s.Chance, First: now - s.First, Last: now - s.Last,
+		list = append(list, ListEntry{
+			Request: f, Label: v.label(f), Quarantined: quarantined, Crashes: s.Crashes, Chance: s.Chance, First: now - s.First, Last: now - s.Last,
 		})
 	}
-	slices.SortFunc(list, func(a, b Listed) int {
+	slices.SortFunc(list, func(a, b ListEntry) int {
 		return cmp.Or(cmp.Compare(a.Last, b.Last), slices.Compare(a.Request[:], b.Request[:]))
 	})
 	return list
 }
 
-// Held counts the requests in quarantine.
-func (b *Book) Held() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.judge()
-	return len(b.verdicts)
+// QuarantinedCount returns the number of requests in quarantine.
+func (t *Tracker) QuarantinedCount() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.refresh()
+	return len(t.quarantined)
 }
 
-// whose tells a request's workspace and route; empty if nobody said.
-func (v *view) whose(f Fingerprint) string {
+// label returns a request's workspace and route, or "" if no host reported them.
+func (v *mergedView) label(f Fingerprint) string {
 	for _, c := range v.Crashes {
-		if of := c.Under[f].Of; of != "" {
-			return of
+		if label := c.Runs[f].Label; label != "" {
+			return label
 		}
 	}
 	return ""
--- a/internal/quarantine/ongoing.go
+++ b/internal/quarantine/ongoing.go
@@ -7,45 +7,50 @@
 	"quaybarrow/internal/clock"
 )
 
-// outlastsBy is how much longer than at any of its crashes a request's answer has to have
-// come elsewhere to show that it crashes nothing: twice as long and this.
-const outlastsBy = 50 * time.Millisecond
+// clearMargin determines how long a response to a request must have been arriving elsewhere to show
+// that the request does not crash endpoints: twice as long as at any of its crashes, plus this.
+const clearMargin = 50 * time.Millisecond
 
-// Ongoing is a request whose answer has begun.
-type Ongoing struct {
-	request func() Fingerprint
-	began   clock.Instant
-	lasted  atomic.Int64 // ns from then until the last of it came
+// OngoingResponse is a response that has begun to arrive.
+type OngoingResponse struct {
+	request     func() Fingerprint
+	began       clock.Instant
+	receivedFor atomic.Int64 // ns from began until the latest data arrived
 }
 
-// Arrived notes that more of the answer has come. What counts is how long the endpoint has been
-// seen at work: a host that was frozen or suspended hears of crashes before it has read that its
-// own connection ended with one of them, and would let the request out for all hosts.
-func (o *Ongoing) Arrived(now clock.Instant) { o.lasted.Store(int64(now.Sub(o.began))) }
+// DataArrived notes that more of the response has arrived. The evidence is the time for which the
+// endpoint has been seen at work, not the time that has passed: a host that was frozen or suspended
+// learns of crashes before it has read that its own connection ended with one of them, and would
+// release the request on all hosts.
+func (o *OngoingResponse) DataArrived(now clock.Instant) {
+	o.receivedFor.Store(int64(now.Sub(o.began)))
+}
 
-// Begin notes that a request's answer has begun; End is to be called once it has ended.
-func (b *Book) Begin(request func() Fingerprint) *Ongoing {
-	o := &Ongoing{request: request, began: clock.Now()}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.ongoing[o] = struct{}{}
+// BeginResponse notes that a response to a request has begun; the caller must call EndResponse once
+// it has ended.
+func (t *Tracker) BeginResponse(request func() Fingerprint) *OngoingResponse {
+	o := &OngoingResponse{request: request, began: clock.Now()}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.ongoing[o] = struct{}{}
 	return o
 }
 
-// End notes that a request's answer has ended, however it did.
-func (b *Book) End(o *Ongoing) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.ongoing, o)
+// EndResponse notes that a response has ended, whether it succeeded or not.
+func (t *Tracker) EndResponse(o *OngoingResponse) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.ongoing, o)
 }
 
-// outlast clears requests of which an answer goes on elsewhere for longer than endpoints took to
-// crash under them. What is asked often runs at all endpoints, so also at those that crash.
-func (b *Book) outlast() {
-	v := b.seen()
+// clearOutlasting clears requests that have an ongoing response which has run for longer than
+// endpoints took to crash under them. A request that is sent often runs at all endpoints, so also at
+// those that crash for another reason.
+func (t *Tracker) clearOutlasting() {
+	v := t.view()
 	longest := map[Fingerprint]time.Duration{}
-	for f, n := range v.counts {
-		if n >= leftAt {
+	for f, n := range v.crashCounts {
+		if n >= callerRetryMoments {
 			longest[f] = 0
 		}
 	}
@@ -53,25 +58,25 @@
 		return
 	}
 	for _, c := range v.Crashes {
-		for f, run := range c.Under {
+		for f, run := range c.Runs {
 			if _, suspected := longest[f]; suspected {
-				longest[f] = max(longest[f], run.Answered)
+				longest[f] = max(longest[f], run.ResponseLasted)
 			}
 		}
 	}
-	for o := range b.ongoing {
+	for o := range t.ongoing {
 		f := o.request()
-		l, suspected := longest[f]
-		if suspected && time.Duration(o.lasted.Load()) > 2*l+outlastsBy {
-			b.finish(f, b.clock.Now(), "an answer to it goes on elsewhere")
+		longestRun, suspected := longest[f]
+		if suspected && time.Duration(o.receivedFor.Load()) > 2*longestRun+clearMargin {
+			t.clearRequest(f, t.clock.Now(), "an answer to it is still arriving elsewhere")
 		}
 	}
 }
 
-// copies counts the answers to a request that are under way.
-func (b *Book) copies(f Fingerprint) int {
+// countOngoing returns the number of responses to a request that are in progress.
+func (t *Tracker) countOngoing(f Fingerprint) int {
 	n := 0
-	for o := range b.ongoing {
+	for o := range t.ongoing {
 		if o.request() == f {
 			n++
 		}
--- a/internal/quarantine/relay_test.go
+++ b/internal/quarantine/relay_test.go
@@ -9,16 +9,19 @@
 	"github.com/charmbracelet/log"
 )
 
-// deaf is a caller whose messages are lost.
-type deaf struct{}
+// unreachablePeers is a client whose messages are lost.
+type unreachablePeers struct{}
 
-// Tell implements Caller.
-func (deaf) Tell(context.Context, string, News) (News, error) { return News{}, context.Canceled }
+// Tell implements PeerClient.
+func (unreachablePeers) Tell(context.Context, string, Update) (Update, error) {
+	return Update{}, context.Canceled
+}
 
-// TestGroupsAreAlikeForAllHosts works out the groups of fleets of all sizes at each host: every other
-// host stands in one of them, and a host alone in its group tells the others all the same.
+// TestGroupsAreAlikeForAllHosts computes the groups at each host of deployments of many sizes. Every
+// other host must be in exactly one group, and a host that is alone in its group must be able to
+// broadcast too.
 func TestGroupsAreAlikeForAllHosts(t *testing.T) {
-	for count := directMost + 2; count < 130; count++ {
+	for count := maxDirectPeers + 2; count < 130; count++ {
 		groupOf := map[string]string{}
 		for i := range count {
 			name := fmt.Sprintf("host-%03d", i)
@@ -27,14 +30,14 @@
 				other := fmt.Sprintf("host-%03d", (i+j)%count)
 				members = append(members, Member{Name: other, Address: other})
 			}
-			b := NewBook(Options{Host: name, Members: func() []Member { return members }, Caller: deaf{}, Logger: log.New(io.Discard)})
-			own, others := b.groups()
+			b := NewTracker(Options{Host: name, Members: func() []Member { return members }, Peers: unreachablePeers{}, Logger: log.New(io.Discard)})
+			own, others := b.relayGroups()
 			known := len(own)
 			for _, g := range others {
 				known += len(g)
 			}
 			if known != count-1 {
-				t.Fatalf("%d hosts: %s knows %d others", count, name, known)
+				t.Fatalf("%d hosts: the groups of %s have %d other hosts", count, name, known)
 			}
 			first := name
 			if len(own) > 0 {
@@ -46,7 +49,7 @@
 					t.Fatalf("%d hosts: %s and %s disagree on their group", count, name, m.Name)
 				}
 			}
-			b.spread(context.Background(), []Row{{Host: name}}, false)
+			b.broadcast(context.Background(), []Row{{Host: name}}, false)
 		}
 	}
 }
--- /dev/null
+++ b/internal/quarantine/tracker.go
@@ -0,0 +1,367 @@
+package quarantine
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/charmbracelet/log"
+
+	"quaybarrow/internal/clock"
+	"quaybarrow/internal/store"
+	"quaybarrow/internal/wake"
+)
+
+const (
+	// crashTTL is how long a crash counts as evidence. A request leaves quarantine an hour after its
+	// last crash: the operators of the endpoints may have fixed them by then, and if not, the cost
+	// is three crashes an hour.
+	crashTTL = time.Hour
+	// unconfirmedTTL is how long a broken connection waits for the endpoint list to confirm that its
+	// endpoint has crashed: three heartbeats and two network hops.
+	unconfirmedTTL = 6 * time.Second
+)
+
+// Options configure a Tracker.
+type Options struct {
+	Host string
+	// Probe opens a connection to an endpoint that may have crashed.
+	Probe ProbeFunc
+	// CountEndpoints returns the number of endpoints of a service.
+	CountEndpoints func(service string) int
+	// Members returns the other hosts, starting with this host's successor in an order that all
+	// hosts agree on. Peers sends updates to them. Members is nil for a host alone.
+	Members func() []Member
+	Peers   PeerClient
+	// IsFirstHost reports whether this host is the first of all hosts; the first host reads the
+	// stored rows on behalf of the others. Nil for a host alone.
+	IsFirstHost func() bool
+	// FreshStart means that all hosts start for the first time, so nothing has been stored before.
+	FreshStart bool
+	// Tables store the crashes that hosts have seen, for hosts that start later. SharedNow reads the
+	// clock that all hosts share; it returns false while that clock is not known. Without SharedNow,
+	// stored crashes are as old as they were when they were stored.
+	Tables    store.Tables
+	SharedNow func() (time.Duration, bool)
+	Logger    *log.Logger
+}
+
+// Tracker holds what a host knows of requests that crash endpoints, both from its own observations
+// and from other hosts. It is safe for concurrent use.
+type Tracker struct {
+	options         Options
+	detector        *CrashDetector
+	clock           clock.Steady
+	hasEvidence     atomic.Bool // there is evidence of recent crashes
+	evidenceChanged wake.Signal // poked when the evidence changes
+	sendDue         wake.Signal // poked when there is something to send to other hosts
+	persistDue      wake.Signal // poked when there may be something to store
+	relayQueue      *relayQueue
+
+	mu          sync.Mutex     // guards all fields below
+	rows        map[string]row // by host; always has a row of this host
+	merged      *mergedView    // of all rows; nil if they have changed since it was built
+	unconfirmed map[string][]BrokenAttempt
+	ongoing     map[*OngoingResponse]struct{}
+	quarantined map[Fingerprint]Attribution
+	upToDate    bool // quarantined reflects merged
+	// lastKnown has, by endpoint instance, each crash as it was last known, and since when;
+	// nextSettles is when the next crash settles.
+	lastKnown   map[string]Crash
+	nextSettles time.Duration
+	stored      bool // the store has a row of this host
+	// loaded means that the host knows what hosts have sent and stored before, including what it did
+	// itself before a restart. Until then it sends and stores nothing of its own, because that would
+	// replace what it sent before.
+	loaded bool
+}
+
+// row is what one host has seen.
+type row struct {
+	record
+	version int64 // grows with each change
+}
+
+// mergedView is all evidence that a host has.
+type mergedView struct {
+	Evidence
+	crashCounts map[Fingerprint]int // number of crashes by the requests that ran at them
+}
+
+// NewTracker returns the tracker of a host that has seen nothing.
+func NewTracker(options Options) *Tracker {
+	if options.Members == nil {
+		options.Members = func() []Member { return nil }
+	}
+	return &Tracker{
+		options: options, detector: NewCrashDetector(options.Probe), clock: clock.NewSteady(),
+		evidenceChanged: wake.NewSignal(), sendDue: wake.NewSignal(), persistDue: wake.NewSignal(), relayQueue: newRelayQueue(),
+		rows: map[string]row{options.Host: {record: newRecord()}}, unconfirmed: map[string][]BrokenAttempt{}, ongoing: map[*OngoingResponse]struct{}{},
+		quarantined: map[Fingerprint]Attribution{}, lastKnown: map[string]Crash{}, nextSettles: never, loaded: options.FreshStart,
+	}
+}
+
+// ownRow returns what this host has seen.
+func (t *Tracker) ownRow() row { return t.rows[t.options.Host] }
+
+// HasEvidence reports whether endpoints have crashed lately. While none has, requests need no
+// fingerprint.
+func (t *Tracker) HasEvidence() bool { return t.hasEvidence.Load() }
+
+// BrokenAttempt is an attempt to run a request that ended because its connection broke.
+type BrokenAttempt struct {
+	Endpoint string // the endpoint instance, that is one start of the endpoint
+	Address  string
+	Service  string
+	Request  Fingerprint
+	Run      Run
+
+	reportedAt time.Duration // when the attempt was reported; used while it is not known whether the endpoint crashed
+}
+
+// crash returns the crash of the attempt's endpoint, on the assumption that it crashed.
+func (a BrokenAttempt) crash(at time.Duration) Crash {
+	return Crash{Endpoint: a.Endpoint, Service: a.Service, At: at, Runs: map[Fingerprint]Run{a.Request: a.Run}}
+}
+
+// ConnectionBroke finds out whether the endpoint has crashed and, if so, records the crash. It waits
+// briefly for the detector's result, and returns false also if that is not known yet.
+func (t *Tracker) ConnectionBroke(ctx context.Context, a BrokenAttempt) bool {
+	a.reportedAt = t.clock.Now()
+	crashed := t.detector.Crashed(ctx, a.Endpoint, a.Address)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !crashed {
+		t.unconfirmed[a.Endpoint] = append(t.unconfirmed[a.Endpoint], a)
+		return false
+	}
+	a.Run.Copies = t.countOngoing(a.Request)
+	t.recordCrash(a.crash(a.reportedAt))
+	return true
+}
+
+// EndpointGone handles the removal of an endpoint instance from the list though it did not announce
+// that it leaves. If nothing listens at its address either, the connections that broke
+// there a moment ago did so because it crashed. An endpoint that leaves without notice continues to
+// serve for a while.
+func (t *Tracker) EndpointGone(ctx context.Context, endpoint string) {
+	t.mu.Lock()
+	attempts := t.unconfirmed[endpoint]
+	t.mu.Unlock()
+	if len(attempts) > 0 && t.detector.refusesConnections(ctx, attempts[0].Address) {
+		t.confirm(func(a BrokenAttempt) bool { return a.Endpoint == endpoint })
+	}
+}
+
+// EndpointListed handles the listing of an endpoint instance at an address: any other instance at
+// that address has ended, and if connections to it broke a moment ago, it crashed.
+func (t *Tracker) EndpointListed(endpoint, address string) {
+	t.confirm(func(a BrokenAttempt) bool { return a.Address == address && a.Endpoint != endpoint })
+}
+
+// confirm records the crashes of endpoints at which connections broke a moment ago.
+func (t *Tracker) confirm(crashed func(a BrokenAttempt) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for endpoint, attempts := range t.unconfirmed {
+		if !crashed(attempts[0]) {
+			continue
+		}
+		for _, a := range attempts {
+			if t.clock.Now()-a.reportedAt <= unconfirmedTTL {
+				t.recordCrash(a.crash(a.reportedAt))
+			}
+		}
+		delete(t.unconfirmed, endpoint)
+	}
+}
+
+// recordCrash records a crash that this host saw.
+func (t *Tracker) recordCrash(c Crash) {
+	t.ownRow().add(c)
+	t.publish()
+}
+
+// invalidate notes that the evidence has changed.
+func (t *Tracker) invalidate() {
+	t.merged, t.upToDate = nil, false
+	t.hasEvidence.Store(slices.ContainsFunc(slices.Collect(maps.Values(t.rows)), func(r row) bool { return !r.isEmpty() }))
+	t.evidenceChanged.Poke()
+}
+
+// publish notes that the evidence of this host has changed in a way that others have to know.
+func (t *Tracker) publish() {
+	own := t.ownRow()
+	own.version++
+	if shared, known := t.options.sharedNow(); known { // continues the versions from before a restart
+		own.version = max(own.version, shared.Milliseconds())
+	}
+	t.rows[t.options.Host] = own
+	t.invalidate()
+	t.sendDue.Poke()
+	t.persistDue.Poke()
+}
+
+// sharedNow reads the clock that all hosts share.
+func (o Options) sharedNow() (time.Duration, bool) {
+	if o.SharedNow == nil {
+		return 0, false
+	}
+	return o.SharedNow()
+}
+
+// RequestCompleted notes that a request completed successfully: the endpoint that ran it is still
+// alive.
+func (t *Tracker) RequestCompleted(f Fingerprint) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.clearRequest(f, t.clock.Now(), "the request completed")
+}
+
+// Release takes a request out of quarantine by order of an operator; it returns false if the request
+// is not quarantined.
+func (t *Tracker) Release(f Fingerprint) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.refresh()
+	if _, quarantined := t.quarantined[f]; !quarantined {
+		return false
+	}
+	t.clearRequest(f, t.clock.Now(), "released by an operator")
+	t.refresh()
+	return true
+}
+
+// clearRequest discards the earlier crashes of a request as evidence against it. Other hosts are
+// told only if it matters, which is when one more crash would put the request into quarantine.
+func (t *Tracker) clearRequest(f Fingerprint, at time.Duration, reason string) {
+	moments := t.view().assessRequest(f).moments
+	if moments == 0 {
+		return
+	}
+	t.ownRow().complete(f, at)
+	t.invalidate()
+	if moments >= minMoments-1 {
+		t.options.Logger.Info("request cleared", "fingerprint", f, "crashes", moments, "reason", reason)
+		t.publish()
+	}
+}
+
+// Status returns what is known of a request.
+func (t *Tracker) Status(f Fingerprint) Status {
+	if !t.HasEvidence() {
+		return Status{}
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.refresh()
+	_, quarantined := t.quarantined[f]
+	s := t.view().assessRequest(f)
+	return Status{Quarantined: quarantined, Moments: s.moments, Chance: s.Chance, Crashed: len(s.crashed), Beside: s.otherCrashes}
+}
+
+// since returns the time since a reading of the tracker's clock.
+func (t *Tracker) since(at time.Duration) time.Duration { return t.clock.Now() - at }
+
+// view returns what this host saw and what others sent, in order of time.
+func (t *Tracker) view() *mergedView {
+	if t.merged != nil {
+		return t.merged
+	}
+	all := newRecord()
+	for _, r := range t.rows {
+		all.merge(r.record)
+	}
+	crashes := sortedCrashes(all)
+	t.stampUpdates(crashes)
+	t.merged = &mergedView{
+		Evidence: Evidence{Crashes: crashes, Completed: all.completed, CountEndpoints: t.options.CountEndpoints}, crashCounts: countCrashes(crashes, 1),
+	}
+	return t.merged
+}
+
+// stampUpdates sets the UpdatedAt of each crash: the time since which its set of requests is known.
+// Crashes that a host learns of while it starts are taken to be complete.
+func (t *Tracker) stampUpdates(crashes []Crash) {
+	now, stamped := t.clock.Now(), make(map[string]Crash, len(crashes))
+	for i, c := range crashes {
+		known, ok := t.lastKnown[c.Endpoint]
+		switch {
+		case !t.loaded:
+			c.UpdatedAt = c.At
+		case ok && !c.addsTo(known):
+			c.UpdatedAt = known.UpdatedAt
+		default:
+			c.UpdatedAt = now
+		}
+		crashes[i], stamped[c.Endpoint] = c, c
+	}
+	t.lastKnown = stamped
+}
+
+// assessRequest assesses the evidence against a request since it last completed.
+func (v *mergedView) assessRequest(f Fingerprint) assessment {
+	if v.crashCounts[f] == 0 {
+		return assessment{}
+	}
+	return v.assess(f, v.Crashes)
+}
+
+// refresh brings the quarantine up to date.
+func (t *Tracker) refresh() {
+	if t.upToDate && t.clock.Now() < t.nextSettles {
+		return
+	}
+	t.dropExpired()
+	t.clearOutlasting()
+	t.evidenceChanged.Drain()
+	previous := t.quarantined
+	v := t.view()
+	e := v.Evidence
+	e.Quarantined, e.Now = previous, t.clock.Now()
+	t.quarantined, t.upToDate, t.nextSettles = AttributePartial(e), true, e.nextSettles()
+	for f, attribution := range t.quarantined {
+		if _, known := previous[f]; !known {
+			t.options.Logger.Warn("request quarantined", "fingerprint", f, "of", v.label(f), "crashes", attribution.Crashes, "chance", attribution.Chance,
+				"first_ms_ago", t.since(attribution.First).Milliseconds(), "last_ms_ago", t.since(attribution.Last).Milliseconds(), "crashes_known", len(v.Crashes), "hosts", len(t.rows))
+		}
+	}
+	for f := range previous {
+		if _, quarantined := t.quarantined[f]; !quarantined {
+			t.options.Logger.Info("request released from quarantine", "fingerprint", f)
+		}
+	}
+}
+
+// dropExpired drops evidence that is too old to count.
+func (t *Tracker) dropExpired() {
+	oldest := t.clock.Now() - crashTTL
+	isQuarantined := func(f Fingerprint) bool { _, ok := t.quarantined[f]; return ok }
+	for host, r := range t.rows {
+		r.trim(oldest, isQuarantined)
+		if r.isEmpty() && host != t.options.Host {
+			delete(t.rows, host)
+		}
+	}
+	t.invalidate()
+	if t.stored && t.ownRow().isEmpty() {
+		t.persistDue.Poke() // the stored row is deleted
+	}
+}
+
+// Sweep drops evidence that is too old to count, even if nothing new arrives.
+func (t *Tracker) Sweep() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.clock.Now()
+	maps.DeleteFunc(t.unconfirmed, func(_ string, attempts []BrokenAttempt) bool {
+		return now-attempts[len(attempts)-1].reportedAt > unconfirmedTTL
+	})
+	if t.HasEvidence() {
+		t.upToDate = false
+		t.refresh()
+	}
+}
