--- a/internal/gatewayd/endpoints.go
+++ b/internal/gatewayd/endpoints.go
@@ -123,6 +123,6 @@
 // settle tells the upgrades which versions the services have.
 func (e *endpoints) settle(services map[string]bool) {
 	for name := range services {
-		e.upgrades.Settle(name, e.fleet.Versions(name))
+		e.upgrades.SetVersions(name, e.fleet.Versions(name))
 	}
 }
--- a/internal/upgrade/allowed.go
+++ b/internal/upgrade/allowed.go
@@ -1,8 +1,8 @@
 package upgrade
 
-// Settle takes note of a service's versions, so that endpoints of a new one get
+// SetVersions takes note of a service's versions, so that endpoints of a new one get
 // nothing before an order names it.
-func (t *Tracker) Settle(service string, versions map[string]int) {
+func (t *Tracker) SetVersions(service string, versions map[string]int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.listed[service] = versions
--- a/internal/upgrade/rig_test.go
+++ b/internal/upgrade/rig_test.go
@@ -103,7 +103,7 @@
 		counts[v] = 4
 	}
 	for _, t := range h.trackers {
-		t.Settle("s", counts)
+		t.SetVersions("s", counts)
 	}
 }
 
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -254,7 +254,7 @@
 			h.settle("v1", "v2", "v3")
 			h.orderOf("v3", 9)
 			late := newLate(h, 0)
-			late.Settle("s", map[string]int{"v1": 3, "v2": 4, "v3": 4})
+			late.SetVersions("s", map[string]int{"v1": 3, "v2": 4, "v3": 4})
 			late.Order(upgrade.Order{Service: "s", Target: "v3", Within: 24 * time.Second, Revision: 9})
 			time.Sleep(time.Second) // it reads how far the upgrades are
 			h.trackers = append(h.trackers, late)
@@ -387,8 +387,8 @@
 			h := newHosts(1)
 			defer h.stop()
 			t := h.trackers[0]
-			t.Settle("s", map[string]int{"v1": 4})
-			t.Settle("s", map[string]int{"v1": 4, "v2": 4})
+			t.SetVersions("s", map[string]int{"v1": 4})
+			t.SetVersions("s", map[string]int{"v1": 4, "v2": 4})
 			Expect(t.Allowed("s", 1)("v2")).To(BeFalse())
 			Expect(t.Allowed("s", 1)("v1")).To(BeTrue())
 		})
