--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -60,7 +60,7 @@
 // stocksOf counts the endpoints of services, those that an upgrade brings in apart.
 func stocksOf(f *fleet.Fleet, u *upgrade.Tracker) func(service string) (map[string]capacity.Stock, bool) {
 	return func(service string) (map[string]capacity.Stock, bool) {
-		from, upgrading := u.UnderWay(service)
+		from, upgrading := u.InProgress(service)
 		return f.Stocks(service, from), upgrading
 	}
 }
--- a/internal/upgrade/standing.go
+++ b/internal/upgrade/standing.go
@@ -58,9 +58,9 @@
 	return standing
 }
 
-// UnderWay returns the version from which a service is being moved; false if no upgrade of it
+// InProgress returns the version from which a service is being moved; false if no upgrade of it
 // is under way.
-func (t *Tracker) UnderWay(name string) (from string, ok bool) {
+func (t *Tracker) InProgress(name string) (from string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, known := t.services[name]
