--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -377,7 +377,7 @@
 // of an endpoint count as one: what fails at each of its starts is the endpoint.
 func (a *attempt) report(f upgrade.Finding) {
 	e := a.hold.Endpoint
-	a.x.g.Upgrades.Note(upgrade.Report{
+	a.x.g.Upgrades.Record(upgrade.Report{
 		Service: a.x.service, Version: e.Version, Endpoint: e.Instance, Route: a.x.route.Name, Model: a.model, Finding: f,
 	})
 }
--- a/internal/upgrade/comeback_test.go
+++ b/internal/upgrade/comeback_test.go
@@ -82,9 +82,9 @@
 				}
 				r.Finding = upgrade.Answered{Failed: failed}
 				if failed {
-					t.Note(r)
+					t.Record(r)
 				} else {
-					time.AfterFunc(goodTakes, func() { t.Note(r) })
+					time.AfterFunc(goodTakes, func() { t.Record(r) })
 				}
 				o.count(r, passed, c.within, badAt)
 				if failed && r.Version == "v2" {
--- a/internal/upgrade/failingothers_test.go
+++ b/internal/upgrade/failingothers_test.go
@@ -189,7 +189,7 @@
 			t := h.trackers[random.IntN(s.hosts)]
 			r, failed := s.answer(t, random, ill)
 			r.Finding = upgrade.Answered{Failed: failed}
-			t.Note(r)
+			t.Record(r)
 			o.count(r, passed, s.within, badAt)
 			if failed && r.Version == "v2" {
 				if bad++; bad == badMost {
--- a/internal/upgrade/lastlook_test.go
+++ b/internal/upgrade/lastlook_test.go
@@ -18,7 +18,7 @@
 	for n := range int(d / (100 * time.Millisecond)) {
 		time.Sleep(100 * time.Millisecond)
 		for i, t := range h.trackers {
-			t.Note(upgrade.Report{
+			t.Record(upgrade.Report{
 				Service: "s", Version: "v1", Endpoint: fmt.Sprint("v1", n%4), Route: "r", Finding: upgrade.Answered{Failed: n%4 > 0 && (n/4+i)%3 == 0},
 			})
 		}
@@ -29,7 +29,7 @@
 // target has a host see answers of the target, of which the first ones fail, on its endpoints in turn.
 func (h *hosts) target(host, n, failing int) {
 	for i := range n {
-		h.trackers[host].Note(upgrade.Report{
+		h.trackers[host].Record(upgrade.Report{
 			Service: "s", Version: "v2", Endpoint: fmt.Sprint("v2", (host+i)%4), Route: "r", Finding: upgrade.Answered{Failed: i < failing},
 		})
 	}
--- a/internal/upgrade/pace_test.go
+++ b/internal/upgrade/pace_test.go
@@ -57,7 +57,7 @@
 		It("is judged at its own load: "+name, func() {
 			onTracker(func(t *upgrade.Tracker) {
 				note := func(version, endpoint string, requests int, pause time.Duration) {
-					t.Note(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r",
+					t.Record(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r",
 						Finding: upgrade.Paced{Pace: upgrade.Shortest(pause), Requests: requests}})
 				}
 				for range 40 {
@@ -89,7 +89,7 @@
 		It("is judged by model: "+name, func() {
 			onTracker(func(t *upgrade.Tracker) {
 				note := func(version, endpoint, model string, pause time.Duration) {
-					t.Note(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r", Model: model,
+					t.Record(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r", Model: model,
 						Finding: upgrade.Paced{Pace: upgrade.Shortest(pause), Requests: 3}})
 				}
 				usual := func() {
--- a/internal/upgrade/rig_test.go
+++ b/internal/upgrade/rig_test.go
@@ -165,12 +165,12 @@
 			}
 			bad := r.Version == "v2" && w.badEvery > 0 && exposed%w.badEvery == 0
 			r.Finding = upgrade.Answered{Failed: bad || (w.grey > 0 && rand.IntN(w.grey) == 0)}
-			t.Note(r)
+			t.Record(r)
 			if w.noise > 0 && rand.IntN(w.noise) == 0 {
 				pause *= 4
 			}
 			r.Finding = upgrade.Paced{Pace: upgrade.Shortest(pause), Requests: n % 10}
-			t.Note(r)
+			t.Record(r)
 		}
 	}
 	return exposed
@@ -248,7 +248,7 @@
 // first ones fail, on four endpoints in turn.
 func (h *hosts) answers(host, n, failing int) {
 	for i := range n {
-		h.trackers[host].Note(upgrade.Report{
+		h.trackers[host].Record(upgrade.Report{
 			Service: "s", Version: "v2", Endpoint: fmt.Sprint("v2", i%4), Route: "r", Finding: upgrade.Answered{Failed: i < failing},
 		})
 		time.Sleep(100 * time.Millisecond)
--- a/internal/upgrade/tracker.go
+++ b/internal/upgrade/tracker.go
@@ -130,10 +130,10 @@
 func (Answered) finding() {}
 func (Paced) finding()    {}
 
-// Note takes in what an answer told. Paces of versions that are not being tried are
+// Record takes in what an answer told. Paces of versions that are not being tried are
 // the reference for those that are. Answers of a target are counted also once its upgrade
 // is over, so that the log tells when a version turns bad that is in use.
-func (t *Tracker) Note(r Report) {
+func (t *Tracker) Record(r Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.services[r.Service]
