--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -211,7 +211,7 @@
 	x.g.Logger.Info("request",
 		"id", x.ask.ID, "route", x.route.Name, "service", x.service, "workspace", x.workspace,
 		"config", version, "config_age_ms", age.Milliseconds(),
-		"endpoint", x.endpoint, "version", x.version, "upgrade", x.g.Upgrades.Standing(x.service).String(), "model", x.model, "larger", x.larger, "urgency", x.urgency,
+		"endpoint", x.endpoint, "version", x.version, "upgrade", x.g.Upgrades.State(x.service).String(), "model", x.model, "larger", x.larger, "urgency", x.urgency,
 		"sends", x.sends, "rejections", x.rejections, "crashes", x.crashes, "fingerprint", x.known(), "waits", x.waits, "advice", x.advice,
 		"tokens", x.ask.TokensIn, "read", x.expected.Read, "work_ms", x.expected.Work.Milliseconds(), "price", x.expected.Price,
 		"first_ms", x.first.Milliseconds(), "objective_ms", x.route.Objective.Milliseconds(),
--- a/internal/upgrade/standing.go
+++ b/internal/upgrade/standing.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Standing returns how far the newest upgrade of a service is, for the log of a request.
-func (t *Tracker) Standing(name string) Standing {
+// State returns how far the newest upgrade of a service is, for the log of a request.
+func (t *Tracker) State(name string) Standing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.services[name]
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -311,7 +311,7 @@
 			late.Order(upgrade.Order{Service: "other", Target: "v2", Within: time.Hour, Revision: 6})
 			h.serve(5*time.Second, traffic{})
 			late.Order(upgrade.Order{Service: "s", Target: "v2", Within: 24 * time.Second, Revision: 7})
-			Expect(late.Standing("s").String()).To(HavePrefix("v2 running, stage 0"))
+			Expect(late.State("s").String()).To(HavePrefix("v2 running, stage 0"))
 		})
 	})
 
@@ -372,13 +372,13 @@
 			h := newHosts(3)
 			defer h.stop()
 			first := h.trackers[0]
-			Expect(first.Standing("s").String()).To(BeEmpty())
+			Expect(first.State("s").String()).To(BeEmpty())
 			h.order(7)
-			Expect(first.Standing("s").String()).To(Equal("v2 not begun"))
+			Expect(first.State("s").String()).To(Equal("v2 not begun"))
 			h.serve(4*time.Second, traffic{})
-			Expect(first.Standing("s").String()).To(Equal("v2 running, stage 0, open"))
+			Expect(first.State("s").String()).To(Equal("v2 running, stage 0, open"))
 			h.serve(16*time.Second, traffic{badEvery: 2})
-			Expect(first.Standing("s").String()).To(Equal("v2 rolled-back, stage 0, bad"))
+			Expect(first.State("s").String()).To(Equal("v2 rolled-back, stage 0, bad"))
 		})
 	})
 
