--- a/internal/upgrade/standing.go
+++ b/internal/upgrade/standing.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Standing is what a host knows of the newest upgrade of a service.
-type Standing struct {
+// State is what a host knows of the newest upgrade of a service.
+type State struct {
 	Target  string
 	Outcome Outcome // empty while the upgrade has not begun
 	Stage   int
@@ -28,7 +28,7 @@
 }
 
 // String shows the standing in logs; empty if there is no upgrade.
-func (s Standing) String() string {
+func (s State) String() string {
 	switch {
 	case s.Target == "":
 		return ""
@@ -40,18 +40,18 @@
 }
 
 // State returns how far the newest upgrade of a service is, for the log of a request.
-func (t *Tracker) State(name string) Standing {
+func (t *Tracker) State(name string) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.services[name]
 	if !ok {
-		return Standing{}
+		return State{}
 	}
 	return s.standing()
 }
 
-func (s *service) standing() Standing {
-	standing := Standing{Target: s.order.Target, Verdict: s.verdict}
+func (s *service) standing() State {
+	standing := State{Target: s.order.Target, Verdict: s.verdict}
 	if s.begun() {
 		standing.Outcome, standing.Stage = s.progress.Outcome, s.progress.Stage
 	}
