--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -82,7 +82,7 @@
 	failed := a.answer.StatusCode >= http.StatusInternalServerError
 	a.report(upgrade.Answered{Failed: failed})
 	if !failed {
-		a.paced(upgrade.Whole(clock.Since(a.sentAt)))
+		a.paced(upgrade.ResponseTime(clock.Since(a.sentAt)))
 	}
 	if answer.rest {
 		return answer, nil
--- a/internal/upgrade/pace.go
+++ b/internal/upgrade/pace.go
@@ -10,10 +10,10 @@
 // Pace is how fast an answer came.
 type Pace interface{ took() time.Duration }
 
-// Whole is the time from the sending of a request to the last byte of its answer.
-type Whole time.Duration
+// ResponseTime is the time from the sending of a request to the last byte of its answer.
+type ResponseTime time.Duration
 
-func (w Whole) took() time.Duration { return time.Duration(w) }
+func (w ResponseTime) took() time.Duration { return time.Duration(w) }
 
 // Shortest is the shortest pause between events of a stream. Prompts that an engine
 // reads and places that are taken lengthen most pauses, but leave some as they are; a
