--- a/internal/gateway/pauses.go
+++ b/internal/gateway/pauses.go
@@ -43,5 +43,5 @@
 		return
 	}
 	p.told = true
-	a.paced(upgrade.Shortest(p.shortest))
+	a.paced(upgrade.ShortestGap(p.shortest))
 }
--- a/internal/upgrade/pace.go
+++ b/internal/upgrade/pace.go
@@ -15,12 +15,12 @@
 
 func (w ResponseTime) took() time.Duration { return time.Duration(w) }
 
-// Shortest is the shortest pause between events of a stream. Prompts that an engine
+// ShortestGap is the shortest pause between events of a stream. Prompts that an engine
 // reads and places that are taken lengthen most pauses, but leave some as they are; a
 // slow version lengthens all.
-type Shortest time.Duration
+type ShortestGap time.Duration
 
-func (s Shortest) took() time.Duration { return time.Duration(s) }
+func (s ShortestGap) took() time.Duration { return time.Duration(s) }
 
 // Parameters of slow answers.
 const (
@@ -69,7 +69,7 @@
 // the nearest one that was seen, two bands away at most; known is false while none was.
 func (p *paces) slow(requests int, pace Pace) (slow, known bool) {
 	quantile, factor := wholeQuantile, wholeFactor
-	if _, ok := pace.(Shortest); ok {
+	if _, ok := pace.(ShortestGap); ok {
 		quantile, factor = shortestQuantile, shortestFactor
 	}
 	at := loadBand(requests)
--- a/internal/upgrade/pace_test.go
+++ b/internal/upgrade/pace_test.go
@@ -58,7 +58,7 @@
 			onTracker(func(t *upgrade.Tracker) {
 				note := func(version, endpoint string, requests int, pause time.Duration) {
 					t.Record(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r",
-						Finding: upgrade.Paced{Pace: upgrade.Shortest(pause), Requests: requests}})
+						Finding: upgrade.Paced{Pace: upgrade.ShortestGap(pause), Requests: requests}})
 				}
 				for range 40 {
 					note("v1", "old", 2, l.idle)
@@ -90,7 +90,7 @@
 			onTracker(func(t *upgrade.Tracker) {
 				note := func(version, endpoint, model string, pause time.Duration) {
 					t.Record(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r", Model: model,
-						Finding: upgrade.Paced{Pace: upgrade.Shortest(pause), Requests: 3}})
+						Finding: upgrade.Paced{Pace: upgrade.ShortestGap(pause), Requests: 3}})
 				}
 				usual := func() {
 					note("v1", "old", "large", 100*time.Millisecond)
--- a/internal/upgrade/rig_test.go
+++ b/internal/upgrade/rig_test.go
@@ -169,7 +169,7 @@
 			if w.noise > 0 && rand.IntN(w.noise) == 0 {
 				pause *= 4
 			}
-			r.Finding = upgrade.Paced{Pace: upgrade.Shortest(pause), Requests: n % 10}
+			r.Finding = upgrade.Paced{Pace: upgrade.ShortestGap(pause), Requests: n % 10}
 			t.Record(r)
 		}
 	}
--- a/internal/upgrade/tracker.go
+++ b/internal/upgrade/tracker.go
@@ -166,7 +166,7 @@
 // inLastStage reports whether all keys go to the target by now.
 func (t *Tracker) inLastStage(s *service) bool {
 	now, known := t.options.Watch.Now()
-	return known && s.begun() && s.progress.Stage == lastStage && s.progress.raised(s.progress.elapsedAt(now))
+	return known && s.begun() && s.progress.Stage == lastStage && s.progress.stageStarted(s.progress.elapsedAt(now))
 }
 
 // sharing reports whether some keys go to the target by now.
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -73,25 +73,25 @@
 		return 0
 	}
 	stage := min(p.Stage, lastStage)
-	if stage > 0 && !p.raised(elapsed) {
+	if stage > 0 && !p.stageStarted(elapsed) {
 		stage--
 	}
 	return s.stages[stage].share
 }
 
-// raised reports whether the stage that was written last has begun.
-func (p Progress) raised(elapsed time.Duration) bool {
+// stageStarted reports whether the stage that was written last has begun.
+func (p Progress) stageStarted(elapsed time.Duration) bool {
 	return elapsed >= time.Duration(p.StageMs-p.StartMs)*time.Millisecond
 }
 
 // Rises reports whether a larger share is due to be written, if there is evidence for it.
 func (p Progress) Rises(elapsed time.Duration, s Schedule) bool {
-	return p.Stage < lastStage && p.raised(elapsed) && elapsed+s.lead() >= s.at(s.stages[p.Stage+1].at)
+	return p.Stage < lastStage && p.stageStarted(elapsed) && elapsed+s.lead() >= s.at(s.stages[p.Stage+1].at)
 }
 
 // Due reports whether an upgrade may be completed, if there is evidence for it.
 func (p Progress) Due(now clock.Bounds, s Schedule) bool {
-	return p.Stage == lastStage && p.raised(p.elapsedAt(now)) && p.untilDue(now, s) <= 0
+	return p.Stage == lastStage && p.stageStarted(p.elapsedAt(now)) && p.untilDue(now, s) <= 0
 }
 
 // untilDue is how long it is until the completion. The order's time runs from the order,
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -185,7 +185,7 @@
 			h.order(7)
 			h.serve(12*time.Second, traffic{shy: true})
 			note := func(pause time.Duration) {
-				h.trackers[0].Record(upgrade.Report{Service: "s", Version: "v2", Endpoint: "new0", Route: "r", Finding: upgrade.Paced{Pace: upgrade.Shortest(pause), Requests: 5}})
+				h.trackers[0].Record(upgrade.Report{Service: "s", Version: "v2", Endpoint: "new0", Route: "r", Finding: upgrade.Paced{Pace: upgrade.ShortestGap(pause), Requests: 5}})
 				time.Sleep(time.Second)
 			}
 			for range 4 {
