--- a/internal/upgrade/allowed.go
+++ b/internal/upgrade/allowed.go
@@ -5,14 +5,14 @@
 func (t *Tracker) SetVersions(service string, versions map[string]int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.listed[service] = versions
+	t.endpointCounts[service] = versions
 	if len(versions) == 1 {
 		for v := range versions {
-			t.settled[service] = v
+			t.initialVersions[service] = v
 		}
 		return
 	}
-	if _, ok := t.settled[service]; ok {
+	if _, ok := t.initialVersions[service]; ok {
 		return
 	}
 	most := ""
@@ -22,7 +22,7 @@
 		}
 	}
 	if most != "" {
-		t.settled[service] = most
+		t.initialVersions[service] = most
 	}
 }
 
@@ -32,36 +32,36 @@
 	defer t.mu.Unlock()
 	s, ok := t.services[name]
 	if !ok {
-		settled := t.settled[name]
-		if settled == "" {
+		initial := t.initialVersions[name]
+		if initial == "" {
 			return nil
 		}
-		return func(v string) bool { return v == settled }
+		return func(v string) bool { return v == initial }
 	}
 	target := s.order.Target
 	if t.useTarget(s, key) {
 		return func(v string) bool { return v == target }
 	}
-	inForce := t.inForce(name, s)
-	if inForce == "" || (t.listed[name][inForce] == 0 && inForce != target) {
+	base := t.baseVersion(name, s)
+	if base == "" || (t.endpointCounts[name][base] == 0 && base != target) {
 		return func(v string) bool { return v != target }
 	}
-	return func(v string) bool { return v == inForce }
+	return func(v string) bool { return v == base }
 }
 
-// inForce is the version that requests run on which do not go to the target; empty if it
+// baseVersion is the version that requests run on which do not go to the target; empty if it
 // is not known. Any other than the target's would be wrong: while one order follows
 // another, endpoints of a version that was rolled back are still there.
-func (t *Tracker) inForce(name string, s *service) string {
+func (t *Tracker) baseVersion(name string, s *serviceUpgrade) string {
 	switch {
-	case s.begun():
+	case s.hasBegun():
 		return s.progress.Base
 	case s.row.Version != 0 && s.progress.Outcome == OutcomeCompleted:
 		return s.progress.Target
 	case s.row.Version != 0 && s.progress.Base != "":
 		return s.progress.Base
-	case t.settled[name] != s.order.Target:
-		return t.settled[name]
+	case t.initialVersions[name] != s.order.Target:
+		return t.initialVersions[name]
 	default:
 		return ""
 	}
@@ -71,13 +71,13 @@
 const keyScale = 1 << 53
 
 // useTarget reports whether a key goes to the target version now.
-func (t *Tracker) useTarget(s *service, key uint64) bool {
+func (t *Tracker) useTarget(s *serviceUpgrade, key uint64) bool {
 	switch {
-	case !s.begun():
+	case !s.hasBegun():
 		return false
 	case s.progress.Outcome == OutcomeCompleted:
 		return true
-	case s.progress.Outcome == OutcomeRolledBack || s.condemned != "":
+	case s.progress.Outcome == OutcomeRolledBack || s.rejectReason != "":
 		return false
 	}
 	now, ok := t.options.Watch.Now()
--- a/internal/upgrade/judge_bench_test.go
+++ b/internal/upgrade/judge_bench_test.go
@@ -16,19 +16,19 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	told := make([]upgrade.Evidence, hosts)
 	for i := range told {
-		told[i] = upgrade.Evidence{Seconds: 15, Routes: map[string]upgrade.Pair{}, Endpoints: []string{"a", "b"}}
+		told[i] = upgrade.Evidence{Seconds: 15, Routes: map[string]upgrade.VersionCounts{}, Endpoints: []string{"a", "b"}}
 		for r := range routes {
-			p := upgrade.Pair{Target: upgrade.Count{Good: 2, Bad: 1}, Other: upgrade.Count{Good: 8, Bad: 5}, TargetBy: upgrade.Tallies{}, OtherBy: upgrade.Tallies{}}
+			p := upgrade.VersionCounts{Target: upgrade.Count{Good: 2, Bad: 1}, Other: upgrade.Count{Good: 8, Bad: 5}, TargetByEndpoint: upgrade.Tallies{}, OtherByEndpoint: upgrade.Tallies{}}
 			for range answers / routes {
 				bad := random.IntN(5) / 3
-				p.OtherBy[fmt.Sprint("old", random.IntN(endpoints))] = upgrade.Tally{1 - bad, bad}
+				p.OtherByEndpoint[fmt.Sprint("old", random.IntN(endpoints))] = upgrade.Tally{1 - bad, bad}
 			}
-			p.TargetBy[fmt.Sprint("new", random.IntN(endpoints))] = upgrade.Tally{2, 1}
+			p.TargetByEndpoint[fmt.Sprint("new", random.IntN(endpoints))] = upgrade.Tally{2, 1}
 			told[i].Routes[fmt.Sprint("r", r)] = p
 		}
 		told[i].Recent = told[i].Routes
 	}
 	for b.Loop() {
-		upgrade.Judge(told[0], told[1:], upgrade.Untold{Known: true})
+		upgrade.Judge(told[0], told[1:], upgrade.Unreported{Known: true})
 	}
 }
--- a/internal/upgrade/judge_test.go
+++ b/internal/upgrade/judge_test.go
@@ -34,13 +34,13 @@
 }
 
 func evidence(c counts) upgrade.Evidence {
-	p := upgrade.Pair{
-		Target:   upgrade.Count{Good: c.good, Bad: c.bad},
-		Other:    upgrade.Count{Good: c.otherGood, Bad: c.otherBad},
-		TargetBy: spread(c.good, c.bad, c.endpoints, c.well),
-		OtherBy:  spread(c.otherGood, c.otherBad, max(c.endpoints+c.well, 4), 0),
+	p := upgrade.VersionCounts{
+		Target:           upgrade.Count{Good: c.good, Bad: c.bad},
+		Other:            upgrade.Count{Good: c.otherGood, Bad: c.otherBad},
+		TargetByEndpoint: spread(c.good, c.bad, c.endpoints, c.well),
+		OtherByEndpoint:  spread(c.otherGood, c.otherBad, max(c.endpoints+c.well, 4), 0),
 	}
-	e := upgrade.Evidence{Routes: map[string]upgrade.Pair{"r": p}}
+	e := upgrade.Evidence{Routes: map[string]upgrade.VersionCounts{"r": p}}
 	e.Recent = e.Routes
 	for i := range c.endpoints {
 		e.Endpoints = append(e.Endpoints, fmt.Sprint(i))
@@ -67,14 +67,14 @@
 // blaming returns evidence whose failures an endpoint gave.
 func blaming(e upgrade.Evidence, id string) upgrade.Evidence {
 	p := e.Routes["r"]
-	p.TargetBy = upgrade.Tallies{id: {p.Target.Good, p.Target.Bad}}
+	p.TargetByEndpoint = upgrade.Tallies{id: {p.Target.Good, p.Target.Bad}}
 	e.Routes["r"] = p
 	e.Endpoints = []string{id}
 	return e
 }
 
 func isBad(own upgrade.Evidence, others []upgrade.Evidence, silent int) bool {
-	return upgrade.Judge(own, others, upgrade.Untold{Silent: silent}).Verdict == upgrade.VerdictBad
+	return upgrade.Judge(own, others, upgrade.Unreported{Silent: silent}).Verdict == upgrade.VerdictBad
 }
 
 var _ = Describe("the judgement of a version", func() {
@@ -87,8 +87,8 @@
 	It("adds up what hosts saw, and finds a single bad route", func() {
 		half := evidence(counts{3, 2, 50, 0, 1, 0})
 		other := blaming(evidence(counts{3, 2, 50, 0, 0, 0}), "another")
-		good := upgrade.Evidence{Routes: map[string]upgrade.Pair{"q": {Target: upgrade.Count{Good: 500}, Other: upgrade.Count{Good: 500}}}}
-		j := upgrade.Judge(half, []upgrade.Evidence{other, good}, upgrade.Untold{})
+		good := upgrade.Evidence{Routes: map[string]upgrade.VersionCounts{"q": {Target: upgrade.Count{Good: 500}, Other: upgrade.Count{Good: 500}}}}
+		j := upgrade.Judge(half, []upgrade.Evidence{other, good}, upgrade.Unreported{})
 		Expect(j.Verdict).To(Equal(upgrade.VerdictBad))
 		Expect(j.Reason).To(Equal("bad answers on route r"))
 	})
@@ -110,7 +110,7 @@
 	for name, d := range doubts {
 		It("goes by what is likelier: "+name, func() {
 			e := evidence(counts{d.good, d.bad, 1200, 800, 40, 0})
-			Expect(upgrade.Judge(e, nil, upgrade.Untold{}).Doubtful()).To(Equal(d.doubtful))
+			Expect(upgrade.Judge(e, nil, upgrade.Unreported{}).LikelyBad()).To(Equal(d.doubtful))
 		})
 	}
 })
@@ -120,14 +120,14 @@
 	seen.Seconds = 10
 
 	It("are taken to be good, as many as hosts have had since they told", func() {
-		j := upgrade.Judge(seen, nil, upgrade.Untold{Silent: 5, Known: true, HostSeconds: 2})
+		j := upgrade.Judge(seen, nil, upgrade.Unreported{Silent: 5, Known: true, HostSeconds: 2})
 		Expect(j.Seen.Target).To(Equal(upgrade.Count{Good: 2, Bad: 6}))
-		Expect(j.Weighed.Target).To(Equal(upgrade.Count{Good: 2 + 41, Bad: 6}), "208 answers in 10 s")
+		Expect(j.Estimated.Target).To(Equal(upgrade.Count{Good: 2 + 41, Bad: 6}), "208 answers in 10 s")
 	})
 
 	It("are none where all hosts had the time to tell", func() {
-		j := upgrade.Judge(seen, nil, upgrade.Untold{Silent: 85, Known: true})
-		Expect(j.Weighed.Target).To(Equal(j.Seen.Target))
+		j := upgrade.Judge(seen, nil, upgrade.Unreported{Silent: 85, Known: true})
+		Expect(j.Estimated.Target).To(Equal(j.Seen.Target))
 		Expect(j.Verdict).To(Equal(upgrade.VerdictBad))
 	})
 })
@@ -147,12 +147,12 @@
 	told := evidence(counts{2, 0, 20, 0, 0, 0})
 
 	It("is not granted by hosts that tell nothing", func() {
-		Expect(upgrade.Judge(told, nil, upgrade.Untold{}).Verdict).To(Equal(upgrade.VerdictClear), "22 answers in all, a small service")
-		Expect(upgrade.Judge(told, []upgrade.Evidence{evidence(counts{1, 0, 200, 0, 0, 0})}, upgrade.Untold{Silent: 20}).Verdict).To(Equal(upgrade.VerdictOpen))
+		Expect(upgrade.Judge(told, nil, upgrade.Unreported{}).Verdict).To(Equal(upgrade.VerdictClear), "22 answers in all, a small service")
+		Expect(upgrade.Judge(told, []upgrade.Evidence{evidence(counts{1, 0, 200, 0, 0, 0})}, upgrade.Unreported{Silent: 20}).Verdict).To(Equal(upgrade.VerdictOpen))
 	})
 
 	It("is granted by what hosts have seen", func() {
-		Expect(upgrade.Judge(told, []upgrade.Evidence{evidence(counts{6, 0, 200, 0, 0, 0})}, upgrade.Untold{Silent: 20}).Verdict).To(Equal(upgrade.VerdictClear))
+		Expect(upgrade.Judge(told, []upgrade.Evidence{evidence(counts{6, 0, 200, 0, 0, 0})}, upgrade.Unreported{Silent: 20}).Verdict).To(Equal(upgrade.VerdictClear))
 	})
 })
 
@@ -192,7 +192,7 @@
 var _ = Describe("the judgement by pace", func() {
 	for name, p := range pacings {
 		It("of "+name, func() {
-			e := upgrade.Evidence{Routes: map[string]upgrade.Pair{"r": {
+			e := upgrade.Evidence{Routes: map[string]upgrade.VersionCounts{"r": {
 				Target: upgrade.Count{Good: max(p.all, 8), Paced: p.all, Slow: p.slow},
 				Other:  upgrade.Count{Good: max(p.otherAll, 90), Paced: p.otherAll, Slow: p.otherSlow},
 			}}}
@@ -200,7 +200,7 @@
 			for i := range p.endpoints {
 				e.Endpoints = append(e.Endpoints, fmt.Sprint(i))
 			}
-			Expect(upgrade.Judge(e, nil, upgrade.Untold{}).Verdict).To(Equal(p.verdict))
+			Expect(upgrade.Judge(e, nil, upgrade.Unreported{}).Verdict).To(Equal(p.verdict))
 		})
 	}
 })
@@ -254,9 +254,9 @@
 			p, had := upgrade.Progress{}, 0.0
 			for n := range steps {
 				elapsed := within * time.Duration(n) / steps
-				if p.Rises(elapsed, schedule) {
+				if p.NextStageDue(elapsed, schedule) {
 					p.Stage++
-					p.StageMs = schedule.Begins(p.Stage, elapsed, upgrade.Pair{}).Milliseconds()
+					p.StageMs = schedule.StageStart(p.Stage, elapsed, upgrade.VersionCounts{}).Milliseconds()
 				}
 				had += p.Share(elapsed, schedule) / steps
 			}
@@ -266,24 +266,24 @@
 	}
 
 	It("is all of them later if the version has had more than its share, though in time for the old endpoints", func() {
-		much := upgrade.Pair{Target: upgrade.Count{Good: 10}, Other: upgrade.Count{Good: 90}}
-		usual := schedule.Begins(2, 20*time.Second, upgrade.Pair{Other: upgrade.Count{Good: 100}})
-		later := schedule.Begins(2, 20*time.Second, much)
+		much := upgrade.VersionCounts{Target: upgrade.Count{Good: 10}, Other: upgrade.Count{Good: 90}}
+		usual := schedule.StageStart(2, 20*time.Second, upgrade.VersionCounts{Other: upgrade.Count{Good: 100}})
+		later := schedule.StageStart(2, 20*time.Second, much)
 		Expect(later).To(BeNumerically(">", usual))
 		Expect(later).To(BeNumerically("<", 23*time.Second))
 	})
 
 	It("may be completed only in the last stage, at the end of the time", func() {
 		at := func(shown time.Duration) clock.Bounds { return clock.Bounds{Earliest: shown, Latest: shown} }
-		Expect(upgrade.Progress{Stage: 1, EndMs: 24_000}.Due(at(within), schedule)).To(BeFalse())
+		Expect(upgrade.Progress{Stage: 1, EndMs: 24_000}.CompletionDue(at(within), schedule)).To(BeFalse())
 		last := upgrade.Progress{Stage: 2, StageMs: 22_000, EndMs: 24_000}
-		Expect(last.Due(at(22900*time.Millisecond), schedule)).To(BeFalse())
-		Expect(last.Due(at(23*time.Second), schedule)).To(BeTrue())
-		Expect(upgrade.Progress{Stage: 2, StageMs: 25_000, EndMs: 24_000}.Due(at(within), schedule)).To(BeFalse(), "a stage that has not begun")
+		Expect(last.CompletionDue(at(22900*time.Millisecond), schedule)).To(BeFalse())
+		Expect(last.CompletionDue(at(23*time.Second), schedule)).To(BeTrue())
+		Expect(upgrade.Progress{Stage: 2, StageMs: 25_000, EndMs: 24_000}.CompletionDue(at(within), schedule)).To(BeFalse(), "a stage that has not begun")
 	})
 
 	It("is completed in time also where the beginning was written late", func() {
 		late := upgrade.Progress{Stage: 2, StartMs: 1_500, StageMs: 22_800, EndMs: 24_000}
-		Expect(late.Due(clock.Bounds{Earliest: 22800 * time.Millisecond, Latest: 23100 * time.Millisecond}, schedule)).To(BeTrue())
+		Expect(late.CompletionDue(clock.Bounds{Earliest: 22800 * time.Millisecond, Latest: 23100 * time.Millisecond}, schedule)).To(BeTrue())
 	})
 })
--- a/internal/upgrade/recently.go
+++ b/internal/upgrade/recently.go
@@ -11,21 +11,21 @@
 // version has few requests, all since the order are few.
 const recentSpan = 2 * time.Second
 
-// recently counts answers of the last moments by route, in halves of recentSpan.
-type recently struct {
-	since        clock.Instant // when the newer half began
-	newer, older map[string]Pair
+// recentCounts counts answers of the last moments by route, in halves of recentSpan.
+type recentCounts struct {
+	newerSince   clock.Instant // when the newer half began
+	newer, older map[string]VersionCounts
 }
 
 // add counts an answer.
-func (r *recently) add(now clock.Instant, route string, p Pair) {
-	r.roll(now)
-	addTo(r.newer, route, p)
+func (r *recentCounts) add(now clock.Instant, route string, p VersionCounts) {
+	r.rotate(now)
+	addToRoute(r.newer, route, p)
 }
 
-// roll begins a new half if the newer one is over.
-func (r *recently) roll(now clock.Instant) {
-	age := now.Sub(r.since)
+// rotate begins a new half if the newer one is over.
+func (r *recentCounts) rotate(now clock.Instant) {
+	age := now.Sub(r.newerSince)
 	if r.newer != nil && age < recentSpan/2 {
 		return
 	}
@@ -33,16 +33,16 @@
 	if age >= recentSpan {
 		r.older = nil
 	}
-	r.newer, r.since = map[string]Pair{}, now
+	r.newer, r.newerSince = map[string]VersionCounts{}, now
 }
 
 // counts returns what is recent now, by route.
-func (r *recently) counts(now clock.Instant) map[string]Pair {
-	r.roll(now)
-	sum := map[string]Pair{}
-	for _, half := range []map[string]Pair{r.newer, r.older} {
+func (r *recentCounts) counts(now clock.Instant) map[string]VersionCounts {
+	r.rotate(now)
+	sum := map[string]VersionCounts{}
+	for _, half := range []map[string]VersionCounts{r.newer, r.older} {
 		for route, p := range half {
-			addTo(sum, route, p)
+			addToRoute(sum, route, p)
 		}
 	}
 	return sum
--- a/internal/upgrade/standing.go
+++ b/internal/upgrade/standing.go
@@ -47,15 +47,15 @@
 	if !ok {
 		return State{}
 	}
-	return s.standing()
+	return s.state()
 }
 
-func (s *service) standing() State {
-	standing := State{Target: s.order.Target, Verdict: s.verdict}
-	if s.begun() {
-		standing.Outcome, standing.Stage = s.progress.Outcome, s.progress.Stage
+func (s *serviceUpgrade) state() State {
+	state := State{Target: s.order.Target, Verdict: s.verdict}
+	if s.hasBegun() {
+		state.Outcome, state.Stage = s.progress.Outcome, s.progress.Stage
 	}
-	return standing
+	return state
 }
 
 // InProgress returns the version from which a service is being moved; false if no upgrade of it
@@ -67,21 +67,21 @@
 	if !known || s.finished() {
 		return "", false
 	}
-	return t.inForce(name, s), true
+	return t.baseVersion(name, s), true
 }
 
-// begun reports whether the progress of the newest order is known.
-func (s *service) begun() bool {
+// hasBegun reports whether the progress of the newest order is known.
+func (s *serviceUpgrade) hasBegun() bool {
 	return s.row.Version != 0 && s.progress.Revision == s.order.Revision
 }
 
-// believe logs a judgement that differs from the one before, with what it goes by. Of a version
+// recordVerdict logs a judgement that differs from the one before, with what it goes by. Of a version
 // that was rolled back nothing new is believed.
-func (t *Tracker) believe(s *service, j Judgement) {
-	if j.Verdict == s.verdict || (s.begun() && s.progress.Outcome == OutcomeRolledBack) {
+func (t *Tracker) recordVerdict(s *serviceUpgrade, j Judgement) {
+	if j.Verdict == s.verdict || (s.hasBegun() && s.progress.Outcome == OutcomeRolledBack) {
 		return
 	}
-	before := s.standing()
+	before := s.state()
 	s.verdict = j.Verdict
 	level := log.InfoLevel
 	if j.Verdict == VerdictBad {
@@ -95,14 +95,14 @@
 // hosts that have told nothing, the part that the version most likely fails besides its endpoints, how
 // much likelier a bad and a good version is (as logarithms), and on how many endpoints failures were.
 func (j Judgement) fields() []any {
-	e := j.Weighed.excess
+	e := j.Estimated.fit
 	return []any{
 		"verdict", j.Verdict.String(), "reason", j.Reason,
 		"target_seen", j.Seen.Target.String(), "others_seen", j.Seen.Other.String(),
-		"target_weighed", j.Weighed.Target.String(), "silent", j.Silent, "recent", j.Recent.Target.String(),
-		"excess", parts[e.likeliest()], "bad_by", oneDecimal(e.bad(badUsual)), "good_by", oneDecimal(e.good(badUsual)),
-		"endpoints_failing", j.Seen.TargetBy.failing(), "endpoints_tried", len(j.Seen.TargetBy),
-		"others_failing", j.Seen.OtherBy.failing(), "others_tried", len(j.Seen.OtherBy),
+		"target_weighed", j.Estimated.Target.String(), "silent", j.Silent, "recent", j.Recent.Target.String(),
+		"excess", excessRates[e.mostLikely()], "bad_by", oneDecimal(e.logRatioBad(baselineBadRate)), "good_by", oneDecimal(e.logRatioGood(baselineBadRate)),
+		"endpoints_failing", j.Seen.TargetByEndpoint.failing(), "endpoints_tried", len(j.Seen.TargetByEndpoint),
+		"others_failing", j.Seen.OtherByEndpoint.failing(), "others_tried", len(j.Seen.OtherByEndpoint),
 	}
 }
 
--- a/internal/upgrade/tally.go
+++ b/internal/upgrade/tally.go
@@ -14,8 +14,8 @@
 // can be told from those of some endpoints.
 type Tallies map[string]Tally
 
-// tallyOf returns the tallies of one answer.
-func tallyOf(endpoint string, failed bool) Tallies {
+// tallyOne returns the tallies of one answer.
+func tallyOne(endpoint string, failed bool) Tallies {
 	if failed {
 		return Tallies{endpoint: {0, 1}}
 	}
@@ -43,8 +43,8 @@
 	return sum
 }
 
-// rate is the part of failures; 0 without answers.
-func (t Tallies) rate() float64 {
+// badRate is the part of failures; 0 without answers.
+func (t Tallies) badRate() float64 {
 	sum := t.sum()
 	return float64(sum.bad()) / float64(max(sum.all(), 1))
 }
@@ -60,8 +60,8 @@
 	return n
 }
 
-// alike counts endpoints with the same tally.
-func (t Tallies) alike() map[Tally]int {
+// countByTally counts endpoints with the same tally.
+func (t Tallies) countByTally() map[Tally]int {
 	same := make(map[Tally]int, len(t))
 	for _, n := range t {
 		same[n]++
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -69,7 +69,7 @@
 // Share is the part of the keys that goes to the target version, when so much has
 // passed at least.
 func (p Progress) Share(elapsed time.Duration, s Schedule) float64 {
-	if s.within <= 0 || s.partOf(elapsed) < trialAt {
+	if s.within <= 0 || s.fractionOf(elapsed) < trialStart {
 		return 0
 	}
 	stage := min(p.Stage, lastStage)
@@ -84,20 +84,20 @@
 	return elapsed >= time.Duration(p.StageMs-p.StartMs)*time.Millisecond
 }
 
-// Rises reports whether a larger share is due to be written, if there is evidence for it.
-func (p Progress) Rises(elapsed time.Duration, s Schedule) bool {
-	return p.Stage < lastStage && p.stageStarted(elapsed) && elapsed+s.lead() >= s.at(s.stages[p.Stage+1].at)
+// NextStageDue reports whether a larger share is due to be written, if there is evidence for it.
+func (p Progress) NextStageDue(elapsed time.Duration, s Schedule) bool {
+	return p.Stage < lastStage && p.stageStarted(elapsed) && elapsed+s.lead() >= s.timeOf(s.stages[p.Stage+1].start)
 }
 
-// Due reports whether an upgrade may be completed, if there is evidence for it.
-func (p Progress) Due(now clock.Bounds, s Schedule) bool {
-	return p.Stage == lastStage && p.stageStarted(p.elapsedAt(now)) && p.untilDue(now, s) <= 0
+// CompletionDue reports whether an upgrade may be completed, if there is evidence for it.
+func (p Progress) CompletionDue(now clock.Bounds, s Schedule) bool {
+	return p.Stage == lastStage && p.stageStarted(p.elapsedAt(now)) && p.untilCompletion(now, s) <= 0
 }
 
-// untilDue is how long it is until the completion. The order's time runs from the order,
+// untilCompletion is how long it is until the completion. The order's time runs from the order,
 // not from the beginning, which hosts that hear late write late: so it goes by the latest
 // that the store's clock may show, if that is not in much doubt.
-func (p Progress) untilDue(now clock.Bounds, s Schedule) time.Duration {
+func (p Progress) untilCompletion(now clock.Bounds, s Schedule) time.Duration {
 	latest := min(now.Latest, now.Earliest+s.lead())
-	return time.Duration(p.EndMs)*time.Millisecond - s.left() - latest
+	return time.Duration(p.EndMs)*time.Millisecond - s.completionMargin() - latest
 }
--- a/internal/upgrade/writes.go
+++ b/internal/upgrade/writes.go
@@ -12,8 +12,8 @@
 	"quaybarrow/internal/store"
 )
 
-// askClock stands for a read of the progress, which tells what the store's clock shows.
-const askClock = "clock asked for"
+// refreshClock stands for a read of the progress, which tells what the store's clock shows.
+const refreshClock = "clock asked for"
 
 // write is a transaction that is due.
 type write struct {
@@ -21,20 +21,20 @@
 	txn           store.Transaction
 }
 
-// due returns the transactions that are this host's turn.
-func (t *Tracker) due() []write {
+// dueWrites returns the transactions that are this host's turn.
+func (t *Tracker) dueWrites() []write {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var writes []write
 	now := clock.Now()
 	for name, s := range t.services {
-		if s.unjudged || s.overdue(now) {
+		if s.judgePending || s.overdue(now) {
 			t.judge(s)
 		}
 		if s.finished() {
 			continue
 		}
-		w, err := t.next(s, now)
+		w, err := t.nextWrite(s, now)
 		if err != nil {
 			t.options.Logger.Error("upgrade can't be encoded", "service", name, "error", err)
 			continue
@@ -47,170 +47,170 @@
 	return writes
 }
 
-// next returns the write that is due for an upgrade; none if what is empty.
-func (t *Tracker) next(s *service, now clock.Instant) (write, error) {
-	if !now.Before(s.writeAt) {
+// nextWrite returns the write that is due for an upgrade; none if what is empty.
+func (t *Tracker) nextWrite(s *serviceUpgrade, now clock.Instant) (write, error) {
+	if !now.Before(s.nextWriteAt) {
 		w, err := t.nextProgress(s, now)
-		if err != nil || (w.what != "" && w.what != askClock) {
-			s.writeAt = now.Add(min(writeEvery, s.schedule.at(writeEveryPart)))
+		if err != nil || (w.what != "" && w.what != refreshClock) {
+			s.nextWriteAt = now.Add(min(writeInterval, s.schedule.timeOf(writeIntervalFraction)))
 			return w, err
 		}
 	}
-	if !t.news(s, now) {
+	if !t.shouldPublish(s, now) {
 		return write{}, nil
 	}
 	s.publishedAt = now
 	return t.publish(s, now)
 }
 
-// reporters is about how many hosts tell all that they see while nothing fails; more tell
+// publishingHosts is about how many hosts tell all that they see while nothing fails; more tell
 // little new, and each write is read by all. The others tell of failures only. They do not
 // tell of slow answers, since the unlucky hosts' would look like everyone's.
-const reporters = 24
+const publishingHosts = 24
 
-// news reports whether this host has evidence that others need.
-func (t *Tracker) news(s *service, now clock.Instant) bool {
-	seen, recent := targetOf(s.own.Routes), targetOf(s.lately.counts(now))
-	s.told = s.told.least(recent)
+// shouldPublish reports whether this host has evidence that others need.
+func (t *Tracker) shouldPublish(s *serviceUpgrade, now clock.Instant) bool {
+	seen, recent := targetTotal(s.own.Routes), targetTotal(s.recent.counts(now))
+	s.publishedRecent = s.publishedRecent.atMost(recent)
 	switch {
-	case !s.recalled: // or what an earlier life of this host told would be lost
+	case !s.restored: // or what an earlier life of this host told would be lost
 		return false
-	case s.progress.Stage == lastStage && recent.Bad > s.told.Bad && !s.othersFail():
-		return now.Sub(s.publishedAt) >= failuresEvery
-	case now.Sub(s.publishedAt) < t.publishEvery(s):
+	case s.progress.Stage == lastStage && recent.Bad > s.publishedRecent.Bad && !s.othersHaveFailed():
+		return now.Sub(s.publishedAt) >= failurePublishInterval
+	case now.Sub(s.publishedAt) < t.publishIntervalOf(s):
 		return false
-	case recent.Bad > s.told.Bad && recent.Bad >= publishGrowth*s.told.Bad:
+	case recent.Bad > s.publishedRecent.Bad && recent.Bad >= publishGrowth*s.publishedRecent.Bad:
 		return true
-	case s.fails():
-		return seen != s.published
-	case !seen.outgrows(s.published):
+	case s.targetHasFailed():
+		return seen != s.publishedTotal
+	case !seen.grownSince(s.publishedTotal):
 		return false
-	case seen.Bad > s.published.Bad:
+	case seen.Bad > s.publishedTotal.Bad:
 		return true
 	default:
 		hosts := uint64(max(t.options.Hosts(), 1))
-		return xxhash.Sum64String(s.order.Service+"/"+t.options.Host)%hosts < reporters
+		return xxhash.Sum64String(s.order.Service+"/"+t.options.Host)%hosts < publishingHosts
 	}
 }
 
-// publishEvery is how often this host tells what it sees at most.
-func (t *Tracker) publishEvery(s *service) time.Duration {
-	every := publishEvery
-	if s.progress.Stage == lastStage && s.fails() {
-		every = publishEveryLast
+// publishIntervalOf is how often this host tells what it sees at most.
+func (t *Tracker) publishIntervalOf(s *serviceUpgrade) time.Duration {
+	every := publishInterval
+	if s.progress.Stage == lastStage && s.targetHasFailed() {
+		every = lastStagePublishInterval
 	}
-	return max(every, time.Duration(t.options.Hosts())*publishPerHost)
+	return max(every, time.Duration(t.options.Hosts())*publishIntervalPerHost)
 }
 
-// othersFail reports whether this host has seen failures of other versions. Then those of the
+// othersHaveFailed reports whether this host has seen failures of other versions. Then those of the
 // target are told no earlier than its good answers, or a good version beside endpoints that fail
 // would look worse than it is.
-func (s *service) othersFail() bool {
+func (s *serviceUpgrade) othersHaveFailed() bool {
 	for _, p := range s.own.Routes {
-		if p.OtherBy.failing() > 0 {
+		if p.OtherByEndpoint.failing() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// fails reports whether some host has seen a failure of the target. From then on all tell all
+// targetHasFailed reports whether some host has seen a failure of the target. From then on all tell all
 // that they see: who tells of failures only shows more of them than there are.
-func (s *service) fails() bool { return !s.failsSince.IsZero() }
+func (s *serviceUpgrade) targetHasFailed() bool { return !s.firstFailureAt.IsZero() }
 
 // nextProgress returns the step that is due.
-func (t *Tracker) nextProgress(s *service, now clock.Instant) (write, error) {
-	turn := t.turn(s)
+func (t *Tracker) nextProgress(s *serviceUpgrade, now clock.Instant) (write, error) {
+	delay := t.writeDelay(s)
 	switch {
-	case !s.begun():
-		if now.Before(s.seen.Add(turn)) {
+	case !s.hasBegun():
+		if now.Before(s.orderedAt.Add(delay)) {
 			return write{}, nil
 		}
 		return t.begin(s)
-	case s.condemned != "":
-		return t.finish(s, OutcomeRolledBack, s.condemned)
+	case s.rejectReason != "":
+		return t.finish(s, OutcomeRolledBack, s.rejectReason)
 	}
 	shown, ok := t.options.Watch.Now()
 	if !ok || t.options.Fleet.Versions(s.order.Service)[s.order.Target] == 0 {
 		return write{}, nil
 	}
-	return t.advance(s, shown, turn)
+	return t.advance(s, shown, delay)
 }
 
 // advance returns the step of an upgrade under way that is due, by how it goes.
-func (t *Tracker) advance(s *service, shown clock.Bounds, turn time.Duration) (write, error) {
-	done := s.progress.Due(shown.Minus(s.schedule.turn(turn, t.longestTurn())), s.schedule)
-	rises := s.progress.Rises(s.progress.elapsedAt(shown)-turn, s.schedule)
+func (t *Tracker) advance(s *serviceUpgrade, shown clock.Bounds, turn time.Duration) (write, error) {
+	done := s.progress.CompletionDue(shown.Minus(s.schedule.completionDelay(turn, t.longestWriteDelay())), s.schedule)
+	rises := s.progress.NextStageDue(s.progress.elapsedAt(shown)-turn, s.schedule)
 	if !done && !rises && s.progress.Stage < lastStage {
 		return write{}, nil
 	}
 	j := t.judgement(s)
 	switch {
-	case s.progress.Stage+1 >= lastStage && j.MayBeItsOwn():
+	case s.progress.Stage+1 >= lastStage && j.MayBeBad():
 		// Before all keys go to it, or requests that come again take it over its bound.
-		return t.finish(s, OutcomeRolledBack, mayBeItsOwn)
+		return t.finish(s, OutcomeRolledBack, reasonMayBeBad)
 	case !done && !rises:
 		return write{}, nil
-	case j.Verdict != VerdictClear || (done && (s.answeredLast == 0 || j.Doubtful())):
+	case j.Verdict != VerdictClear || (done && (s.lastStageAnswers == 0 || j.LikelyBad())):
 		return write{}, nil
 	case done:
 		return t.finish(s, OutcomeCompleted, "")
 	default:
-		return t.raise(s, j, shown)
+		return t.raiseShare(s, j, shown)
 	}
 }
 
-// raise writes that the target gets its next share.
-func (t *Tracker) raise(s *service, j Judgement, now clock.Bounds) (write, error) {
+// raiseShare writes that the target gets its next share.
+func (t *Tracker) raiseShare(s *serviceUpgrade, j Judgement, now clock.Bounds) (write, error) {
 	p := s.progress
 	p.Stage++
-	begins := s.schedule.Begins(p.Stage, s.progress.elapsedAt(clock.Bounds{Earliest: now.Latest, Latest: now.Latest}), j.Seen)
-	p.StageMs = p.StartMs + wholeMs(begins)
+	begins := s.schedule.StageStart(p.Stage, s.progress.elapsedAt(clock.Bounds{Earliest: now.Latest, Latest: now.Latest}), j.Seen)
+	p.StageMs = p.StartMs + ceilMs(begins)
 	fields := []any{"service", s.order.Service, "target", s.order.Target, "stage", p.Stage, "begins_ms", begins.Milliseconds(), "hosts", len(s.others) + 1}
 	t.options.Logger.Info("evidence for a larger share", append(fields, j.fields()...)...)
 	return t.progressWrite(s, p, "share raised")
 }
 
-// turn is how long this host leaves a step to others: nothing for one host of all, and
+// writeDelay is how long this host leaves a step to others: nothing for one host of all, and
 // the longer the more have had theirs. Timers so spread keep answers to a multicast few
 // (Nonnenmacher and Biersack, "Scalable feedback for large groups", 1999).
-func (t *Tracker) turn(s *service) time.Duration {
+func (t *Tracker) writeDelay(s *serviceUpgrade) time.Duration {
 	place := float64(xxhash.Sum64String(t.options.Host+"/"+s.order.Service)) / math.MaxUint64
 	before := place * float64(max(t.options.Hosts(), 1))
 	if before <= 1 {
 		return 0
 	}
-	return time.Duration(math.Log2(before) * float64(turnDoubles))
+	return time.Duration(math.Log2(before) * float64(delayPerDoubling))
 }
 
-// longestTurn bounds the turns of all hosts.
-func (t *Tracker) longestTurn() time.Duration {
-	return time.Duration(math.Log2(float64(max(t.options.Hosts(), 1))) * float64(turnDoubles))
+// longestWriteDelay bounds the turns of all hosts.
+func (t *Tracker) longestWriteDelay() time.Duration {
+	return time.Duration(math.Log2(float64(max(t.options.Hosts(), 1))) * float64(delayPerDoubling))
 }
 
 // begin writes that the upgrade has begun.
-func (t *Tracker) begin(s *service) (write, error) {
+func (t *Tracker) begin(s *serviceUpgrade) (write, error) {
 	now, ok := t.options.Watch.Now()
 	if !ok {
 		return write{}, nil
 	}
-	if now.Width() > clockWidth && !s.asked {
-		s.asked = true
-		return write{what: askClock}, nil
+	if now.Width() > maxClockWidth && !s.clockRefreshed {
+		s.clockRefreshed = true
+		return write{what: refreshClock}, nil
 	}
-	ends := now.Earliest - clock.Since(s.seen) + s.order.Within
+	ends := now.Earliest - clock.Since(s.orderedAt) + s.order.Within
 	p := Progress{
-		Revision: s.order.Revision, Target: s.order.Target, Base: t.inForce(s.order.Service, s),
-		StartMs: wholeMs(now.Latest), EndMs: ends.Milliseconds(), Outcome: OutcomeRunning,
+		Revision: s.order.Revision, Target: s.order.Target, Base: t.baseVersion(s.order.Service, s),
+		StartMs: ceilMs(now.Latest), EndMs: ends.Milliseconds(), Outcome: OutcomeRunning,
 	}
 	return t.progressWrite(s, p, "begun")
 }
 
-// wholeMs counts milliseconds, a part of one as a whole.
-func wholeMs(d time.Duration) int64 { return (d + time.Millisecond - 1).Milliseconds() }
+// ceilMs counts milliseconds, a part of one as a whole.
+func ceilMs(d time.Duration) int64 { return (d + time.Millisecond - 1).Milliseconds() }
 
 // finish writes the outcome.
-func (t *Tracker) finish(s *service, o Outcome, reason string) (write, error) {
+func (t *Tracker) finish(s *serviceUpgrade, o Outcome, reason string) (write, error) {
 	p := s.progress
 	p.Outcome, p.Reason = o, reason
 	j := t.judgement(s)
@@ -220,7 +220,7 @@
 }
 
 // progressWrite puts progress and status if the row is still as it was read.
-func (t *Tracker) progressWrite(s *service, p Progress, what string) (write, error) {
+func (t *Tracker) progressWrite(s *serviceUpgrade, p Progress, what string) (write, error) {
 	data, err := codec.Encode(p)
 	if err != nil {
 		return write{}, fmt.Errorf("encode progress: %w", err)
@@ -235,13 +235,13 @@
 	}}, nil
 }
 
-// rest returns the evidence that this host has not told.
-func (t *Tracker) rest() []write {
+// unpublishedEvidence returns the evidence that this host has not told.
+func (t *Tracker) unpublishedEvidence() []write {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var writes []write
 	for name, s := range t.services {
-		if s.finished() || !s.recalled || targetOf(s.own.Routes) == s.published {
+		if s.finished() || !s.restored || targetTotal(s.own.Routes) == s.publishedTotal {
 			continue
 		}
 		w, err := t.publish(s, clock.Now())
@@ -256,13 +256,13 @@
 }
 
 // publish writes this host's evidence for the others.
-func (t *Tracker) publish(s *service, now clock.Instant) (write, error) {
+func (t *Tracker) publish(s *serviceUpgrade, now clock.Instant) (write, error) {
 	e := s.evidence(now)
 	data, err := codec.Encode(e)
 	if err != nil {
 		return write{}, fmt.Errorf("encode evidence: %w", err)
 	}
-	s.published, s.told = targetOf(e.Routes), targetOf(e.Recent)
+	s.publishedTotal, s.publishedRecent = targetTotal(e.Routes), targetTotal(e.Recent)
 	return write{what: "evidence", txn: store.Transaction{
 		Writes: []store.Write{store.Put(Table, s.order.Service+"/"+t.options.Host, data)},
 	}}, nil
