--- a/internal/upgrade/excess.go
+++ b/internal/upgrade/excess.go
@@ -141,11 +141,11 @@
 func (m mixture) fitExcess(target Tallies, assumedGood int) excessFit {
 	countByTally := target.countByTally()
 	e := excessFit{observedFailing: float64(target.failing())}
-	for i, part := range excessRates {
-		e.logLikelihoods[i] = float64(assumedGood) * math.Log1p(-part)
+	for i, rate := range excessRates {
+		e.logLikelihoods[i] = float64(assumedGood) * math.Log1p(-rate)
 		for t, times := range countByTally {
 			e.logLikelihoods[i] += float64(times) * math.Log(max(m.likelihood(likelihoodsOf(t, i)), minLikelihood))
-			e.expectedFailing[i] += float64(times) * (1 - math.Pow(1-part, float64(t.all())))
+			e.expectedFailing[i] += float64(times) * (1 - math.Pow(1-rate, float64(t.all())))
 		}
 	}
 	return e
@@ -154,8 +154,8 @@
 // baseline is the greatest likelihood among parts that are chance, up to a most.
 func (e excessFit) baseline(maxRate float64) float64 {
 	highest := math.Inf(-1)
-	for i, part := range excessRates {
-		if part <= maxRate {
+	for i, rate := range excessRates {
+		if rate <= maxRate {
 			highest = max(highest, e.logLikelihoods[i])
 		}
 	}
--- a/internal/upgrade/fault_test.go
+++ b/internal/upgrade/fault_test.go
@@ -7,8 +7,8 @@
 	"quaybarrow/internal/clock"
 )
 
-// asOften is a judgement on a target that fails half of its answers, as all endpoints of the others but one do.
-func asOften() Judgement {
+// judgementOfEqualFailures is a judgement on a target that fails half of its answers, as all endpoints of the others but one do.
+func judgementOfEqualFailures() Judgement {
 	j := Judgement{Estimated: VersionCounts{Target: Count{Bad: 20, Good: 20}, Other: Count{Bad: 90, Good: 110}, TargetByEndpoint: Tallies{}, OtherByEndpoint: Tallies{}}}
 	for n := range 40 {
 		j.Estimated.TargetByEndpoint.add(tallyOne(fmt.Sprint("new", n%4), n%8 < 4))
@@ -33,7 +33,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			c.s.order.Revision, c.s.row.Version, c.s.judgedAt = 1, 1, now
-			if got := c.s.reasonToReject(asOften()); (got != "") != c.stop {
+			if got := c.s.reasonToReject(judgementOfEqualFailures()); (got != "") != c.stop {
 				t.Errorf("fault %q, stop %v", got, c.stop)
 			}
 		})
--- a/internal/upgrade/judge.go
+++ b/internal/upgrade/judge.go
@@ -90,21 +90,21 @@
 	all, recent, seconds := routesSinceOrder(evidence), recentRoutes(evidence), totalSeconds(evidence)
 	seen := sumRoutes(all, targetFailures(evidence) >= minSuspectFailures)
 	estimated := seen.withAssumedGood(func(_ string, p VersionCounts) int { return u.estimate(p, p, len(all), seconds) }).withFit()
-	late := sumRoutes(recent, seen.total.Target.Bad >= minSuspectFailures).withAssumedGood(func(route string, p VersionCounts) int {
+	lateTotals := sumRoutes(recent, seen.total.Target.Bad >= minSuspectFailures).withAssumedGood(func(route string, p VersionCounts) int {
 		silentHosts := u
 		silentHosts.Silent += len(all) - len(recent)
 		return silentHosts.estimate(p, estimated.countsOf(route), len(recent), seconds)
 	}).withReference(estimated)
-	j := Judgement{Seen: seen.total, Estimated: estimated.total, Recent: late.total, Silent: u.Silent}
+	j := Judgement{Seen: seen.total, Estimated: estimated.total, Recent: lateTotals.total, Silent: u.Silent}
 	if faultyEndpoints(evidence) >= minBadEndpoints {
 		if reason := estimated.firstFault(VersionCounts.fault); reason != "" {
 			return j.asBad(reason)
 		}
-		if reason := late.firstFault(VersionCounts.recentFault); reason != "" {
+		if reason := lateTotals.firstFault(VersionCounts.recentFault); reason != "" {
 			return j.asBad("lately " + reason)
 		}
 	}
-	if seen.total.enoughGood() && !estimated.total.failsBeyondEndpoints(baselineBadRate, clearLogThreshold) && late.looksGood() {
+	if seen.total.enoughGood() && !estimated.total.failsBeyondEndpoints(baselineBadRate, clearLogThreshold) && lateTotals.looksGood() {
 		j.Verdict = VerdictClear
 	}
 	return j
@@ -177,7 +177,7 @@
 // fault tells how the target clearly does worse than the others; "" if it does not.
 func (p VersionCounts) fault() string {
 	switch {
-	case p.Target.Bad >= minBadAnswers && (p.failsFarMoreWidely(baselineBadRate, badLogThreshold) || p.failsBeyondEndpoints(baselineBadRate, excessLogThreshold)):
+	case p.Target.Bad >= minBadAnswers && (p.clearlyFailsMore(baselineBadRate, badLogThreshold) || p.failsBeyondEndpoints(baselineBadRate, excessLogThreshold)):
 		return "bad answers"
 	case p.isSlower() && p.slowEvidence() >= slowLogThreshold:
 		return "slow answers"
@@ -189,7 +189,7 @@
 // recentFault is fault for recent answers, which are new ones each time.
 func (p VersionCounts) recentFault() string {
 	switch {
-	case p.Target.Bad >= minBadAnswers && (p.failsFarMoreWidely(recentBaselineBadRate, recentLogThreshold) || p.failsBeyondEndpoints(recentBaselineBadRate, recentLogThreshold)):
+	case p.Target.Bad >= minBadAnswers && (p.clearlyFailsMore(recentBaselineBadRate, recentLogThreshold) || p.failsBeyondEndpoints(recentBaselineBadRate, recentLogThreshold)):
 		return "bad answers"
 	case p.isSlower() && p.slowEvidence() >= recentLogThreshold:
 		return "slow answers"
@@ -210,10 +210,10 @@
 	return !failing && p.fit.logRatioAny(clearBaselineBadRate) < clearLogThreshold
 }
 
-// failsFarMoreWidely reports whether the target fails much more often than the others, on many of
+// clearlyFailsMore reports whether the target fails much more often than the others, on many of
 // its endpoints. It sees a bad version beside endpoints that are well, also one that some of
 // its endpoints bear.
-func (p VersionCounts) failsFarMoreWidely(baselineRate, threshold float64) bool {
+func (p VersionCounts) clearlyFailsMore(baselineRate, threshold float64) bool {
 	return p.failsMore() && p.failuresSpread(minBadEndpointFraction) && p.failureEvidence(baselineRate) >= threshold
 }
 
--- a/internal/upgrade/judge_test.go
+++ b/internal/upgrade/judge_test.go
@@ -14,9 +14,9 @@
 // counts of answers on one route: good and bad of the target, good and bad of
 // the others, and how many endpoints of the target gave the bad ones.
 // and how many gave none.
-type counts struct{ good, bad, otherGood, otherBad, endpoints, well int }
+type counts struct{ good, bad, otherGood, otherBad, badEndpoints, goodEndpoints int }
 
-var judgements = map[string]struct {
+var failureCases = map[string]struct {
 	counts counts
 	bad    bool
 }{
@@ -37,19 +37,19 @@
 	p := upgrade.VersionCounts{
 		Target:           upgrade.Count{Good: c.good, Bad: c.bad},
 		Other:            upgrade.Count{Good: c.otherGood, Bad: c.otherBad},
-		TargetByEndpoint: spread(c.good, c.bad, c.endpoints, c.well),
-		OtherByEndpoint:  spread(c.otherGood, c.otherBad, max(c.endpoints+c.well, 4), 0),
+		TargetByEndpoint: spreadAnswers(c.good, c.bad, c.badEndpoints, c.goodEndpoints),
+		OtherByEndpoint:  spreadAnswers(c.otherGood, c.otherBad, max(c.badEndpoints+c.goodEndpoints, 4), 0),
 	}
 	e := upgrade.Evidence{Routes: map[string]upgrade.VersionCounts{"r": p}}
 	e.Recent = e.Routes
-	for i := range c.endpoints {
+	for i := range c.badEndpoints {
 		e.Endpoints = append(e.Endpoints, fmt.Sprint(i))
 	}
 	return e
 }
 
-// spread deals answers out to endpoints: failures to those that fail, good ones to all.
-func spread(good, bad, failing, well int) upgrade.Tallies {
+// spreadAnswers deals answers out to endpoints: failures to those that fail, good ones to all.
+func spreadAnswers(good, bad, failing, well int) upgrade.Tallies {
 	t := upgrade.Tallies{}
 	deal := func(n, endpoints int, one upgrade.Tally) {
 		for i := range n {
@@ -64,8 +64,8 @@
 	return t
 }
 
-// blaming returns evidence whose failures an endpoint gave.
-func blaming(e upgrade.Evidence, id string) upgrade.Evidence {
+// withFailuresAt returns evidence whose failures an endpoint gave.
+func withFailuresAt(e upgrade.Evidence, id string) upgrade.Evidence {
 	p := e.Routes["r"]
 	p.TargetByEndpoint = upgrade.Tallies{id: {p.Target.Good, p.Target.Bad}}
 	e.Routes["r"] = p
@@ -78,7 +78,7 @@
 }
 
 var _ = Describe("the judgement of a version", func() {
-	for name, j := range judgements {
+	for name, j := range failureCases {
 		It("of "+name, func() {
 			Expect(isBad(evidence(j.counts), nil, 0)).To(Equal(j.bad))
 		})
@@ -86,7 +86,7 @@
 
 	It("adds up what hosts saw, and finds a single bad route", func() {
 		half := evidence(counts{3, 2, 50, 0, 1, 0})
-		other := blaming(evidence(counts{3, 2, 50, 0, 0, 0}), "another")
+		other := withFailuresAt(evidence(counts{3, 2, 50, 0, 0, 0}), "another")
 		good := upgrade.Evidence{Routes: map[string]upgrade.VersionCounts{"q": {Target: upgrade.Count{Good: 500}, Other: upgrade.Count{Good: 500}}}}
 		j := upgrade.Judge(half, []upgrade.Evidence{other, good}, upgrade.Unreported{})
 		Expect(j.Verdict).To(Equal(upgrade.VerdictBad))
@@ -94,10 +94,10 @@
 	})
 })
 
-// doubts are of versions beside endpoints that fail 0.4 of their answers.
-var doubts = map[string]struct {
+// likelyBadCases are of versions beside endpoints that fail 0.4 of their answers.
+var likelyBadCases = map[string]struct {
 	good, bad int
-	doubtful  bool
+	likelyBad bool
 }{
 	"as many failures as the others":       {120, 80, false},
 	"somewhat more failures":               {95, 105, true},
@@ -107,10 +107,10 @@
 }
 
 var _ = Describe("a step that can't be taken back", func() {
-	for name, d := range doubts {
+	for name, d := range likelyBadCases {
 		It("goes by what is likelier: "+name, func() {
 			e := evidence(counts{d.good, d.bad, 1200, 800, 40, 0})
-			Expect(upgrade.Judge(e, nil, upgrade.Unreported{}).LikelyBad()).To(Equal(d.doubtful))
+			Expect(upgrade.Judge(e, nil, upgrade.Unreported{}).LikelyBad()).To(Equal(d.likelyBad))
 		})
 	}
 })
@@ -135,7 +135,7 @@
 var _ = Describe("the judgement by one of many hosts", func() {
 	It("takes silent hosts for content, so that a few unlucky ones do not condemn a version", func() {
 		unlucky := func(id string) upgrade.Evidence {
-			return blaming(evidence(counts{4, 1, 60, 0, 0, 0}), id)
+			return withFailuresAt(evidence(counts{4, 1, 60, 0, 0, 0}), id)
 		}
 		others := []upgrade.Evidence{unlucky("a"), unlucky("b"), unlucky("c"), unlucky("d")}
 		Expect(isBad(unlucky("e"), others, 86)).To(BeFalse())
@@ -158,7 +158,7 @@
 
 var _ = Describe("the judgement by a host that has seen no answer of the target", func() {
 	unlucky := func(id string) upgrade.Evidence {
-		return blaming(evidence(counts{1, 1, 60, 0, 0, 0}), id)
+		return withFailuresAt(evidence(counts{1, 1, 60, 0, 0, 0}), id)
 	}
 	others := []upgrade.Evidence{unlucky("a"), unlucky("b"), unlucky("c"), unlucky("d"), unlucky("e")}
 
@@ -171,26 +171,26 @@
 	})
 })
 
-// paced is evidence by pace: of the target and of the others, slow ones of all.
-type paced struct{ slow, all, otherSlow, otherAll, endpoints int }
+// paceCounts is evidence by pace: of the target and of the others, slow ones of all.
+type paceCounts struct{ slow, all, otherSlow, otherAll, endpoints int }
 
-var pacings = map[string]struct {
-	paced
+var paceCases = map[string]struct {
+	paceCounts
 	verdict upgrade.Verdict
 }{
-	"all answers slow, on two endpoints":     {paced{12, 12, 300, 600, 2}, upgrade.VerdictOpen},
-	"more answers, all slow":                 {paced{16, 16, 300, 600, 2}, upgrade.VerdictBad},
-	"all answers slow, on a single endpoint": {paced{16, 16, 300, 600, 1}, upgrade.VerdictOpen},
-	"half of a plain service's answers slow": {paced{10, 20, 3, 60, 2}, upgrade.VerdictBad},
-	"as many slow ones as the others show":   {paced{60, 120, 300, 600, 4}, upgrade.VerdictClear},
-	"somewhat more, as with a cold memory":   {paced{84, 120, 300, 600, 4}, upgrade.VerdictOpen},
-	"too few answers with a pace":            {paced{0, 2, 300, 600, 0}, upgrade.VerdictOpen},
-	"enough answers, none of them slow":      {paced{0, 6, 300, 600, 0}, upgrade.VerdictClear},
-	"others whose pace is not known":         {paced{0, 0, 0, 0, 0}, upgrade.VerdictClear},
+	"all answers slow, on two endpoints":     {paceCounts{12, 12, 300, 600, 2}, upgrade.VerdictOpen},
+	"more answers, all slow":                 {paceCounts{16, 16, 300, 600, 2}, upgrade.VerdictBad},
+	"all answers slow, on a single endpoint": {paceCounts{16, 16, 300, 600, 1}, upgrade.VerdictOpen},
+	"half of a plain service's answers slow": {paceCounts{10, 20, 3, 60, 2}, upgrade.VerdictBad},
+	"as many slow ones as the others show":   {paceCounts{60, 120, 300, 600, 4}, upgrade.VerdictClear},
+	"somewhat more, as with a cold memory":   {paceCounts{84, 120, 300, 600, 4}, upgrade.VerdictOpen},
+	"too few answers with a pace":            {paceCounts{0, 2, 300, 600, 0}, upgrade.VerdictOpen},
+	"enough answers, none of them slow":      {paceCounts{0, 6, 300, 600, 0}, upgrade.VerdictClear},
+	"others whose pace is not known":         {paceCounts{0, 0, 0, 0, 0}, upgrade.VerdictClear},
 }
 
 var _ = Describe("the judgement by pace", func() {
-	for name, p := range pacings {
+	for name, p := range paceCases {
 		It("of "+name, func() {
 			e := upgrade.Evidence{Routes: map[string]upgrade.VersionCounts{"r": {
 				Target: upgrade.Count{Good: max(p.all, 8), Paced: p.all, Slow: p.slow},
@@ -205,8 +205,8 @@
 	}
 })
 
-// bounds of exposure that operators give, as parts of all requests.
-var bounds = map[string]float64{
+// exposureBounds of exposure that operators give, as parts of all requests.
+var exposureBounds = map[string]float64{
 	"the default":       0,
 	"a usual one":       0.15,
 	"a strict one":      0.0975,
@@ -218,7 +218,7 @@
 	const within = 24 * time.Second
 	schedule := upgrade.NewSchedule(0, within)
 
-	for name, bound := range bounds {
+	for name, bound := range exposureBounds {
 		It("is none in the first half, and then a trial's, however late it is: "+name, func() {
 			schedule := upgrade.NewSchedule(bound, within)
 			trial := upgrade.Progress{}.Share(within/2, schedule)
@@ -246,29 +246,29 @@
 		})
 
 		It("stays within the bound in sum, whenever the version turns bad: "+name, func() {
-			schedule, most := upgrade.NewSchedule(bound, within), bound
-			if most == 0 {
-				most = exposeShare
+			schedule, maxShare := upgrade.NewSchedule(bound, within), bound
+			if maxShare == 0 {
+				maxShare = maxExposure
 			}
 			const steps = 2400
-			p, had := upgrade.Progress{}, 0.0
+			p, exposed := upgrade.Progress{}, 0.0
 			for n := range steps {
 				elapsed := within * time.Duration(n) / steps
 				if p.NextStageDue(elapsed, schedule) {
 					p.Stage++
 					p.StageMs = schedule.StageStart(p.Stage, elapsed, upgrade.VersionCounts{}).Milliseconds()
 				}
-				had += p.Share(elapsed, schedule) / steps
+				exposed += p.Share(elapsed, schedule) / steps
 			}
 			Expect(p.Stage).To(Equal(2))
-			Expect(had).To(BeNumerically("<=", most))
+			Expect(exposed).To(BeNumerically("<=", maxShare))
 		})
 	}
 
 	It("is all of them later if the version has had more than its share, though in time for the old endpoints", func() {
-		much := upgrade.VersionCounts{Target: upgrade.Count{Good: 10}, Other: upgrade.Count{Good: 90}}
+		highExposure := upgrade.VersionCounts{Target: upgrade.Count{Good: 10}, Other: upgrade.Count{Good: 90}}
 		usual := schedule.StageStart(2, 20*time.Second, upgrade.VersionCounts{Other: upgrade.Count{Good: 100}})
-		later := schedule.StageStart(2, 20*time.Second, much)
+		later := schedule.StageStart(2, 20*time.Second, highExposure)
 		Expect(later).To(BeNumerically(">", usual))
 		Expect(later).To(BeNumerically("<", 23*time.Second))
 	})
--- a/internal/upgrade/lastlook_test.go
+++ b/internal/upgrade/lastlook_test.go
@@ -12,9 +12,9 @@
 	"quaybarrow/internal/upgrade"
 )
 
-// failingOld has each host see answers of the old version for a time, of which one in three fails at all
+// serveFailingOld has each host see answers of the old version for a time, of which one in three fails at all
 // of its endpoints but one; each tenth of a second a body runs.
-func (h *hosts) failingOld(d time.Duration, body func()) {
+func (h *hosts) serveFailingOld(d time.Duration, body func()) {
 	for n := range int(d / (100 * time.Millisecond)) {
 		time.Sleep(100 * time.Millisecond)
 		for i, t := range h.trackers {
@@ -26,8 +26,8 @@
 	}
 }
 
-// target has a host see answers of the target, of which the first ones fail, on its endpoints in turn.
-func (h *hosts) target(host, n, failing int) {
+// recordTargetAnswers has a host see answers of the recordTargetAnswers, of which the first ones fail, on its endpoints in turn.
+func (h *hosts) recordTargetAnswers(host, n, failing int) {
 	for i := range n {
 		h.trackers[host].Record(upgrade.Report{
 			Service: "s", Version: "v2", Endpoint: fmt.Sprint("v2", (host+i)%4), Route: "r", Finding: upgrade.Answered{Failed: i < failing},
@@ -42,18 +42,18 @@
 	return p.Stage
 }
 
-// idle is nothing to do meanwhile.
-func idle() {}
+// noop is nothing to do meanwhile.
+func noop() {}
 
-// onTrial returns hosts that have seen good answers of a target since its first share, beside an old version
+// newHostsInTrial returns hosts that have seen good answers of a target since its first share, beside an old version
 // whose endpoints fail.
-func onTrial() *hosts {
+func newHostsInTrial() *hosts {
 	const within = 24 * time.Second // of an order
 	h := newHosts(4)
 	h.order(7)
-	h.failingOld(within/2+time.Second, idle)
+	h.serveFailingOld(within/2+time.Second, noop)
 	for i := range h.trackers {
-		h.target(i, 2, 0)
+		h.recordTargetAnswers(i, 2, 0)
 	}
 	return h
 }
@@ -62,17 +62,17 @@
 	// The last share was written on what was known a second before it began, and nothing looked again until the completion.
 	It("gets no last share once it fails as they do", func() {
 		suite.Paused(func() {
-			h := onTrial()
+			h := newHostsInTrial()
 			defer h.stop()
 			for h.stage() < 2 {
-				h.failingOld(100*time.Millisecond, idle)
+				h.serveFailingOld(100*time.Millisecond, noop)
 			}
-			h.failingOld(200*time.Millisecond, idle) // the rest of the lead is time to tell
-			Expect(h.share()).To(BeNumerically("<", 0.5), "the last share is written ahead")
+			h.serveFailingOld(200*time.Millisecond, noop) // the rest of the lead is time to tell
+			Expect(h.targetShare()).To(BeNumerically("<", 0.5), "the last share is written ahead")
 			for i := range h.trackers {
-				h.target(i, 4, 2)
+				h.recordTargetAnswers(i, 4, 2)
 			}
-			h.failingOld(4*time.Second, func() { Expect(h.share()).To(BeNumerically("<", 0.5)) })
+			h.serveFailingOld(4*time.Second, func() { Expect(h.targetShare()).To(BeNumerically("<", 0.5)) })
 			Expect(h.status()).To(MatchJSON(`{"state":"rolled_back","target_version":"v2"}`))
 		})
 	})
@@ -80,15 +80,15 @@
 	// Its failures were weighed only as the next share was due, which may be later than the bound.
 	It("gets nothing more within the bound after many failures that may be its own", func() {
 		suite.Paused(func() {
-			h := onTrial()
+			h := newHostsInTrial()
 			defer h.stop()
 			for i := range h.trackers {
-				h.target(i, 40, 14)
+				h.recordTargetAnswers(i, 40, 14)
 			}
-			h.failingOld(2*time.Second, idle)
-			Expect(h.share()).To(BeNumerically(">", 0), "it is on trial")
-			h.failingOld(lateAfter-2*time.Second, idle)
-			Expect(h.share()).To(BeZero())
+			h.serveFailingOld(2*time.Second, noop)
+			Expect(h.targetShare()).To(BeNumerically(">", 0), "it is on trial")
+			h.serveFailingOld(maxReaction-2*time.Second, noop)
+			Expect(h.targetShare()).To(BeZero())
 			Expect(h.status()).To(MatchJSON(`{"state":"rolled_back","target_version":"v2"}`))
 		})
 	})
@@ -96,18 +96,18 @@
 	// The completion took a last look at what hosts had told, and asked less of it than the look before.
 	It("does not come into force if a last look shows that it fails as they do", func() {
 		suite.Paused(func() {
-			h := onTrial()
+			h := newHostsInTrial()
 			defer h.stop()
-			for h.share() < 0.9 {
-				h.failingOld(100*time.Millisecond, idle)
+			for h.targetShare() < 0.9 {
+				h.serveFailingOld(100*time.Millisecond, noop)
 			}
 			for _, w := range h.watches {
-				w.deaf.Store(true)
+				w.stalled.Store(true)
 			}
 			for i := range h.trackers {
-				h.target(i, 5, 2)
+				h.recordTargetAnswers(i, 5, 2)
 			}
-			h.failingOld(3*time.Second, func() { Expect(h.status()).NotTo(MatchJSON(completed)) })
+			h.serveFailingOld(3*time.Second, func() { Expect(h.status()).NotTo(MatchJSON(completed)) })
 		})
 	})
 })
--- a/internal/upgrade/pace.go
+++ b/internal/upgrade/pace.go
@@ -36,7 +36,7 @@
 	// from loadLeast on: with 100 running instead of 10 good pauses are twice as
 	// long, and a new version's endpoints have far fewer than the others' at first.
 	loadBands = 6
-	minLoad = 4
+	minLoad   = 4
 )
 
 // loadBand is the band of a number of requests.
--- a/internal/upgrade/pace_test.go
+++ b/internal/upgrade/pace_test.go
@@ -21,9 +21,9 @@
 
 // Pauses of the version in use, idle and with many requests, and what a new version's
 // endpoints show that have few yet.
-var loads = map[string]struct {
-	idle, full, target time.Duration
-	bad                bool
+var loadCases = map[string]struct {
+	idleGap, fullGap, targetGap time.Duration
+	bad                         bool
 }{
 	"slow, though not beside full endpoints":  {10 * time.Millisecond, 22 * time.Millisecond, 25 * time.Millisecond, true},
 	"as fast as idle endpoints":               {10 * time.Millisecond, 22 * time.Millisecond, 11 * time.Millisecond, false},
@@ -53,7 +53,7 @@
 }
 
 var _ = Describe("a version whose endpoints have few requests while the others are full", func() {
-	for name, l := range loads {
+	for name, l := range loadCases {
 		It("is judged at its own load: "+name, func() {
 			onTracker(func(t *upgrade.Tracker) {
 				note := func(version, endpoint string, requests int, pause time.Duration) {
@@ -61,13 +61,13 @@
 						Finding: upgrade.Paced{Pace: upgrade.ShortestGap(pause), Requests: requests}})
 				}
 				for range 40 {
-					note("v1", "old", 2, l.idle)
+					note("v1", "old", 2, l.idleGap)
 				}
 				t.Order(upgrade.Order{Service: "s", Target: "v2", Within: 20 * time.Second, Revision: 3})
 				time.Sleep(time.Second)
 				for i := range 40 {
-					note("v1", "old", 100, l.full)
-					note("v2", []string{"a", "b"}[i%2], 3, l.target)
+					note("v1", "old", 100, l.fullGap)
+					note("v2", []string{"a", "b"}[i%2], 3, l.targetGap)
 				}
 				time.Sleep(10 * time.Second)
 				Expect(t.Allowed("s", 0)("v2")).To(Equal(!l.bad))
--- a/internal/upgrade/rig_test.go
+++ b/internal/upgrade/rig_test.go
@@ -31,7 +31,7 @@
 	fleet    *fleet.Fleet
 	server   *http.Server
 	trackers []*upgrade.Tracker
-	watches  []*deafWatch
+	watches  []*stalledWatcher
 	cancels  []context.CancelFunc
 }
 
@@ -62,7 +62,7 @@
 // start runs one of n hosts.
 func (h *hosts) start(i, n int) (*upgrade.Tracker, context.CancelFunc) {
 	client := platform.NewStore(storeAddress, h.network.Dial)
-	watch := &deafWatch{Watcher: client}
+	watch := &stalledWatcher{Watcher: client}
 	h.watches = append(h.watches, watch)
 	t := upgrade.NewTracker(upgrade.Options{
 		Host: fmt.Sprint("host-", i), Tables: client, Watch: watch, Fleet: h.fleet, Logger: log.New(io.Discard),
@@ -96,8 +96,8 @@
 	}
 }
 
-// settle tells the hosts which versions have endpoints.
-func (h *hosts) settle(versions ...string) {
+// setVersions tells the hosts which versions have endpoints.
+func (h *hosts) setVersions(versions ...string) {
 	counts := map[string]int{}
 	for _, v := range versions {
 		counts[v] = 4
@@ -107,11 +107,11 @@
 	}
 }
 
-// mayRunOn counts the hosts on which some key may run on a version.
-func (h *hosts) mayRunOn(version string) int {
+// hostsAllowing counts the hosts on which some key may run on a version.
+func (h *hosts) hostsAllowing(version string) int {
 	n := 0
 	for _, t := range h.trackers {
-		for i := range uint64(sampled) {
+		for i := range uint64(sampledKeys) {
 			if t.Allowed("s", i*0x9e3779b97f4a7c15)(version) {
 				n++
 				break
@@ -133,16 +133,16 @@
 
 // traffic is what endpoints of the target do.
 type traffic struct {
-	badEvery int           // one of so many answers fails; 0 for none
-	pause    time.Duration // shortest between events of a stream; the others have 10 ms
-	shy      bool          // none of the requests goes to the target, whatever is allowed
-	noise    int           // one of so many streams of any version has four times that; 0 for none
-	grey     int           // one of so many answers of any version fails; 0 for none
-	thin     int           // one of so many hosts has an answer at a time; 0 for all of them
+	badEvery  int           // one of so many answers fails; 0 for none
+	gap       time.Duration // shortest between events of a stream; the others have 10 ms
+	noTarget  bool          // none of the requests goes to the target, whatever is allowed
+	slowEvery int           // one of so many streams of any version has four times that; 0 for none
+	failEvery int           // one of so many answers of any version fails; 0 for none
+	oneHostIn int           // one of so many hosts has an answer at a time; 0 for all of them
 }
 
-// othersPause is the shortest pause of the version that is in use.
-const othersPause = 10 * time.Millisecond
+// otherGap is the shortest pause of the version that is in use.
+const otherGap = 10 * time.Millisecond
 
 // serve plays traffic for a time: ten answers a second and host. It returns how
 // many the target got.
@@ -152,42 +152,42 @@
 		time.Sleep(100 * time.Millisecond)
 		for i, t := range h.trackers {
 			n++
-			if w.thin > 0 && (n/len(h.trackers)+i)%w.thin > 0 {
+			if w.oneHostIn > 0 && (n/len(h.trackers)+i)%w.oneHostIn > 0 {
 				continue
 			}
 			key := uint64(n) * 0x9e3779b97f4a7c15
 			r := upgrade.Report{Service: "s", Version: "v1", Endpoint: fmt.Sprint("v1", n%4), Route: "r"}
-			pause := othersPause
-			if allowed := t.Allowed("s", key); allowed != nil && allowed("v2") && !w.shy {
+			gap := otherGap
+			if allowed := t.Allowed("s", key); allowed != nil && allowed("v2") && !w.noTarget {
 				exposed++
 				r.Version, r.Endpoint = "v2", fmt.Sprint("v2", n%4)
-				pause = max(w.pause, othersPause)
+				gap = max(w.gap, otherGap)
 			}
 			bad := r.Version == "v2" && w.badEvery > 0 && exposed%w.badEvery == 0
-			r.Finding = upgrade.Answered{Failed: bad || (w.grey > 0 && rand.IntN(w.grey) == 0)}
+			r.Finding = upgrade.Answered{Failed: bad || (w.failEvery > 0 && rand.IntN(w.failEvery) == 0)}
 			t.Record(r)
-			if w.noise > 0 && rand.IntN(w.noise) == 0 {
-				pause *= 4
+			if w.slowEvery > 0 && rand.IntN(w.slowEvery) == 0 {
+				gap *= 4
 			}
-			r.Finding = upgrade.Paced{Pace: upgrade.ShortestGap(pause), Requests: n % 10}
+			r.Finding = upgrade.Paced{Pace: upgrade.ShortestGap(gap), Requests: n % 10}
 			t.Record(r)
 		}
 	}
 	return exposed
 }
 
-// told sums what hosts have told of the target.
-func (h *hosts) told() upgrade.Count {
+// publishedByAll sums what hosts have publishedByAll of the target.
+func (h *hosts) publishedByAll() upgrade.Count {
 	sum := upgrade.Count{}
 	for i := range h.trackers {
-		c := h.toldBy(fmt.Sprint("host-", i))
+		c := h.publishedBy(fmt.Sprint("host-", i))
 		sum.Paced, sum.Slow = sum.Paced+c.Paced, sum.Slow+c.Slow
 	}
 	return sum
 }
 
-// toldBy is what a host has told of the target.
-func (h *hosts) toldBy(host string) upgrade.Count {
+// publishedBy is what a host has told of the target.
+func (h *hosts) publishedBy(host string) upgrade.Count {
 	sum := upgrade.Count{}
 	row := h.store.Value(upgrade.Table, "s/"+host)
 	if row == nil {
@@ -202,13 +202,13 @@
 	return sum
 }
 
-// sampled is how many keys are looked at for a share.
-const sampled = 200
+// sampledKeys is how many keys are looked at for a share.
+const sampledKeys = 200
 
-// moved counts the keys that a tracker sends to the target.
-func moved(t *upgrade.Tracker) int {
+// keysOnTarget counts the keys that a tracker sends to the target.
+func keysOnTarget(t *upgrade.Tracker) int {
 	n := 0
-	for i := range uint64(sampled) {
+	for i := range uint64(sampledKeys) {
 		if allowed := t.Allowed("s", i*0x9e3779b97f4a7c15); allowed != nil && allowed("v2") {
 			n++
 		}
@@ -216,37 +216,37 @@
 	return n
 }
 
-// share is the part of the keys that the first host sends to the target.
-func (h *hosts) share() float64 { return float64(moved(h.trackers[0])) / sampled }
+// targetShare is the part of the keys that the first host sends to the target.
+func (h *hosts) targetShare() float64 { return float64(keysOnTarget(h.trackers[0])) / sampledKeys }
 
 // disagreements counts hosts that send other keys to the target than the first does.
 func (h *hosts) disagreements() int {
-	n, first := 0, moved(h.trackers[0])
+	n, first := 0, keysOnTarget(h.trackers[0])
 	for _, t := range h.trackers[1:] {
-		if moved(t) != first {
+		if keysOnTarget(t) != first {
 			n++
 		}
 	}
 	return n
 }
 
-// deafWatch is a watcher that hears of no changes while it is deaf.
-type deafWatch struct {
+// stalledWatcher is a watcher that hears of no changes while it is deaf.
+type stalledWatcher struct {
 	store.Watcher
-	deaf atomic.Bool
+	stalled atomic.Bool
 }
 
-func (d *deafWatch) Changes(ctx context.Context, table string, after int64, wait time.Duration) ([]store.Change, int64, error) {
-	if d.deaf.Load() {
+func (d *stalledWatcher) Changes(ctx context.Context, table string, after int64, wait time.Duration) ([]store.Change, int64, error) {
+	if d.stalled.Load() {
 		clock.Sleep(ctx, wait)
 		return nil, after, nil
 	}
 	return d.Watcher.Changes(ctx, table, after, wait)
 }
 
-// answers has a host see answers of the target, a tenth of a second apart, of which the
+// recordAnswers has a host see recordAnswers of the target, a tenth of a second apart, of which the
 // first ones fail, on four endpoints in turn.
-func (h *hosts) answers(host, n, failing int) {
+func (h *hosts) recordAnswers(host, n, failing int) {
 	for i := range n {
 		h.trackers[host].Record(upgrade.Report{
 			Service: "s", Version: "v2", Endpoint: fmt.Sprint("v2", i%4), Route: "r", Finding: upgrade.Answered{Failed: i < failing},
@@ -255,28 +255,28 @@
 	}
 }
 
-// doubtfulClock is a watcher that bounds the store's clock badly from above.
-type doubtfulClock struct {
+// uncertainClock is a watcher that bounds the store's clock badly from above.
+type uncertainClock struct {
 	store.Watcher
-	doubt time.Duration
+	uncertainty time.Duration
 }
 
-func (d doubtfulClock) Now() (clock.Bounds, bool) {
+func (d uncertainClock) Now() (clock.Bounds, bool) {
 	b, known := d.Watcher.Now()
-	b.Latest += d.doubt
+	b.Latest += d.uncertainty
 	return b, known
 }
 
-// newLate returns a tracker of a host that starts when others are at work, and bounds the
+// newLateTracker returns a tracker of a host that starts when others are at work, and bounds the
 // store's clock with so much doubt.
-func newLate(h *hosts, doubt time.Duration) *upgrade.Tracker {
+func newLateTracker(h *hosts, uncertainty time.Duration) *upgrade.Tracker {
 	network := memnet.New()
 	l := network.Listen(storeAddress)
 	server := &http.Server{Handler: h.store}
 	go func() { _ = server.Serve(l) }()
 	client := platform.NewStore(storeAddress, network.Dial)
 	t := upgrade.NewTracker(upgrade.Options{
-		Host: "late", Tables: client, Watch: doubtfulClock{client, doubt}, Fleet: fleet.New(fleet.Options{}), Logger: log.New(io.Discard), Status: platform.StatusWrite,
+		Host: "late", Tables: client, Watch: uncertainClock{client, uncertainty}, Fleet: fleet.New(fleet.Options{}), Logger: log.New(io.Discard), Status: platform.StatusWrite,
 		Hosts: func() int { return 3 },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/upgrade/turnsbad_test.go
+++ b/internal/upgrade/turnsbad_test.go
@@ -29,15 +29,15 @@
 // called the version clear; the hosts' verdicts followed 0.35 s later. The same order of
 // events fails here, without any host stopped and any message lost.
 
-// exposeShare and exposeSlack bound what a bad version may get of all requests from the
+// maxExposure and exposureSlack bound what a bad version may get of all requests from the
 // order to the end of its time, as the users tell.
 const (
-	exposeShare = 0.15
-	exposeSlack = 30
+	maxExposure   = 0.15
+	exposureSlack = 30
 )
 
-// turnings are moments at which a version turns bad, as parts of the upgrade's time.
-var turnings = map[string]float64{
+// failureOnsets are moments at which a version turns bad, as parts of the upgrade's time.
+var failureOnsets = map[string]float64{
 	"at once":                      0,
 	"as it gets the first share":   0.50,
 	"with that share":              0.60,
@@ -49,43 +49,43 @@
 	"in the second before it does": 0.94,
 }
 
-// faulty is what endpoints of a version do that has turned bad.
-var faulty = map[string]traffic{
+// failureModes is what endpoints of a version do that has turned bad.
+var failureModes = map[string]traffic{
 	"half of its answers fail":    {badEvery: 2},
 	"a third of its answers fail": {badEvery: 3},
-	"its answers are slow":        {pause: 25 * time.Millisecond},
+	"its answers are slow":        {gap: 25 * time.Millisecond},
 }
 
 func TestVersionThatTurnsBad(t *testing.T) {
-	for when, part := range turnings {
-		for how, w := range faulty {
+	for when, part := range failureOnsets {
+		for how, w := range failureModes {
 			t.Run(when+", "+how, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { turnsBad(t, part, w) })
+				synctest.Test(t, func(t *testing.T) { playFailure(t, part, w) })
 			})
 		}
 	}
 }
 
-// turnsBad plays an upgrade whose version turns bad after a part of the time.
-func turnsBad(t *testing.T, part float64, w traffic) {
+// playFailure plays an upgrade whose version turns bad after a part of the time.
+func playFailure(t *testing.T, part float64, w traffic) {
 	const within = 24 * time.Second
 	RegisterTestingT(t)
 	h := newHosts(6)
 	defer h.stop()
-	if w.pause > 0 {
+	if w.gap > 0 {
 		h.serve(2*time.Second, traffic{}) // paces are judged by what was usual
 	}
 	h.order(7)
-	turns := time.Duration(part * float64(within))
-	exposed := h.serve(turns, traffic{}) + h.serve(within-turns, w)
+	onset := time.Duration(part * float64(within))
+	exposed := h.serve(onset, traffic{}) + h.serve(within-onset, w)
 	all := len(h.trackers) * int(within/(100*time.Millisecond))
-	Expect(exposed).To(BeNumerically("<=", exposeShare*float64(all)+exposeSlack), "of %d", all)
+	Expect(exposed).To(BeNumerically("<=", maxExposure*float64(all)+exposureSlack), "of %d", all)
 	Expect(h.status()).To(MatchJSON(`{"state":"rolled_back","target_version":"v2"}`))
 	Expect(h.serve(20*time.Second, w)).To(BeZero(), "requests after the upgrade's time")
 }
 
-// troubles are what else happens, second by second, while a version turns bad.
-var troubles = map[string]func(h *hosts, second int){
+// disturbances are what else happens, second by second, while a version turns bad.
+var disturbances = map[string]func(h *hosts, second int){
 	"hosts that start again in turn": func(h *hosts, second int) {
 		if second < 10 {
 			return
@@ -122,17 +122,17 @@
 
 // TestVersionThatTurnsBadBesideTrouble is the same while hosts and store have trouble of their own.
 func TestVersionThatTurnsBadBesideTrouble(t *testing.T) {
-	for what, trouble := range troubles {
-		for _, turns := range []int{0, 13, 16, 19, 21} {
-			t.Run(fmt.Sprintf("%s, from second %d on", what, turns), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { turnsBadBeside(t, trouble, turns) })
+	for what, disturb := range disturbances {
+		for _, onset := range []int{0, 13, 16, 19, 21} {
+			t.Run(fmt.Sprintf("%s, from second %d on", what, onset), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { playFailureWith(t, disturb, onset) })
 			})
 		}
 	}
 }
 
-// turnsBadBeside plays an upgrade whose version turns bad at a second, beside trouble.
-func turnsBadBeside(t *testing.T, trouble func(h *hosts, second int), turns int) {
+// playFailureWith plays an upgrade whose version turns bad at a second, beside trouble.
+func playFailureWith(t *testing.T, disturb func(h *hosts, second int), onset int) {
 	const seconds, perSecond = 24, 10
 	RegisterTestingT(t)
 	h := newHosts(6)
@@ -140,15 +140,15 @@
 	h.order(7)
 	exposed := 0
 	for second := range seconds {
-		trouble(h, second)
+		disturb(h, second)
 		w := traffic{}
-		if second >= turns {
+		if second >= onset {
 			w.badEvery = 2
 		}
 		exposed += h.serve(time.Second, w)
 	}
 	all := len(h.trackers) * seconds * perSecond
-	Expect(exposed).To(BeNumerically("<=", exposeShare*float64(all)+exposeSlack), "of %d", all)
+	Expect(exposed).To(BeNumerically("<=", maxExposure*float64(all)+exposureSlack), "of %d", all)
 	h.serve(2*time.Second, traffic{badEvery: 2})
 	Expect(h.status()).To(MatchJSON(`{"state":"rolled_back","target_version":"v2"}`))
 	Expect(h.serve(20*time.Second, traffic{badEvery: 2})).To(BeZero(), "requests after the upgrade's time")
--- a/internal/upgrade/untold.go
+++ b/internal/upgrade/untold.go
@@ -53,7 +53,7 @@
 		u.Silent = 0 // nobody tells any more
 		return u
 	}
-	shown, known := t.options.Watch.Now()
+	storeTime, known := t.options.Watch.Now()
 	if !known || !s.hasBegun() {
 		return u
 	}
@@ -61,7 +61,7 @@
 	if s.firstFailureAt.IsZero() || now.Sub(s.firstFailureAt) > maxReportDelay {
 		return u
 	}
-	elapsed := s.progress.elapsedAt(shown)
+	elapsed := s.progress.elapsedAt(storeTime)
 	sinceTrial := max(elapsed-s.schedule.timeOf(trialStart), 0)
 	seconds := float64(u.Silent) * sinceTrial.Seconds()
 	for _, o := range s.others {
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -48,7 +48,7 @@
 			defer h.stop()
 			h.serve(5*time.Second, traffic{})
 			h.order(7)
-			exposed := h.serve(20*time.Second, traffic{pause: 25 * time.Millisecond})
+			exposed := h.serve(20*time.Second, traffic{gap: 25 * time.Millisecond})
 			Expect(h.status()).To(MatchJSON(`{"state":"rolled_back","target_version":"v2"}`))
 			Expect(exposed).To(BeNumerically("<", 60))
 		})
@@ -58,9 +58,9 @@
 		suite.Paused(func() {
 			h := newHosts(60)
 			defer h.stop()
-			h.serve(5*time.Second, traffic{noise: 3})
+			h.serve(5*time.Second, traffic{slowEvery: 3})
 			h.order(7)
-			h.serve(23900*time.Millisecond, traffic{noise: 3})
+			h.serve(23900*time.Millisecond, traffic{slowEvery: 3})
 			Expect(h.status()).To(MatchJSON(`{"state":"completed","target_version":"v2"}`), "%s", h.store.Value(upgrade.Table, "s"))
 		})
 	})
@@ -70,9 +70,9 @@
 			suite.Paused(func() {
 				h := newHosts(n)
 				defer h.stop()
-				h.serve(5*time.Second, traffic{grey: 25})
+				h.serve(5*time.Second, traffic{failEvery: 25})
 				h.order(7)
-				h.serve(23900*time.Millisecond, traffic{grey: 25})
+				h.serve(23900*time.Millisecond, traffic{failEvery: 25})
 				Expect(h.status()).To(MatchJSON(`{"state":"completed","target_version":"v2"}`), "%d hosts: %s", n, h.store.Value(upgrade.Table, "s"))
 			})
 		}
@@ -83,7 +83,7 @@
 			h := newHosts(5)
 			defer h.stop()
 			h.order(7)
-			h.serve(25*time.Second, traffic{shy: true})
+			h.serve(25*time.Second, traffic{noTarget: true})
 			Expect(h.status()).To(MatchJSON(`{"state":"running","target_version":"v2"}`))
 			allowed := 0
 			for n := range uint64(1000) {
@@ -142,7 +142,7 @@
 			defer h.stop()
 			h.order(7)
 			h.serve(20*time.Second, traffic{badEvery: 2})
-			late := newLate(h, 0)
+			late := newLateTracker(h, 0)
 			late.Order(upgrade.Order{Service: "s", Target: "v2", Within: 24 * time.Second, Revision: 7})
 			time.Sleep(2 * time.Second)
 			Expect(late.Allowed("s", 1)("v2")).To(BeFalse())
@@ -167,11 +167,11 @@
 		suite.Paused(func() {
 			h := newHosts(300)
 			defer h.stop()
-			h.serve(5*time.Second, traffic{thin: 20})
+			h.serve(5*time.Second, traffic{oneHostIn: 20})
 			h.order(7)
-			h.serve(21*time.Second, traffic{thin: 20})
-			Expect(h.share()).To(BeNumerically(">", 0.2), "a quarter of the keys 1.6 s after it may have them at the earliest")
-			h.serve(2900*time.Millisecond, traffic{thin: 20})
+			h.serve(21*time.Second, traffic{oneHostIn: 20})
+			Expect(h.targetShare()).To(BeNumerically(">", 0.2), "a quarter of the keys 1.6 s after it may have them at the earliest")
+			h.serve(2900*time.Millisecond, traffic{oneHostIn: 20})
 			Expect(h.status()).To(MatchJSON(`{"state":"completed","target_version":"v2"}`))
 			Expect(h.store.Writes()).To(BeNumerically("<", 100), "494 to 513 with turns spread evenly and evidence at set times")
 		})
@@ -183,21 +183,21 @@
 			defer h.stop()
 			h.serve(5*time.Second, traffic{})
 			h.order(7)
-			h.serve(12*time.Second, traffic{shy: true})
+			h.serve(12*time.Second, traffic{noTarget: true})
 			note := func(pause time.Duration) {
 				h.trackers[0].Record(upgrade.Report{Service: "s", Version: "v2", Endpoint: "new0", Route: "r", Finding: upgrade.Paced{Pace: upgrade.ShortestGap(pause), Requests: 5}})
 				time.Sleep(time.Second)
 			}
 			for range 4 {
-				note(othersPause)
+				note(otherGap)
 			}
-			Expect(h.told()).To(Equal(upgrade.Count{Paced: 4}))
-			note(8 * othersPause)
-			Expect(h.told()).To(Equal(upgrade.Count{Paced: 4}), "who tells of each slow one shows more than there are")
+			Expect(h.publishedByAll()).To(Equal(upgrade.Count{Paced: 4}))
+			note(8 * otherGap)
+			Expect(h.publishedByAll()).To(Equal(upgrade.Count{Paced: 4}), "who tells of each slow one shows more than there are")
 			for range 3 {
-				note(othersPause)
+				note(otherGap)
 			}
-			Expect(h.told()).To(Equal(upgrade.Count{Paced: 8, Slow: 1}))
+			Expect(h.publishedByAll()).To(Equal(upgrade.Count{Paced: 8, Slow: 1}))
 		})
 	})
 
@@ -219,14 +219,14 @@
 			defer h.stop()
 			h.order(7)
 			h.serve(2*time.Second, traffic{})
-			doubtful := newLate(h, 3*time.Second)
-			doubtful.Order(upgrade.Order{Service: "s", Target: "v2", Within: 24 * time.Second, Revision: 7})
+			uncertain := newLateTracker(h, 3*time.Second)
+			uncertain.Order(upgrade.Order{Service: "s", Target: "v2", Within: 24 * time.Second, Revision: 7})
 			for range 98 { // until 11.8 s after the order
 				h.serve(100*time.Millisecond, traffic{})
-				Expect(moved(doubtful)).To(BeZero())
+				Expect(keysOnTarget(uncertain)).To(BeZero())
 			}
 			h.serve(1500*time.Millisecond, traffic{})
-			Expect(moved(doubtful)).To(BeNumerically(">", 0))
+			Expect(keysOnTarget(uncertain)).To(BeNumerically(">", 0))
 		})
 	})
 
@@ -246,23 +246,23 @@
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
-			h.settle("v1")
-			h.settle("v1", "v2")
+			h.setVersions("v1")
+			h.setVersions("v1", "v2")
 			h.order(7)
 			h.serve(20*time.Second, traffic{badEvery: 2})
 			Expect(h.status()).To(MatchJSON(`{"state":"rolled_back","target_version":"v2"}`))
-			h.settle("v1", "v2", "v3")
+			h.setVersions("v1", "v2", "v3")
 			h.orderOf("v3", 9)
-			late := newLate(h, 0)
+			late := newLateTracker(h, 0)
 			late.SetVersions("s", map[string]int{"v1": 3, "v2": 4, "v3": 4})
 			late.Order(upgrade.Order{Service: "s", Target: "v3", Within: 24 * time.Second, Revision: 9})
 			time.Sleep(time.Second) // it reads how far the upgrades are
 			h.trackers = append(h.trackers, late)
 			for range 20 {
-				Expect(h.mayRunOn("v2")).To(BeZero())
+				Expect(h.hostsAllowing("v2")).To(BeZero())
 				time.Sleep(500 * time.Millisecond)
 			}
-			Expect(h.mayRunOn("v1")).To(Equal(4))
+			Expect(h.hostsAllowing("v1")).To(Equal(4))
 		})
 	})
 
@@ -270,17 +270,17 @@
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
-			h.settle("v1")
-			h.settle("v1", "v2", "v3")
+			h.setVersions("v1")
+			h.setVersions("v1", "v2", "v3")
 			h.order(7)
 			h.serve(14*time.Second, traffic{})
-			Expect(h.mayRunOn("v2")).To(Equal(3))
+			Expect(h.hostsAllowing("v2")).To(Equal(3))
 			h.orderOf("v3", 9)
 			for range 20 {
-				Expect(h.mayRunOn("v2")).To(BeZero())
+				Expect(h.hostsAllowing("v2")).To(BeZero())
 				time.Sleep(500 * time.Millisecond)
 			}
-			Expect(h.mayRunOn("v1")).To(Equal(3))
+			Expect(h.hostsAllowing("v1")).To(Equal(3))
 		})
 	})
 
@@ -288,14 +288,14 @@
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
-			h.settle("v1")
-			h.settle("v1", "v2")
+			h.setVersions("v1")
+			h.setVersions("v1", "v2")
 			h.order(7)
 			h.serve(14*time.Second, traffic{})
 			h.orderOf("v1", 9)
 			for range 50 {
-				Expect(h.mayRunOn("v2")).To(BeZero())
-				Expect(h.mayRunOn("v1")).To(Equal(3))
+				Expect(h.hostsAllowing("v2")).To(BeZero())
+				Expect(h.hostsAllowing("v1")).To(Equal(3))
 				time.Sleep(500 * time.Millisecond)
 			}
 		})
@@ -307,7 +307,7 @@
 			defer h.stop()
 			h.order(7)
 			h.serve(5*time.Second, traffic{})
-			late := newLate(h, 0)
+			late := newLateTracker(h, 0)
 			late.Order(upgrade.Order{Service: "other", Target: "v2", Within: time.Hour, Revision: 6})
 			h.serve(5*time.Second, traffic{})
 			late.Order(upgrade.Order{Service: "s", Target: "v2", Within: 24 * time.Second, Revision: 7})
@@ -321,12 +321,12 @@
 			defer h.stop()
 			h.order(7)
 			h.serve(19*time.Second, traffic{})
-			before := h.toldBy("host-0").Good
+			before := h.publishedBy("host-0").Good
 			Expect(before).To(BeNumerically(">=", 4))
 			h.restart(0)
 			h.order(7)
 			h.serve(2*time.Second, traffic{})
-			Expect(h.toldBy("host-0").Good).To(BeNumerically(">=", before))
+			Expect(h.publishedBy("host-0").Good).To(BeNumerically(">=", before))
 		})
 	})
 
@@ -335,11 +335,11 @@
 			h := newHosts(2)
 			defer h.stop()
 			h.order(7)
-			h.serve(13*time.Second, traffic{shy: true})
-			h.answers(0, 3, 0)
+			h.serve(13*time.Second, traffic{noTarget: true})
+			h.recordAnswers(0, 3, 0)
 			h.cancels[0]()
 			time.Sleep(300 * time.Millisecond)
-			Expect(h.toldBy("host-0").Good).To(Equal(3))
+			Expect(h.publishedBy("host-0").Good).To(Equal(3))
 		})
 	})
 
@@ -349,19 +349,19 @@
 			h := newHosts(hosts)
 			defer h.stop()
 			h.order(7)
-			h.serve(13*time.Second, traffic{shy: true})
+			h.serve(13*time.Second, traffic{noTarget: true})
 			all := func() (good int) {
 				for i := range hosts {
-					good += h.toldBy(fmt.Sprint("host-", i)).Good
+					good += h.publishedBy(fmt.Sprint("host-", i)).Good
 				}
 				return good
 			}
 			for i := range hosts {
-				h.answers(i, 1, 0)
+				h.recordAnswers(i, 1, 0)
 			}
 			time.Sleep(time.Second)
 			Expect(all()).To(BeNumerically("<", hosts/2), "by the hosts that report")
-			h.answers(0, 1, 1)
+			h.recordAnswers(0, 1, 1)
 			time.Sleep(2 * time.Second)
 			Expect(all()).To(Equal(hosts))
 		})
--- a/internal/upgrade/writes.go
+++ b/internal/upgrade/writes.go
@@ -130,17 +130,17 @@
 	case s.rejectReason != "":
 		return t.finish(s, OutcomeRolledBack, s.rejectReason)
 	}
-	shown, ok := t.options.Watch.Now()
+	storeTime, ok := t.options.Watch.Now()
 	if !ok || t.options.Fleet.Versions(s.order.Service)[s.order.Target] == 0 {
 		return write{}, nil
 	}
-	return t.advance(s, shown, delay)
+	return t.advance(s, storeTime, delay)
 }
 
 // advance returns the step of an upgrade under way that is due, by how it goes.
-func (t *Tracker) advance(s *serviceUpgrade, shown clock.Bounds, turn time.Duration) (write, error) {
-	done := s.progress.CompletionDue(shown.Minus(s.schedule.completionDelay(turn, t.longestWriteDelay())), s.schedule)
-	rises := s.progress.NextStageDue(s.progress.elapsedAt(shown)-turn, s.schedule)
+func (t *Tracker) advance(s *serviceUpgrade, storeTime clock.Bounds, delay time.Duration) (write, error) {
+	done := s.progress.CompletionDue(storeTime.Minus(s.schedule.completionDelay(delay, t.longestWriteDelay())), s.schedule)
+	rises := s.progress.NextStageDue(s.progress.elapsedAt(storeTime)-delay, s.schedule)
 	if !done && !rises && s.progress.Stage < lastStage {
 		return write{}, nil
 	}
@@ -156,7 +156,7 @@
 	case done:
 		return t.finish(s, OutcomeCompleted, "")
 	default:
-		return t.raiseShare(s, j, shown)
+		return t.raiseShare(s, j, storeTime)
 	}
 }
 
