--- a/internal/upgrade/allowed.go
+++ b/internal/upgrade/allowed.go
@@ -1,7 +1,7 @@
 package upgrade
 
-// SetVersions takes note of a service's versions, so that endpoints of a new one get
-// nothing before an order names it.
+// SetVersions records how many endpoints a service has of each version. Endpoints of a new version
+// get no requests until an order names it.
 func (t *Tracker) SetVersions(service string, versions map[string]int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -26,7 +26,8 @@
 	}
 }
 
-// Allowed returns which versions a request with a key may run on; nil for any.
+// Allowed returns a predicate for the versions that a request with the given key may run on; nil
+// allows any version.
 func (t *Tracker) Allowed(name string, key uint64) func(version string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,9 +50,9 @@
 	return func(v string) bool { return v == base }
 }
 
-// baseVersion is the version that requests run on which do not go to the target; empty if it
-// is not known. Any other than the target's would be wrong: while one order follows
-// another, endpoints of a version that was rolled back are still there.
+// baseVersion returns the version that serves the requests that do not go to the target, or "" if
+// it is unknown. It names exactly one version because endpoints of a version that was rolled back
+// are still present while the next order runs, and must get no requests.
 func (t *Tracker) baseVersion(name string, s *serviceUpgrade) string {
 	switch {
 	case s.hasBegun():
@@ -67,10 +68,10 @@
 	}
 }
 
-// keyScale brings a key's upper bits to a part of 1.
+// keyScale maps the upper 53 bits of a key to [0, 1).
 const keyScale = 1 << 53
 
-// useTarget reports whether a key goes to the target version now.
+// useTarget reports whether requests with this key currently go to the target version.
 func (t *Tracker) useTarget(s *serviceUpgrade, key uint64) bool {
 	switch {
 	case !s.hasBegun():
--- a/internal/upgrade/evidence.go
+++ b/internal/upgrade/evidence.go
@@ -4,80 +4,82 @@
 	"fmt"
 )
 
-// Count is how answers of a version went.
+// Count aggregates the outcomes of a version's answers.
 type Count struct {
 	Good  int `json:"good"`
 	Bad   int `json:"bad"`
-	Paced int `json:"paced"` // answers whose pace is known
-	Slow  int `json:"slow"`  // of these
+	Paced int `json:"paced"` // answers whose pace was classified
+	Slow  int `json:"slow"`  // of the paced ones
 }
 
 func (c Count) plus(o Count) Count {
 	return Count{Good: c.Good + o.Good, Bad: c.Bad + o.Bad, Paced: c.Paced + o.Paced, Slow: c.Slow + o.Slow}
 }
 
-// atMost takes the smaller of both counts, one by one.
+// atMost returns the field-wise minimum of both counts.
 func (c Count) atMost(o Count) Count {
 	return Count{Good: min(c.Good, o.Good), Bad: min(c.Bad, o.Bad), Paced: min(c.Paced, o.Paced), Slow: min(c.Slow, o.Slow)}
 }
 
-// grownSince reports whether so many more answers were counted that others should know.
-// Slow ones don't count for that: hosts that told of each as it came showed more of them
-// than there were, and a good version was rolled back.
+// grownSince reports whether a count has grown by publishGrowth since o, so that it is worth
+// publishing. Slow answers are left out: hosts that published at each slow answer overstated the
+// slow rate, and a good version was rolled back.
 func (c Count) grownSince(o Count) bool {
 	doubled := func(now, before int) bool { return now > before && now >= publishGrowth*before }
 	return doubled(c.Good, o.Good) || doubled(c.Bad, o.Bad) || doubled(c.Paced, o.Paced)
 }
 
-// String shows the count in logs.
+// String formats the count for logs.
 func (c Count) String() string {
 	return fmt.Sprintf("%d bad of %d, %d slow of %d", c.Bad, c.answers(), c.Slow, c.Paced)
 }
 
-// answers counts them, good and bad ones.
+// answers returns the number of good and bad answers.
 func (c Count) answers() int { return c.Good + c.Bad }
 
-// badRate is the part of bad answers; 0 without any.
+// badRate returns the fraction of answers that are bad; 0 without answers.
 func (c Count) badRate() float64 { return float64(c.Bad) / float64(max(c.answers(), 1)) }
 
-// slowRate is the part of slow answers; 0 without any.
+// slowRate returns the fraction of paced answers that are slow; 0 without any.
 func (c Count) slowRate() float64 { return float64(c.Slow) / float64(max(c.Paced, 1)) }
 
-// VersionCounts counts answers of the target and of the other versions.
+// VersionCounts holds the counts of the target version and of all other versions.
 type VersionCounts struct {
 	Target Count `json:"target"`
 	Other  Count `json:"other"`
-	// By endpoint, those since the target got its first share: failures of another time say
-	// nothing of the same endpoints now.
+	// By endpoint. OtherByEndpoint starts when the target gets its first share, since failures at
+	// another time do not predict what the same endpoints fail now.
 	TargetByEndpoint Tallies `json:"target_by,omitempty"`
 	OtherByEndpoint  Tallies `json:"other_by,omitempty"`
-	// assumedGood are answers of the target that hosts are taken to have seen which have not told.
+	// assumedGood is the number of the target's answers that hosts are estimated to have seen and
+	// not yet published; they are counted as good.
 	assumedGood int
-	fit         excessFit // of its failures, once it is weighed
+	fit         excessFit // of the target's failures; set by withFit
 }
 
-// add adds another pair's answers, in maps of its own.
+// add adds the counts of o. It does not modify the maps of o.
 func (p *VersionCounts) add(o VersionCounts) {
 	p.Target, p.Other = p.Target.plus(o.Target), p.Other.plus(o.Other)
 	p.TargetByEndpoint, p.OtherByEndpoint = p.TargetByEndpoint.add(o.TargetByEndpoint), p.OtherByEndpoint.add(o.OtherByEndpoint)
 	p.assumedGood += o.assumedGood
 }
 
-// addToRoute adds a pair to a route's.
+// addToRoute adds counts to those of a route.
 func addToRoute(routes map[string]VersionCounts, route string, p VersionCounts) {
 	sum := routes[route]
 	sum.add(p)
 	routes[route] = sum
 }
 
-// targetFraction is the part of all answers that the target gave; 0 without any.
+// targetFraction returns the target's fraction of all answers; 0 without answers.
 func (p VersionCounts) targetFraction() float64 {
 	return float64(p.Target.answers()) / float64(max(p.Target.answers()+p.Other.answers(), 1))
 }
 
-// withReference returns a pair whose others show what they do at their worst, now or before:
-// what troubles all versions is no fault of the target's. What fewer answers than the target's
-// show of endpoints now is chance.
+// withReference returns p with the higher of the other versions' failure and slow rates, recent
+// ones (p) or earlier ones: a problem that affects all versions is not the target's fault. Recent
+// per-endpoint counts of fewer answers than the target has are too noisy and are replaced by the
+// earlier ones.
 func (p VersionCounts) withReference(earlier VersionCounts) VersionCounts {
 	if earlier.OtherByEndpoint.badRate() > p.OtherByEndpoint.badRate() || p.OtherByEndpoint.sum().all() < p.Target.answers() {
 		p.OtherByEndpoint = earlier.OtherByEndpoint
@@ -91,8 +93,8 @@
 	return p.withFit()
 }
 
-// withFit returns the pair with its failures withFit against those of the other versions'
-// endpoints; too few of them tell nothing.
+// withFit returns p with the target's failures fitted against those of the other versions'
+// endpoints, if there are enough failures to be meaningful.
 func (p VersionCounts) withFit() VersionCounts {
 	if p.Target.Bad >= minSuspectFailures {
 		p.fit = fitExcess(p.TargetByEndpoint, p.OtherByEndpoint, p.assumedGood)
@@ -100,22 +102,22 @@
 	return p
 }
 
-// withAssumedGood adds good answers of the target that nobody has told of.
+// withAssumedGood adds n unpublished answers of the target, counted as good.
 func (p VersionCounts) withAssumedGood(n int) VersionCounts {
 	p.Target.Good, p.assumedGood = p.Target.Good+n, p.assumedGood+n
 	return p
 }
 
-// Evidence is what answers told, by route.
+// Evidence is what one host has observed during an upgrade.
 type Evidence struct {
 	Revision  int64                    `json:"revision"`  // of the order
-	Seconds   float64                  `json:"seconds"`   // for which the host has counted
-	Routes    map[string]VersionCounts `json:"routes"`    // since the order
-	Recent    map[string]VersionCounts `json:"recent"`    // of these, the answers of the last moments
-	Endpoints []string                 `json:"endpoints"` // of the target that gave bad or slow answers
+	Seconds   float64                  `json:"seconds"`   // how long the host has been counting
+	Routes    map[string]VersionCounts `json:"routes"`    // by route, since the order
+	Recent    map[string]VersionCounts `json:"recent"`    // by route, within the last recentSpan
+	Endpoints []string                 `json:"endpoints"` // of the target, with bad or slow answers
 }
 
-// plus adds what an earlier life of the same host told since the order.
+// plus adds what an earlier process of the same host published since the order.
 func (e Evidence) plus(o Evidence) Evidence {
 	routes := map[string]VersionCounts{}
 	for _, hostRoutes := range []map[string]VersionCounts{e.Routes, o.Routes} {
@@ -130,7 +132,7 @@
 	return e
 }
 
-// addFaultyEndpoint adds an endpoint to those that gave bad or slow answers.
+// addFaultyEndpoint adds an endpoint to those with bad or slow answers, unless it is listed.
 func (e *Evidence) addFaultyEndpoint(id string) {
 	for _, known := range e.Endpoints {
 		if known == id {
@@ -140,7 +142,7 @@
 	e.Endpoints = append(e.Endpoints, id)
 }
 
-// targetTotal counts what was seen of the target on all routes.
+// targetTotal sums the target's counts over all routes.
 func targetTotal(routes map[string]VersionCounts) Count {
 	sum := Count{}
 	for _, p := range routes {
@@ -149,7 +151,7 @@
 	return sum
 }
 
-// routesSinceOrder returns what hosts told of all answers since the order.
+// routesSinceOrder returns each host's counts since the order.
 func routesSinceOrder(evidence []Evidence) []map[string]VersionCounts {
 	all := make([]map[string]VersionCounts, len(evidence))
 	for i, e := range evidence {
@@ -158,7 +160,7 @@
 	return all
 }
 
-// recentRoutes returns what hosts told of recent answers, of those that told of any.
+// recentRoutes returns the recent counts of each host that has any.
 func recentRoutes(evidence []Evidence) []map[string]VersionCounts {
 	var recent []map[string]VersionCounts
 	for _, e := range evidence {
@@ -169,14 +171,15 @@
 	return recent
 }
 
-// totals is the evidence of several hosts put together.
+// totals is the sum of several hosts' evidence, by route and over all routes.
 type totals struct {
 	routes map[string]VersionCounts
 	total  VersionCounts
 }
 
-// sumRoutes adds up what hosts told, by endpoint only where that is needed: with it a sum of 91
-// hosts takes most of a judgement, and while nothing fails nobody asks for it.
+// sumRoutes adds up the counts of several hosts. It includes counts by endpoint only if byEndpoint
+// is set: they dominate the cost of a judgement with 91 hosts and are needed only when the target
+// has failures.
 func sumRoutes(hosts []map[string]VersionCounts, byEndpoint bool) totals {
 	s := totals{routes: map[string]VersionCounts{}}
 	for _, routes := range hosts {
@@ -193,7 +196,7 @@
 	return s
 }
 
-// mapCounts returns sums whose pairs are changed; the total has no route.
+// mapCounts applies change to each route's counts and, with an empty route, to the total.
 func (s totals) mapCounts(change func(route string, p VersionCounts) VersionCounts) totals {
 	changed := totals{routes: map[string]VersionCounts{}, total: change("", s.total)}
 	for name, p := range s.routes {
@@ -202,22 +205,22 @@
 	return changed
 }
 
-// withAssumedGood adds the answers of the target that nobody has told of.
+// withAssumedGood adds the target's answers that are estimated to be unpublished.
 func (s totals) withAssumedGood(unreported func(route string, p VersionCounts) int) totals {
 	return s.mapCounts(func(route string, p VersionCounts) VersionCounts { return p.withAssumedGood(unreported(route, p)) })
 }
 
-// withFit weighs all failures.
+// withFit fits the failures of all routes and of the total.
 func (s totals) withFit() totals {
 	return s.mapCounts(func(_ string, p VersionCounts) VersionCounts { return p.withFit() })
 }
 
-// withReference weighs them withReference what the others showed before.
+// withReference compares each route with the other versions' worst rates, recent or earlier.
 func (s totals) withReference(earlier totals) totals {
 	return s.mapCounts(func(route string, p VersionCounts) VersionCounts { return p.withReference(earlier.countsOf(route)) })
 }
 
-// countsOf is a route's pair; that countsOf no route is the total.
+// countsOf returns a route's counts, or the total for an empty route.
 func (s totals) countsOf(route string) VersionCounts {
 	if route == "" {
 		return s.total
@@ -225,7 +228,7 @@
 	return s.routes[route]
 }
 
-// targetFailures counts the target's failures.
+// targetFailures counts the target's bad answers on all hosts.
 func targetFailures(evidence []Evidence) int {
 	n := 0
 	for _, e := range evidence {
@@ -234,7 +237,7 @@
 	return n
 }
 
-// faultyEndpoints counts the endpoints of the target that gave bad or slow answers.
+// faultyEndpoints counts the target's distinct endpoints with bad or slow answers.
 func faultyEndpoints(evidence []Evidence) int {
 	ids := map[string]bool{}
 	for _, e := range evidence {
--- a/internal/upgrade/excess.go
+++ b/internal/upgrade/excess.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// A version is weighed by the part of its answers that it fails besides what its endpoints
-// fail for reasons of their own. Of that the endpoints of the other versions tell: each has
-// a rate of failures, drawn from a distribution that is the same for all versions. So a
-// version that fails half of its answers is seen beside endpoints that fail 0.45 of theirs,
-// where no version can fail more than twice as often; and a few endpoints that fail all
-// they get, of many that are well, are no fault of the version's.
-
-// endpointRates are the parts of failures that an endpoint may show for reasons of its own.
+// A version is judged by its excess failure rate: the fraction of its answers that fail beyond
+// those that its endpoints fail for reasons of their own. The endpoints of the other versions show
+// what endpoints fail: each endpoint has a failure rate drawn from a distribution that is the same
+// for all versions. This detects a version that fails half of its answers beside endpoints that
+// fail 0.45 of theirs, where no version can fail more than twice as often; and it does not blame a
+// version for a few endpoints that fail everything among many healthy ones.
+
+// endpointRates are the candidate failure rates of an endpoint, apart from its version's.
 var endpointRates = [...]float64{0.002, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.98}
 
-// excessRates are those that a version may fail besides; the first ones are chance.
+// excessRates are the candidate excess failure rates of a version. The lowest ones count as chance.
 var excessRates = [...]float64{0, 0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.95}
 
-// logProbabilities are the logarithms of a failure and of a good answer.
+// logProbabilities are the log probabilities of a bad and of a good answer.
 type logProbabilities struct{ bad, good float64 }
 
-// logProbabilityTable are those of an endpoint's rate beside a version's part.
+// logProbabilityTable is indexed by the version's excess rate and the endpoint's own rate.
 var logProbabilityTable = func() (table [len(excessRates)][len(endpointRates)]logProbabilities) {
 	for i, excess := range excessRates {
 		for j, endpointRate := range endpointRates {
@@ -34,18 +34,19 @@
 
 // Parameters of the fit.
 const (
-	fitRounds = 25 // after which the weights change by less than the answers' noise
-	// priorEndpoints is how many endpoints of any rate are taken to have been seen besides those
-	// that were: the chance that a version's endpoints fail as no other one did. With more, bad
-	// versions of few endpoints are found later; with less, good ones are called bad more often.
+	fitRounds = 25 // beyond these the weights change by less than the noise of the answers
+	// priorEndpoints is the weight of a uniform prior over endpointRates, in endpoints. It allows
+	// for a version whose endpoints fail at rates that no other endpoint shows. A higher value
+	// delays the detection of bad versions with few endpoints; a lower one raises the number of
+	// good versions called bad.
 	priorEndpoints = 0.3
 )
 
-// likelihoods are how likely some answers are at each of rates.
+// likelihoods are the likelihoods of some answers for each of endpointRates.
 type likelihoods [len(endpointRates)]float64
 
-// likelihoodsOf returns those of a tally's answers, in their order, if its version fails one of
-// parts besides.
+// likelihoodsOf returns the likelihoods of a tally's answers, in their order, if the version has
+// the given one of excessRates.
 func likelihoodsOf(t Tally, excessIndex int) likelihoods {
 	c := likelihoods{}
 	for i, l := range logProbabilityTable[excessIndex] {
@@ -54,10 +55,10 @@
 	return c
 }
 
-// mixture is how endpoints fail for reasons of their own: a weight for each of rates.
+// mixture is the distribution of endpoints' own failure rates: a weight for each of endpointRates.
 type mixture [len(endpointRates)]float64
 
-// fitMixture fits the distribution that makes endpoints' answers most likely (Laird,
+// fitMixture fits the distribution that maximizes the likelihood of the endpoints' answers (Laird,
 // "Nonparametric maximum likelihood estimation of a mixing distribution", 1978).
 func fitMixture(endpoints Tallies) mixture {
 	m := mixture{}
@@ -77,7 +78,7 @@
 	return m
 }
 
-// tallyGroup is a part of the endpoints whose answers are alike, and how likely those are.
+// tallyGroup is the fraction of endpoints that share a tally, and the likelihoods of that tally.
 type tallyGroup struct {
 	fraction    float64
 	likelihoods likelihoods
@@ -95,7 +96,7 @@
 	return next
 }
 
-// likelihood is the chance likelihood answers likelihood an endpoint drawn from the mixture.
+// likelihood returns the likelihood of the answers of an endpoint drawn from the mixture.
 func (m mixture) likelihood(c likelihoods) float64 {
 	sum := 0.0
 	for i := range m {
@@ -104,11 +105,11 @@
 	return sum
 }
 
-// bestFraction is the part of endpoints that tell what the service's endpoints fail when they are
-// well: the best ones of those seen.
+// bestFraction is the fraction of endpoints, those with the lowest failure rates, that represents
+// the service's healthy endpoints.
 const bestFraction = 0.01
 
-// ofBest returns the mixture as if all endpoints were as ofBest as the best ones.
+// ofBest returns the mixture in which every endpoint has the failure rate of the best ones.
 func (m mixture) ofBest() mixture {
 	sum := 0.0
 	for i, weight := range m {
@@ -121,23 +122,23 @@
 	return m
 }
 
-// minLikelihood keeps a chance's logarithm finite.
+// minLikelihood keeps the logarithm of a likelihood finite.
 const minLikelihood = 1e-300
 
-// excessFit tells how likely a version's answers are, as a logarithm, for each of parts.
+// excessFit holds the log likelihood of a version's answers for each of excessRates.
 type excessFit struct {
 	logLikelihoods  [len(excessRates)]float64
-	expectedFailing [len(excessRates)]float64 // endpoints that fail some answers, if the version fails the part
-	observedFailing float64                   // endpoints that did
+	expectedFailing [len(excessRates)]float64 // endpoints with failures, if the version has that excess rate
+	observedFailing float64                   // endpoints with failures
 }
 
-// fitExcess weighs a version's answers against those of the other versions' endpoints. Of
-// its unseen answers it is taken that none failed, and that each was another endpoint's.
+// fitExcess fits a version's answers against those of the other versions' endpoints. The answers
+// assumed good are taken to come from as many further endpoints.
 func fitExcess(target, others Tallies, assumedGood int) excessFit {
 	return fitMixture(others).fitExcess(target, assumedGood)
 }
 
-// fitExcess weighs a version's answers, whose endpoints are drawn from the mixture.
+// fitExcess fits the answers of a version whose endpoints are drawn from the mixture.
 func (m mixture) fitExcess(target Tallies, assumedGood int) excessFit {
 	countByTally := target.countByTally()
 	e := excessFit{observedFailing: float64(target.failing())}
@@ -151,7 +152,8 @@
 	return e
 }
 
-// baseline is the greatest likelihood among parts that are chance, up to a most.
+// baseline returns the highest log likelihood among excess rates up to maxRate, which count as
+// chance.
 func (e excessFit) baseline(maxRate float64) float64 {
 	highest := math.Inf(-1)
 	for i, rate := range excessRates {
@@ -162,7 +164,7 @@
 	return highest
 }
 
-// mostLikely is the place in parts of the mostLikely.
+// mostLikely returns the index of the most likely of excessRates.
 func (e excessFit) mostLikely() int {
 	best := 0
 	for i, l := range e.logLikelihoods {
@@ -173,23 +175,23 @@
 	return best
 }
 
-// logRatioAny is how much likelier it is that the version fails a part besides than that it is
-// chance; 0 if it is not.
+// logRatioAny returns the log likelihood ratio of the most likely excess rate to chance; 0 if
+// chance is the most likely.
 func (e excessFit) logRatioAny(baselineRate float64) float64 {
 	return e.logLikelihoods[e.mostLikely()] - e.baseline(baselineRate)
 }
 
-// Bounds of what is a bad version.
+// Thresholds of a bad version.
 const (
-	minBadExcess = 0.1 // of its answers at least, besides what its endpoints do
-	// minBadSpread is the part of the endpoints that failures show on, of those that would show
-	// some if the version failed the likeliest part: some endpoints that fail for reasons
-	// of their own, as no endpoint of the other versions does, are no bad version.
+	minBadExcess = 0.1 // least excess failure rate of a bad version
+	// minBadSpread is the fraction of the endpoints expected to show failures at the most likely
+	// excess rate that must show some. Otherwise a few endpoints that fail for reasons of their
+	// own, as no endpoint of the other versions does, would count as a bad version.
 	minBadSpread = 0.6
 )
 
-// logRatioBad is any if the part is that of a logRatioBad version, and the failures lie as it would spread
-// them; else 0.
+// logRatioBad returns logRatioAny if the most likely excess rate is that of a bad version and the
+// failures are spread over the endpoints accordingly; otherwise 0.
 func (e excessFit) logRatioBad(baselineRate float64) float64 {
 	best := e.mostLikely()
 	if excessRates[best] < minBadExcess || e.observedFailing < minBadSpread*e.expectedFailing[best] {
@@ -198,13 +200,13 @@
 	return e.logRatioAny(baselineRate)
 }
 
-// logRatioGood is how much likelier it is that the version fails nothing beyond chance than that
-// it is bad.
+// logRatioGood returns the log likelihood ratio of a version without excess failures beyond chance
+// to one with the least excess rate of a bad version.
 func (e excessFit) logRatioGood(baselineRate float64) float64 {
 	return e.baseline(baselineRate) - e.logLikelihoodOf(minBadExcess)
 }
 
-// logLikelihoodOf is the likelihood of one of parts.
+// logLikelihoodOf returns the log likelihood of an excess rate, which must be one of excessRates.
 func (e excessFit) logLikelihoodOf(rate float64) float64 {
 	return e.logLikelihoods[slices.Index(excessRates[:], rate)]
 }
--- a/internal/upgrade/fault_test.go
+++ b/internal/upgrade/fault_test.go
@@ -9,12 +9,12 @@
 
 // judgementOfEqualFailures is a judgement on a target that fails half of its answers, as all endpoints of the others but one do.
 func judgementOfEqualFailures() Judgement {
-	j := Judgement{Estimated: VersionCounts{Target: Count{Bad: 20, Good: 20}, Other: Count{Bad: 90, Good: 110}, TargetByEndpoint: Tallies{}, OtherByEndpoint: Tallies{}}}
+	j := Judgement{Weighed: VersionCounts{Target: Count{Bad: 20, Good: 20}, Other: Count{Bad: 90, Good: 110}, TargetByEndpoint: Tallies{}, OtherByEndpoint: Tallies{}}}
 	for n := range 40 {
-		j.Estimated.TargetByEndpoint.add(tallyOne(fmt.Sprint("new", n%4), n%8 < 4))
+		j.Weighed.TargetByEndpoint.add(tallyOne(fmt.Sprint("new", n%4), n%8 < 4))
 	}
 	for n := range 200 {
-		j.Estimated.OtherByEndpoint.add(tallyOne(fmt.Sprint("old", n%10), n%10 > 0 && n/10%2 == 0))
+		j.Weighed.OtherByEndpoint.add(tallyOne(fmt.Sprint("old", n%10), n%10 > 0 && n/10%2 == 0))
 	}
 	return j
 }
--- a/internal/upgrade/judge.go
+++ b/internal/upgrade/judge.go
@@ -2,89 +2,93 @@
 
 import "math"
 
-// Bounds of the judgement by failures.
+// Thresholds of the judgement by failures.
 const (
 	minBadAnswers   = 4 // bad answers before a version is called bad
-	minBadEndpoints = 2 // on as many endpoints: one that fails alone is no bad version
-	// minBadEndpointFraction is the part of the target's endpoints that answered which failed some, where
-	// the target fails far more than the others: one of which half of all answers fail
-	// shows it after one or two answers of each. Endpoints of a good version that fail for
-	// reasons of their own do not.
+	minBadEndpoints = 2 // endpoints that gave them: failures of a single endpoint do not make a version bad
+	// minBadEndpointFraction is the least fraction of the target's endpoints with answers that must
+	// show failures, where the target fails far more than the others. A version that fails half of
+	// all answers shows it after one or two answers of each endpoint; a good version with some
+	// endpoints that fail for reasons of their own does not.
 	minBadEndpointFraction = 0.5
-	minBadRate             = 0.12 // part of bad answers above badRateFactor times what the others show
+	minBadRate             = 0.12 // bad rate, above badRateFactor times that of the others
 	badRateFactor          = 2.0
-	// badLogThreshold is the chance, as a logarithm, to see so many failures of a version that
-	// has badRateFactor times the others', or badUsual: a few of few answers say little.
+	// badLogThreshold is the negative log probability required of seeing so many failures of a
+	// version that has badRateFactor times the others' bad rate, or baselineBadRate: a few failures
+	// among few answers prove little.
 	badLogThreshold = 4.6
-	baselineBadRate = 0.02 // part of failures that is chance
-	// excessLogThreshold is how much likelier it has to be that a version fails a part of its answers
-	// besides what endpoints do, as the logarithm of 1,000: an upgrade is judged a few hundred
-	// times, at answers most of which were there before.
+	baselineBadRate = 0.02 // bad rate that counts as chance
+	// excessLogThreshold is the log likelihood ratio required of an excess failure rate against
+	// chance. It is the logarithm of 1,000 because an upgrade is judged a few hundred times, mostly
+	// on answers that were judged before.
 	excessLogThreshold = 6.9
-	// minReferenceAnswers is of how many answers of the other versions their endpoints' failures are
-	// taken, and no fewer than the target's: few are told in the first second of a trial.
+	// minReferenceAnswers is the least number of the other versions' answers, by endpoint, that the
+	// target is compared with; there must also be no fewer than the target's. In the first second
+	// of a trial few are published.
 	minReferenceAnswers = 50
 )
 
 // Bounds of the judgement by pace. Answers of both versions are classed by the same
 // reference, so load that slows both moves both rates.
 const (
-	// minSlowExcess is how much larger the part of slow answers has to be. A good version
-	// with a cold memory reads more prompts between its tokens than the others do.
+	// minSlowExcess is how much higher the target's slow rate has to be. A good version with cold
+	// caches reads more prompts between its tokens than the others do.
 	minSlowExcess = 0.25
-	// slowLogThreshold is the chance to call a version slow that is not, as the logarithm
-	// of 1 to 10,000: an upgrade is judged a few hundred times.
+	// slowLogThreshold is the negative log probability of calling a good version slow, the
+	// logarithm of 10,000: an upgrade is judged a few hundred times.
 	slowLogThreshold = 9.2
-	// recentLogThreshold is the same for recent answers, which are new ones each time.
+	// recentLogThreshold replaces the thresholds above for recent answers, which differ at each
+	// judgement.
 	recentLogThreshold = 12.0
-	// recentBaselineBadRate is the part of recent failures that is chance: hosts tell of failures as they
-	// come, and what is told of recent answers shows up to twice as many as there are.
+	// recentBaselineBadRate is the recent bad rate that counts as chance: hosts publish failures as
+	// they occur, so that published recent counts overstate failures by up to a factor of two.
 	recentBaselineBadRate = 0.05
-	// minExpectedSlowRate is the least part of slow answers that is taken for usual,
-	// whatever few answers of the others show.
+	// minExpectedSlowRate is the lowest slow rate expected of a good version, even if the few
+	// answers of the others show a lower one.
 	minExpectedSlowRate = 0.05
 )
 
 // Evidence that a larger share needs.
 const (
-	minClearAnswers    = 8    // of the target, failures of half of them would have shown
-	minClearFast       = 3    // of these, not slow; of a slow version one in twenty is not
-	maxClearSlowExcess = 0.12 // most that the part of slow answers may be above the usual one
-	// A larger share waits while a bad version is 20 times likelier: what is held for nothing
-	// goes on a moment later, what is completed can't be taken back.
+	minClearAnswers    = 8    // of the target; if half of all answers failed, these would show it
+	minClearFast       = 3    // of these, not slow; a slow version has one in twenty
+	maxClearSlowExcess = 0.12 // most by which the slow rate may exceed the expected one
+	// A larger share waits while a bad version is 20 times as likely as a good one: a share
+	// withheld without need costs a moment, whereas a completion cannot be undone.
 	clearLogThreshold       = 3.0
-	clearBaselineBadRate    = 0.01 // part of failures that is chance there
-	minSuspectFailures      = 2    // as many at least
-	suspectEndpointFraction = 0.25 // of the endpoints that answered, which show the failures
-	minClearFraction        = 0.02 // of all answers since the order, where these are few; a trial gets 0.022 of them with the default bound
+	clearBaselineBadRate    = 0.01 // bad rate that counts as chance here
+	minSuspectFailures      = 2    // least number of failures that hold up a larger share
+	suspectEndpointFraction = 0.25 // of the endpoints with answers, which must show the failures
+	minClearFraction        = 0.02 // of all answers since the order, where those are few; a trial gets 0.022 of them with the default bound
 )
 
-// Verdict is what evidence says of a target version.
+// Verdict is the conclusion drawn from the evidence about a target version.
 type Verdict int
 
 // Verdicts.
 const (
-	VerdictOpen  Verdict = iota // too little is known
-	VerdictClear                // it may get a larger share
+	VerdictOpen  Verdict = iota // too little evidence
+	VerdictClear                // the target may get a larger share
 	VerdictBad
 )
 
-// Judgement is a verdict with its reason and what it goes by.
+// Judgement is a verdict with its reason and the counts it is based on.
 type Judgement struct {
-	Verdict   Verdict
-	Reason    string
-	Seen      VersionCounts // on all routes since the order, by the hosts that told
-	Estimated VersionCounts // the same, with what silent hosts are taken to have seen
-	Recent    VersionCounts // of these, the answers of the last moments
-	Silent    int           // hosts that have told nothing
+	Verdict Verdict
+	Reason  string
+	Seen    VersionCounts // on all routes since the order, as published
+	Weighed VersionCounts // Seen, plus the unpublished answers estimated for other hosts
+	Recent  VersionCounts // the part of these within recentSpan
+	Silent  int           // hosts that have published nothing
 }
 
-// Judge weighs the evidence of all hosts, on all routes together and on each one, of all
-// answers since the order and of the recent ones: the former see a version that has
-// failed a little all along, the latter one that turns bad.
-// Answers that nobody has told of are taken to be good ones, or a few hosts' bad luck
-// would look like everyone's. A larger share needs answers that somebody has seen, so
-// for that they count for nothing.
+// Judge combines the evidence of all hosts. It examines all routes together and each route, both
+// for all answers since the order and for the recent ones: the former detect a version that has
+// failed a little from the start, the latter one that turns bad.
+//
+// Unpublished answers are assumed to be good; otherwise the failures that a few hosts saw by chance
+// would be extrapolated to all hosts. They do not count towards a larger share, which needs
+// published answers.
 func Judge(own Evidence, others []Evidence, u Unreported) Judgement {
 	evidence := append([]Evidence{own}, others...)
 	all, recent, seconds := routesSinceOrder(evidence), recentRoutes(evidence), totalSeconds(evidence)
@@ -95,7 +99,7 @@
 		silentHosts.Silent += len(all) - len(recent)
 		return silentHosts.estimate(p, estimated.countsOf(route), len(recent), seconds)
 	}).withReference(estimated)
-	j := Judgement{Seen: seen.total, Estimated: estimated.total, Recent: lateTotals.total, Silent: u.Silent}
+	j := Judgement{Seen: seen.total, Weighed: estimated.total, Recent: lateTotals.total, Silent: u.Silent}
 	if faultyEndpoints(evidence) >= minBadEndpoints {
 		if reason := estimated.firstFault(VersionCounts.fault); reason != "" {
 			return j.asBad(reason)
@@ -110,45 +114,46 @@
 	return j
 }
 
-// asBad returns the judgement that the version is asBad.
+// asBad returns the judgement with VerdictBad and the reason.
 func (j Judgement) asBad(reason string) Judgement {
 	j.Verdict, j.Reason = VerdictBad, reason
 	return j
 }
 
-// LikelyBad reports whether it is likelier that the target is bad than that it is not. Not to be
-// known as bad is no ground for a step that can't be taken back, which waits until what is
-// told shows the failures to be the endpoints' own.
+// LikelyBad reports whether the target is more likely bad than good. An upgrade is not completed
+// while it is, since a completion cannot be undone: the lack of a bad verdict is not enough, and
+// the completion waits until the published counts attribute the failures to the endpoints.
 func (j Judgement) LikelyBad() bool {
-	return j.Estimated.Target.Bad >= minSuspectFailures && j.Estimated.fit.logRatioGood(completionBaselineBadRate) < -likelyBadLogThreshold
+	return j.Weighed.Target.Bad >= minSuspectFailures && j.Weighed.fit.logRatioGood(completionBaselineBadRate) < -likelyBadLogThreshold
 }
 
 const (
-	// likelyBadLogThreshold is how much likelier, as a logarithm: e times. To ask that good is as much
-	// likelier would hold up good versions.
+	// likelyBadLogThreshold is the log likelihood ratio required, a factor of e. Requiring the same
+	// factor in favor of a good version would hold up good versions.
 	likelyBadLogThreshold = 1.0
-	// completionBaselineBadRate is the part of failures that is chance at a completion: failures are told a
-	// little earlier than good answers.
+	// completionBaselineBadRate is the bad rate that counts as chance at a completion, since
+	// failures are published a little earlier than good answers.
 	completionBaselineBadRate = 0.05
 )
 
-// MayBeBad reports whether the target fails so much that it would be bad if its endpoints
-// were as well as the best of the others. Where most of those fail, a version that fails as
-// often can't be told from one whose endpoints do. It is taken back before it gets all keys, or at
-// the end of its time: a good one can be ordered again, the endpoints of the old one can't be had back.
+// MayBeBad reports whether the target would be bad if its endpoints were as healthy as the best
+// ones of the other versions. Where most of those fail, a version that fails as often cannot be
+// distinguished from a good one on failing endpoints. It is rolled back before it gets all keys, or
+// at the end of its time: a good version can be ordered again, but the endpoints of the old one
+// cannot be recovered.
 func (j Judgement) MayBeBad() bool {
-	if j.Estimated.Target.Bad < minSuspectFailures {
+	if j.Weighed.Target.Bad < minSuspectFailures {
 		return false
 	}
-	e := fitMixture(j.Estimated.OtherByEndpoint).ofBest().fitExcess(j.Estimated.TargetByEndpoint, j.Estimated.assumedGood)
+	e := fitMixture(j.Weighed.OtherByEndpoint).ofBest().fitExcess(j.Weighed.TargetByEndpoint, j.Weighed.assumedGood)
 	return e.logLikelihoodOf(mayBeBadExcess)-e.baseline(mayBeBadExcess/2) > likelyBadLogThreshold
 }
 
-// mayBeBadExcess is how much that is: with the least of a bad version good ones would be taken back
-// wherever one endpoint in seven fails half of its answers.
+// mayBeBadExcess is the excess failure rate that MayBeBad tests for. With minBadExcess, good
+// versions would be rolled back wherever one endpoint in seven fails half of its answers.
 const mayBeBadExcess = 0.3
 
-// looksGood reports whether nothing seems wrong with the recent answers, on any route.
+// looksGood reports whether the recent answers show no sign of a fault on any route.
 func (s totals) looksGood() bool {
 	if !s.total.looksGood() {
 		return false
@@ -161,7 +166,8 @@
 	return true
 }
 
-// firstFault tells what is wrong with the target on all routes, or else on one; "" if nothing is.
+// firstFault returns the fault that check finds on all routes together, or else on a single one; ""
+// if there is none.
 func (s totals) firstFault(check func(VersionCounts) string) string {
 	if reason := check(s.total); reason != "" {
 		return reason
@@ -174,7 +180,7 @@
 	return ""
 }
 
-// fault tells how the target clearly does worse than the others; "" if it does not.
+// fault returns the reason why the target is clearly worse than the others; "" if it is not.
 func (p VersionCounts) fault() string {
 	switch {
 	case p.Target.Bad >= minBadAnswers && (p.clearlyFailsMore(baselineBadRate, badLogThreshold) || p.failsBeyondEndpoints(baselineBadRate, excessLogThreshold)):
@@ -186,7 +192,8 @@
 	}
 }
 
-// recentFault is fault for recent answers, which are new ones each time.
+// recentFault is fault for recent answers, with thresholds for answers that differ at each
+// judgement.
 func (p VersionCounts) recentFault() string {
 	switch {
 	case p.Target.Bad >= minBadAnswers && (p.clearlyFailsMore(recentBaselineBadRate, recentLogThreshold) || p.failsBeyondEndpoints(recentBaselineBadRate, recentLogThreshold)):
@@ -198,7 +205,7 @@
 	}
 }
 
-// looksGood reports whether nothing seems wrong with the recent answers.
+// looksGood reports whether the recent answers show no sign of a fault.
 func (p VersionCounts) looksGood() bool {
 	if p.isSlower() && p.slowEvidence() >= slowLogThreshold {
 		return false
@@ -210,9 +217,9 @@
 	return !failing && p.fit.logRatioAny(clearBaselineBadRate) < clearLogThreshold
 }
 
-// clearlyFailsMore reports whether the target fails much more often than the others, on many of
-// its endpoints. It sees a bad version beside endpoints that are well, also one that some of
-// its endpoints bear.
+// clearlyFailsMore reports whether the target fails much more often than the others, on many of its
+// endpoints. It detects a bad version beside healthy endpoints, also if some of the version's
+// endpoints do not fail.
 func (p VersionCounts) clearlyFailsMore(baselineRate, threshold float64) bool {
 	return p.failsMore() && p.failuresSpread(minBadEndpointFraction) && p.failureEvidence(baselineRate) >= threshold
 }
@@ -221,20 +228,20 @@
 	return p.Target.badRate() > minBadRate+badRateFactor*p.Other.badRate()
 }
 
-// failuresSpread reports whether the failures are spread over a part of the target's endpoints.
+// failuresSpread reports whether at least a fraction of the target's endpoints show failures.
 func (p VersionCounts) failuresSpread(fraction float64) bool {
 	failing := p.TargetByEndpoint.failing()
 	return failing >= minBadEndpoints && float64(failing) >= fraction*float64(len(p.TargetByEndpoint))
 }
 
-// failureEvidence bounds the chance that a version as good as the others shows the target's
-// failures, as a logarithm, if a part is chance.
+// failureEvidence returns a lower bound of the negative log probability that a version as good as
+// the others shows the target's failures, where baselineRate counts as chance.
 func (p VersionCounts) failureEvidence(baselineRate float64) float64 {
 	return chernoff(p.Target.answers(), p.Target.badRate(), max(baselineRate, badRateFactor*p.Other.badRate()))
 }
 
-// failsBeyondEndpoints reports whether the target fails more than its endpoints do for reasons of their
-// own. It sees a bad version also beside endpoints that fail.
+// failsBeyondEndpoints reports whether the target fails more than its endpoints do for reasons of
+// their own. It detects a bad version also beside failing endpoints.
 func (p VersionCounts) failsBeyondEndpoints(baselineRate, threshold float64) bool {
 	reference := p.OtherByEndpoint.sum().all()
 	return p.Target.Bad >= minSuspectFailures && reference >= max(minReferenceAnswers, p.TargetByEndpoint.sum().all()) && p.fit.logRatioBad(baselineRate) >= threshold
@@ -244,19 +251,20 @@
 	return p.Target.slowRate() > p.expectedSlowRate()+minSlowExcess
 }
 
-// expectedSlowRate is the part of slow answers that a version as good as the others shows.
+// expectedSlowRate returns the slow rate of a version as good as the others.
 func (p VersionCounts) expectedSlowRate() float64 {
 	return max(minExpectedSlowRate, p.Other.slowRate())
 }
 
-// slowEvidence bounds the chance that a version as good as the others shows the
-// target's paces, as a logarithm.
+// slowEvidence returns a lower bound of the negative log probability that a version as good as the
+// others shows the target's paces.
 func (p VersionCounts) slowEvidence() float64 {
 	return chernoff(p.Target.Paced, p.Target.slowRate(), p.expectedSlowRate())
 }
 
-// chernoff bounds, as a logarithm, the chance that so large a part is seen among n answers
-// where less is usual, for values from 0 to 1 (Chernoff, 1952); 0 where it is not larger.
+// chernoff returns a lower bound of the negative log probability of a mean of at least observed
+// among n values from 0 to 1 whose expected mean is lower (Chernoff, 1952); 0 if observed is not
+// higher.
 func chernoff(n int, observed, expected float64) float64 {
 	if observed <= expected {
 		return 0
@@ -264,7 +272,7 @@
 	return float64(n) * (observed*logRatio(observed, expected) + (1-observed)*logRatio(1-observed, 1-expected))
 }
 
-// logRatio is the logarithm of a over b; 0 where there is no a.
+// logRatio returns log(a/b); 0 if either is not positive.
 func logRatio(a, b float64) float64 {
 	if a <= 0 || b <= 0 {
 		return 0
@@ -272,8 +280,7 @@
 	return math.Log(a / b)
 }
 
-// enoughGood reports whether enough answers of the target are known to be good for a
-// larger share.
+// enoughGood reports whether enough published answers of the target are good for a larger share.
 func (p VersionCounts) enoughGood() bool {
 	answers := float64(p.Target.answers())
 	all := answers + float64(p.Other.answers())
--- a/internal/upgrade/judge_test.go
+++ b/internal/upgrade/judge_test.go
@@ -122,12 +122,12 @@
 	It("are taken to be good, as many as hosts have had since they told", func() {
 		j := upgrade.Judge(seen, nil, upgrade.Unreported{Silent: 5, Known: true, HostSeconds: 2})
 		Expect(j.Seen.Target).To(Equal(upgrade.Count{Good: 2, Bad: 6}))
-		Expect(j.Estimated.Target).To(Equal(upgrade.Count{Good: 2 + 41, Bad: 6}), "208 answers in 10 s")
+		Expect(j.Weighed.Target).To(Equal(upgrade.Count{Good: 2 + 41, Bad: 6}), "208 answers in 10 s")
 	})
 
 	It("are none where all hosts had the time to tell", func() {
 		j := upgrade.Judge(seen, nil, upgrade.Unreported{Silent: 85, Known: true})
-		Expect(j.Estimated.Target).To(Equal(j.Seen.Target))
+		Expect(j.Weighed.Target).To(Equal(j.Seen.Target))
 		Expect(j.Verdict).To(Equal(upgrade.VerdictBad))
 	})
 })
--- a/internal/upgrade/recently.go
+++ b/internal/upgrade/recentcounts.go
@@ -6,14 +6,14 @@
 	"quaybarrow/internal/clock"
 )
 
-// recentSpan is for how long answers count as recent, two halves of it at most. Counts of
-// all answers since the order hide a version that turns bad behind the good ones of before; where a
-// version has few requests, all since the order are few.
+// recentSpan is the longest time for which answers count as recent; it consists of two halves. In
+// counts since the order, the earlier good answers hide the failures of a version that turns bad.
+// Those counts serve versions with few requests, all of whose answers since the order are few.
 const recentSpan = 2 * time.Second
 
-// recentCounts counts answers of the last moments by route, in halves of recentSpan.
+// recentCounts counts recent answers by route, in halves of recentSpan.
 type recentCounts struct {
-	newerSince   clock.Instant // when the newer half began
+	newerSince   clock.Instant // start of the newer half
 	newer, older map[string]VersionCounts
 }
 
@@ -23,7 +23,7 @@
 	addToRoute(r.newer, route, p)
 }
 
-// rotate begins a new half if the newer one is over.
+// rotate starts a new half if the newer one is over.
 func (r *recentCounts) rotate(now clock.Instant) {
 	age := now.Sub(r.newerSince)
 	if r.newer != nil && age < recentSpan/2 {
@@ -36,7 +36,7 @@
 	r.newer, r.newerSince = map[string]VersionCounts{}, now
 }
 
-// counts returns what is recent now, by route.
+// counts returns the recent counts by route.
 func (r *recentCounts) counts(now clock.Instant) map[string]VersionCounts {
 	r.rotate(now)
 	sum := map[string]VersionCounts{}
--- a/internal/upgrade/rows.go
+++ b/internal/upgrade/rows.go
@@ -6,7 +6,7 @@
 	"quaybarrow/internal/store"
 )
 
-// apply takes in rows of the shared table.
+// apply processes rows of the shared table.
 func (t *Tracker) apply(rows []store.Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -15,8 +15,8 @@
 	}
 }
 
-// setCaughtUp notes that the whole table was read: what this host told in an earlier life
-// is known by now, if it told anything.
+// setCaughtUp records whether the whole table has been read. Once it has, anything that an earlier
+// process of this host published is known.
 func (t *Tracker) setCaughtUp(caughtUp bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -29,9 +29,9 @@
 	}
 }
 
-// replayRows takes in the rows about an order that came before it. Orders and the shared table
-// are different tables, and either may come first: a host that dropped such rows did not
-// know of the upgrade until the next step of it was written.
+// replayRows applies the rows of an upgrade that arrived before its order. Orders and the shared
+// table are different tables, and either may arrive first: a host that dropped such rows did not
+// know of the upgrade until its next step was written.
 func (t *Tracker) replayRows(s *serviceUpgrade) {
 	for key, row := range t.rows {
 		if name, _, _ := splitKey(key); name == s.order.Service {
@@ -60,8 +60,8 @@
 	}
 }
 
-// applyEvidence takes in what a host told of an upgrade; of what this host told itself, what
-// an earlier life did.
+// applyEvidence processes a host's evidence about an upgrade. Evidence of this host itself was
+// published by an earlier process and is added to its own.
 func (t *Tracker) applyEvidence(s *serviceUpgrade, host string, row store.Change) {
 	e, err := codec.Decode[Evidence](row.Value)
 	if err != nil {
@@ -83,7 +83,7 @@
 	t.judge(s)
 }
 
-// applyProgress takes in how far an upgrade is.
+// applyProgress processes the progress of an upgrade.
 func (t *Tracker) applyProgress(s *serviceUpgrade, row store.Change) {
 	p, err := codec.Decode[Progress](row.Value)
 	if err != nil {
--- a/internal/upgrade/run.go
+++ b/internal/upgrade/run.go
@@ -12,50 +12,51 @@
 	"quaybarrow/internal/store"
 )
 
-// Periods of the tracker.
+// Intervals and limits of the tracker.
 const (
-	stepInterval = 250 * time.Millisecond // while an upgrade is under way
-	// Progress of a service is written at most once a second by one host, and once in a
-	// part of an upgrade's time.
+	stepInterval = 250 * time.Millisecond // while an upgrade is in progress
+	// A host writes a service's progress at most once a second and once in this fraction of an
+	// upgrade's time.
 	writeInterval         = time.Second
 	writeIntervalFraction = 1.0 / 24
-	// Evidence is written once in half a second at most, and only when some count of it
-	// has grown by publishGrowth: what a host has seen is known within that factor by all,
-	// with a number of writes that grows with its logarithm.
+	// Evidence is published at most twice a second, and only if one of its counts has grown by the
+	// factor publishGrowth. So all hosts know what a host has seen within that factor, and the
+	// number of writes grows with the logarithm of the counts.
 	publishInterval = 500 * time.Millisecond
-	// lastStagePublishInterval is the same in the last stage of a version that fails some answers.
+	// lastStagePublishInterval replaces publishInterval in the last stage once an answer of the
+	// target has failed.
 	lastStagePublishInterval = 250 * time.Millisecond
-	// publishIntervalPerHost lengthens both where there are many hosts: once a version fails they
-	// tell of all answers, together 400 times a second at most.
+	// publishIntervalPerHost lengthens both intervals where there are many hosts: once a version
+	// fails, all hosts publish all answers, at most 400 times a second in total.
 	publishIntervalPerHost = 2500 * time.Microsecond
-	// failurePublishInterval is the same for failures in the last stage, shortly before a step that
-	// can't be taken back.
+	// failurePublishInterval replaces publishInterval for failures in the last stage, shortly
+	// before the completion, which cannot be undone.
 	failurePublishInterval = 100 * time.Millisecond
 	publishGrowth          = 2
-	// Shared rows are read once in a quarter of a second at most, by many hosts at a
-	// rate that their reader can answer.
+	// The shared table is read at most four times a second, and less often with many hosts, to
+	// limit the load on its reader.
 	readInterval        = 250 * time.Millisecond
 	readIntervalPerHost = time.Millisecond
-	// judgeInterval is how often a host weighs what all have told at most: where many fail, each
-	// tells several times a second.
+	// judgeInterval is the least time between a host's judgements of an upgrade: where many answers
+	// fail, every host publishes several times a second.
 	judgeInterval   = 100 * time.Millisecond
-	watchWait       = 5 * time.Second        // one waiting read of the shared table
+	watchWait       = 5 * time.Second        // longest wait of one read for changes of the shared table
 	watchRetryDelay = 500 * time.Millisecond // after a failed read
-	// delayPerDoubling is the time in which twice as many hosts have had a turn, so that one
-	// writes, the others see it, and a few follow if that one can't.
+	// delayPerDoubling is the time in which the number of hosts whose write delay has passed
+	// doubles. One host writes, the others see the write, and a few more try if that host cannot.
 	delayPerDoubling = 350 * time.Millisecond
-	// maxClockWidth is how far the bounds of the store's clock may be apart where an upgrade
-	// is begun: that much of its time is lost.
+	// maxClockWidth is the width of the store clock's bounds above which a host refreshes them
+	// before it starts an upgrade, since the upgrade loses that much of its time.
 	maxClockWidth = 100 * time.Millisecond
 )
 
-// splitKey splits a row's key into service and host; a row of progress has none.
+// splitKey splits a row's key into service and host; the key of a progress row has no host.
 func splitKey(key string) (service, host string, isEvidence bool) {
 	return strings.Cut(key, "/")
 }
 
-// Run follows the shared table and takes the steps that are due, until the
-// context ends. It is idle while no upgrade is under way.
+// Run watches the shared table and writes the steps that are due until the context ends. It is idle
+// while no upgrade is in progress.
 func (t *Tracker) Run(ctx context.Context) {
 	defer t.publishRemaining(ctx)
 	watching := make(chan struct{}, 1)
@@ -86,23 +87,23 @@
 	}
 }
 
-// finalPublishTimeout bounds how long a host that stops tries to tell what it has not told yet.
+// finalPublishTimeout bounds how long a stopping host tries to publish its remaining evidence.
 const finalPublishTimeout = 200 * time.Millisecond
 
-// publishRemaining tells what this host has seen and not told, before it ends: hosts that are stopped
-// one after the other would lose most of what was seen.
+// publishRemaining publishes this host's unpublished evidence before it stops. Otherwise most of
+// the evidence would be lost when hosts are stopped one after the other.
 func (t *Tracker) publishRemaining(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalPublishTimeout)
 	defer cancel()
 	for _, w := range t.unpublishedEvidence() {
 		if err := t.options.Tables.Commit(ctx, w.txn); err != nil {
-			t.options.Logger.Warn("evidence is lost as the host ends", "service", w.service, "error", err)
+			t.options.Logger.Warn("unpublished evidence is lost because the host stops", "service", w.service, "error", err)
 		}
 	}
 }
 
-// untilNextStep is how long it is until the next step: at a completion to the moment, since what a
-// version does until then is seen in time.
+// untilNextStep returns the time until the next step. It ends exactly when a completion is due, so
+// that the completion takes into account what was seen up to then.
 func (t *Tracker) untilNextStep() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,7 +124,7 @@
 	return wait
 }
 
-// active reports whether an upgrade is under way.
+// active reports whether an upgrade is in progress.
 func (t *Tracker) active() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -135,13 +136,13 @@
 	return false
 }
 
-// finished reports whether the outcome of the newest order is known.
+// finished reports whether the newest order has an outcome.
 func (s *serviceUpgrade) finished() bool {
 	return s.progress.Revision == s.order.Revision &&
 		(s.progress.Outcome == OutcomeCompleted || s.progress.Outcome == OutcomeRolledBack)
 }
 
-// watchTable reads the shared table and its changes while an upgrade is under way.
+// watchTable reads the shared table and its changes while an upgrade is in progress.
 func (t *Tracker) watchTable(ctx context.Context) {
 	version := int64(-1)
 	defer t.setCaughtUp(false)
@@ -159,7 +160,8 @@
 	}
 }
 
-// read takes in the table, or what changed since a version.
+// read applies the whole table if version is negative, or else the changes since version; it
+// returns the version it has reached.
 func (t *Tracker) read(ctx context.Context, version int64) (int64, error) {
 	if version < 0 {
 		state, err := t.options.Watch.State(ctx, Table)
@@ -182,7 +184,7 @@
 	return next, nil
 }
 
-// step does what is due for each upgrade.
+// step performs the writes that are due.
 func (t *Tracker) step(ctx context.Context) {
 	for _, w := range t.dueWrites() {
 		if w.what == refreshClock {
@@ -197,7 +199,7 @@
 		case err == nil:
 			t.options.Logger.Info("upgrade written", "service", w.service, "what", w.what)
 		case errors.Is(err, store.ErrConflict):
-			// What it wrote is on its way through the shared table.
+			// The other host's write arrives with the changes of the shared table.
 			t.options.Logger.Info("upgrade was written by another host", "service", w.service, "what", w.what)
 		default:
 			t.options.Logger.Warn("upgrade can't be written", "service", w.service, "what", w.what, "error", err)
@@ -205,9 +207,9 @@
 	}
 }
 
-// confirmClear takes a last look, at what hosts have told until now, before the step that
-// can't be taken back: what is passed on is up to a third of a second older. A store that
-// can't be read tells nothing, so nothing is completed.
+// confirmClear judges the upgrade once more, on evidence read directly from the store, before the
+// completion, which cannot be undone: evidence from the watcher is up to a third of a second older.
+// If the store cannot be read, the upgrade is not completed.
 func (t *Tracker) confirmClear(ctx context.Context, name string) bool {
 	rows, err := t.options.Tables.Scan(ctx, store.Range{Table: Table, Prefix: name + "/", Limit: maxEvidenceRows})
 	if err != nil {
@@ -224,7 +226,7 @@
 		t.applyRow(c)
 	}
 	s := t.services[name]
-	j := s.judgement(Unreported{Known: true}) // no good answers are guessed for a step that can't be taken back
+	j := s.judgement(Unreported{Known: true}) // assumes no good answers, since a completion cannot be undone
 	if j.Verdict == VerdictClear && !j.LikelyBad() && !j.MayBeBad() {
 		t.options.Logger.Info("upgrade is still clear", append([]any{"service", name}, j.fields()...)...)
 		return true
@@ -234,14 +236,14 @@
 	return false
 }
 
-// maxEvidenceRows bounds the rows of evidence that are read at once, as the store does.
+// maxEvidenceRows limits the rows of evidence read at once; the store has the same limit.
 const maxEvidenceRows = 500
 
-// rereadProgress takes in a service's progress.
+// rereadProgress reads and applies a service's progress.
 func (t *Tracker) rereadProgress(ctx context.Context, name string) {
 	row, err := t.options.Tables.Get(ctx, Table, name)
 	if errors.Is(err, store.ErrNotFound) {
-		return // nothing was begun yet
+		return // no upgrade has started yet
 	}
 	if err != nil {
 		t.options.Logger.Warn("progress of an upgrade can't be read", "service", name, "error", err)
--- a/internal/upgrade/schedule.go
+++ b/internal/upgrade/schedule.go
@@ -2,57 +2,59 @@
 
 import "time"
 
-// Parts of an upgrade's time. A session that is under way keeps its version in the first
-// half, and hosts do not know which sessions are under way elsewhere, so nothing moves
-// before.
+// Times of an upgrade's steps, as fractions of its time. Sessions in progress keep their version
+// during the first half, and hosts do not know which sessions are in progress on other hosts, so
+// nothing moves before.
 const (
 	trialStart = 0.50
-	// Completion comes as late as a good version can still be done in time: what turns bad
-	// before it is rolled back, what turns bad after it can't be, for the old endpoints are
-	// gone. The rest of the time is for hosts that hear of the order late (0.6 s while the
-	// store's watchers hear nothing), and for a first host that is dark.
+	// completionMargin is the time left at the completion, which comes as late as a good version
+	// can still be completed in time: a version that turns bad before it is rolled back, one that
+	// turns bad after it cannot be, since the old endpoints are gone. The margin is for hosts that
+	// learn of the order late (0.6 s while the store's watchers receive nothing) and for an
+	// unreachable first host.
 	completionMargin    = time.Second
-	maxCompletionMargin = 0.06 // of the time bounds it
-	// completionDelaySpread is the part of the time over which hosts' turns to write the
-	// completion are spread.
+	maxCompletionMargin = 0.06 // bounds it, as a fraction of the upgrade's time
+	// completionDelaySpread is the fraction of the upgrade's time over which the hosts' delays
+	// before writing the completion are spread.
 	completionDelaySpread = 0.025
 )
 
-// Shares of the exposure that a version may cost, spent by a version that does well until
-// the end of its time. What the last stage costs is its length, what the second one costs
-// is secondStageShare of it, and the trial has the rest.
+// Division of the exposure that a version may use, all of which a good version has used by the end
+// of its time. The last stage uses exposure equal to its length, the second one secondStageShare of
+// its length, and the trial the rest.
 const (
-	// plannedExposure is the part of the bound that is planned for: requests that fail come again,
-	// and a load may peak at the end.
+	// plannedExposure is the fraction of the bound that the schedule plans for. The rest covers
+	// retries of failed requests and a load peak at the end.
 	plannedExposure    = 0.87
-	maxPlannedExposure = 0.25 // used, whatever the bound: with more the stages would not fit in the second half
+	maxPlannedExposure = 0.25 // whatever the bound; with more, the stages would not fit in the second half
 	lastStageExposure  = 2.0 / 3
 	secondStageShare   = 0.25
-	// lastStageLatestStart is when the last stage begins at the latest, as a part of its length,
-	// however much the version has had: old endpoints need the rest to finish requests.
+	// lastStageLatestStart is the latest start of the last stage, as a fraction of its length,
+	// however many answers the target has given: the old endpoints need the rest to finish
+	// requests.
 	lastStageLatestStart = 0.5
 )
 
-// defaultExposure is the bound where operators give none, as users gave it first.
+// defaultExposure is the bound where operators give none; it is the value that users first gave.
 const defaultExposure = 0.15
 
-// stage is a share of the keys and the part of the time at which it begins at the earliest.
+// stage is a share of the keys and the earliest fraction of the upgrade's time at which it begins.
 type stage struct{ start, share float64 }
 
-// Schedule says when a target gets which share of the keys. All that a version has had by
-// the end of its time stays within the bound on exposure, so the bound holds at whatever
-// moment it turns bad.
+// Schedule defines when a target gets which share of the keys. All requests that a good version
+// gets by the end of the time stay within the bound on exposure, so the bound holds whenever the
+// version turns bad.
 type Schedule struct {
 	within   time.Duration
-	exposure float64 // that may be used
+	exposure float64 // planned, as a fraction of all requests
 	stages   [3]stage
 }
 
-// lastStage is the one in which all keys go to the target.
+// lastStage is the stage in which all keys go to the target.
 const lastStage = len(Schedule{}.stages) - 1
 
-// NewSchedule returns the schedule of an upgrade, for a bound on exposure as a part of all
-// requests; 0 means the default.
+// NewSchedule returns the schedule of an upgrade with a bound on exposure, which is a fraction of
+// all requests; 0 selects the default.
 func NewSchedule(exposure float64, within time.Duration) Schedule {
 	if exposure <= 0 {
 		exposure = defaultExposure
@@ -68,35 +70,35 @@
 	}}
 }
 
-// timeOf returns the moment of a part of the upgrade's time.
+// timeOf returns the duration of a fraction of the upgrade's time.
 func (s Schedule) timeOf(fraction float64) time.Duration {
 	return time.Duration(fraction * float64(s.within))
 }
 
-// fractionOf returns which part of the upgrade's time has passed.
+// fractionOf returns the fraction of the upgrade's time that has elapsed.
 func (s Schedule) fractionOf(elapsed time.Duration) float64 {
 	return float64(elapsed) / float64(max(s.within, 1))
 }
 
-// stageLead is how long before its beginning a larger share is written, so that all hosts
-// know of it by then: what a host hears later it does later, and a session that goes to
-// the target on one host comes back on another.
+// stageLead is how long before its start a stage is written, so that all hosts know of it by then.
+// Hosts that learned of a stage after its start would apply it late, and a session that goes to the
+// target on one host would return to the old version on another.
 const stageLead = time.Second
 
-// maxStageLead of an upgrade's time bounds that lead.
+// maxStageLead bounds stageLead, as a fraction of the upgrade's time.
 const maxStageLead = 0.0625
 
-// lead is how long before its beginning a larger share is written.
+// lead returns how long before its start a stage is written.
 func (s Schedule) lead() time.Duration { return min(stageLead, s.timeOf(maxStageLead)) }
 
-// completionMargin is what is completionMargin of the order's time when the upgrade is completed.
+// completionMargin returns the part of the order's time that is left at the completion.
 func (s Schedule) completionMargin() time.Duration {
 	return min(completionMargin, s.timeOf(maxCompletionMargin))
 }
 
-// StageStart returns when a stage may begin that is written now. The last one waits until the
-// part of all answers that the version has had, and all those that are left, stay within
-// the bound: a share of the keys may be a larger share of the requests.
+// StageStart returns the start of a stage that is written now. The last stage waits until the
+// answers that the target has given plus all those to come stay within the bound: the target's
+// fraction of the requests may exceed its share of the keys.
 func (s Schedule) StageStart(next int, elapsed time.Duration, seen VersionCounts) time.Duration {
 	earliest := max(elapsed+s.lead(), s.timeOf(s.stages[next].start))
 	if next < lastStage {
@@ -108,8 +110,8 @@
 	return max(earliest, s.timeOf(withinBound))
 }
 
-// completionDelay shortens the time that a host leaves the completion to others, so that all have
-// their completionDelay before the upgrade's time is over.
+// completionDelay scales a host's delay before writing the completion so that the delays of all
+// hosts end before the upgrade's time does.
 func (s Schedule) completionDelay(delay, longestDelay time.Duration) time.Duration {
 	if longestDelay <= 0 {
 		return 0
--- a/internal/upgrade/standing.go
+++ b/internal/upgrade/state.go
@@ -7,7 +7,7 @@
 	"github.com/charmbracelet/log"
 )
 
-// String shows the verdict in logs.
+// String formats the verdict for logs.
 func (v Verdict) String() string {
 	switch v {
 	case VerdictClear:
@@ -19,7 +19,7 @@
 	}
 }
 
-// State is what a host knows of the newest upgrade of a service.
+// State is a host's view of the newest upgrade of a service.
 type State struct {
 	Target  string
 	Outcome Outcome // empty while the upgrade has not begun
@@ -27,7 +27,7 @@
 	Verdict Verdict
 }
 
-// String shows the standing in logs; empty if there is no upgrade.
+// String formats the state for logs; it is empty if there is no upgrade.
 func (s State) String() string {
 	switch {
 	case s.Target == "":
@@ -39,7 +39,7 @@
 	}
 }
 
-// State returns how far the newest upgrade of a service is, for the log of a request.
+// State returns the state of a service's newest upgrade, for the log of a request.
 func (t *Tracker) State(name string) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,8 +58,8 @@
 	return state
 }
 
-// InProgress returns the version from which a service is being moved; false if no upgrade of it
-// is under way.
+// InProgress returns the version that a service is being moved from; ok is false if no upgrade of
+// it is in progress.
 func (t *Tracker) InProgress(name string) (from string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,8 +75,8 @@
 	return s.row.Version != 0 && s.progress.Revision == s.order.Revision
 }
 
-// recordVerdict logs a judgement that differs from the one before, with what it goes by. Of a version
-// that was rolled back nothing new is believed.
+// recordVerdict stores and logs a judgement whose verdict differs from the last one, with the
+// counts it is based on. A version that was rolled back keeps its verdict.
 func (t *Tracker) recordVerdict(s *serviceUpgrade, j Judgement) {
 	if j.Verdict == s.verdict || (s.hasBegun() && s.progress.Outcome == OutcomeRolledBack) {
 		return
@@ -91,20 +91,20 @@
 	t.options.Logger.Log(level, "version judged", append(fields, j.fields()...)...)
 }
 
-// fields tells in logs what a verdict goes by: what was seen, what it was weighed as with the
-// hosts that have told nothing, the part that the version most likely fails besides its endpoints, how
-// much likelier a bad and a good version is (as logarithms), and on how many endpoints failures were.
+// fields returns log fields that explain a verdict: the counts as published; the counts including
+// the estimate for unpublished answers; the most likely excess failure rate; the log likelihood
+// ratios of a bad and of a good version; and on how many endpoints the failures occurred.
 func (j Judgement) fields() []any {
-	e := j.Estimated.fit
+	e := j.Weighed.fit
 	return []any{
 		"verdict", j.Verdict.String(), "reason", j.Reason,
 		"target_seen", j.Seen.Target.String(), "others_seen", j.Seen.Other.String(),
-		"target_weighed", j.Estimated.Target.String(), "silent", j.Silent, "recent", j.Recent.Target.String(),
+		"target_weighed", j.Weighed.Target.String(), "silent", j.Silent, "recent", j.Recent.Target.String(),
 		"excess", excessRates[e.mostLikely()], "bad_by", oneDecimal(e.logRatioBad(baselineBadRate)), "good_by", oneDecimal(e.logRatioGood(baselineBadRate)),
 		"endpoints_failing", j.Seen.TargetByEndpoint.failing(), "endpoints_tried", len(j.Seen.TargetByEndpoint),
 		"others_failing", j.Seen.OtherByEndpoint.failing(), "others_tried", len(j.Seen.OtherByEndpoint),
 	}
 }
 
-// oneDecimal rounds for logs.
+// oneDecimal rounds a number for logs.
 func oneDecimal(x float64) float64 { return math.Round(x*10) / 10 }
--- a/internal/upgrade/tally.go
+++ b/internal/upgrade/tally.go
@@ -1,20 +1,20 @@
 package upgrade
 
-// Tally counts an endpoint's answers: the good ones and the failures.
+// Tally counts an endpoint's good and bad answers, in this order.
 type Tally [2]int
 
 func (t Tally) good() int { return t[0] }
 func (t Tally) bad() int  { return t[1] }
 func (t Tally) all() int  { return t[0] + t[1] }
 
-// plus adds both up.
+// plus returns the sum of both tallies.
 func (t Tally) plus(o Tally) Tally { return Tally{t[0] + o[0], t[1] + o[1]} }
 
-// Tallies count answers by endpoint, so that failures that all endpoints of a version show
-// can be told from those of some endpoints.
+// Tallies holds a tally for each endpoint, which distinguishes failures on all endpoints of a
+// version from failures on some of them.
 type Tallies map[string]Tally
 
-// tallyOne returns the tallies of one answer.
+// tallyOne returns the tallies of a single answer.
 func tallyOne(endpoint string, failed bool) Tallies {
 	if failed {
 		return Tallies{endpoint: {0, 1}}
@@ -22,8 +22,7 @@
 	return Tallies{endpoint: {1, 0}}
 }
 
-// add adds others to the tallies, endpoint by endpoint; it returns them, since there may be
-// none yet.
+// add adds o, endpoint by endpoint, and returns the result, which is a new map if t is nil.
 func (t Tallies) add(o Tallies) Tallies {
 	if t == nil && len(o) > 0 {
 		t = make(Tallies, len(o))
@@ -34,7 +33,7 @@
 	return t
 }
 
-// sum adds up all endpoints' answers.
+// sum returns the tally of all endpoints together.
 func (t Tallies) sum() Tally {
 	sum := Tally{}
 	for _, n := range t {
@@ -43,13 +42,13 @@
 	return sum
 }
 
-// badRate is the part of failures; 0 without answers.
+// badRate returns the fraction of bad answers; 0 without answers.
 func (t Tallies) badRate() float64 {
 	sum := t.sum()
 	return float64(sum.bad()) / float64(max(sum.all(), 1))
 }
 
-// failing counts the endpoints that failed some answers.
+// failing returns the number of endpoints with bad answers.
 func (t Tallies) failing() int {
 	n := 0
 	for _, e := range t {
@@ -60,7 +59,7 @@
 	return n
 }
 
-// countByTally counts endpoints with the same tally.
+// countByTally returns how many endpoints share each tally.
 func (t Tallies) countByTally() map[Tally]int {
 	same := make(map[Tally]int, len(t))
 	for _, n := range t {
--- a/internal/upgrade/tracker.go
+++ b/internal/upgrade/tracker.go
@@ -12,73 +12,73 @@
 	"quaybarrow/internal/wake"
 )
 
-// Table is where progress and evidence are kept: a row named after the service
-// for the one, rows named SERVICE/HOST for the other.
+// Table is the store's table of progress and evidence. The key of a progress row is SERVICE, that
+// of an evidence row is SERVICE/HOST.
 const Table = "upgrades"
 
-// Options set up a Tracker.
+// Options configures a Tracker.
 type Options struct {
 	Host   string
 	Tables store.Tables
 	Watch  store.Watcher
 	Fleet  *fleet.Fleet
 	Logger *log.Logger
-	// Hosts counts the hosts that serve.
+	// Hosts returns the number of serving hosts.
 	Hosts func() int
-	// Exposure is the most that a bad version may get of a service's requests during its
-	// upgrade, as a part of all of them; 0 for the default.
+	// Exposure is the largest fraction of a service's requests that a bad version may get during
+	// its upgrade; 0 selects the default.
 	Exposure float64
-	// Status encodes an upgrade's outcome for operators.
+	// Status encodes an upgrade's outcome as a write for operators.
 	Status func(service, target string, o Outcome) (store.Write, error)
 }
 
-// Tracker follows the upgrades of all services on a host; safe for use at once.
+// Tracker follows the upgrades of all services on a host. It is safe for concurrent use.
 type Tracker struct {
 	options Options
 	wake    wake.Signal
 
-	mu              sync.Mutex // guards all below
+	mu              sync.Mutex // guards the fields below
 	services        map[string]*serviceUpgrade
-	initialVersions map[string]string          // by service, its version while it had only one
-	endpointCounts  map[string]map[string]int  // by service and version, endpoints
-	rows            map[string]store.Change    // newest ones of the shared table, by key
-	caughtUp        bool                       // rows have all that the table held when it was read
-	paceReferences  map[paceKey]*paceReference // usual ones
+	initialVersions map[string]string          // by service: its only version, or the most common one when it was first seen
+	endpointCounts  map[string]map[string]int  // by service and version
+	rows            map[string]store.Change    // latest rows of the shared table, by key
+	caughtUp        bool                       // rows include all that the table held when it was read
+	paceReferences  map[paceKey]*paceReference // of versions not on trial
 }
 
-// serviceUpgrade is the newest upgrade of a serviceUpgrade.
+// serviceUpgrade is the newest upgrade of a service.
 type serviceUpgrade struct {
 	order            Order
 	schedule         Schedule
-	orderedAt        clock.Instant // when the order was
+	orderedAt        clock.Instant // when this host received the order
 	progress         Progress
 	row              store.Row                 // of the progress; version 0 if there is none
 	rejectReason     string                    // why this host has stopped using the target; "" if it has not
-	verdict          Verdict                   // on the target, as logged last
-	own              Evidence                  // since the order; what is recent is in lately
-	recent           recentCounts              // what this host saw
-	publishedTotal   Count                     // of the target in the evidence that was written last
-	publishedRecent  Count                     // of the target in its recent part, or fewer that are recent by now
-	lastStageAnswers int                       // answers of the target that this host saw since all keys go to it
-	restored         bool                      // own has what an earlier life of this host told
-	clockRefreshed   bool                      // the store was read for a better idea of its clock
-	nextWriteAt      clock.Instant             // progress is not written before
-	publishedAt      clock.Instant             // when evidence was written last
+	verdict          Verdict                   // as logged last
+	own              Evidence                  // this host's evidence since the order; Recent is derived from the recent field
+	recent           recentCounts              // this host's recent counts
+	publishedTotal   Count                     // of the target, in the evidence published last
+	publishedRecent  Count                     // of the target, in the recent part of that evidence; lowered as answers cease to be recent
+	lastStageAnswers int                       // answers of the target seen by this host since all keys go to it
+	restored         bool                      // own includes what an earlier process of this host published
+	clockRefreshed   bool                      // the store was read to narrow the bounds of its clock
+	nextWriteAt      clock.Instant             // earliest time of the next progress write
+	publishedAt      clock.Instant             // when evidence was published last
 	firstFailureAt   clock.Instant             // when this host first knew of a failure of the target
-	manyFailuresAt   clock.Instant             // the same of as many as show a bad version
+	manyFailuresAt   clock.Instant             // when this host first knew of overdueFailures failures of the target
 	others           map[string]remoteEvidence // by host
 	judgedAt         clock.Instant
-	judgePending     bool // there is evidence that came after it
+	judgePending     bool // evidence has arrived since judgedAt
 }
 
-// remoteEvidence is another host's evidence.
+// remoteEvidence is the evidence published by another host.
 type remoteEvidence struct {
 	Evidence
-	version    int64         // of its row
-	receivedAt clock.Instant // when it arrived
+	version    int64 // of its row
+	receivedAt clock.Instant
 }
 
-// NewTracker returns a tracker that knows of no upgrade.
+// NewTracker returns a tracker without upgrades.
 func NewTracker(options Options) *Tracker {
 	return &Tracker{
 		options: options, wake: wake.NewSignal(),
@@ -86,7 +86,7 @@
 	}
 }
 
-// Order takes note of an operator's order.
+// Order starts following an operator's order, unless a newer one of the service is known.
 func (t *Tracker) Order(o Order) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,21 +107,21 @@
 	t.wake.Poke()
 }
 
-// Report is what an answer told of a version.
+// Report is an observation of one answer, with the version and endpoint that gave it.
 type Report struct {
 	Service, Version, Endpoint string
 	Route, Model               string // Model is empty where requests name none
 	Finding                    Finding
 }
 
-// Finding is what was seen of an answer.
+// Finding is the observed property of an answer.
 type Finding interface{ finding() }
 
-// Answered is an answer that the endpoint made, or its own word that it failed.
+// Answered is an answer by the endpoint; Failed includes the endpoint's own report that it failed.
 type Answered struct{ Failed bool }
 
-// Paced is how fast an answer came, or the part of it that is there, from an
-// endpoint that had so many requests.
+// Paced is the pace of an answer, or of the part received so far, from an endpoint with the given
+// number of requests.
 type Paced struct {
 	Pace     Pace
 	Requests int
@@ -130,9 +130,9 @@
 func (Answered) finding() {}
 func (Paced) finding()    {}
 
-// Record takes in what an answer told. Paces of versions that are not being tried are
-// the reference for those that are. Answers of a target are counted also once its upgrade
-// is over, so that the log tells when a version turns bad that is in use.
+// Record counts a report. Paces of versions that are not on trial are the reference for those that
+// are. Answers of a target are counted also after its upgrade, so that the log shows when a version
+// in use turns bad.
 func (t *Tracker) Record(r Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,18 +158,18 @@
 		s.own.addFaultyEndpoint(r.Endpoint)
 	}
 	if count.Bad > 0 && !s.othersHaveFailed() {
-		t.wake.Poke() // others should know at once
+		t.wake.Poke() // publish the failure at once
 	}
 	t.judge(s)
 }
 
-// lastStageStarted reports whether all keys go to the target by now.
+// lastStageStarted reports whether all keys go to the target now.
 func (t *Tracker) lastStageStarted(s *serviceUpgrade) bool {
 	now, known := t.options.Watch.Now()
 	return known && s.hasBegun() && s.progress.Stage == lastStage && s.progress.stageStarted(s.progress.elapsedAt(now))
 }
 
-// targetHasShare reports whether some keys go to the target by now.
+// targetHasShare reports whether some keys go to the target now.
 func (t *Tracker) targetHasShare(s *serviceUpgrade) bool {
 	now, known := t.options.Watch.Now()
 	return known && s.hasBegun() && s.progress.Share(s.progress.elapsedAt(now), s.schedule) > 0
@@ -181,7 +181,7 @@
 	s.recent.add(clock.Now(), route, p)
 }
 
-// targetCounts is a report's answer as one of the target.
+// targetCounts returns a report's counts as those of the target.
 func (r Report) targetCounts(c Count) VersionCounts {
 	p := VersionCounts{Target: c}
 	if c.answers() > 0 {
@@ -190,8 +190,8 @@
 	return p
 }
 
-// otherCounts is a report's answer as one of another version, by endpoint only while the
-// target has a share.
+// otherCounts returns a report's counts as those of another version; they are kept by endpoint only
+// while the target has a share.
 func (r Report) otherCounts(c Count, targetHasShare bool) VersionCounts {
 	p := VersionCounts{Other: c}
 	if targetHasShare && c.answers() > 0 {
@@ -200,7 +200,7 @@
 	return p
 }
 
-// classify counts a report; nothing if it can't be told yet.
+// classify returns a report's counts; they are zero if its pace has no reference yet.
 func (t *Tracker) classify(r Report, target bool) Count {
 	switch f := r.Finding.(type) {
 	case Answered:
@@ -236,13 +236,13 @@
 	}
 }
 
-// judgement weighs what all hosts have told. What a host told as recent is so for a
-// while; one that tells nothing new has seen nothing worse.
+// judgement judges the evidence of all hosts. A host's recent counts remain valid for recentSpan
+// after they arrive; a host that publishes nothing new has seen nothing worse.
 func (t *Tracker) judgement(s *serviceUpgrade) Judgement {
 	return s.judgement(t.unreported(s, clock.Now()))
 }
 
-// judgement weighs it with what nobody has told.
+// judgement judges the evidence of all hosts with the given estimate of unpublished answers.
 func (s *serviceUpgrade) judgement(u Unreported) Judgement {
 	now := clock.Now()
 	others := make([]Evidence, 0, len(s.others))
@@ -256,7 +256,7 @@
 	return Judge(s.evidence(now), others, u)
 }
 
-// evidence is what this host has seen.
+// evidence returns this host's evidence.
 func (s *serviceUpgrade) evidence(now clock.Instant) Evidence {
 	e := s.own
 	e.Recent = s.recent.counts(now)
@@ -264,8 +264,8 @@
 	return e
 }
 
-// judge weighs the evidence, and stops the use of the target on this host once it is bad;
-// a moment later if it was weighed a moment ago.
+// judge judges the evidence and, if the target is bad, stops its use on this host. If the last
+// judgement is less than judgeInterval old, it leaves the judgement to a later step.
 func (t *Tracker) judge(s *serviceUpgrade) {
 	if s.judgePending = clock.Since(s.judgedAt) < judgeInterval; s.judgePending {
 		return
@@ -286,23 +286,26 @@
 		return
 	}
 	fields := []any{"service", s.order.Service, "target", s.order.Target, "hosts", len(s.others) + 1}
-	t.options.Logger.Warn("version found bad; it gets nothing more from this host", append(append(fields, "cause", s.rejectReason), j.fields()...)...)
+	t.options.Logger.Warn("version found bad; this host stops using it", append(append(fields, "cause", s.rejectReason), j.fields()...)...)
 	t.wake.Poke()
 }
 
-// reasonMayBeBad is why a version is taken back that can't be told from a bad one.
+// reasonMayBeBad is the reason for rolling back a version that cannot be distinguished from a bad
+// one.
 const reasonMayBeBad = "failures that may be its own, beside endpoints that fail"
 
-// Bounds on how long a version is used that may be bad: users allow nothing sent to a bad one 5 s
-// after so many of its answers have failed, and hosts know of these up to a second late.
+// Limits on how long a possibly bad version is used. Users allow no request to a bad version later
+// than 5 s after so many of its answers have failed, and hosts learn of failures up to a second
+// late.
 const (
 	overdueFailures = 50
 	maxUndecided    = 3 * time.Second
 )
 
-// reasonToReject returns why a judgement has this host stop using the target; "" if it does not. Failures that
-// may be its own are weighed as larger shares are written; nothing else looks at them again once the last
-// one is, which goes by what was known a second before it begins, or while the next share is not due.
+// reasonToReject returns why this host stops using the target after a judgement; "" if it does not.
+// MayBeBad is otherwise checked only when a larger share is written. That is not enough in two
+// cases: after the last share is written, on evidence from a second before it begins; and while the
+// next share is not due.
 func (s *serviceUpgrade) reasonToReject(j Judgement) string {
 	switch {
 	case j.Verdict == VerdictBad:
@@ -314,12 +317,13 @@
 	}
 }
 
-// mustDecideNow reports whether a version that may be bad has to be taken back now.
+// mustDecideNow reports whether a version that may be bad must be rolled back now.
 func (s *serviceUpgrade) mustDecideNow() bool {
 	return s.hasBegun() && (s.progress.Stage == lastStage || s.overdue(s.judgedAt))
 }
 
-// overdue reports whether this host has known of many failures for long, and still uses the version.
+// overdue reports whether this host still uses the target maxUndecided after it learned of
+// overdueFailures failures.
 func (s *serviceUpgrade) overdue(now clock.Instant) bool {
 	return s.rejectReason == "" && !s.manyFailuresAt.IsZero() && now.Sub(s.manyFailuresAt) >= maxUndecided
 }
--- a/internal/upgrade/untold.go
+++ b/internal/upgrade/unreported.go
@@ -6,26 +6,27 @@
 	"quaybarrow/internal/clock"
 )
 
-// Unreported is what is known of answers that nobody has told of. Hosts tell of failures at
-// once, so what is untold is good. Silent hosts have seen fewer of the target's answers than those
-// that told, who told because they had seen some; with nothing untold a good version beside
-// endpoints that fail would look worse than it is.
+// Unreported describes the answers that other hosts have seen and not yet published. They are
+// assumed to be good, since hosts publish failures at once. Silent hosts have seen fewer of the
+// target's answers than the publishing ones, which published because they had seen some. Without
+// the estimate a good version beside failing endpoints would look worse than it is.
 type Unreported struct {
-	Silent int // hosts that have told nothing
-	// Known tells that HostSeconds is, the time that hosts have not told of, added up and
-	// multiplied by the target's share of the keys.
+	Silent int // hosts that have published nothing
+	// Known reports whether HostSeconds is known: the time for which hosts have not published,
+	// summed over the hosts and multiplied by the target's share of the keys.
 	Known       bool
 	HostSeconds float64
 }
 
-// maxReportDelay is how long it takes at most until all hosts tell all that they see, once one has
-// seen a failure of the target: 0.35 s until it is told and read, half a second until
-// hosts tell again, and as long until that is read. A host that tells nothing after that has
-// seen nothing.
+// maxReportDelay is the longest time until all hosts have published everything they see, once one
+// has seen a failure of the target: 0.35 s until that failure is published and read, half a second
+// until hosts publish again, and as long until that is read. A host that publishes nothing after
+// that has seen nothing.
 const maxReportDelay = 1200 * time.Millisecond
 
-// estimate returns how many estimate of the target, of which some hosts told, nobody has; all
-// are those of any version, in seconds of hosts that told.
+// estimate returns the estimated number of the target's unpublished answers. reported holds the
+// counts that the reporting hosts published; all holds those of any version within seconds, which
+// is summed over the hosts that published.
 func (u Unreported) estimate(reported, all VersionCounts, reporting int, seconds float64) int {
 	switch {
 	case !u.Known && reporting > 0:
@@ -37,7 +38,7 @@
 	}
 }
 
-// totalSeconds adds up for how long hosts have counted.
+// totalSeconds sums the time for which hosts have been counting.
 func totalSeconds(evidence []Evidence) float64 {
 	sum := 0.0
 	for _, e := range evidence {
@@ -46,11 +47,11 @@
 	return sum
 }
 
-// unreported is what others have not told this host until now.
+// unreported describes the answers that other hosts have not yet published to this one.
 func (t *Tracker) unreported(s *serviceUpgrade, now clock.Instant) Unreported {
 	u := Unreported{Silent: max(t.options.Hosts()-len(s.others)-1, 0)}
 	if s.finished() {
-		u.Silent = 0 // nobody tells any more
+		u.Silent = 0 // the hosts have stopped publishing
 		return u
 	}
 	storeTime, known := t.options.Watch.Now()
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -6,20 +6,22 @@
 //	tracker := upgrade.NewTracker(options)
 //	go tracker.Run(ctx)
 //	allowed := tracker.Allowed("tagger", key) // versions that a request may run on
-//	tracker.Note(upgrade.Report{Service: "tagger", Version: "v2", ...})
+//	tracker.Record(upgrade.Report{Service: "tagger", Version: "v2", ...})
 //
-// An order names the target version and the time to be done in. A row in the
-// store says when it was begun and which share of the keys the target has, so that
-// all hosts give it the same one. Each host counts answers of both versions, and
-// which of them were slow by what the other versions take at the same time, and
-// publishes its counts; one that finds the sum bad stops using the target at once.
-// Whoever finds the sum bad writes the roll-back, whoever finds it good and the time
-// come the next share or the completion. A completion can't be taken back, since the old
-// endpoints stop, so it needs good answers of the last seconds like every larger share:
-// the time alone grants nothing. All write under the condition that the
-// row is as they read it, so one of them wins and the others follow: that
-// condition does what a lease would, and nobody has to hold one. Without evidence,
-// as while the store is away, the share stays as it is.
+// An order names the target version and the time within which the upgrade is to be done. A row in
+// the store, the progress, holds the start of the upgrade and the stage, which determines the
+// target's share of the keys; so all hosts use the same share. Each host counts the answers of the
+// target and of the other versions, classifies some as slow by the pace of the other versions at
+// the same time, and publishes its counts as evidence. A host that judges the sum of all hosts'
+// counts bad stops using the target at once.
+//
+// Any host writes the next step: the roll-back once it judges the sum bad, or the next share or the
+// completion once it judges the sum good and the step is due. A completion cannot be undone, since
+// the old endpoints stop, so like every larger share it needs good answers of the last seconds; it
+// is never granted because time has passed. Every write is conditional on the row being as it was
+// read, so that one host's write succeeds and the others follow it. This replaces a lease, and no
+// host has to hold one. Without evidence, for example while the store is unreachable, the share
+// stays as it is.
 package upgrade
 
 import (
@@ -28,15 +30,15 @@
 	"quaybarrow/internal/clock"
 )
 
-// Order asks for a service to be moved to a version.
+// Order requests that a service be moved to a version.
 type Order struct {
 	Service  string
 	Target   string
 	Within   time.Duration
-	Revision int64 // of the order's row; a new order has a higher one
+	Revision int64 // of the order's row; increases with each order
 }
 
-// Outcome is how far an upgrade is.
+// Outcome is the state of an upgrade as stored in its progress.
 type Outcome string
 
 // Outcomes.
@@ -46,28 +48,27 @@
 	OutcomeRolledBack Outcome = "rolled-back"
 )
 
-// Progress is the shared row of an upgrade.
+// Progress is the row of an upgrade that all hosts share.
 type Progress struct {
 	Revision int64   `json:"revision"` // of the order
 	Target   string  `json:"target"`
-	Base     string  `json:"base"`     // version in force before it, which a roll-back returns to; empty if not known
-	StartMs  int64   `json:"start_ms"` // the latest that the store's clock may have shown at the beginning
-	EndMs    int64   `json:"end_ms"`   // the earliest that it may show when the order's time is over
-	Stage    int     `json:"stage"`    // how large the target's share is
+	Base     string  `json:"base"`     // version in use before, to which a roll-back returns; empty if unknown
+	StartMs  int64   `json:"start_ms"` // start of the upgrade, as the latest time that the store's clock may have shown
+	EndMs    int64   `json:"end_ms"`   // end of the order's time, as the earliest time that the store's clock may show then
+	Stage    int     `json:"stage"`    // index of the stage, which determines the target's share
 	StageMs  int64   `json:"stage_ms"` // when the stage begins, by the store's clock
 	Outcome  Outcome `json:"outcome"`
 	Reason   string  `json:"reason,omitempty"`
 }
 
-// elapsedAt is how long ago the upgrade was begun at least, by a host's bounds of the
-// store's clock. A session that moves before half of the time is over breaks the promise
-// to keep its version; one that moves late breaks none.
+// elapsedAt returns the least time that has passed since the start, given a host's bounds of the
+// store's clock. The lower bound is used because a session that moves before half of the time is
+// over breaks the guarantee that it keeps its version, while one that moves late does not.
 func (p Progress) elapsedAt(now clock.Bounds) time.Duration {
 	return now.Earliest - time.Duration(p.StartMs)*time.Millisecond
 }
 
-// Share is the part of the keys that goes to the target version, when so much has
-// passed at least.
+// Share returns the fraction of the keys that goes to the target once at least elapsed has passed.
 func (p Progress) Share(elapsed time.Duration, s Schedule) float64 {
 	if s.within <= 0 || s.fractionOf(elapsed) < trialStart {
 		return 0
@@ -79,24 +80,24 @@
 	return s.stages[stage].share
 }
 
-// stageStarted reports whether the stage that was written last has begun.
+// stageStarted reports whether the stage written last has begun.
 func (p Progress) stageStarted(elapsed time.Duration) bool {
 	return elapsed >= time.Duration(p.StageMs-p.StartMs)*time.Millisecond
 }
 
-// NextStageDue reports whether a larger share is due to be written, if there is evidence for it.
+// NextStageDue reports whether the next stage is to be written, provided the evidence allows it.
 func (p Progress) NextStageDue(elapsed time.Duration, s Schedule) bool {
 	return p.Stage < lastStage && p.stageStarted(elapsed) && elapsed+s.lead() >= s.timeOf(s.stages[p.Stage+1].start)
 }
 
-// CompletionDue reports whether an upgrade may be completed, if there is evidence for it.
+// CompletionDue reports whether the upgrade is to be completed, provided the evidence allows it.
 func (p Progress) CompletionDue(now clock.Bounds, s Schedule) bool {
 	return p.Stage == lastStage && p.stageStarted(p.elapsedAt(now)) && p.untilCompletion(now, s) <= 0
 }
 
-// untilCompletion is how long it is until the completion. The order's time runs from the order,
-// not from the beginning, which hosts that hear late write late: so it goes by the latest
-// that the store's clock may show, if that is not in much doubt.
+// untilCompletion returns the time left until the completion. The order's time runs from the order,
+// not from the start in the progress, which hosts write late if they learn of the order late. So it
+// uses the latest time that the store's clock may show, unless the bounds are far apart.
 func (p Progress) untilCompletion(now clock.Bounds, s Schedule) time.Duration {
 	latest := min(now.Latest, now.Earliest+s.lead())
 	return time.Duration(p.EndMs)*time.Millisecond - s.completionMargin() - latest
--- a/internal/upgrade/writes.go
+++ b/internal/upgrade/writes.go
@@ -12,8 +12,9 @@
 	"quaybarrow/internal/store"
 )
 
-// refreshClock stands for a read of the progress, which tells what the store's clock shows.
-const refreshClock = "clock asked for"
+// refreshClock marks a read of the progress instead of a write; the read refreshes the bounds of
+// the store's clock.
+const refreshClock = "clock refresh"
 
 // write is a transaction that is due.
 type write struct {
@@ -21,7 +22,7 @@
 	txn           store.Transaction
 }
 
-// dueWrites returns the transactions that are this host's turn.
+// dueWrites returns the transactions that this host is to write now.
 func (t *Tracker) dueWrites() []write {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,7 +48,7 @@
 	return writes
 }
 
-// nextWrite returns the write that is due for an upgrade; none if what is empty.
+// nextWrite returns the write that is due for an upgrade; its what field is empty if there is none.
 func (t *Tracker) nextWrite(s *serviceUpgrade, now clock.Instant) (write, error) {
 	if !now.Before(s.nextWriteAt) {
 		w, err := t.nextProgress(s, now)
@@ -63,17 +64,17 @@
 	return t.publish(s, now)
 }
 
-// publishingHosts is about how many hosts tell all that they see while nothing fails; more tell
-// little new, and each write is read by all. The others tell of failures only. They do not
-// tell of slow answers, since the unlucky hosts' would look like everyone's.
+// publishingHosts is about how many hosts publish all evidence while nothing fails: more hosts add
+// little information, and each write is read by all. The other hosts publish at failures only, not
+// at slow answers, since the hosts that happen to see many would be taken as typical.
 const publishingHosts = 24
 
-// shouldPublish reports whether this host has evidence that others need.
+// shouldPublish reports whether this host has evidence that the other hosts need.
 func (t *Tracker) shouldPublish(s *serviceUpgrade, now clock.Instant) bool {
 	seen, recent := targetTotal(s.own.Routes), targetTotal(s.recent.counts(now))
 	s.publishedRecent = s.publishedRecent.atMost(recent)
 	switch {
-	case !s.restored: // or what an earlier life of this host told would be lost
+	case !s.restored: // publishing would overwrite the evidence of an earlier process of this host
 		return false
 	case s.progress.Stage == lastStage && recent.Bad > s.publishedRecent.Bad && !s.othersHaveFailed():
 		return now.Sub(s.publishedAt) >= failurePublishInterval
@@ -93,7 +94,7 @@
 	}
 }
 
-// publishIntervalOf is how often this host tells what it sees at most.
+// publishIntervalOf returns the least time between this host's writes of evidence.
 func (t *Tracker) publishIntervalOf(s *serviceUpgrade) time.Duration {
 	every := publishInterval
 	if s.progress.Stage == lastStage && s.targetHasFailed() {
@@ -102,9 +103,9 @@
 	return max(every, time.Duration(t.options.Hosts())*publishIntervalPerHost)
 }
 
-// othersHaveFailed reports whether this host has seen failures of other versions. Then those of the
-// target are told no earlier than its good answers, or a good version beside endpoints that fail
-// would look worse than it is.
+// othersHaveFailed reports whether this host has seen failures of other versions. Then it publishes
+// the target's failures no earlier than its good answers; otherwise a good version beside failing
+// endpoints would look worse than it is.
 func (s *serviceUpgrade) othersHaveFailed() bool {
 	for _, p := range s.own.Routes {
 		if p.OtherByEndpoint.failing() > 0 {
@@ -114,11 +115,11 @@
 	return false
 }
 
-// targetHasFailed reports whether some host has seen a failure of the target. From then on all tell all
-// that they see: who tells of failures only shows more of them than there are.
+// targetHasFailed reports whether any host has seen a failure of the target. From then on all hosts
+// publish all answers: hosts that published at failures only would overstate the failure rate.
 func (s *serviceUpgrade) targetHasFailed() bool { return !s.firstFailureAt.IsZero() }
 
-// nextProgress returns the step that is due.
+// nextProgress returns the write of the next step if it is due.
 func (t *Tracker) nextProgress(s *serviceUpgrade, now clock.Instant) (write, error) {
 	delay := t.writeDelay(s)
 	switch {
@@ -137,7 +138,8 @@
 	return t.advance(s, storeTime, delay)
 }
 
-// advance returns the step of an upgrade under way that is due, by how it goes.
+// advance returns the next write of an upgrade in progress if it is due and the judgement allows
+// it.
 func (t *Tracker) advance(s *serviceUpgrade, storeTime clock.Bounds, delay time.Duration) (write, error) {
 	done := s.progress.CompletionDue(storeTime.Minus(s.schedule.completionDelay(delay, t.longestWriteDelay())), s.schedule)
 	rises := s.progress.NextStageDue(s.progress.elapsedAt(storeTime)-delay, s.schedule)
@@ -147,7 +149,8 @@
 	j := t.judgement(s)
 	switch {
 	case s.progress.Stage+1 >= lastStage && j.MayBeBad():
-		// Before all keys go to it, or requests that come again take it over its bound.
+		// This comes before all keys go to the target; otherwise retried requests would take it
+		// over its bound on exposure.
 		return t.finish(s, OutcomeRolledBack, reasonMayBeBad)
 	case !done && !rises:
 		return write{}, nil
@@ -160,7 +163,7 @@
 	}
 }
 
-// raiseShare writes that the target gets its next share.
+// raiseShare returns the write that gives the target its next share.
 func (t *Tracker) raiseShare(s *serviceUpgrade, j Judgement, now clock.Bounds) (write, error) {
 	p := s.progress
 	p.Stage++
@@ -171,9 +174,10 @@
 	return t.progressWrite(s, p, "share raised")
 }
 
-// writeDelay is how long this host leaves a step to others: nothing for one host of all, and
-// the longer the more have had theirs. Timers so spread keep answers to a multicast few
-// (Nonnenmacher and Biersack, "Scalable feedback for large groups", 1999).
+// writeDelay returns how long this host leaves a step to the others: none for about one host,
+// and a delay that grows with the logarithm of the host's position for the rest. Timers spread this
+// way limit the number of responses to a multicast (Nonnenmacher and Biersack, "Scalable feedback
+// for large groups", 1999).
 func (t *Tracker) writeDelay(s *serviceUpgrade) time.Duration {
 	place := float64(xxhash.Sum64String(t.options.Host+"/"+s.order.Service)) / math.MaxUint64
 	before := place * float64(max(t.options.Hosts(), 1))
@@ -183,12 +187,12 @@
 	return time.Duration(math.Log2(before) * float64(delayPerDoubling))
 }
 
-// longestWriteDelay bounds the turns of all hosts.
+// longestWriteDelay returns the upper bound of all hosts' write delays.
 func (t *Tracker) longestWriteDelay() time.Duration {
 	return time.Duration(math.Log2(float64(max(t.options.Hosts(), 1))) * float64(delayPerDoubling))
 }
 
-// begin writes that the upgrade has begun.
+// begin returns the write that starts the upgrade.
 func (t *Tracker) begin(s *serviceUpgrade) (write, error) {
 	now, ok := t.options.Watch.Now()
 	if !ok {
@@ -206,10 +210,10 @@
 	return t.progressWrite(s, p, "begun")
 }
 
-// ceilMs counts milliseconds, a part of one as a whole.
+// ceilMs converts a duration to milliseconds, rounding up.
 func ceilMs(d time.Duration) int64 { return (d + time.Millisecond - 1).Milliseconds() }
 
-// finish writes the outcome.
+// finish returns the write of the outcome.
 func (t *Tracker) finish(s *serviceUpgrade, o Outcome, reason string) (write, error) {
 	p := s.progress
 	p.Outcome, p.Reason = o, reason
@@ -219,7 +223,8 @@
 	return t.progressWrite(s, p, string(o))
 }
 
-// progressWrite puts progress and status if the row is still as it was read.
+// progressWrite returns a write of progress and status that is conditional on the progress row
+// being as it was read.
 func (t *Tracker) progressWrite(s *serviceUpgrade, p Progress, what string) (write, error) {
 	data, err := codec.Encode(p)
 	if err != nil {
@@ -235,7 +240,7 @@
 	}}, nil
 }
 
-// unpublishedEvidence returns the evidence that this host has not told.
+// unpublishedEvidence returns writes of the evidence that this host has not published.
 func (t *Tracker) unpublishedEvidence() []write {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -255,7 +260,7 @@
 	return writes
 }
 
-// publish writes this host's evidence for the others.
+// publish returns the write of this host's evidence and marks it as published.
 func (t *Tracker) publish(s *serviceUpgrade, now clock.Instant) (write, error) {
 	e := s.evidence(now)
 	data, err := codec.Encode(e)
