--- a/internal/upgrade/comeback_test.go
+++ b/internal/upgrade/comeback_test.go
@@ -12,28 +12,29 @@
 	"quaybarrow/internal/upgrade"
 )
 
-// retryingService is a service whose old endpoints fail and refuse many requests, which come again: a version
-// of which fewer are refused gets more requests than its share of the keys, and repeats besides.
+// retryingService is a service whose old endpoints fail and refuse many requests, which callers
+// retry. A version that refuses fewer requests gets more of them than its share of the keys, and
+// retries in addition.
 type retryingService struct {
 	service
-	refusedRate float64 // part of the requests that old endpoints refuse
-	maxSends    int     // of a request at most, while they fail
+	refusedRate float64 // fraction of requests that old endpoints refuse
+	maxSends    int     // most attempts of a request, while they fail
 }
 
-// busyService is such a service of few hosts.
+// busyService is such a service with few hosts.
 var busyService = retryingService{
 	service:     service{hosts: 6, endpoints: 12, perSecond: 40, within: 16 * time.Second}.withFailingOld(0.9, 0.45),
 	refusedRate: 0.5, maxSends: 3,
 }
 
-// goodAnswerTime is how long a good answer takes; failures come at once.
+// goodAnswerTime is the duration of a good answer; failures arrive at once.
 const goodAnswerTime = 700 * time.Millisecond
 
-// retrySeeds are how many seeds each play has.
+// retrySeeds is the number of seeds of each case.
 const retrySeeds = 30
 
-// TestBadVersionWithCallersWhoComeBack guards against bad versions that get more than their bound by requests that come
-// again, or come into force.
+// TestBadVersionWithCallersWhoComeBack guards against bad versions that exceed the bound on
+// exposure through retries, or are completed.
 func TestBadVersionWithCallersWhoComeBack(t *testing.T) {
 	for what, rate := range map[string]float64{"half fail": 0.5, "0.45 fail": 0.45} {
 		for seed := range uint64(retrySeeds) {
@@ -43,7 +44,7 @@
 					c := busyService
 					c.badRate = rate
 					o := c.play(seed + 1)
-					Expect(o.late).To(BeZero(), "requests long after the failures had shown")
+					Expect(o.late).To(BeZero(), "requests too long after the failures")
 					Expect(o.exposed).To(BeNumerically("<=", maxExposure*float64(o.all)+exposureSlack), "of %d", o.all)
 				})
 			})
@@ -51,7 +52,8 @@
 	}
 }
 
-// TestGoodVersionWithCallersWhoComeBack is the same with versions that are good.
+// TestGoodVersionWithCallersWhoComeBack checks that good versions are completed under the same
+// retries.
 func TestGoodVersionWithCallersWhoComeBack(t *testing.T) {
 	for seed := range uint64(retrySeeds) {
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
@@ -63,7 +65,7 @@
 	}
 }
 
-// play upgrades the service, and goes on for a while after the time for it.
+// play simulates an upgrade of the service, and traffic for a while after the time for it.
 func (c retryingService) play(seed uint64) outcome {
 	const tick = 50 * time.Millisecond
 	random := rand.New(rand.NewPCG(seed, seed))
@@ -71,7 +73,7 @@
 	defer h.stop()
 	h.orderWithin(c.within, 7)
 	failing := c.drawFailing(random)
-	o, bad, manyBadAt := outcome{}, 0, time.Hour // until it is known, later than all
+	o, bad, manyBadAt := outcome{}, 0, time.Hour // manyBadAt is later than the whole run until it is known
 	for elapsed := time.Duration(0); elapsed < c.within+2*maxReaction; elapsed += tick {
 		for range c.perSecond / int(time.Second/tick) {
 			t, key := h.trackers[random.IntN(c.hosts)], random.Uint64()
--- a/internal/upgrade/completion_test.go
+++ b/internal/upgrade/completion_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("the completion of an upgrade", func() {
-	It("waits for failures that another host has just told, though the news has not arrived", func() {
+	It("waits for failures that another host has just published, though this host has not received them", func() {
 		suite.Paused(func() {
 			h := newHosts(2)
 			defer h.stop()
@@ -30,7 +30,7 @@
 		})
 	})
 
-	It("hears of each failure in the last stage at once", func() {
+	It("sees each failure in the last stage published at once", func() {
 		suite.Paused(func() {
 			h := newHosts(2)
 			defer h.stop()
@@ -42,7 +42,7 @@
 		})
 	})
 
-	It("does not wait for failures of long ago, of which nothing more is told", func() {
+	It("does not wait for old failures without new evidence", func() {
 		suite.Paused(func() {
 			h := newHosts(2)
 			defer h.stop()
@@ -55,7 +55,7 @@
 		})
 	})
 
-	It("needs an answer since all keys go to the target", func() {
+	It("needs an answer given since all keys go to the target", func() {
 		suite.Paused(func() {
 			h := newHosts(6)
 			defer h.stop()
--- a/internal/upgrade/fault_test.go
+++ b/internal/upgrade/fault_test.go
@@ -7,7 +7,8 @@
 	"quaybarrow/internal/clock"
 )
 
-// judgementOfEqualFailures is a judgement on a target that fails half of its answers, as all endpoints of the others but one do.
+// judgementOfEqualFailures returns a judgement of a target that fails half of its answers, as all
+// but one of the other versions' endpoints do.
 func judgementOfEqualFailures() Judgement {
 	j := Judgement{Weighed: VersionCounts{Target: Count{Bad: 20, Good: 20}, Other: Count{Bad: 90, Good: 110}, TargetByEndpoint: Tallies{}, OtherByEndpoint: Tallies{}}}
 	for n := range 40 {
@@ -19,17 +20,18 @@
 	return j
 }
 
-// TestHostStopsAVersionThatFailsAsOthersDo guards against hosts that go on with it until the row tells them.
+// TestHostStopsAVersionThatFailsAsOthersDo guards against hosts that use such a version until they
+// read its roll-back from the progress row.
 func TestHostStopsAVersionThatFailsAsOthersDo(t *testing.T) {
 	now := clock.Now()
 	for what, c := range map[string]struct {
 		s    serviceUpgrade
 		stop bool
 	}{
-		"while a larger share is not due":      {serviceUpgrade{progress: Progress{Revision: 1, Stage: 0}, manyFailuresAt: now.Add(-maxUndecided / 2)}, false},
-		"once the last share is written":       {serviceUpgrade{progress: Progress{Revision: 1, Stage: lastStage}}, true},
-		"long after many failures":             {serviceUpgrade{progress: Progress{Revision: 1, Stage: 0}, manyFailuresAt: now.Add(-maxUndecided)}, true},
-		"that has been stopped is not decided": {serviceUpgrade{progress: Progress{Revision: 1, Stage: 0}, manyFailuresAt: now.Add(-maxUndecided), rejectReason: "bad answers"}, false},
+		"while a larger share is not due":              {serviceUpgrade{progress: Progress{Revision: 1, Stage: 0}, manyFailuresAt: now.Add(-maxUndecided / 2)}, false},
+		"once the last share is written":               {serviceUpgrade{progress: Progress{Revision: 1, Stage: lastStage}}, true},
+		"long after many failures":                     {serviceUpgrade{progress: Progress{Revision: 1, Stage: 0}, manyFailuresAt: now.Add(-maxUndecided)}, true},
+		"not again once the host has stopped using it": {serviceUpgrade{progress: Progress{Revision: 1, Stage: 0}, manyFailuresAt: now.Add(-maxUndecided), rejectReason: "bad answers"}, false},
 	} {
 		t.Run(what, func(t *testing.T) {
 			c.s.order.Revision, c.s.row.Version, c.s.judgedAt = 1, 1, now
--- a/internal/upgrade/judge_bench_test.go
+++ b/internal/upgrade/judge_bench_test.go
@@ -8,9 +8,10 @@
 	"quaybarrow/internal/upgrade"
 )
 
-// BenchmarkJudge weighs what 91 hosts told of three routes and 140 endpoints a version, 0.4 of
-// whose answers fail: 0.13 ms before failures were counted by endpoint, 4.5 to 9.2 ms with
-// that, of which 2.5 ms are on the processor (profile), beside three programs a core.
+// BenchmarkJudge judges the evidence of 91 hosts about three routes and 140 endpoints per version,
+// 0.4 of whose answers fail. It took 0.13 ms before failures were counted by endpoint and takes 4.5
+// to 9.2 ms since, of which 2.5 ms are CPU time according to a profile, while three programs per
+// core were running.
 func BenchmarkJudge(b *testing.B) {
 	const hosts, routes, endpoints, answers = 91, 3, 140, 40
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/upgrade/judge_test.go
+++ b/internal/upgrade/judge_test.go
@@ -11,9 +11,9 @@
 	"quaybarrow/internal/upgrade"
 )
 
-// counts of answers on one route: good and bad of the target, good and bad of
-// the others, and how many endpoints of the target gave the bad ones.
-// and how many gave none.
+// counts are the answers on one route: good and bad ones of the target, good and bad ones of the
+// others; and how many of the target's endpoints gave the bad answers, and how many gave only good
+// ones.
 type counts struct{ good, bad, otherGood, otherBad, badEndpoints, goodEndpoints int }
 
 var failureCases = map[string]struct {
@@ -22,15 +22,15 @@
 }{
 	"a few failures on two endpoints":                    {counts{10, 5, 100, 0, 2, 0}, true},
 	"failures on a single endpoint":                      {counts{10, 9, 100, 0, 1, 0}, false},
-	"too few to tell":                                    {counts{0, 3, 100, 0, 3, 0}, false},
+	"too few failures":                                   {counts{0, 3, 100, 0, 3, 0}, false},
 	"as many failures as the others show":                {counts{80, 14, 860, 140, 5, 0}, false},
-	"many good answers around a few failures":            {counts{200, 6, 1000, 5, 3, 0}, false},
+	"a few failures among many good answers":             {counts{200, 6, 1000, 5, 3, 0}, false},
 	"failures on few of many endpoints":                  {counts{40, 10, 100, 0, 4, 14}, false},
-	"failures on half of them":                           {counts{40, 10, 100, 0, 9, 9}, true},
+	"failures on half of many endpoints":                 {counts{40, 10, 100, 0, 9, 9}, true},
 	"nothing":                                            {counts{}, false},
 	"half of its answers beside endpoints that fail 0.4": {counts{30, 70, 600, 400, 40, 0}, true},
 	"as many as endpoints that fail 0.4":                 {counts{60, 40, 600, 400, 40, 0}, false},
-	"more than endpoints that are hardly known":          {counts{30, 70, 26, 14, 40, 0}, false},
+	"more than endpoints with few answers":               {counts{30, 70, 26, 14, 40, 0}, false},
 }
 
 func evidence(c counts) upgrade.Evidence {
@@ -48,7 +48,8 @@
 	return e
 }
 
-// spreadAnswers deals answers out to endpoints: failures to those that fail, good ones to all.
+// spreadAnswers distributes answers over endpoints in turn: bad ones over those that fail, good
+// ones over all.
 func spreadAnswers(good, bad, failing, well int) upgrade.Tallies {
 	t := upgrade.Tallies{}
 	deal := func(n, endpoints int, one upgrade.Tally) {
@@ -64,7 +65,7 @@
 	return t
 }
 
-// withFailuresAt returns evidence whose failures an endpoint gave.
+// withFailuresAt returns the evidence with all answers of the target attributed to one endpoint.
 func withFailuresAt(e upgrade.Evidence, id string) upgrade.Evidence {
 	p := e.Routes["r"]
 	p.TargetByEndpoint = upgrade.Tallies{id: {p.Target.Good, p.Target.Bad}}
@@ -84,7 +85,7 @@
 		})
 	}
 
-	It("adds up what hosts saw, and finds a single bad route", func() {
+	It("adds up the evidence of hosts, and detects a single bad route", func() {
 		half := evidence(counts{3, 2, 50, 0, 1, 0})
 		other := withFailuresAt(evidence(counts{3, 2, 50, 0, 0, 0}), "another")
 		good := upgrade.Evidence{Routes: map[string]upgrade.VersionCounts{"q": {Target: upgrade.Count{Good: 500}, Other: upgrade.Count{Good: 500}}}}
@@ -94,7 +95,7 @@
 	})
 })
 
-// likelyBadCases are of versions beside endpoints that fail 0.4 of their answers.
+// likelyBadCases are versions beside endpoints that fail 0.4 of their answers.
 var likelyBadCases = map[string]struct {
 	good, bad int
 	likelyBad bool
@@ -106,34 +107,34 @@
 	"far more failures than the others do": {60, 140, true},
 }
 
-var _ = Describe("a step that can't be taken back", func() {
+var _ = Describe("LikelyBad", func() {
 	for name, d := range likelyBadCases {
-		It("goes by what is likelier: "+name, func() {
+		It("compares the likelihoods: "+name, func() {
 			e := evidence(counts{d.good, d.bad, 1200, 800, 40, 0})
 			Expect(upgrade.Judge(e, nil, upgrade.Unreported{}).LikelyBad()).To(Equal(d.likelyBad))
 		})
 	}
 })
 
-var _ = Describe("answers that nobody has told of", func() {
+var _ = Describe("unpublished answers", func() {
 	seen := evidence(counts{2, 6, 200, 0, 6, 0})
 	seen.Seconds = 10
 
-	It("are taken to be good, as many as hosts have had since they told", func() {
+	It("are assumed to be good, as many as hosts have had since they last published", func() {
 		j := upgrade.Judge(seen, nil, upgrade.Unreported{Silent: 5, Known: true, HostSeconds: 2})
 		Expect(j.Seen.Target).To(Equal(upgrade.Count{Good: 2, Bad: 6}))
 		Expect(j.Weighed.Target).To(Equal(upgrade.Count{Good: 2 + 41, Bad: 6}), "208 answers in 10 s")
 	})
 
-	It("are none where all hosts had the time to tell", func() {
+	It("are none where all hosts had the time to publish", func() {
 		j := upgrade.Judge(seen, nil, upgrade.Unreported{Silent: 85, Known: true})
 		Expect(j.Weighed.Target).To(Equal(j.Seen.Target))
 		Expect(j.Verdict).To(Equal(upgrade.VerdictBad))
 	})
 })
 
-var _ = Describe("the judgement by one of many hosts", func() {
-	It("takes silent hosts for content, so that a few unlucky ones do not condemn a version", func() {
+var _ = Describe("the judgement with many hosts", func() {
+	It("assumes good answers of silent hosts, so that failures seen by a few hosts by chance do not make a version bad", func() {
 		unlucky := func(id string) upgrade.Evidence {
 			return withFailuresAt(evidence(counts{4, 1, 60, 0, 0, 0}), id)
 		}
@@ -146,12 +147,12 @@
 var _ = Describe("a larger share", func() {
 	told := evidence(counts{2, 0, 20, 0, 0, 0})
 
-	It("is not granted by hosts that tell nothing", func() {
+	It("is not granted for answers that no host has published", func() {
 		Expect(upgrade.Judge(told, nil, upgrade.Unreported{}).Verdict).To(Equal(upgrade.VerdictClear), "22 answers in all, a small service")
 		Expect(upgrade.Judge(told, []upgrade.Evidence{evidence(counts{1, 0, 200, 0, 0, 0})}, upgrade.Unreported{Silent: 20}).Verdict).To(Equal(upgrade.VerdictOpen))
 	})
 
-	It("is granted by what hosts have seen", func() {
+	It("is granted for published answers", func() {
 		Expect(upgrade.Judge(told, []upgrade.Evidence{evidence(counts{6, 0, 200, 0, 0, 0})}, upgrade.Unreported{Silent: 20}).Verdict).To(Equal(upgrade.VerdictClear))
 	})
 })
@@ -162,16 +163,17 @@
 	}
 	others := []upgrade.Evidence{unlucky("a"), unlucky("b"), unlucky("c"), unlucky("d"), unlucky("e")}
 
-	It("takes silent hosts to have seen as much as those that tell", func() {
+	It("assumes that silent hosts have seen as much as those that publish", func() {
 		Expect(isBad(evidence(counts{0, 0, 60, 0, 0, 0}), others, 85)).To(BeFalse())
 	})
 
-	It("believes the others where nobody is silent", func() {
+	It("follows the others where no host is silent", func() {
 		Expect(isBad(evidence(counts{0, 0, 60, 0, 0, 0}), others, 0)).To(BeTrue())
 	})
 })
 
-// paceCounts is evidence by pace: of the target and of the others, slow ones of all.
+// paceCounts are the slow and all paced answers of the target and of the others, and the target's
+// endpoints that gave slow ones.
 type paceCounts struct{ slow, all, otherSlow, otherAll, endpoints int }
 
 var paceCases = map[string]struct {
@@ -183,10 +185,10 @@
 	"all answers slow, on a single endpoint": {paceCounts{16, 16, 300, 600, 1}, upgrade.VerdictOpen},
 	"half of a plain service's answers slow": {paceCounts{10, 20, 3, 60, 2}, upgrade.VerdictBad},
 	"as many slow ones as the others show":   {paceCounts{60, 120, 300, 600, 4}, upgrade.VerdictClear},
-	"somewhat more, as with a cold memory":   {paceCounts{84, 120, 300, 600, 4}, upgrade.VerdictOpen},
+	"somewhat more, as with cold caches":     {paceCounts{84, 120, 300, 600, 4}, upgrade.VerdictOpen},
 	"too few answers with a pace":            {paceCounts{0, 2, 300, 600, 0}, upgrade.VerdictOpen},
 	"enough answers, none of them slow":      {paceCounts{0, 6, 300, 600, 0}, upgrade.VerdictClear},
-	"others whose pace is not known":         {paceCounts{0, 0, 0, 0, 0}, upgrade.VerdictClear},
+	"others without a known pace":            {paceCounts{0, 0, 0, 0, 0}, upgrade.VerdictClear},
 }
 
 var _ = Describe("the judgement by pace", func() {
@@ -205,7 +207,7 @@
 	}
 })
 
-// exposureBounds of exposure that operators give, as parts of all requests.
+// exposureBounds are bounds on exposure as fractions of all requests; 0 selects the default.
 var exposureBounds = map[string]float64{
 	"the default":       0,
 	"a usual one":       0.15,
@@ -219,7 +221,7 @@
 	schedule := upgrade.NewSchedule(0, within)
 
 	for name, bound := range exposureBounds {
-		It("is none in the first half, and then a trial's, however late it is: "+name, func() {
+		It("is 0 in the first half, and then the trial's, however late it is: "+name, func() {
 			schedule := upgrade.NewSchedule(bound, within)
 			trial := upgrade.Progress{}.Share(within/2, schedule)
 			Expect(trial).To(And(BeNumerically(">", 0), BeNumerically("<=", 0.25)))
@@ -234,7 +236,7 @@
 			}
 		})
 
-		It("rises by stages, and the last one takes all: "+name, func() {
+		It("rises by stages to all keys: "+name, func() {
 			schedule := upgrade.NewSchedule(bound, within)
 			last := 0.0
 			for stage := range 3 {
@@ -245,7 +247,7 @@
 			Expect(last).To(Equal(1.0))
 		})
 
-		It("stays within the bound in sum, whenever the version turns bad: "+name, func() {
+		It("stays within the bound on exposure in total, whenever the version turns bad: "+name, func() {
 			schedule, maxShare := upgrade.NewSchedule(bound, within), bound
 			if maxShare == 0 {
 				maxShare = maxExposure
@@ -265,7 +267,7 @@
 		})
 	}
 
-	It("is all of them later if the version has had more than its share, though in time for the old endpoints", func() {
+	It("becomes 1 later if the version has given more answers than its share, though in time for the old endpoints", func() {
 		highExposure := upgrade.VersionCounts{Target: upgrade.Count{Good: 10}, Other: upgrade.Count{Good: 90}}
 		usual := schedule.StageStart(2, 20*time.Second, upgrade.VersionCounts{Other: upgrade.Count{Good: 100}})
 		later := schedule.StageStart(2, 20*time.Second, highExposure)
@@ -279,10 +281,10 @@
 		last := upgrade.Progress{Stage: 2, StageMs: 22_000, EndMs: 24_000}
 		Expect(last.CompletionDue(at(22900*time.Millisecond), schedule)).To(BeFalse())
 		Expect(last.CompletionDue(at(23*time.Second), schedule)).To(BeTrue())
-		Expect(upgrade.Progress{Stage: 2, StageMs: 25_000, EndMs: 24_000}.CompletionDue(at(within), schedule)).To(BeFalse(), "a stage that has not begun")
+		Expect(upgrade.Progress{Stage: 2, StageMs: 25_000, EndMs: 24_000}.CompletionDue(at(within), schedule)).To(BeFalse(), "the stage has not begun")
 	})
 
-	It("is completed in time also where the beginning was written late", func() {
+	It("is completed in time also if the start was written late", func() {
 		late := upgrade.Progress{Stage: 2, StartMs: 1_500, StageMs: 22_800, EndMs: 24_000}
 		Expect(late.CompletionDue(clock.Bounds{Earliest: 22800 * time.Millisecond, Latest: 23100 * time.Millisecond}, schedule)).To(BeTrue())
 	})
--- a/internal/upgrade/lastlook_test.go
+++ b/internal/upgrade/lastlook_test.go
@@ -12,8 +12,8 @@
 	"quaybarrow/internal/upgrade"
 )
 
-// serveFailingOld has each host see answers of the old version for a time, of which one in three fails at all
-// of its endpoints but one; each tenth of a second a body runs.
+// serveFailingOld reports answers of the old version on each host for a time; one in three fails on
+// all of its endpoints but one. It runs body every 100 ms.
 func (h *hosts) serveFailingOld(d time.Duration, body func()) {
 	for n := range int(d / (100 * time.Millisecond)) {
 		time.Sleep(100 * time.Millisecond)
@@ -26,7 +26,8 @@
 	}
 }
 
-// recordTargetAnswers has a host see answers of the recordTargetAnswers, of which the first ones fail, on its endpoints in turn.
+// recordTargetAnswers reports n answers of the target on a host, on its endpoints in turn. The
+// first ones, as many as failing, fail.
 func (h *hosts) recordTargetAnswers(host, n, failing int) {
 	for i := range n {
 		h.trackers[host].Record(upgrade.Report{
@@ -35,18 +36,17 @@
 	}
 }
 
-// stage is the one that is written in the upgrade's row.
+// stage returns the stage in the upgrade's row.
 func (h *hosts) stage() int {
 	p, err := codec.Decode[upgrade.Progress](h.store.Value(upgrade.Table, "s"))
 	Expect(err).NotTo(HaveOccurred())
 	return p.Stage
 }
 
-// noop is nothing to do meanwhile.
 func noop() {}
 
-// newHostsInTrial returns hosts that have seen good answers of a target since its first share, beside an old version
-// whose endpoints fail.
+// newHostsInTrial returns hosts that have seen good answers of a target since its first share,
+// beside an old version with failing endpoints.
 func newHostsInTrial() *hosts {
 	const within = 24 * time.Second // of an order
 	h := newHosts(4)
@@ -58,8 +58,9 @@
 	return h
 }
 
-var _ = Describe("a version beside endpoints that fail", func() {
-	// The last share was written on what was known a second before it began, and nothing looked again until the completion.
+var _ = Describe("a version beside failing endpoints", func() {
+	// The last share was written on evidence from a second before it began, and the version was not
+	// judged again until the completion.
 	It("gets no last share once it fails as they do", func() {
 		suite.Paused(func() {
 			h := newHostsInTrial()
@@ -67,8 +68,8 @@
 			for h.stage() < 2 {
 				h.serveFailingOld(100*time.Millisecond, noop)
 			}
-			h.serveFailingOld(200*time.Millisecond, noop) // the rest of the lead is time to tell
-			Expect(h.targetShare()).To(BeNumerically("<", 0.5), "the last share is written ahead")
+			h.serveFailingOld(200*time.Millisecond, noop) // leaves the rest of the lead for publishing
+			Expect(h.targetShare()).To(BeNumerically("<", 0.5), "the last share is written before it begins")
 			for i := range h.trackers {
 				h.recordTargetAnswers(i, 4, 2)
 			}
@@ -77,7 +78,8 @@
 		})
 	})
 
-	// Its failures were weighed only as the next share was due, which may be later than the bound.
+	// MayBeBad was checked only when the next share was due, which may be later than the bound
+	// allows.
 	It("gets nothing more within the bound after many failures that may be its own", func() {
 		suite.Paused(func() {
 			h := newHostsInTrial()
@@ -93,8 +95,8 @@
 		})
 	})
 
-	// The completion took a last look at what hosts had told, and asked less of it than the look before.
-	It("does not come into force if a last look shows that it fails as they do", func() {
+	// The judgement just before the completion had weaker requirements than the one before it.
+	It("is not completed if the final judgement shows that it fails as they do", func() {
 		suite.Paused(func() {
 			h := newHostsInTrial()
 			defer h.stop()
--- a/internal/upgrade/pace_test.go
+++ b/internal/upgrade/pace_test.go
@@ -19,20 +19,20 @@
 	"net/http"
 )
 
-// Pauses of the version in use, idle and with many requests, and what a new version's
-// endpoints show that have few yet.
+// loadCases hold the old version's gaps without load and with many requests, and the gap of a new
+// version's endpoints with few requests.
 var loadCases = map[string]struct {
 	idleGap, fullGap, targetGap time.Duration
 	bad                         bool
 }{
-	"slow, though not beside full endpoints":  {10 * time.Millisecond, 22 * time.Millisecond, 25 * time.Millisecond, true},
-	"as fast as idle endpoints":               {10 * time.Millisecond, 22 * time.Millisecond, 11 * time.Millisecond, false},
-	"slower than idle ones, but not by much":  {10 * time.Millisecond, 22 * time.Millisecond, 17 * time.Millisecond, false},
-	"where endpoints are as fast when full":   {10 * time.Millisecond, 10 * time.Millisecond, 11 * time.Millisecond, false},
-	"slow where load makes nothing of a step": {10 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, true},
+	"slow, though not compared with loaded endpoints": {10 * time.Millisecond, 22 * time.Millisecond, 25 * time.Millisecond, true},
+	"as fast as idle endpoints":                       {10 * time.Millisecond, 22 * time.Millisecond, 11 * time.Millisecond, false},
+	"somewhat slower than idle endpoints":             {10 * time.Millisecond, 22 * time.Millisecond, 17 * time.Millisecond, false},
+	"as fast, where load does not slow endpoints":     {10 * time.Millisecond, 10 * time.Millisecond, 11 * time.Millisecond, false},
+	"slow, where load does not slow endpoints":        {10 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, true},
 }
 
-// onTracker runs a body with a tracker of a host that is alone, under the paused clock.
+// onTracker runs body with the tracker of a single host, under the paused clock.
 func onTracker(body func(t *upgrade.Tracker)) {
 	suite.Paused(func() {
 		network, store := memnet.New(), standin.NewStore()
@@ -52,9 +52,9 @@
 	})
 }
 
-var _ = Describe("a version whose endpoints have few requests while the others are full", func() {
+var _ = Describe("a version whose endpoints have few requests while the others have many", func() {
 	for name, l := range loadCases {
-		It("is judged at its own load: "+name, func() {
+		It("is compared at its own load: "+name, func() {
 			onTracker(func(t *upgrade.Tracker) {
 				note := func(version, endpoint string, requests int, pause time.Duration) {
 					t.Record(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r",
@@ -76,9 +76,9 @@
 	}
 })
 
-var _ = Describe("a version whose streams are a larger model's more often than others'", func() {
+var _ = Describe("a version with a higher fraction of a larger model's streams than the others", func() {
 	cases := map[string]struct {
-		small, large time.Duration // its pauses
+		small, large time.Duration // the target's gaps with each model
 		bad          bool
 	}{
 		"as fast with each model":         {11 * time.Millisecond, 105 * time.Millisecond, false},
@@ -86,7 +86,7 @@
 		"slow with the smaller model too": {30 * time.Millisecond, 290 * time.Millisecond, true},
 	}
 	for name, c := range cases {
-		It("is judged by model: "+name, func() {
+		It("is compared by model: "+name, func() {
 			onTracker(func(t *upgrade.Tracker) {
 				note := func(version, endpoint, model string, pause time.Duration) {
 					t.Record(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r", Model: model,
--- a/internal/upgrade/rig_test.go
+++ b/internal/upgrade/rig_test.go
@@ -24,7 +24,7 @@
 
 const storeAddress = "10.9.0.1:80"
 
-// hosts are trackers of several hosts at one store.
+// hosts are the trackers of several hosts that share a store.
 type hosts struct {
 	store    *standin.Store
 	network  *memnet.Network
@@ -37,7 +37,7 @@
 
 func newHosts(n int) *hosts { return newLaggedHosts(n, 0) }
 
-// newLaggedHosts returns hosts that hear the answers to reads after a lag.
+// newLaggedHosts returns hosts whose reads of the store are answered after a lag.
 func newLaggedHosts(n int, lag time.Duration) *hosts {
 	network := memnet.New()
 	h := &hosts{store: standin.NewStore()}
@@ -59,7 +59,7 @@
 	return h
 }
 
-// start runs one of n hosts.
+// start runs host i of n.
 func (h *hosts) start(i, n int) (*upgrade.Tracker, context.CancelFunc) {
 	client := platform.NewStore(storeAddress, h.network.Dial)
 	watch := &stalledWatcher{Watcher: client}
@@ -69,13 +69,13 @@
 		Status: platform.StatusWrite, Hosts: func() int { return n },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	_, err := client.State(ctx, "none") // sets the client's clock, as the host's followers do
+	_, err := client.State(ctx, "none") // initializes the client's clock, as the host's followers do
 	Expect(err).NotTo(HaveOccurred())
 	go t.Run(ctx)
 	return t, cancel
 }
 
-// restart ends a host and starts it again, knowing nothing.
+// restart stops a host and starts it again without any state.
 func (h *hosts) restart(i int) {
 	h.cancels[i]()
 	h.trackers[i], h.cancels[i] = h.start(i, len(h.trackers))
@@ -89,7 +89,7 @@
 	}
 }
 
-// orderWithin orders the usual version in a time.
+// orderWithin orders v2, to be completed within the given time.
 func (h *hosts) orderWithin(within time.Duration, revision int64) {
 	for _, t := range h.trackers {
 		t.Order(upgrade.Order{Service: "s", Target: "v2", Within: within, Revision: revision})
@@ -131,21 +131,21 @@
 
 func (h *hosts) status() string { return string(h.store.Value("status", "rollout/s")) }
 
-// traffic is what endpoints of the target do.
+// traffic describes the answers that serve reports. The intervals are counts; 0 disables them.
 type traffic struct {
-	badEvery  int           // one of so many answers fails; 0 for none
-	gap       time.Duration // shortest between events of a stream; the others have 10 ms
-	noTarget  bool          // none of the requests goes to the target, whatever is allowed
-	slowEvery int           // one of so many streams of any version has four times that; 0 for none
-	failEvery int           // one of so many answers of any version fails; 0 for none
-	oneHostIn int           // one of so many hosts has an answer at a time; 0 for all of them
+	badEvery  int           // one in so many of the target's answers fails
+	gap       time.Duration // shortest time between two events of the target's streams, at least otherGap
+	noTarget  bool          // no request goes to the target, even where it is allowed
+	slowEvery int           // one in so many streams of any version has four times its gap
+	failEvery int           // one in so many answers of any version fails
+	oneHostIn int           // one in so many hosts has an answer at a time; 0 for all hosts
 }
 
-// otherGap is the shortest pause of the version that is in use.
+// otherGap is the shortest time between two events of the old version's streams.
 const otherGap = 10 * time.Millisecond
 
-// serve plays traffic for a time: ten answers a second and host. It returns how
-// many the target got.
+// serve reports traffic for a time, with ten answers a second on each host. It returns the number
+// of answers of the target.
 func (h *hosts) serve(d time.Duration, w traffic) (exposed int) {
 	n := 0
 	for range int(d / (100 * time.Millisecond)) {
@@ -176,7 +176,7 @@
 	return exposed
 }
 
-// publishedByAll sums what hosts have publishedByAll of the target.
+// publishedByAll sums the counts of paced answers that hosts have published for the target.
 func (h *hosts) publishedByAll() upgrade.Count {
 	sum := upgrade.Count{}
 	for i := range h.trackers {
@@ -186,7 +186,7 @@
 	return sum
 }
 
-// publishedBy is what a host has told of the target.
+// publishedBy returns the counts that a host has published for the target.
 func (h *hosts) publishedBy(host string) upgrade.Count {
 	sum := upgrade.Count{}
 	row := h.store.Value(upgrade.Table, "s/"+host)
@@ -202,10 +202,10 @@
 	return sum
 }
 
-// sampledKeys is how many keys are looked at for a share.
+// sampledKeys is the number of keys that a share is measured with.
 const sampledKeys = 200
 
-// keysOnTarget counts the keys that a tracker sends to the target.
+// keysOnTarget counts the sampled keys that a tracker sends to the target.
 func keysOnTarget(t *upgrade.Tracker) int {
 	n := 0
 	for i := range uint64(sampledKeys) {
@@ -216,10 +216,11 @@
 	return n
 }
 
-// targetShare is the part of the keys that the first host sends to the target.
+// targetShare returns the fraction of the keys that the first host sends to the target.
 func (h *hosts) targetShare() float64 { return float64(keysOnTarget(h.trackers[0])) / sampledKeys }
 
-// disagreements counts hosts that send other keys to the target than the first does.
+// disagreements counts the hosts that send a different number of keys to the target than the first
+// host does.
 func (h *hosts) disagreements() int {
 	n, first := 0, keysOnTarget(h.trackers[0])
 	for _, t := range h.trackers[1:] {
@@ -230,7 +231,7 @@
 	return n
 }
 
-// stalledWatcher is a watcher that hears of no changes while it is deaf.
+// stalledWatcher is a watcher that receives no changes while it is stalled.
 type stalledWatcher struct {
 	store.Watcher
 	stalled atomic.Bool
@@ -244,8 +245,8 @@
 	return d.Watcher.Changes(ctx, table, after, wait)
 }
 
-// recordAnswers has a host see recordAnswers of the target, a tenth of a second apart, of which the
-// first ones fail, on four endpoints in turn.
+// recordAnswers reports n answers of the target on a host, 100 ms apart and on four endpoints in
+// turn. The first ones, as many as failing, fail.
 func (h *hosts) recordAnswers(host, n, failing int) {
 	for i := range n {
 		h.trackers[host].Record(upgrade.Report{
@@ -255,7 +256,7 @@
 	}
 }
 
-// uncertainClock is a watcher that bounds the store's clock badly from above.
+// uncertainClock is a watcher whose upper bound of the store's clock is too high by uncertainty.
 type uncertainClock struct {
 	store.Watcher
 	uncertainty time.Duration
@@ -267,8 +268,8 @@
 	return b, known
 }
 
-// newLateTracker returns a tracker of a host that starts when others are at work, and bounds the
-// store's clock with so much doubt.
+// newLateTracker returns a tracker of a host that starts while others are running and has the given
+// uncertainty about the store's clock.
 func newLateTracker(h *hosts, uncertainty time.Duration) *upgrade.Tracker {
 	network := memnet.New()
 	l := network.Listen(storeAddress)
--- a/internal/upgrade/turnsbad_test.go
+++ b/internal/upgrade/turnsbad_test.go
@@ -12,31 +12,30 @@
 	"quaybarrow/platform/standin"
 )
 
-// Callers got failures from a new version for as long as it ran, though every host had
-// found it bad.
+// These tests guard against an upgrade that is completed although its version has turned bad.
 //
-// Order of events: an upgrade began; its version did well and got larger shares, at last
-// all requests; then half of its answers failed. One host wrote that the upgrade was
-// completed, since the time for it had come. A moment later all hosts found the version
-// bad, read the completion, and went on using it: it was the version in force.
+// A version did well and got larger shares, in the end all requests; then half of its answers
+// failed. One host wrote the completion because the time for it had come. A moment later all hosts
+// judged the version bad, read the completion, and went on using it as the version in use: callers
+// got failures for as long as it ran.
 //
-// Cause: the step that can't be taken back was taken by the clock alone, on counts of all
-// answers since the order, in which those of before hid the failures. After it nothing
-// was judged. And the version had 0.36 of all requests by then, so that even a verdict in
-// time came too late for the bound on exposure.
+// The completion, which cannot be undone, depended on the time alone and on counts of all answers
+// since the order, in which earlier good answers hid the failures. Nothing was judged after it. The
+// version had also got 0.36 of all requests by then, so that even a verdict in time would have come
+// too late for the bound on exposure.
 //
-// Proof: the line that told of the completion counted 63 failures among 909 answers and
-// called the version clear; the hosts' verdicts followed 0.35 s later. The same order of
-// events fails here, without any host stopped and any message lost.
+// The log line of the completion counted 63 failures among 909 answers and called the version clear;
+// the hosts' verdicts followed 0.35 s later. The same order of events fails here without a stopped
+// host or a lost message.
 
-// maxExposure and exposureSlack bound what a bad version may get of all requests from the
-// order to the end of its time, as the users tell.
+// maxExposure and exposureSlack bound what a bad version may get: a fraction of all requests from
+// the order to the end of its time, plus a number of requests. The users specified them.
 const (
 	maxExposure   = 0.15
 	exposureSlack = 30
 )
 
-// failureOnsets are moments at which a version turns bad, as parts of the upgrade's time.
+// failureOnsets are the times at which a version turns bad, as fractions of the upgrade's time.
 var failureOnsets = map[string]float64{
 	"at once":                      0,
 	"as it gets the first share":   0.50,
@@ -49,7 +48,7 @@
 	"in the second before it does": 0.94,
 }
 
-// failureModes is what endpoints of a version do that has turned bad.
+// failureModes are the ways in which a version's endpoints behave once it has turned bad.
 var failureModes = map[string]traffic{
 	"half of its answers fail":    {badEvery: 2},
 	"a third of its answers fail": {badEvery: 3},
@@ -66,14 +65,14 @@
 	}
 }
 
-// playFailure plays an upgrade whose version turns bad after a part of the time.
+// playFailure runs an upgrade whose version turns bad at a fraction of its time.
 func playFailure(t *testing.T, part float64, w traffic) {
 	const within = 24 * time.Second
 	RegisterTestingT(t)
 	h := newHosts(6)
 	defer h.stop()
 	if w.gap > 0 {
-		h.serve(2*time.Second, traffic{}) // paces are judged by what was usual
+		h.serve(2*time.Second, traffic{}) // the old version's paces are the reference
 	}
 	h.order(7)
 	onset := time.Duration(part * float64(within))
@@ -84,9 +83,9 @@
 	Expect(h.serve(20*time.Second, w)).To(BeZero(), "requests after the upgrade's time")
 }
 
-// disturbances are what else happens, second by second, while a version turns bad.
+// disturbances affect hosts or store, second by second, while a version turns bad.
 var disturbances = map[string]func(h *hosts, second int){
-	"hosts that start again in turn": func(h *hosts, second int) {
+	"hosts that restart in turn": func(h *hosts, second int) {
 		if second < 10 {
 			return
 		}
@@ -94,7 +93,7 @@
 		h.restart(i)
 		h.trackers[i].Order(upgrade.Order{Service: "s", Target: "v2", Within: 24 * time.Second, Revision: 7})
 	},
-	"a store that is busy three times": func(h *hosts, second int) {
+	"a store that is overloaded three times": func(h *hosts, second int) {
 		switch second {
 		case 11, 15, 19:
 			h.store.Break(standin.Busy)
@@ -110,7 +109,7 @@
 			h.store.Break(standin.Healthy)
 		}
 	},
-	"a store that answers late": func(h *hosts, second int) {
+	"a store that answers with a delay": func(h *hosts, second int) {
 		switch second {
 		case 11, 18:
 			h.store.Delay(200 * time.Millisecond)
@@ -120,7 +119,8 @@
 	},
 }
 
-// TestVersionThatTurnsBadBesideTrouble is the same while hosts and store have trouble of their own.
+// TestVersionThatTurnsBadBesideTrouble is TestVersionThatTurnsBad while hosts restart or the store
+// fails.
 func TestVersionThatTurnsBadBesideTrouble(t *testing.T) {
 	for what, disturb := range disturbances {
 		for _, onset := range []int{0, 13, 16, 19, 21} {
@@ -131,7 +131,7 @@
 	}
 }
 
-// playFailureWith plays an upgrade whose version turns bad at a second, beside trouble.
+// playFailureWith runs an upgrade whose version turns bad at a second, under a disturbance.
 func playFailureWith(t *testing.T, disturb func(h *hosts, second int), onset int) {
 	const seconds, perSecond = 24, 10
 	RegisterTestingT(t)
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -54,7 +54,7 @@
 		})
 	})
 
-	It("of a good version among many hosts completes, though unlucky ones see many slow streams", func() {
+	It("of a good version among many hosts completes, though some see many slow streams by chance", func() {
 		suite.Paused(func() {
 			h := newHosts(60)
 			defer h.stop()
@@ -95,7 +95,7 @@
 		})
 	})
 
-	It("gets no larger share while the store is away, and completes after", func() {
+	It("gets no larger share while the store is unavailable, and completes afterwards", func() {
 		suite.Paused(func() {
 			h := newHosts(5)
 			defer h.stop()
@@ -110,7 +110,7 @@
 		})
 	})
 
-	It("goes on when all but one host are gone", func() {
+	It("continues when all hosts but one have stopped", func() {
 		suite.Paused(func() {
 			h := newHosts(4)
 			defer h.stop()
@@ -136,7 +136,7 @@
 		})
 	})
 
-	It("that was decided stays decided for a host that starts later", func() {
+	It("that has an outcome keeps it on a host that starts later", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
@@ -149,7 +149,7 @@
 		})
 	})
 
-	It("moves nothing in the first half, though hosts hear late what the store's clock showed", func() {
+	It("moves nothing in the first half, though reads of the store's clock are delayed", func() {
 		suite.Paused(func() {
 			h := newLaggedHosts(5, time.Second)
 			defer h.stop()
@@ -163,21 +163,21 @@
 		})
 	})
 
-	It("of a good version among 300 hosts of little traffic each completes in time, with few writes", func() {
+	It("of a good version among 300 hosts with little traffic each completes in time, with few writes", func() {
 		suite.Paused(func() {
 			h := newHosts(300)
 			defer h.stop()
 			h.serve(5*time.Second, traffic{oneHostIn: 20})
 			h.order(7)
 			h.serve(21*time.Second, traffic{oneHostIn: 20})
-			Expect(h.targetShare()).To(BeNumerically(">", 0.2), "a quarter of the keys 1.6 s after it may have them at the earliest")
+			Expect(h.targetShare()).To(BeNumerically(">", 0.2), "a quarter of the keys 1.6 s after the earliest time for it")
 			h.serve(2900*time.Millisecond, traffic{oneHostIn: 20})
 			Expect(h.status()).To(MatchJSON(`{"state":"completed","target_version":"v2"}`))
-			Expect(h.store.Writes()).To(BeNumerically("<", 100), "494 to 513 with turns spread evenly and evidence at set times")
+			Expect(h.store.Writes()).To(BeNumerically("<", 100), "494 to 513 with evenly spread write delays and evidence published at fixed intervals")
 		})
 	})
 
-	It("is told of as answers come, and not as slow ones do", func() {
+	It("is published as answers arrive, but not for each slow one", func() {
 		suite.Paused(func() {
 			h := newHosts(1)
 			defer h.stop()
@@ -193,7 +193,7 @@
 			}
 			Expect(h.publishedByAll()).To(Equal(upgrade.Count{Paced: 4}))
 			note(8 * otherGap)
-			Expect(h.publishedByAll()).To(Equal(upgrade.Count{Paced: 4}), "who tells of each slow one shows more than there are")
+			Expect(h.publishedByAll()).To(Equal(upgrade.Count{Paced: 4}), "publishing at each slow answer overstates the slow rate")
 			for range 3 {
 				note(otherGap)
 			}
@@ -201,7 +201,7 @@
 		})
 	})
 
-	It("gives all hosts the larger share at the same moment, however they hear of it", func() {
+	It("gives all hosts the larger share at the same moment, whenever they learn of it", func() {
 		suite.Paused(func() {
 			h := newHosts(30)
 			defer h.stop()
@@ -213,7 +213,7 @@
 		})
 	})
 
-	It("moves nothing in the first half on a host that knows the store's clock badly", func() {
+	It("moves nothing in the first half on a host with wide bounds of the store's clock", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
@@ -230,7 +230,7 @@
 		})
 	})
 
-	It("of a later order follows one that is over", func() {
+	It("of a later order follows a finished one", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
@@ -242,7 +242,7 @@
 		})
 	})
 
-	It("leaves a version that was rolled back alone when another is ordered", func() {
+	It("sends nothing to a version that was rolled back when another is ordered", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
@@ -256,7 +256,7 @@
 			late := newLateTracker(h, 0)
 			late.SetVersions("s", map[string]int{"v1": 3, "v2": 4, "v3": 4})
 			late.Order(upgrade.Order{Service: "s", Target: "v3", Within: 24 * time.Second, Revision: 9})
-			time.Sleep(time.Second) // it reads how far the upgrades are
+			time.Sleep(time.Second) // it reads the progress of the upgrades
 			h.trackers = append(h.trackers, late)
 			for range 20 {
 				Expect(h.hostsAllowing("v2")).To(BeZero())
@@ -266,7 +266,7 @@
 		})
 	})
 
-	It("that is replaced by another order under way leaves its version alone", func() {
+	It("that another order replaces while in progress sends nothing more to its version", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
@@ -284,7 +284,7 @@
 		})
 	})
 
-	It("back to the version in force leaves it everything, and takes the other's", func() {
+	It("back to the base version sends everything to it and nothing to the other", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
@@ -301,7 +301,7 @@
 		})
 	})
 
-	It("is known to a host that hears how far it is before it hears of the order", func() {
+	It("is known to a host that reads its progress before its order", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
@@ -315,7 +315,7 @@
 		})
 	})
 
-	It("counts what a host has told before it started again", func() {
+	It("counts what a host published before it restarted", func() {
 		suite.Paused(func() {
 			h := newHosts(1)
 			defer h.stop()
@@ -330,7 +330,7 @@
 		})
 	})
 
-	It("is told of by a host that stops", func() {
+	It("has its evidence published by a host that stops", func() {
 		suite.Paused(func() {
 			h := newHosts(2)
 			defer h.stop()
@@ -343,7 +343,7 @@
 		})
 	})
 
-	It("is told of by all hosts once one has seen it fail", func() {
+	It("has its evidence published by all hosts once one has seen a failure", func() {
 		suite.Paused(func() {
 			const hosts = 60
 			h := newHosts(hosts)
@@ -360,14 +360,14 @@
 				h.recordAnswers(i, 1, 0)
 			}
 			time.Sleep(time.Second)
-			Expect(all()).To(BeNumerically("<", hosts/2), "by the hosts that report")
+			Expect(all()).To(BeNumerically("<", hosts/2), "by the publishing hosts only")
 			h.recordAnswers(0, 1, 1)
 			time.Sleep(2 * time.Second)
 			Expect(all()).To(Equal(hosts))
 		})
 	})
 
-	It("is told in a word, with the verdict, for the log of each request", func() {
+	It("has its state, with the verdict, formatted for the log of each request", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
@@ -382,7 +382,7 @@
 		})
 	})
 
-	It("gives nothing to a version that no order has named", func() {
+	It("sends nothing to a version that no order has named", func() {
 		suite.Paused(func() {
 			h := newHosts(1)
 			defer h.stop()
