--- a/internal/upgrade/comeback_test.go
+++ b/internal/upgrade/comeback_test.go
@@ -36,9 +36,9 @@
 // TestBadVersionWithCallersWhoComeBack guards against bad versions that exceed the bound on
 // exposure through retries, or are completed.
 func TestBadVersionWithCallersWhoComeBack(t *testing.T) {
-	for what, rate := range map[string]float64{"half fail": 0.5, "0.45 fail": 0.45} {
+	for name, rate := range map[string]float64{"half fail": 0.5, "0.45 fail": 0.45} {
 		for seed := range uint64(retrySeeds) {
-			t.Run(fmt.Sprint(what, ", seed ", seed+1), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", seed ", seed+1), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					RegisterTestingT(t)
 					c := busyService
--- a/internal/upgrade/failingothers_test.go
+++ b/internal/upgrade/failingothers_test.go
@@ -38,7 +38,7 @@
 
 // service is a service with two versions, some of whose endpoints fail for reasons of their own.
 type service struct {
-	hosts, endpoints                 int // the latter of each version
+	hosts, endpoints                 int // endpoints of each version
 	perSecond                        int // answers of the whole service
 	within                           time.Duration
 	failingFraction, endpointBadRate float64 // fraction of endpoints that fail, and their failure rate
@@ -109,8 +109,8 @@
 }
 
 func TestVersionThatCanNotBeToldFromABadOne(t *testing.T) {
-	for what, s := range indistinguishable {
-		t.Run(what, func(t *testing.T) {
+	for name, s := range indistinguishable {
+		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				RegisterTestingT(t)
 				o := s.play(1)
@@ -122,8 +122,8 @@
 }
 
 func TestBadVersionAmongFailingEndpoints(t *testing.T) {
-	for what, s := range failingOthers {
-		t.Run(what, func(t *testing.T) {
+	for name, s := range failingOthers {
+		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				RegisterTestingT(t)
 				s.play(1).judge(s)
@@ -137,9 +137,9 @@
 
 func TestBadVersionBesideOldEndpointsOfWhichNearlyAllFail(t *testing.T) {
 	old := middleService.withFailingOld(0.97, 0.375)
-	for what, s := range map[string]service{"bad": old.withBad(0.43), "good": old} {
+	for name, s := range map[string]service{"bad": old.withBad(0.43), "good": old} {
 		for seed := range uint64(nearlyAllSeeds) {
-			t.Run(fmt.Sprint(what, ", seed ", seed+1), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", seed ", seed+1), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					RegisterTestingT(t)
 					s.play(seed + 1).judge(s)
--- a/internal/upgrade/fault_test.go
+++ b/internal/upgrade/fault_test.go
@@ -24,7 +24,7 @@
 // read its roll-back from the progress row.
 func TestHostStopsAVersionThatFailsAsOthersDo(t *testing.T) {
 	now := clock.Now()
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		s    serviceUpgrade
 		stop bool
 	}{
@@ -33,7 +33,7 @@
 		"long after many failures":                     {serviceUpgrade{progress: Progress{Revision: 1, Stage: 0}, manyFailuresAt: now.Add(-maxUndecided)}, true},
 		"not again once the host has stopped using it": {serviceUpgrade{progress: Progress{Revision: 1, Stage: 0}, manyFailuresAt: now.Add(-maxUndecided), rejectReason: "bad answers"}, false},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			c.s.order.Revision, c.s.row.Version, c.s.judgedAt = 1, 1, now
 			if got := c.s.reasonToReject(judgementOfEqualFailures()); (got != "") != c.stop {
 				t.Errorf("fault %q, stop %v", got, c.stop)
--- a/internal/upgrade/judge_bench_test.go
+++ b/internal/upgrade/judge_bench_test.go
@@ -15,9 +15,9 @@
 func BenchmarkJudge(b *testing.B) {
 	const hosts, routes, endpoints, answers = 91, 3, 140, 40
 	random := rand.New(rand.NewPCG(1, 2))
-	told := make([]upgrade.Evidence, hosts)
-	for i := range told {
-		told[i] = upgrade.Evidence{Seconds: 15, Routes: map[string]upgrade.VersionCounts{}, Endpoints: []string{"a", "b"}}
+	evidence := make([]upgrade.Evidence, hosts)
+	for i := range evidence {
+		evidence[i] = upgrade.Evidence{Seconds: 15, Routes: map[string]upgrade.VersionCounts{}, Endpoints: []string{"a", "b"}}
 		for r := range routes {
 			p := upgrade.VersionCounts{Target: upgrade.Count{Good: 2, Bad: 1}, Other: upgrade.Count{Good: 8, Bad: 5}, TargetByEndpoint: upgrade.Tallies{}, OtherByEndpoint: upgrade.Tallies{}}
 			for range answers / routes {
@@ -25,11 +25,11 @@
 				p.OtherByEndpoint[fmt.Sprint("old", random.IntN(endpoints))] = upgrade.Tally{1 - bad, bad}
 			}
 			p.TargetByEndpoint[fmt.Sprint("new", random.IntN(endpoints))] = upgrade.Tally{2, 1}
-			told[i].Routes[fmt.Sprint("r", r)] = p
+			evidence[i].Routes[fmt.Sprint("r", r)] = p
 		}
-		told[i].Recent = told[i].Routes
+		evidence[i].Recent = evidence[i].Routes
 	}
 	for b.Loop() {
-		upgrade.Judge(told[0], told[1:], upgrade.Unreported{Known: true})
+		upgrade.Judge(evidence[0], evidence[1:], upgrade.Unreported{Known: true})
 	}
 }
--- a/internal/upgrade/judge_test.go
+++ b/internal/upgrade/judge_test.go
@@ -50,7 +50,7 @@
 
 // spreadAnswers distributes answers over endpoints in turn: bad ones over those that fail, good
 // ones over all.
-func spreadAnswers(good, bad, failing, well int) upgrade.Tallies {
+func spreadAnswers(good, bad, failing, healthy int) upgrade.Tallies {
 	t := upgrade.Tallies{}
 	deal := func(n, endpoints int, one upgrade.Tally) {
 		for i := range n {
@@ -60,7 +60,7 @@
 			}
 		}
 	}
-	deal(good, failing+well, upgrade.Tally{1, 0})
+	deal(good, failing+healthy, upgrade.Tally{1, 0})
 	deal(bad, failing, upgrade.Tally{0, 1})
 	return t
 }
@@ -145,15 +145,15 @@
 })
 
 var _ = Describe("a larger share", func() {
-	told := evidence(counts{2, 0, 20, 0, 0, 0})
+	published := evidence(counts{2, 0, 20, 0, 0, 0})
 
 	It("is not granted for answers that no host has published", func() {
-		Expect(upgrade.Judge(told, nil, upgrade.Unreported{}).Verdict).To(Equal(upgrade.VerdictClear), "22 answers in all, a small service")
-		Expect(upgrade.Judge(told, []upgrade.Evidence{evidence(counts{1, 0, 200, 0, 0, 0})}, upgrade.Unreported{Silent: 20}).Verdict).To(Equal(upgrade.VerdictOpen))
+		Expect(upgrade.Judge(published, nil, upgrade.Unreported{}).Verdict).To(Equal(upgrade.VerdictClear), "22 answers in all, a small service")
+		Expect(upgrade.Judge(published, []upgrade.Evidence{evidence(counts{1, 0, 200, 0, 0, 0})}, upgrade.Unreported{Silent: 20}).Verdict).To(Equal(upgrade.VerdictOpen))
 	})
 
 	It("is granted for published answers", func() {
-		Expect(upgrade.Judge(told, []upgrade.Evidence{evidence(counts{6, 0, 200, 0, 0, 0})}, upgrade.Unreported{Silent: 20}).Verdict).To(Equal(upgrade.VerdictClear))
+		Expect(upgrade.Judge(published, []upgrade.Evidence{evidence(counts{6, 0, 200, 0, 0, 0})}, upgrade.Unreported{Silent: 20}).Verdict).To(Equal(upgrade.VerdictClear))
 	})
 })
 
--- a/internal/upgrade/pace_test.go
+++ b/internal/upgrade/pace_test.go
@@ -56,9 +56,9 @@
 	for name, l := range loadCases {
 		It("is compared at its own load: "+name, func() {
 			onTracker(func(t *upgrade.Tracker) {
-				note := func(version, endpoint string, requests int, pause time.Duration) {
+				note := func(version, endpoint string, requests int, gap time.Duration) {
 					t.Record(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r",
-						Finding: upgrade.Paced{Pace: upgrade.ShortestGap(pause), Requests: requests}})
+						Finding: upgrade.Paced{Pace: upgrade.ShortestGap(gap), Requests: requests}})
 				}
 				for range 40 {
 					note("v1", "old", 2, l.idleGap)
@@ -88,9 +88,9 @@
 	for name, c := range cases {
 		It("is compared by model: "+name, func() {
 			onTracker(func(t *upgrade.Tracker) {
-				note := func(version, endpoint, model string, pause time.Duration) {
+				note := func(version, endpoint, model string, gap time.Duration) {
 					t.Record(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r", Model: model,
-						Finding: upgrade.Paced{Pace: upgrade.ShortestGap(pause), Requests: 3}})
+						Finding: upgrade.Paced{Pace: upgrade.ShortestGap(gap), Requests: 3}})
 				}
 				usual := func() {
 					note("v1", "old", "large", 100*time.Millisecond)
--- a/internal/upgrade/turnsbad_test.go
+++ b/internal/upgrade/turnsbad_test.go
@@ -56,17 +56,17 @@
 }
 
 func TestVersionThatTurnsBad(t *testing.T) {
-	for when, part := range failureOnsets {
-		for how, w := range failureModes {
-			t.Run(when+", "+how, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playFailure(t, part, w) })
+	for onset, fraction := range failureOnsets {
+		for mode, w := range failureModes {
+			t.Run(onset+", "+mode, func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { playFailure(t, fraction, w) })
 			})
 		}
 	}
 }
 
 // playFailure runs an upgrade whose version turns bad at a fraction of its time.
-func playFailure(t *testing.T, part float64, w traffic) {
+func playFailure(t *testing.T, fraction float64, w traffic) {
 	const within = 24 * time.Second
 	RegisterTestingT(t)
 	h := newHosts(6)
@@ -75,7 +75,7 @@
 		h.serve(2*time.Second, traffic{}) // the old version's paces are the reference
 	}
 	h.order(7)
-	onset := time.Duration(part * float64(within))
+	onset := time.Duration(fraction * float64(within))
 	exposed := h.serve(onset, traffic{}) + h.serve(within-onset, w)
 	all := len(h.trackers) * int(within/(100*time.Millisecond))
 	Expect(exposed).To(BeNumerically("<=", maxExposure*float64(all)+exposureSlack), "of %d", all)
@@ -122,9 +122,9 @@
 // TestVersionThatTurnsBadBesideTrouble is TestVersionThatTurnsBad while hosts restart or the store
 // fails.
 func TestVersionThatTurnsBadBesideTrouble(t *testing.T) {
-	for what, disturb := range disturbances {
+	for name, disturb := range disturbances {
 		for _, onset := range []int{0, 13, 16, 19, 21} {
-			t.Run(fmt.Sprintf("%s, from second %d on", what, onset), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, from second %d on", name, onset), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) { playFailureWith(t, disturb, onset) })
 			})
 		}
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -184,8 +184,8 @@
 			h.serve(5*time.Second, traffic{})
 			h.order(7)
 			h.serve(12*time.Second, traffic{noTarget: true})
-			note := func(pause time.Duration) {
-				h.trackers[0].Record(upgrade.Report{Service: "s", Version: "v2", Endpoint: "new0", Route: "r", Finding: upgrade.Paced{Pace: upgrade.ShortestGap(pause), Requests: 5}})
+			note := func(gap time.Duration) {
+				h.trackers[0].Record(upgrade.Report{Service: "s", Version: "v2", Endpoint: "new0", Route: "r", Finding: upgrade.Paced{Pace: upgrade.ShortestGap(gap), Requests: 5}})
 				time.Sleep(time.Second)
 			}
 			for range 4 {
