--- a/internal/upgrade/judge.go
+++ b/internal/upgrade/judge.go
@@ -91,24 +91,24 @@
 // published answers.
 func Judge(own Evidence, others []Evidence, u Unreported) Judgement {
 	evidence := append([]Evidence{own}, others...)
-	all, recent, seconds := routesSinceOrder(evidence), recentRoutes(evidence), totalSeconds(evidence)
-	seen := sumRoutes(all, targetFailures(evidence) >= minSuspectFailures)
-	estimated := seen.withAssumedGood(func(_ string, p VersionCounts) int { return u.estimate(p, p, len(all), seconds) }).withFit()
-	lateTotals := sumRoutes(recent, seen.total.Target.Bad >= minSuspectFailures).withAssumedGood(func(route string, p VersionCounts) int {
-		silentHosts := u
-		silentHosts.Silent += len(all) - len(recent)
-		return silentHosts.estimate(p, estimated.countsOf(route), len(recent), seconds)
+	routesByHost, recentByHost, seconds := routesSinceOrder(evidence), recentRoutes(evidence), totalSeconds(evidence)
+	seen := sumRoutes(routesByHost, targetFailures(evidence) >= minSuspectFailures)
+	estimated := seen.withAssumedGood(func(_ string, p VersionCounts) int { return u.estimate(p, p, len(routesByHost), seconds) }).withFit()
+	recentTotals := sumRoutes(recentByHost, seen.total.Target.Bad >= minSuspectFailures).withAssumedGood(func(route string, p VersionCounts) int {
+		recentUnreported := u
+		recentUnreported.Silent += len(routesByHost) - len(recentByHost)
+		return recentUnreported.estimate(p, estimated.countsOf(route), len(recentByHost), seconds)
 	}).withReference(estimated)
-	j := Judgement{Seen: seen.total, Weighed: estimated.total, Recent: lateTotals.total, Silent: u.Silent}
+	j := Judgement{Seen: seen.total, Weighed: estimated.total, Recent: recentTotals.total, Silent: u.Silent}
 	if faultyEndpoints(evidence) >= minBadEndpoints {
 		if reason := estimated.firstFault(VersionCounts.fault); reason != "" {
 			return j.asBad(reason)
 		}
-		if reason := lateTotals.firstFault(VersionCounts.recentFault); reason != "" {
+		if reason := recentTotals.firstFault(VersionCounts.recentFault); reason != "" {
 			return j.asBad("lately " + reason)
 		}
 	}
-	if seen.total.enoughGood() && !estimated.total.failsBeyondEndpoints(baselineBadRate, clearLogThreshold) && lateTotals.looksGood() {
+	if seen.total.enoughGood() && !estimated.total.failsBeyondEndpoints(baselineBadRate, clearLogThreshold) && recentTotals.looksGood() {
 		j.Verdict = VerdictClear
 	}
 	return j
@@ -120,7 +120,7 @@
 	return j
 }
 
-// LikelyBad reports whether the target is more likely bad than good. An upgrade is not completed
+// LikelyBad reports whether the target is clearly more likely bad than good. An upgrade is not completed
 // while it is, since a completion cannot be undone: the lack of a bad verdict is not enough, and
 // the completion waits until the published counts attribute the failures to the endpoints.
 func (j Judgement) LikelyBad() bool {
