--- a/internal/upgrade/judge.go
+++ b/internal/upgrade/judge.go
@@ -28,8 +28,8 @@
 	minReferenceAnswers = 50
 )
 
-// Bounds of the judgement by pace. Answers of both versions are classed by the same
-// reference, so load that slows both moves both rates.
+// Thresholds of the judgement by pace. Answers of both versions are classified by the same
+// reference, so load that slows both raises both slow rates.
 const (
 	// minSlowExcess is how much higher the target's slow rate has to be. A good version with cold
 	// caches reads more prompts between its tokens than the others do.
@@ -48,7 +48,7 @@
 	minExpectedSlowRate = 0.05
 )
 
-// Evidence that a larger share needs.
+// Requirements for a larger share.
 const (
 	minClearAnswers    = 8    // of the target; if half of all answers failed, these would show it
 	minClearFast       = 3    // of these, not slow; a slow version has one in twenty
