--- a/internal/gateway/pauses.go
+++ b/internal/gateway/pauses.go
@@ -42,5 +42,5 @@
 		return
 	}
 	p.reported = true
-	a.reportPace(upgrade.Shortest(p.shortest))
+	a.reportPace(upgrade.ShortestGap(p.shortest))
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -382,7 +382,7 @@
 // of an endpoint count as one: if it fails at each of its starts, the fault is the endpoint's.
 func (a *attempt) reportFinding(f upgrade.Finding) {
 	e := a.hold.Endpoint
-	a.x.g.Upgrades.Note(upgrade.Report{
+	a.x.g.Upgrades.Record(upgrade.Report{
 		Service: a.x.service, Version: e.Version, Endpoint: e.Instance, Route: a.x.route.Name, Model: a.model, Finding: f,
 	})
 }
--- a/internal/gateway/unary.go
+++ b/internal/gateway/unary.go
@@ -83,7 +83,7 @@
 	failed := a.response.StatusCode >= http.StatusInternalServerError
 	a.reportFinding(upgrade.Answered{Failed: failed})
 	if !failed {
-		a.reportPace(upgrade.Whole(clock.Since(a.sentAt)))
+		a.reportPace(upgrade.ResponseTime(clock.Since(a.sentAt)))
 	}
 	if resp.truncated {
 		return resp, nil
--- a/internal/upgrade/completion_test.go
+++ b/internal/upgrade/completion_test.go
@@ -15,47 +15,47 @@
 )
 
 var _ = Describe("the completion of an upgrade", func() {
-	It("waits for failures that another host has just told, though the news has not arrived", func() {
+	It("waits for failures that another host has just published, though this host has not received them", func() {
 		suite.Paused(func() {
 			h := newHosts(2)
 			defer h.stop()
 			h.order(7)
 			h.serve(22*time.Second, traffic{})
-			h.watches[0].deaf.Store(true)
+			h.watches[0].stalled.Store(true)
 			time.Sleep(300 * time.Millisecond)
-			h.answers(1, 3, 2)
-			h.answers(0, 1, 0)
+			h.recordAnswers(1, 3, 2)
+			h.recordAnswers(0, 1, 0)
 			time.Sleep(700 * time.Millisecond)
 			Expect(h.status()).To(MatchJSON(underWay))
 		})
 	})
 
-	It("hears of each failure in the last stage at once", func() {
+	It("sees each failure in the last stage published at once", func() {
 		suite.Paused(func() {
 			h := newHosts(2)
 			defer h.stop()
 			h.order(7)
 			h.serve(22*time.Second, traffic{})
-			h.answers(1, 3, 3)
+			h.recordAnswers(1, 3, 3)
 			time.Sleep(300 * time.Millisecond)
-			Expect(h.toldBy("host-1").Bad).To(Equal(3))
+			Expect(h.publishedBy("host-1").Bad).To(Equal(3))
 		})
 	})
 
-	It("does not wait for failures of long ago, of which nothing more is told", func() {
+	It("does not wait for old failures without new evidence", func() {
 		suite.Paused(func() {
 			h := newHosts(2)
 			defer h.stop()
 			h.order(7)
 			h.serve(22*time.Second, traffic{})
-			h.answers(1, 3, 2)
+			h.recordAnswers(1, 3, 2)
 			h.trackers = h.trackers[:1]
 			h.serve(3500*time.Millisecond, traffic{})
 			Expect(h.status()).To(MatchJSON(completed))
 		})
 	})
 
-	It("needs an answer since all keys go to the target", func() {
+	It("needs an answer given since all keys go to the target", func() {
 		suite.Paused(func() {
 			h := newHosts(6)
 			defer h.stop()
--- a/internal/upgrade/fault_test.go
+++ b/internal/upgrade/fault_test.go
@@ -7,33 +7,35 @@
 	"quaybarrow/internal/clock"
 )
 
-// asOften is a judgement on a target that fails half of its answers, as all endpoints of the others but one do.
-func asOften() Judgement {
-	j := Judgement{Weighed: Pair{Target: Count{Bad: 20, Good: 20}, Other: Count{Bad: 90, Good: 110}, TargetBy: Tallies{}, OtherBy: Tallies{}}}
+// judgementOfEqualFailures returns a judgement of a target that fails half of its answers, as all
+// but one of the other versions' endpoints do.
+func judgementOfEqualFailures() Judgement {
+	j := Judgement{Weighed: VersionCounts{Target: Count{Bad: 20, Good: 20}, Other: Count{Bad: 90, Good: 110}, TargetByEndpoint: Tallies{}, OtherByEndpoint: Tallies{}}}
 	for n := range 40 {
-		j.Weighed.TargetBy.add(tallyOf(fmt.Sprint("new", n%4), n%8 < 4))
+		j.Weighed.TargetByEndpoint.add(tallyOne(fmt.Sprint("new", n%4), n%8 < 4))
 	}
 	for n := range 200 {
-		j.Weighed.OtherBy.add(tallyOf(fmt.Sprint("old", n%10), n%10 > 0 && n/10%2 == 0))
+		j.Weighed.OtherByEndpoint.add(tallyOne(fmt.Sprint("old", n%10), n%10 > 0 && n/10%2 == 0))
 	}
 	return j
 }
 
-// TestHostStopsAVersionThatFailsAsOthersDo guards against hosts that go on with it until the row tells them.
+// TestHostStopsAVersionThatFailsAsOthersDo guards against hosts that use such a version until they
+// read its roll-back from the progress row.
 func TestHostStopsAVersionThatFailsAsOthersDo(t *testing.T) {
 	now := clock.Now()
-	for what, c := range map[string]struct {
-		s    service
+	for name, c := range map[string]struct {
+		s    serviceUpgrade
 		stop bool
 	}{
-		"while a larger share is not due":      {service{progress: Progress{Revision: 1, Stage: 0}, manySince: now.Add(-decideWithin / 2)}, false},
-		"once the last share is written":       {service{progress: Progress{Revision: 1, Stage: lastStage}}, true},
-		"long after many failures":             {service{progress: Progress{Revision: 1, Stage: 0}, manySince: now.Add(-decideWithin)}, true},
-		"that has been stopped is not decided": {service{progress: Progress{Revision: 1, Stage: 0}, manySince: now.Add(-decideWithin), condemned: "bad answers"}, false},
+		"while a larger share is not due":              {serviceUpgrade{progress: Progress{Revision: 1, Stage: 0}, manyFailuresAt: now.Add(-maxUndecided / 2)}, false},
+		"once the last share is written":               {serviceUpgrade{progress: Progress{Revision: 1, Stage: lastStage}}, true},
+		"long after many failures":                     {serviceUpgrade{progress: Progress{Revision: 1, Stage: 0}, manyFailuresAt: now.Add(-maxUndecided)}, true},
+		"not again once the host has stopped using it": {serviceUpgrade{progress: Progress{Revision: 1, Stage: 0}, manyFailuresAt: now.Add(-maxUndecided), rejectReason: "bad answers"}, false},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			c.s.order.Revision, c.s.row.Version, c.s.judgedAt = 1, 1, now
-			if got := c.s.faultIn(asOften()); (got != "") != c.stop {
+			if got := c.s.reasonToReject(judgementOfEqualFailures()); (got != "") != c.stop {
 				t.Errorf("fault %q, stop %v", got, c.stop)
 			}
 		})
--- a/internal/upgrade/pace_test.go
+++ b/internal/upgrade/pace_test.go
@@ -19,20 +19,20 @@
 	"net/http"
 )
 
-// Pauses of the version in use, idle and with many requests, and what a new version's
-// endpoints show that have few yet.
-var loads = map[string]struct {
-	idle, full, target time.Duration
-	bad                bool
+// loadCases hold the old version's gaps without load and with many requests, and the gap of a new
+// version's endpoints with few requests.
+var loadCases = map[string]struct {
+	idleGap, fullGap, targetGap time.Duration
+	bad                         bool
 }{
-	"slow, though not beside full endpoints":  {10 * time.Millisecond, 22 * time.Millisecond, 25 * time.Millisecond, true},
-	"as fast as idle endpoints":               {10 * time.Millisecond, 22 * time.Millisecond, 11 * time.Millisecond, false},
-	"slower than idle ones, but not by much":  {10 * time.Millisecond, 22 * time.Millisecond, 17 * time.Millisecond, false},
-	"where endpoints are as fast when full":   {10 * time.Millisecond, 10 * time.Millisecond, 11 * time.Millisecond, false},
-	"slow where load makes nothing of a step": {10 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, true},
+	"slow, though not compared with loaded endpoints": {10 * time.Millisecond, 22 * time.Millisecond, 25 * time.Millisecond, true},
+	"as fast as idle endpoints":                       {10 * time.Millisecond, 22 * time.Millisecond, 11 * time.Millisecond, false},
+	"somewhat slower than idle endpoints":             {10 * time.Millisecond, 22 * time.Millisecond, 17 * time.Millisecond, false},
+	"as fast, where load does not slow endpoints":     {10 * time.Millisecond, 10 * time.Millisecond, 11 * time.Millisecond, false},
+	"slow, where load does not slow endpoints":        {10 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, true},
 }
 
-// onTracker runs a body with a tracker of a host that is alone, under the paused clock.
+// onTracker runs body with the tracker of a single host, under the paused clock.
 func onTracker(body func(t *upgrade.Tracker)) {
 	suite.Paused(func() {
 		network, store := memnet.New(), standin.NewStore()
@@ -52,22 +52,22 @@
 	})
 }
 
-var _ = Describe("a version whose endpoints have few requests while the others are full", func() {
-	for name, l := range loads {
-		It("is judged at its own load: "+name, func() {
+var _ = Describe("a version whose endpoints have few requests while the others have many", func() {
+	for name, l := range loadCases {
+		It("is compared at its own load: "+name, func() {
 			onTracker(func(t *upgrade.Tracker) {
-				note := func(version, endpoint string, requests int, pause time.Duration) {
-					t.Note(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r",
-						Finding: upgrade.Paced{Pace: upgrade.Shortest(pause), Requests: requests}})
+				note := func(version, endpoint string, requests int, gap time.Duration) {
+					t.Record(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r",
+						Finding: upgrade.Paced{Pace: upgrade.ShortestGap(gap), Requests: requests}})
 				}
 				for range 40 {
-					note("v1", "old", 2, l.idle)
+					note("v1", "old", 2, l.idleGap)
 				}
 				t.Order(upgrade.Order{Service: "s", Target: "v2", Within: 20 * time.Second, Revision: 3})
 				time.Sleep(time.Second)
 				for i := range 40 {
-					note("v1", "old", 100, l.full)
-					note("v2", []string{"a", "b"}[i%2], 3, l.target)
+					note("v1", "old", 100, l.fullGap)
+					note("v2", []string{"a", "b"}[i%2], 3, l.targetGap)
 				}
 				time.Sleep(10 * time.Second)
 				Expect(t.Allowed("s", 0)("v2")).To(Equal(!l.bad))
@@ -76,9 +76,9 @@
 	}
 })
 
-var _ = Describe("a version whose streams are a larger model's more often than others'", func() {
+var _ = Describe("a version with a higher fraction of a larger model's streams than the others", func() {
 	cases := map[string]struct {
-		small, large time.Duration // its pauses
+		small, large time.Duration // the target's gaps with each model
 		bad          bool
 	}{
 		"as fast with each model":         {11 * time.Millisecond, 105 * time.Millisecond, false},
@@ -86,11 +86,11 @@
 		"slow with the smaller model too": {30 * time.Millisecond, 290 * time.Millisecond, true},
 	}
 	for name, c := range cases {
-		It("is judged by model: "+name, func() {
+		It("is compared by model: "+name, func() {
 			onTracker(func(t *upgrade.Tracker) {
-				note := func(version, endpoint, model string, pause time.Duration) {
-					t.Note(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r", Model: model,
-						Finding: upgrade.Paced{Pace: upgrade.Shortest(pause), Requests: 3}})
+				note := func(version, endpoint, model string, gap time.Duration) {
+					t.Record(upgrade.Report{Service: "s", Version: version, Endpoint: endpoint, Route: "r", Model: model,
+						Finding: upgrade.Paced{Pace: upgrade.ShortestGap(gap), Requests: 3}})
 				}
 				usual := func() {
 					note("v1", "old", "large", 100*time.Millisecond)
--- a/internal/upgrade/tracker.go
+++ b/internal/upgrade/tracker.go
@@ -12,81 +12,81 @@
 	"quaybarrow/internal/wake"
 )
 
-// Table is where progress and evidence are kept: a row named after the service
-// for the one, rows named SERVICE/HOST for the other.
+// Table is the store's table of progress and evidence. The key of a progress row is SERVICE, that
+// of an evidence row is SERVICE/HOST.
 const Table = "upgrades"
 
-// Options set up a Tracker.
+// Options configures a Tracker.
 type Options struct {
 	Host   string
 	Tables store.Tables
 	Watch  store.Watcher
 	Fleet  *fleet.Fleet
 	Logger *log.Logger
-	// Hosts counts the hosts that serve.
+	// Hosts returns the number of serving hosts.
 	Hosts func() int
-	// Exposure is the most that a bad version may get of a service's requests during its
-	// upgrade, as a part of all of them; 0 for the default.
+	// Exposure is the largest fraction of a service's requests that a bad version may get during
+	// its upgrade; 0 selects the default.
 	Exposure float64
-	// Status encodes an upgrade's outcome for operators.
+	// Status encodes an upgrade's outcome as a write for operators.
 	Status func(service, target string, o Outcome) (store.Write, error)
 }
 
-// Tracker follows the upgrades of all services on a host; safe for use at once.
+// Tracker follows the upgrades of all services on a host. It is safe for concurrent use.
 type Tracker struct {
 	options Options
 	wake    wake.Signal
 
-	mu       sync.Mutex // guards all below
-	services map[string]*service
-	settled  map[string]string         // by service, its version while it had only one
-	listed   map[string]map[string]int // by service and version, endpoints
-	rows     map[string]store.Change   // newest ones of the shared table, by key
-	caughtUp bool                      // rows have all that the table held when it was read
-	paces    map[paceName]*paces       // usual ones
+	mu              sync.Mutex // guards the fields below
+	services        map[string]*serviceUpgrade
+	initialVersions map[string]string          // by service: its only version, or the most common one when it was first seen
+	endpointCounts  map[string]map[string]int  // by service and version
+	rows            map[string]store.Change    // latest rows of the shared table, by key
+	caughtUp        bool                       // rows include all that the table held when it was read
+	paceReferences  map[paceKey]*paceReference // of versions not on trial
 }
 
-// service is the newest upgrade of a service.
-type service struct {
-	order        Order
-	schedule     Schedule
-	seen         clock.Instant // when the order was
-	progress     Progress
-	row          store.Row       // of the progress; version 0 if there is none
-	condemned    string          // why this host has stopped using the target; "" if it has not
-	verdict      Verdict         // on the target, as logged last
-	own          Evidence        // since the order; what is recent is in lately
-	lately       recently        // what this host saw
-	published    Count           // of the target in the evidence that was written last
-	told         Count           // of the target in its recent part, or fewer that are recent by now
-	answeredLast int             // answers of the target that this host saw since all keys go to it
-	recalled     bool            // own has what an earlier life of this host told
-	asked        bool            // the store was read for a better idea of its clock
-	writeAt      clock.Instant   // progress is not written before
-	publishedAt  clock.Instant   // when evidence was written last
-	failsSince   clock.Instant   // when this host first knew of a failure of the target
-	manySince    clock.Instant   // the same of as many as show a bad version
-	others       map[string]told // by host
-	judgedAt     clock.Instant
-	unjudged     bool // there is evidence that came after it
+// serviceUpgrade is the newest upgrade of a service.
+type serviceUpgrade struct {
+	order            Order
+	schedule         Schedule
+	orderedAt        clock.Instant // when this host received the order
+	progress         Progress
+	row              store.Row                 // of the progress; version 0 if there is none
+	rejectReason     string                    // why this host has stopped using the target; "" if it has not
+	verdict          Verdict                   // as logged last
+	own              Evidence                  // this host's evidence since the order; Recent is derived from the recent field
+	recent           recentCounts              // this host's recent counts
+	publishedTotal   Count                     // of the target, in the evidence published last
+	publishedRecent  Count                     // of the target, in the recent part of that evidence; lowered as answers cease to be recent
+	lastStageAnswers int                       // answers of the target seen by this host since all keys go to it
+	restored         bool                      // own includes what an earlier process of this host published
+	clockRefreshed   bool                      // the store was read to narrow the bounds of its clock
+	nextWriteAt      clock.Instant             // earliest time of the next progress write
+	publishedAt      clock.Instant             // when evidence was published last
+	firstFailureAt   clock.Instant             // when this host first knew of a failure of the target
+	manyFailuresAt   clock.Instant             // when this host first knew of overdueFailures failures of the target
+	others           map[string]remoteEvidence // by host
+	judgedAt         clock.Instant
+	judgePending     bool // evidence has arrived since judgedAt
 }
 
-// told is another host's evidence.
-type told struct {
+// remoteEvidence is the evidence published by another host.
+type remoteEvidence struct {
 	Evidence
-	version int64         // of its row
-	at      clock.Instant // when it arrived
+	version    int64 // of its row
+	receivedAt clock.Instant
 }
 
-// NewTracker returns a tracker that knows of no upgrade.
+// NewTracker returns a tracker without upgrades.
 func NewTracker(options Options) *Tracker {
 	return &Tracker{
 		options: options, wake: wake.NewSignal(),
-		services: map[string]*service{}, settled: map[string]string{}, listed: map[string]map[string]int{}, rows: map[string]store.Change{}, paces: map[paceName]*paces{},
+		services: map[string]*serviceUpgrade{}, initialVersions: map[string]string{}, endpointCounts: map[string]map[string]int{}, rows: map[string]store.Change{}, paceReferences: map[paceKey]*paceReference{},
 	}
 }
 
-// Order takes note of an operator's order.
+// Order starts following an operator's order, unless a newer one of the service is known.
 func (t *Tracker) Order(o Order) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,34 +94,34 @@
 	if known && old.order.Revision >= o.Revision {
 		return
 	}
-	s := &service{
-		order: o, schedule: NewSchedule(t.options.Exposure, o.Within), seen: clock.Now(),
-		own: Evidence{Revision: o.Revision, Routes: map[string]Pair{}}, others: map[string]told{},
+	s := &serviceUpgrade{
+		order: o, schedule: NewSchedule(t.options.Exposure, o.Within), orderedAt: clock.Now(),
+		own: Evidence{Revision: o.Revision, Routes: map[string]VersionCounts{}}, others: map[string]remoteEvidence{},
 	}
 	if known {
 		s.progress, s.row = old.progress, old.row
 	}
 	t.services[o.Service] = s
-	t.recall(s)
+	t.replayRows(s)
 	t.options.Logger.Info("upgrade ordered", "service", o.Service, "target", o.Target, "within", o.Within.String(), "revision", o.Revision)
 	t.wake.Poke()
 }
 
-// Report is what an answer told of a version.
+// Report is an observation of one answer, with the version and endpoint that gave it.
 type Report struct {
 	Service, Version, Endpoint string
 	Route, Model               string // Model is empty where requests name none
 	Finding                    Finding
 }
 
-// Finding is what was seen of an answer.
+// Finding is the observed property of an answer.
 type Finding interface{ finding() }
 
-// Answered is an answer that the endpoint made, or its own word that it failed.
+// Answered is an answer by the endpoint; Failed includes the endpoint's own report that it failed.
 type Answered struct{ Failed bool }
 
-// Paced is how fast an answer came, or the part of it that is there, from an
-// endpoint that had so many requests.
+// Paced is the pace of an answer, or of the part received so far, from an endpoint with the given
+// number of requests.
 type Paced struct {
 	Pace     Pace
 	Requests int
@@ -130,78 +130,78 @@
 func (Answered) finding() {}
 func (Paced) finding()    {}
 
-// Note takes in what an answer told. Paces of versions that are not being tried are
-// the reference for those that are. Answers of a target are counted also once its upgrade
-// is over, so that the log tells when a version turns bad that is in use.
-func (t *Tracker) Note(r Report) {
+// Record counts a report. Paces of versions that are not on trial are the reference for those that
+// are. Answers of a target are counted also after its upgrade, so that the log shows when a version
+// in use turns bad.
+func (t *Tracker) Record(r Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, ok := t.services[r.Service]
 	if !ok {
-		t.class(r, false)
+		t.classify(r, false)
 		return
 	}
 	target := r.Version == s.order.Target
-	count := t.class(r, target && !s.finished())
+	count := t.classify(r, target && !s.finished())
 	if count == (Count{}) || (s.finished() && !target) {
 		return
 	}
 	if !target {
-		s.count(r.Route, r.ofOthers(count, t.sharing(s)))
+		s.count(r.Route, r.otherCounts(count, t.targetHasShare(s)))
 		return
 	}
-	s.count(r.Route, r.ofTarget(count))
-	if count.answers() > 0 && t.inLastStage(s) {
-		s.answeredLast++
+	s.count(r.Route, r.targetCounts(count))
+	if count.answers() > 0 && t.lastStageStarted(s) {
+		s.lastStageAnswers++
 	}
 	if count.Bad > 0 || count.Slow > 0 {
-		s.own.blame(r.Endpoint)
+		s.own.addFaultyEndpoint(r.Endpoint)
 	}
-	if count.Bad > 0 && !s.othersFail() {
-		t.wake.Poke() // others should know at once
+	if count.Bad > 0 && !s.othersHaveFailed() {
+		t.wake.Poke() // publish the failure at once
 	}
 	t.judge(s)
 }
 
-// inLastStage reports whether all keys go to the target by now.
-func (t *Tracker) inLastStage(s *service) bool {
+// lastStageStarted reports whether all keys go to the target now.
+func (t *Tracker) lastStageStarted(s *serviceUpgrade) bool {
 	now, known := t.options.Watch.Now()
-	return known && s.begun() && s.progress.Stage == lastStage && s.progress.raised(s.progress.elapsedAt(now))
+	return known && s.hasBegun() && s.progress.Stage == lastStage && s.progress.stageStarted(s.progress.elapsedAt(now))
 }
 
-// sharing reports whether some keys go to the target by now.
-func (t *Tracker) sharing(s *service) bool {
+// targetHasShare reports whether some keys go to the target now.
+func (t *Tracker) targetHasShare(s *serviceUpgrade) bool {
 	now, known := t.options.Watch.Now()
-	return known && s.begun() && s.progress.Share(s.progress.elapsedAt(now), s.schedule) > 0
+	return known && s.hasBegun() && s.progress.Share(s.progress.elapsedAt(now), s.schedule) > 0
 }
 
 // count adds an answer to this host's evidence.
-func (s *service) count(route string, p Pair) {
-	addTo(s.own.Routes, route, p)
-	s.lately.add(clock.Now(), route, p)
+func (s *serviceUpgrade) count(route string, p VersionCounts) {
+	addToRoute(s.own.Routes, route, p)
+	s.recent.add(clock.Now(), route, p)
 }
 
-// ofTarget is a report's answer as one of the target.
-func (r Report) ofTarget(c Count) Pair {
-	p := Pair{Target: c}
+// targetCounts returns a report's counts as those of the target.
+func (r Report) targetCounts(c Count) VersionCounts {
+	p := VersionCounts{Target: c}
 	if c.answers() > 0 {
-		p.TargetBy = tallyOf(r.Endpoint, c.Bad > 0)
+		p.TargetByEndpoint = tallyOne(r.Endpoint, c.Bad > 0)
 	}
 	return p
 }
 
-// ofOthers is a report's answer as one of another version, by endpoint only while the
-// target has a share.
-func (r Report) ofOthers(c Count, sharing bool) Pair {
-	p := Pair{Other: c}
-	if sharing && c.answers() > 0 {
-		p.OtherBy = tallyOf(r.Endpoint, c.Bad > 0)
+// otherCounts returns a report's counts as those of another version; they are kept by endpoint only
+// while the target has a share.
+func (r Report) otherCounts(c Count, targetHasShare bool) VersionCounts {
+	p := VersionCounts{Other: c}
+	if targetHasShare && c.answers() > 0 {
+		p.OtherByEndpoint = tallyOne(r.Endpoint, c.Bad > 0)
 	}
 	return p
 }
 
-// class counts a report; nothing if it can't be told yet.
-func (t *Tracker) class(r Report, target bool) Count {
+// classify returns a report's counts; they are zero if its pace has no reference yet.
+func (t *Tracker) classify(r Report, target bool) Count {
 	switch f := r.Finding.(type) {
 	case Answered:
 		if f.Failed {
@@ -209,22 +209,22 @@
 		}
 		return Count{Good: 1}
 	case Paced:
-		return t.classPace(r, f, target)
+		return t.classifyPace(r, f, target)
 	default:
 		return Count{}
 	}
 }
 
-func (t *Tracker) classPace(r Report, f Paced, target bool) Count {
-	name := paceName{r.Service, r.Route, r.Model}
-	usual, ok := t.paces[name]
+func (t *Tracker) classifyPace(r Report, f Paced, target bool) Count {
+	key := paceKey{r.Service, r.Route, r.Model}
+	reference, ok := t.paceReferences[key]
 	if !ok {
-		usual = newPaces()
-		t.paces[name] = usual
+		reference = newPaceReference()
+		t.paceReferences[key] = reference
 	}
-	slow, known := usual.slow(f.Requests, f.Pace)
+	slow, known := reference.slow(f.Requests, f.Pace)
 	if !target {
-		usual.add(f.Requests, f.Pace)
+		reference.add(f.Requests, f.Pace)
 	}
 	switch {
 	case !known:
@@ -236,19 +236,19 @@
 	}
 }
 
-// judgement weighs what all hosts have told. What a host told as recent is so for a
-// while; one that tells nothing new has seen nothing worse.
-func (t *Tracker) judgement(s *service) Judgement {
-	return s.judgement(t.untold(s, clock.Now()))
+// judgement judges the evidence of all hosts. A host's recent counts remain valid for recentSpan
+// after they arrive; a host that publishes nothing new has seen nothing worse.
+func (t *Tracker) judgement(s *serviceUpgrade) Judgement {
+	return s.judgement(t.unreported(s, clock.Now()))
 }
 
-// judgement weighs it with what nobody has told.
-func (s *service) judgement(u Untold) Judgement {
+// judgement judges the evidence of all hosts with the given estimate of unpublished answers.
+func (s *serviceUpgrade) judgement(u Unreported) Judgement {
 	now := clock.Now()
 	others := make([]Evidence, 0, len(s.others))
 	for _, o := range s.others {
 		e := o.Evidence
-		if now.Sub(o.at) > recentSpan {
+		if now.Sub(o.receivedAt) > recentSpan {
 			e.Recent = nil
 		}
 		others = append(others, e)
@@ -256,70 +256,74 @@
 	return Judge(s.evidence(now), others, u)
 }
 
-// evidence is what this host has seen.
-func (s *service) evidence(now clock.Instant) Evidence {
+// evidence returns this host's evidence.
+func (s *serviceUpgrade) evidence(now clock.Instant) Evidence {
 	e := s.own
-	e.Recent = s.lately.counts(now)
-	e.Seconds += now.Sub(s.seen).Seconds()
+	e.Recent = s.recent.counts(now)
+	e.Seconds += now.Sub(s.orderedAt).Seconds()
 	return e
 }
 
-// judge weighs the evidence, and stops the use of the target on this host once it is bad;
-// a moment later if it was weighed a moment ago.
-func (t *Tracker) judge(s *service) {
-	if s.unjudged = clock.Since(s.judgedAt) < judgeEvery; s.unjudged {
+// judge judges the evidence and, if the target is bad, stops its use on this host. If the last
+// judgement is less than judgeInterval old, it leaves the judgement to a later step.
+func (t *Tracker) judge(s *serviceUpgrade) {
+	if s.judgePending = clock.Since(s.judgedAt) < judgeInterval; s.judgePending {
 		return
 	}
 	s.judgedAt = clock.Now()
 	j := t.judgement(s)
-	if s.failsSince.IsZero() && j.Seen.Target.Bad > 0 {
-		s.failsSince = s.judgedAt
+	if s.firstFailureAt.IsZero() && j.Seen.Target.Bad > 0 {
+		s.firstFailureAt = s.judgedAt
 	}
-	if s.manySince.IsZero() && j.Seen.Target.Bad >= manyFailures {
-		s.manySince = s.judgedAt
+	if s.manyFailuresAt.IsZero() && j.Seen.Target.Bad >= overdueFailures {
+		s.manyFailuresAt = s.judgedAt
 	}
-	t.believe(s, j)
-	if s.condemned != "" || s.finished() {
+	t.recordVerdict(s, j)
+	if s.rejectReason != "" || s.finished() {
 		return
 	}
-	if s.condemned = s.faultIn(j); s.condemned == "" {
+	if s.rejectReason = s.reasonToReject(j); s.rejectReason == "" {
 		return
 	}
 	fields := []any{"service", s.order.Service, "target", s.order.Target, "hosts", len(s.others) + 1}
-	t.options.Logger.Warn("version found bad; it gets nothing more from this host", append(append(fields, "cause", s.condemned), j.fields()...)...)
+	t.options.Logger.Warn("version found bad; this host stops using it", append(append(fields, "cause", s.rejectReason), j.fields()...)...)
 	t.wake.Poke()
 }
 
-// mayBeItsOwn is why a version is taken back that can't be told from a bad one.
-const mayBeItsOwn = "failures that may be its own, beside endpoints that fail"
+// reasonMayBeBad is the reason for rolling back a version that cannot be distinguished from a bad
+// one.
+const reasonMayBeBad = "failures that may be its own, beside endpoints that fail"
 
-// Bounds on how long a version is used that may be bad: users allow nothing sent to a bad one 5 s
-// after so many of its answers have failed, and hosts know of these up to a second late.
+// Limits on how long a possibly bad version is used. Users allow no request to a bad version later
+// than 5 s after so many of its answers have failed, and hosts learn of failures up to a second
+// late.
 const (
-	manyFailures = 50
-	decideWithin = 3 * time.Second
+	overdueFailures = 50
+	maxUndecided    = 3 * time.Second
 )
 
-// faultIn returns why a judgement has this host stop using the target; "" if it does not. Failures that
-// may be its own are weighed as larger shares are written; nothing else looks at them again once the last
-// one is, which goes by what was known a second before it begins, or while the next share is not due.
-func (s *service) faultIn(j Judgement) string {
+// reasonToReject returns why this host stops using the target after a judgement; "" if it does not.
+// MayBeBad is otherwise checked only when a larger share is written. That is not enough in two
+// cases: after the last share is written, on evidence from a second before it begins; and while the
+// next share is not due.
+func (s *serviceUpgrade) reasonToReject(j Judgement) string {
 	switch {
 	case j.Verdict == VerdictBad:
 		return j.Reason
-	case s.mustDecide() && j.MayBeItsOwn():
-		return mayBeItsOwn
+	case s.mustDecideNow() && j.MayBeBad():
+		return reasonMayBeBad
 	default:
 		return ""
 	}
 }
 
-// mustDecide reports whether a version that may be bad has to be taken back now.
-func (s *service) mustDecide() bool {
-	return s.begun() && (s.progress.Stage == lastStage || s.overdue(s.judgedAt))
+// mustDecideNow reports whether a version that may be bad must be rolled back now.
+func (s *serviceUpgrade) mustDecideNow() bool {
+	return s.hasBegun() && (s.progress.Stage == lastStage || s.overdue(s.judgedAt))
 }
 
-// overdue reports whether this host has known of many failures for long, and still uses the version.
-func (s *service) overdue(now clock.Instant) bool {
-	return s.condemned == "" && !s.manySince.IsZero() && now.Sub(s.manySince) >= decideWithin
+// overdue reports whether this host still uses the target maxUndecided after it learned of
+// overdueFailures failures.
+func (s *serviceUpgrade) overdue(now clock.Instant) bool {
+	return s.rejectReason == "" && !s.manyFailuresAt.IsZero() && now.Sub(s.manyFailuresAt) >= maxUndecided
 }
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -48,19 +48,19 @@
 			defer h.stop()
 			h.serve(5*time.Second, traffic{})
 			h.order(7)
-			exposed := h.serve(20*time.Second, traffic{pause: 25 * time.Millisecond})
+			exposed := h.serve(20*time.Second, traffic{gap: 25 * time.Millisecond})
 			Expect(h.status()).To(MatchJSON(`{"state":"rolled_back","target_version":"v2"}`))
 			Expect(exposed).To(BeNumerically("<", 60))
 		})
 	})
 
-	It("of a good version among many hosts completes, though unlucky ones see many slow streams", func() {
+	It("of a good version among many hosts completes, though some see many slow streams by chance", func() {
 		suite.Paused(func() {
 			h := newHosts(60)
 			defer h.stop()
-			h.serve(5*time.Second, traffic{noise: 3})
+			h.serve(5*time.Second, traffic{slowEvery: 3})
 			h.order(7)
-			h.serve(23900*time.Millisecond, traffic{noise: 3})
+			h.serve(23900*time.Millisecond, traffic{slowEvery: 3})
 			Expect(h.status()).To(MatchJSON(`{"state":"completed","target_version":"v2"}`), "%s", h.store.Value(upgrade.Table, "s"))
 		})
 	})
@@ -70,9 +70,9 @@
 			suite.Paused(func() {
 				h := newHosts(n)
 				defer h.stop()
-				h.serve(5*time.Second, traffic{grey: 25})
+				h.serve(5*time.Second, traffic{failEvery: 25})
 				h.order(7)
-				h.serve(23900*time.Millisecond, traffic{grey: 25})
+				h.serve(23900*time.Millisecond, traffic{failEvery: 25})
 				Expect(h.status()).To(MatchJSON(`{"state":"completed","target_version":"v2"}`), "%d hosts: %s", n, h.store.Value(upgrade.Table, "s"))
 			})
 		}
@@ -83,7 +83,7 @@
 			h := newHosts(5)
 			defer h.stop()
 			h.order(7)
-			h.serve(25*time.Second, traffic{shy: true})
+			h.serve(25*time.Second, traffic{noTarget: true})
 			Expect(h.status()).To(MatchJSON(`{"state":"running","target_version":"v2"}`))
 			allowed := 0
 			for n := range uint64(1000) {
@@ -95,7 +95,7 @@
 		})
 	})
 
-	It("gets no larger share while the store is away, and completes after", func() {
+	It("gets no larger share while the store is unavailable, and completes afterwards", func() {
 		suite.Paused(func() {
 			h := newHosts(5)
 			defer h.stop()
@@ -110,7 +110,7 @@
 		})
 	})
 
-	It("goes on when all but one host are gone", func() {
+	It("continues when all hosts but one have stopped", func() {
 		suite.Paused(func() {
 			h := newHosts(4)
 			defer h.stop()
@@ -136,20 +136,20 @@
 		})
 	})
 
-	It("that was decided stays decided for a host that starts later", func() {
+	It("that has an outcome keeps it on a host that starts later", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
 			h.order(7)
 			h.serve(20*time.Second, traffic{badEvery: 2})
-			late := newLate(h, 0)
+			late := newLateTracker(h, 0)
 			late.Order(upgrade.Order{Service: "s", Target: "v2", Within: 24 * time.Second, Revision: 7})
 			time.Sleep(2 * time.Second)
 			Expect(late.Allowed("s", 1)("v2")).To(BeFalse())
 		})
 	})
 
-	It("moves nothing in the first half, though hosts hear late what the store's clock showed", func() {
+	It("moves nothing in the first half, though reads of the store's clock are delayed", func() {
 		suite.Paused(func() {
 			h := newLaggedHosts(5, time.Second)
 			defer h.stop()
@@ -163,45 +163,45 @@
 		})
 	})
 
-	It("of a good version among 300 hosts of little traffic each completes in time, with few writes", func() {
+	It("of a good version among 300 hosts with little traffic each completes in time, with few writes", func() {
 		suite.Paused(func() {
 			h := newHosts(300)
 			defer h.stop()
-			h.serve(5*time.Second, traffic{thin: 20})
+			h.serve(5*time.Second, traffic{oneHostIn: 20})
 			h.order(7)
-			h.serve(21*time.Second, traffic{thin: 20})
-			Expect(h.share()).To(BeNumerically(">", 0.2), "a quarter of the keys 1.6 s after it may have them at the earliest")
-			h.serve(2900*time.Millisecond, traffic{thin: 20})
+			h.serve(21*time.Second, traffic{oneHostIn: 20})
+			Expect(h.targetShare()).To(BeNumerically(">", 0.2), "a quarter of the keys 1.6 s after the earliest time for it")
+			h.serve(2900*time.Millisecond, traffic{oneHostIn: 20})
 			Expect(h.status()).To(MatchJSON(`{"state":"completed","target_version":"v2"}`))
-			Expect(h.store.Writes()).To(BeNumerically("<", 100), "494 to 513 with turns spread evenly and evidence at set times")
+			Expect(h.store.Writes()).To(BeNumerically("<", 100), "494 to 513 with evenly spread write delays and evidence published at fixed intervals")
 		})
 	})
 
-	It("is told of as answers come, and not as slow ones do", func() {
+	It("is published as answers arrive, but not for each slow one", func() {
 		suite.Paused(func() {
 			h := newHosts(1)
 			defer h.stop()
 			h.serve(5*time.Second, traffic{})
 			h.order(7)
-			h.serve(12*time.Second, traffic{shy: true})
-			note := func(pause time.Duration) {
-				h.trackers[0].Note(upgrade.Report{Service: "s", Version: "v2", Endpoint: "new0", Route: "r", Finding: upgrade.Paced{Pace: upgrade.Shortest(pause), Requests: 5}})
+			h.serve(12*time.Second, traffic{noTarget: true})
+			note := func(gap time.Duration) {
+				h.trackers[0].Record(upgrade.Report{Service: "s", Version: "v2", Endpoint: "new0", Route: "r", Finding: upgrade.Paced{Pace: upgrade.ShortestGap(gap), Requests: 5}})
 				time.Sleep(time.Second)
 			}
 			for range 4 {
-				note(othersPause)
+				note(otherGap)
 			}
-			Expect(h.told()).To(Equal(upgrade.Count{Paced: 4}))
-			note(8 * othersPause)
-			Expect(h.told()).To(Equal(upgrade.Count{Paced: 4}), "who tells of each slow one shows more than there are")
+			Expect(h.publishedByAll()).To(Equal(upgrade.Count{Paced: 4}))
+			note(8 * otherGap)
+			Expect(h.publishedByAll()).To(Equal(upgrade.Count{Paced: 4}), "publishing at each slow answer overstates the slow rate")
 			for range 3 {
-				note(othersPause)
+				note(otherGap)
 			}
-			Expect(h.told()).To(Equal(upgrade.Count{Paced: 8, Slow: 1}))
+			Expect(h.publishedByAll()).To(Equal(upgrade.Count{Paced: 8, Slow: 1}))
 		})
 	})
 
-	It("gives all hosts the larger share at the same moment, however they hear of it", func() {
+	It("gives all hosts the larger share at the same moment, whenever they learn of it", func() {
 		suite.Paused(func() {
 			h := newHosts(30)
 			defer h.stop()
@@ -213,24 +213,24 @@
 		})
 	})
 
-	It("moves nothing in the first half on a host that knows the store's clock badly", func() {
+	It("moves nothing in the first half on a host with wide bounds of the store's clock", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
 			h.order(7)
 			h.serve(2*time.Second, traffic{})
-			doubtful := newLate(h, 3*time.Second)
-			doubtful.Order(upgrade.Order{Service: "s", Target: "v2", Within: 24 * time.Second, Revision: 7})
+			uncertain := newLateTracker(h, 3*time.Second)
+			uncertain.Order(upgrade.Order{Service: "s", Target: "v2", Within: 24 * time.Second, Revision: 7})
 			for range 98 { // until 11.8 s after the order
 				h.serve(100*time.Millisecond, traffic{})
-				Expect(moved(doubtful)).To(BeZero())
+				Expect(keysOnTarget(uncertain)).To(BeZero())
 			}
 			h.serve(1500*time.Millisecond, traffic{})
-			Expect(moved(doubtful)).To(BeNumerically(">", 0))
+			Expect(keysOnTarget(uncertain)).To(BeNumerically(">", 0))
 		})
 	})
 
-	It("of a later order follows one that is over", func() {
+	It("of a later order follows a finished one", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
@@ -242,153 +242,153 @@
 		})
 	})
 
-	It("leaves a version that was rolled back alone when another is ordered", func() {
+	It("sends nothing to a version that was rolled back when another is ordered", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
-			h.settle("v1")
-			h.settle("v1", "v2")
+			h.setVersions("v1")
+			h.setVersions("v1", "v2")
 			h.order(7)
 			h.serve(20*time.Second, traffic{badEvery: 2})
 			Expect(h.status()).To(MatchJSON(`{"state":"rolled_back","target_version":"v2"}`))
-			h.settle("v1", "v2", "v3")
+			h.setVersions("v1", "v2", "v3")
 			h.orderOf("v3", 9)
-			late := newLate(h, 0)
-			late.Settle("s", map[string]int{"v1": 3, "v2": 4, "v3": 4})
+			late := newLateTracker(h, 0)
+			late.SetVersions("s", map[string]int{"v1": 3, "v2": 4, "v3": 4})
 			late.Order(upgrade.Order{Service: "s", Target: "v3", Within: 24 * time.Second, Revision: 9})
-			time.Sleep(time.Second) // it reads how far the upgrades are
+			time.Sleep(time.Second) // it reads the progress of the upgrades
 			h.trackers = append(h.trackers, late)
 			for range 20 {
-				Expect(h.mayRunOn("v2")).To(BeZero())
+				Expect(h.hostsAllowing("v2")).To(BeZero())
 				time.Sleep(500 * time.Millisecond)
 			}
-			Expect(h.mayRunOn("v1")).To(Equal(4))
+			Expect(h.hostsAllowing("v1")).To(Equal(4))
 		})
 	})
 
-	It("that is replaced by another order under way leaves its version alone", func() {
+	It("that another order replaces while in progress sends nothing more to its version", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
-			h.settle("v1")
-			h.settle("v1", "v2", "v3")
+			h.setVersions("v1")
+			h.setVersions("v1", "v2", "v3")
 			h.order(7)
 			h.serve(14*time.Second, traffic{})
-			Expect(h.mayRunOn("v2")).To(Equal(3))
+			Expect(h.hostsAllowing("v2")).To(Equal(3))
 			h.orderOf("v3", 9)
 			for range 20 {
-				Expect(h.mayRunOn("v2")).To(BeZero())
+				Expect(h.hostsAllowing("v2")).To(BeZero())
 				time.Sleep(500 * time.Millisecond)
 			}
-			Expect(h.mayRunOn("v1")).To(Equal(3))
+			Expect(h.hostsAllowing("v1")).To(Equal(3))
 		})
 	})
 
-	It("back to the version in force leaves it everything, and takes the other's", func() {
+	It("back to the base version sends everything to it and nothing to the other", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
-			h.settle("v1")
-			h.settle("v1", "v2")
+			h.setVersions("v1")
+			h.setVersions("v1", "v2")
 			h.order(7)
 			h.serve(14*time.Second, traffic{})
 			h.orderOf("v1", 9)
 			for range 50 {
-				Expect(h.mayRunOn("v2")).To(BeZero())
-				Expect(h.mayRunOn("v1")).To(Equal(3))
+				Expect(h.hostsAllowing("v2")).To(BeZero())
+				Expect(h.hostsAllowing("v1")).To(Equal(3))
 				time.Sleep(500 * time.Millisecond)
 			}
 		})
 	})
 
-	It("is known to a host that hears how far it is before it hears of the order", func() {
+	It("is known to a host that reads its progress before its order", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
 			h.order(7)
 			h.serve(5*time.Second, traffic{})
-			late := newLate(h, 0)
+			late := newLateTracker(h, 0)
 			late.Order(upgrade.Order{Service: "other", Target: "v2", Within: time.Hour, Revision: 6})
 			h.serve(5*time.Second, traffic{})
 			late.Order(upgrade.Order{Service: "s", Target: "v2", Within: 24 * time.Second, Revision: 7})
-			Expect(late.Standing("s").String()).To(HavePrefix("v2 running, stage 0"))
+			Expect(late.State("s").String()).To(HavePrefix("v2 running, stage 0"))
 		})
 	})
 
-	It("counts what a host has told before it started again", func() {
+	It("counts what a host published before it restarted", func() {
 		suite.Paused(func() {
 			h := newHosts(1)
 			defer h.stop()
 			h.order(7)
 			h.serve(19*time.Second, traffic{})
-			before := h.toldBy("host-0").Good
+			before := h.publishedBy("host-0").Good
 			Expect(before).To(BeNumerically(">=", 4))
 			h.restart(0)
 			h.order(7)
 			h.serve(2*time.Second, traffic{})
-			Expect(h.toldBy("host-0").Good).To(BeNumerically(">=", before))
+			Expect(h.publishedBy("host-0").Good).To(BeNumerically(">=", before))
 		})
 	})
 
-	It("is told of by a host that stops", func() {
+	It("has its evidence published by a host that stops", func() {
 		suite.Paused(func() {
 			h := newHosts(2)
 			defer h.stop()
 			h.order(7)
-			h.serve(13*time.Second, traffic{shy: true})
-			h.answers(0, 3, 0)
+			h.serve(13*time.Second, traffic{noTarget: true})
+			h.recordAnswers(0, 3, 0)
 			h.cancels[0]()
 			time.Sleep(300 * time.Millisecond)
-			Expect(h.toldBy("host-0").Good).To(Equal(3))
+			Expect(h.publishedBy("host-0").Good).To(Equal(3))
 		})
 	})
 
-	It("is told of by all hosts once one has seen it fail", func() {
+	It("has its evidence published by all hosts once one has seen a failure", func() {
 		suite.Paused(func() {
 			const hosts = 60
 			h := newHosts(hosts)
 			defer h.stop()
 			h.order(7)
-			h.serve(13*time.Second, traffic{shy: true})
+			h.serve(13*time.Second, traffic{noTarget: true})
 			all := func() (good int) {
 				for i := range hosts {
-					good += h.toldBy(fmt.Sprint("host-", i)).Good
+					good += h.publishedBy(fmt.Sprint("host-", i)).Good
 				}
 				return good
 			}
 			for i := range hosts {
-				h.answers(i, 1, 0)
+				h.recordAnswers(i, 1, 0)
 			}
 			time.Sleep(time.Second)
-			Expect(all()).To(BeNumerically("<", hosts/2), "by the hosts that report")
-			h.answers(0, 1, 1)
+			Expect(all()).To(BeNumerically("<", hosts/2), "by the publishing hosts only")
+			h.recordAnswers(0, 1, 1)
 			time.Sleep(2 * time.Second)
 			Expect(all()).To(Equal(hosts))
 		})
 	})
 
-	It("is told in a word, with the verdict, for the log of each request", func() {
+	It("has its state, with the verdict, formatted for the log of each request", func() {
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
 			first := h.trackers[0]
-			Expect(first.Standing("s").String()).To(BeEmpty())
+			Expect(first.State("s").String()).To(BeEmpty())
 			h.order(7)
-			Expect(first.Standing("s").String()).To(Equal("v2 not begun"))
+			Expect(first.State("s").String()).To(Equal("v2 not begun"))
 			h.serve(4*time.Second, traffic{})
-			Expect(first.Standing("s").String()).To(Equal("v2 running, stage 0, open"))
+			Expect(first.State("s").String()).To(Equal("v2 running, stage 0, open"))
 			h.serve(16*time.Second, traffic{badEvery: 2})
-			Expect(first.Standing("s").String()).To(Equal("v2 rolled-back, stage 0, bad"))
+			Expect(first.State("s").String()).To(Equal("v2 rolled-back, stage 0, bad"))
 		})
 	})
 
-	It("gives nothing to a version that no order has named", func() {
+	It("sends nothing to a version that no order has named", func() {
 		suite.Paused(func() {
 			h := newHosts(1)
 			defer h.stop()
 			t := h.trackers[0]
-			t.Settle("s", map[string]int{"v1": 4})
-			t.Settle("s", map[string]int{"v1": 4, "v2": 4})
+			t.SetVersions("s", map[string]int{"v1": 4})
+			t.SetVersions("s", map[string]int{"v1": 4, "v2": 4})
 			Expect(t.Allowed("s", 1)("v2")).To(BeFalse())
 			Expect(t.Allowed("s", 1)("v1")).To(BeTrue())
 		})
