--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,7 +48,7 @@
 	// Quarantine knows requests under which endpoints crash.
 	Quarantine *quarantine.Book
 	// Limits has suspect requests sent one after the other by all hosts together; nil for no bound.
-	Limits    *ratelimit.Desk
+	Limits    *ratelimit.Limiter
 	Deadlines *clock.Deadlines // watched by the host
 	Telemetry *telemetry.Telemetry
 	Logger    *log.Logger
--- a/internal/gatewayd/host.go
+++ b/internal/gatewayd/host.go
@@ -62,7 +62,7 @@
 	Pool       *conn.Pool
 	Upgrades   *upgrade.Tracker
 	Advice     *advice.Advisor
-	Limits     *ratelimit.Desk
+	Limits     *ratelimit.Limiter
 	Quarantine *quarantine.Book
 	Duties     *duty.Keeper
 	Gateway    *gateway.Gateway
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -176,8 +176,8 @@
 	return a
 }
 
-func newLimits(s settings.Settings, w *spread.Watcher, f *fleet.Fleet, t *telemetry.Telemetry, l *log.Logger) *ratelimit.Desk {
-	return ratelimit.NewDesk(ratelimit.Options{
+func newLimits(s settings.Settings, w *spread.Watcher, f *fleet.Fleet, t *telemetry.Telemetry, l *log.Logger) *ratelimit.Limiter {
+	return ratelimit.NewLimiter(ratelimit.Options{
 		Host: s.Host, Fleet: f, Caller: ratelimit.NewCaller(w.Conn), Telemetry: t, Logger: l,
 		Known:   func() bool { return w.Choosers().Hosts > 0 },
 		Members: func() []ratelimit.Member { return members[ratelimit.Member](w) },
@@ -209,7 +209,7 @@
 }
 
 func newGateway(s settings.Settings, h *route.Holder, f *fleet.Fleet, p *conn.Pool, u *upgrade.Tracker, a *advice.Advisor,
-	q *quarantine.Book, limits *ratelimit.Desk, counter *usage.Counter, w *spread.Watcher, d *clock.Deadlines, t *telemetry.Telemetry, l *log.Logger,
+	q *quarantine.Book, limits *ratelimit.Limiter, counter *usage.Counter, w *spread.Watcher, d *clock.Deadlines, t *telemetry.Telemetry, l *log.Logger,
 ) *gateway.Gateway {
 	return gateway.New(gateway.Options{
 		Holder: h, Fleet: f, Pool: p, Upgrades: u, Codec: platform.Heads{}, Advice: a, Quarantine: q, Limits: limits, Deadlines: d, Telemetry: t, Logger: l, Usage: counter, Hosts: w.Hosts,
--- a/internal/ratelimit/desk_test.go
+++ b/internal/ratelimit/desk_test.go
@@ -50,7 +50,7 @@
 var _ = Describe("a host that is asked for a limit though another one comes before it", func() {
 	// ask has host-1 asked by host-2 for a limit of which host-0 lends.
 	ask := func(caller *asked, relayed bool) ratelimit.Reply {
-		d := ratelimit.NewDesk(ratelimit.Options{
+		d := ratelimit.NewLimiter(ratelimit.Options{
 			Host: "host-1", Fleet: fleet.New(fleet.Options{}), Caller: caller, Known: func() bool { return true },
 			Members: func() []ratelimit.Member {
 				return []ratelimit.Member{{Name: "host-0", Address: "0"}, {Name: "host-2", Address: "2"}}
--- a/internal/ratelimit/grpc.go
+++ b/internal/ratelimit/grpc.go
@@ -12,14 +12,14 @@
 )
 
 // Register has a gRPC server answer other hosts.
-func Register(s grpc.ServiceRegistrar, d *Desk) {
+func Register(s grpc.ServiceRegistrar, d *Limiter) {
 	ratelimitpb.RegisterRateLimitServer(s, &server{desk: d})
 }
 
 // server answers other hosts.
 type server struct {
 	ratelimitpb.UnimplementedRateLimitServer
-	desk *Desk
+	desk *Limiter
 }
 
 // Borrow implements ratelimitpb.RateLimitServer.
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -83,8 +83,8 @@
 	Logger    *log.Logger
 }
 
-// Desk borrows for this host, and lends to others; safe for use at once.
-type Desk struct {
+// Limiter borrows for this host, and lends to others; safe for use at once.
+type Limiter struct {
 	options Options
 	lender  *Lender
 	wake    wake.Signal
@@ -109,9 +109,9 @@
 	return fleet.Weight(xxhash.Sum64String(endpoint), xxhash.Sum64String(host))
 }
 
-// NewDesk returns a desk.
-func NewDesk(o Options) *Desk {
-	d := &Desk{
+// NewLimiter returns a desk.
+func NewLimiter(o Options) *Limiter {
+	d := &Limiter{
 		options: o, lender: NewLender(), wake: wake.NewSignal(), asks: make(chan struct{}, asksMost),
 		away: map[string]clock.Instant{}, failing: map[string]bool{},
 	}
@@ -120,7 +120,7 @@
 }
 
 // Run borrows until the context ends.
-func (d *Desk) Run(ctx context.Context) {
+func (d *Limiter) Run(ctx context.Context) {
 	var working sync.WaitGroup
 	defer working.Wait()
 	working.Go(func() { d.learn(ctx) })
@@ -153,7 +153,7 @@
 }
 
 // tell spreads what has changed.
-func (d *Desk) tell(ctx context.Context, working *sync.WaitGroup) {
+func (d *Limiter) tell(ctx context.Context, working *sync.WaitGroup) {
 	if !d.options.Known() {
 		return // it is told with the next news, or by others
 	}
@@ -173,7 +173,7 @@
 }
 
 // some returns other hosts by chance.
-func (d *Desk) some(most int) []host {
+func (d *Limiter) some(most int) []host {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.read()
@@ -192,7 +192,7 @@
 const drawsPer = 4
 
 // learn asks some hosts, one after the other, what limits there are, as this one starts.
-func (d *Desk) learn(ctx context.Context) {
+func (d *Limiter) learn(ctx context.Context) {
 	for !d.options.Known() {
 		if !clock.Sleep(ctx, learnPause) {
 			return
@@ -214,17 +214,17 @@
 const learnPause = 20 * time.Millisecond
 
 // Limits lists the limits that this host knows of, for one that starts.
-func (d *Desk) Limits() []fleet.LimitNews { return d.options.Fleet.LimitNews(newsMost) }
+func (d *Limiter) Limits() []fleet.LimitNews { return d.options.Fleet.LimitNews(newsMost) }
 
 // Hear takes in what another host tells.
-func (d *Desk) Hear(news []fleet.LimitNews) {
+func (d *Limiter) Hear(news []fleet.LimitNews) {
 	for _, n := range news {
 		d.options.Fleet.LearnLimit(n)
 	}
 }
 
 // ask borrows of an endpoint's limit.
-func (d *Desk) ask(ctx context.Context, w fleet.Want) {
+func (d *Limiter) ask(ctx context.Context, w fleet.Want) {
 	r := Request{Requests: w.Requests, Limit: w.News, From: d.options.Host}
 	asked := clock.Now()
 	reply, ok := d.borrow(ctx, r)
@@ -238,7 +238,7 @@
 }
 
 // borrow asks the host that lends; false if none is found.
-func (d *Desk) borrow(ctx context.Context, r Request) (Reply, bool) {
+func (d *Limiter) borrow(ctx context.Context, r Request) (Reply, bool) {
 	if !d.options.Known() {
 		return Reply{}, false
 	}
@@ -260,7 +260,7 @@
 
 // Turn asks for one of the turns that all hosts together may have of something by its key, so many a
 // second; granted tells whether this host has it, and wait when to ask again if not.
-func (d *Desk) Turn(ctx context.Context, key string, rate float64) (wait time.Duration, granted bool) {
+func (d *Limiter) Turn(ctx context.Context, key string, rate float64) (wait time.Duration, granted bool) {
 	now := clock.Now()
 	reply, ok := d.borrow(ctx, Request{Requests: 1, From: d.options.Host, Unsaved: true, Limit: fleet.LimitNews{Endpoint: key, Rate: rate, Since: now, Heard: now}})
 	if !ok {
@@ -270,7 +270,7 @@
 }
 
 // call asks a host, and notes whether it answers.
-func (d *Desk) call(ctx context.Context, h host, r Request, patience time.Duration) (Reply, error) {
+func (d *Limiter) call(ctx context.Context, h host, r Request, patience time.Duration) (Reply, error) {
 	limited, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	reply, err := d.options.Caller.Borrow(limited, h.Address, r)
@@ -293,7 +293,7 @@
 }
 
 // Borrow answers another host: it lends, or asks the host that comes before it.
-func (d *Desk) Borrow(ctx context.Context, r Request) Reply {
+func (d *Limiter) Borrow(ctx context.Context, r Request) Reply {
 	d.mu.Lock()
 	delete(d.away, r.From)
 	d.mu.Unlock()
@@ -313,7 +313,7 @@
 
 // lenderOf returns the host that lends of an endpoint's limit: the first in its order that answers,
 // but one. First tells whether it is the first of all.
-func (d *Desk) lenderOf(endpoint, but string) (found host, first bool) {
+func (d *Limiter) lenderOf(endpoint, but string) (found host, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.read()
@@ -330,7 +330,7 @@
 }
 
 // read brings the list of hosts up to date; the caller holds mu.
-func (d *Desk) read() {
+func (d *Limiter) read() {
 	if len(d.hosts) > 0 && clock.Since(d.readAt) < membersFor {
 		return
 	}
--- a/internal/ratelimit/rig_test.go
+++ b/internal/ratelimit/rig_test.go
@@ -81,7 +81,7 @@
 
 	mu      sync.Mutex // guards all below
 	fleet   *fleet.Fleet
-	desk    *ratelimit.Desk
+	desk    *ratelimit.Limiter
 	cancel  context.CancelFunc
 	working sync.WaitGroup
 	down    bool
@@ -119,7 +119,7 @@
 	h.mu.Lock()
 	h.fleet, h.cancel, h.down, h.cut = f, cancel, false, false
 	if h.world.way == lending {
-		h.desk = ratelimit.NewDesk(ratelimit.Options{
+		h.desk = ratelimit.NewLimiter(ratelimit.Options{
 			Host: h.name(), Fleet: f, Members: h.members, Known: func() bool { return true }, Caller: h,
 			Telemetry: telemetry.MetricsOnly(), Logger: log.New(io.Discard),
 		})
@@ -208,7 +208,7 @@
 }
 
 // reach has a message reach another host.
-func (h *simHost) reach(ctx context.Context, address string) (*ratelimit.Desk, error) {
+func (h *simHost) reach(ctx context.Context, address string) (*ratelimit.Limiter, error) {
 	var to int
 	if _, err := fmt.Sscan(address, &to); err != nil {
 		return nil, err
@@ -231,7 +231,7 @@
 }
 
 // state tells whether the host is down, or cut off or frozen.
-func (h *simHost) state() (desk *ratelimit.Desk, down, silent bool) {
+func (h *simHost) state() (desk *ratelimit.Limiter, down, silent bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.desk, h.down, h.cut || clock.Now().Before(h.thawsAt)
