--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -33,7 +33,7 @@
 // all suspects runs at a time, so that what it does to its endpoint speaks of no other.
 func (x *exchange) awaitTurn(ctx context.Context) error {
 	for x.g.Limits != nil && !x.suspectTurn && x.suspect() {
-		wait, granted := x.g.Limits.Turn(ctx, "suspect/"+x.service, suspectRate)
+		wait, granted := x.g.Limits.TryAcquire(ctx, "suspect/"+x.service, suspectRate)
 		if granted {
 			x.suspectTurn = true
 			x.g.Logger.Info("suspect request may be sent", "id", x.ask.ID, "fingerprint", x.fingerprint(), "crashed", x.standing().Crashed)
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -258,9 +258,9 @@
 	return Reply{}, false
 }
 
-// Turn asks for one of the turns that all hosts together may have of something by its key, so many a
+// TryAcquire asks for one of the turns that all hosts together may have of something by its key, so many a
 // second; granted tells whether this host has it, and wait when to ask again if not.
-func (d *Limiter) Turn(ctx context.Context, key string, rate float64) (wait time.Duration, granted bool) {
+func (d *Limiter) TryAcquire(ctx context.Context, key string, rate float64) (wait time.Duration, granted bool) {
 	now := clock.Now()
 	reply, ok := d.borrow(ctx, Request{Requests: 1, From: d.options.Host, Unsaved: true, Limit: fleet.LimitNews{Endpoint: key, Rate: rate, Since: now, Heard: now}})
 	if !ok {
