--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -77,7 +77,7 @@
 	Fleet *fleet.Fleet
 	// Members lists all other hosts, and Known tells whether the list was read.
 	Members   func() []Member
-	Known     func() bool
+	MembersKnown     func() bool
 	Caller    Caller
 	Telemetry *telemetry.Telemetry
 	Logger    *log.Logger
@@ -154,7 +154,7 @@
 
 // tell spreads what has changed.
 func (d *Limiter) tell(ctx context.Context, working *sync.WaitGroup) {
-	if !d.options.Known() {
+	if !d.options.MembersKnown() {
 		return // it is told with the next news, or by others
 	}
 	news := d.options.Fleet.FreshNews(newsMost)
@@ -193,7 +193,7 @@
 
 // learn asks some hosts, one after the other, what limits there are, as this one starts.
 func (d *Limiter) learn(ctx context.Context) {
-	for !d.options.Known() {
+	for !d.options.MembersKnown() {
 		if !clock.Sleep(ctx, learnPause) {
 			return
 		}
@@ -239,7 +239,7 @@
 
 // borrow asks the host that lends; false if none is found.
 func (d *Limiter) borrow(ctx context.Context, r Request) (Reply, bool) {
-	if !d.options.Known() {
+	if !d.options.MembersKnown() {
 		return Reply{}, false
 	}
 	for range triesMost {
