--- a/internal/ratelimit/desk_test.go
+++ b/internal/ratelimit/desk_test.go
@@ -51,7 +51,7 @@
 	// ask has host-1 asked by host-2 for a limit of which host-0 lends.
 	ask := func(caller *asked, relayed bool) ratelimit.Reply {
 		d := ratelimit.NewLimiter(ratelimit.Options{
-			Host: "host-1", Fleet: fleet.New(fleet.Options{}), Caller: caller, MembersKnown: func() bool { return true },
+			Host: "host-1", Fleet: fleet.New(fleet.Options{}), Client: caller, MembersKnown: func() bool { return true },
 			Members: func() []ratelimit.Member {
 				return []ratelimit.Member{{Name: "host-0", Address: "0"}, {Name: "host-2", Address: "2"}}
 			},
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -78,7 +78,7 @@
 	// Members lists all other hosts, and Known tells whether the list was read.
 	Members   func() []Member
 	MembersKnown     func() bool
-	Caller    Caller
+	Client    Caller
 	Telemetry *telemetry.Telemetry
 	Logger    *log.Logger
 }
@@ -165,7 +165,7 @@
 		working.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, askPatience)
 			defer cancel()
-			if err := d.options.Caller.Tell(limited, h.Address, news); err != nil && ctx.Err() == nil {
+			if err := d.options.Client.Tell(limited, h.Address, news); err != nil && ctx.Err() == nil {
 				d.options.Logger.Debug("host not told of limits", "to", h.Name, "count", len(news), "error", err)
 			}
 		})
@@ -200,7 +200,7 @@
 	}
 	for _, h := range d.some(triesMost) {
 		limited, cancel := context.WithTimeout(ctx, askPatience)
-		news, err := d.options.Caller.Known(limited, h.Address)
+		news, err := d.options.Client.Known(limited, h.Address)
 		cancel()
 		if err == nil {
 			d.Hear(news)
@@ -273,7 +273,7 @@
 func (d *Limiter) call(ctx context.Context, h host, r Request, patience time.Duration) (Reply, error) {
 	limited, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
-	reply, err := d.options.Caller.Borrow(limited, h.Address, r)
+	reply, err := d.options.Client.Borrow(limited, h.Address, r)
 	if ctx.Err() != nil {
 		return reply, err
 	}
--- a/internal/ratelimit/rig_test.go
+++ b/internal/ratelimit/rig_test.go
@@ -120,7 +120,7 @@
 	h.fleet, h.cancel, h.down, h.cut = f, cancel, false, false
 	if h.world.way == lending {
 		h.desk = ratelimit.NewLimiter(ratelimit.Options{
-			Host: h.name(), Fleet: f, Members: h.members, MembersKnown: func() bool { return true }, Caller: h,
+			Host: h.name(), Fleet: f, Members: h.members, MembersKnown: func() bool { return true }, Client: h,
 			Telemetry: telemetry.MetricsOnly(), Logger: log.New(io.Discard),
 		})
 	}
