--- a/internal/ratelimit/desk_test.go
+++ b/internal/ratelimit/desk_test.go
@@ -20,7 +20,7 @@
 
 // asked is a host's connections to others, of which one answers to questions.
 type asked struct {
-	ratelimit.Caller
+	ratelimit.PeerClient
 	answers  string // its address
 	requests []ratelimit.Request
 }
--- a/internal/ratelimit/grpc.go
+++ b/internal/ratelimit/grpc.go
@@ -51,7 +51,7 @@
 type grpcCaller struct{ connect Connect }
 
 // NewCaller returns a caller over connections that other services share.
-func NewCaller(connect Connect) Caller { return grpcCaller{connect} }
+func NewCaller(connect Connect) PeerClient { return grpcCaller{connect} }
 
 // Borrow implements Caller.
 func (c grpcCaller) Borrow(ctx context.Context, address string, r Request) (Reply, error) {
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -63,8 +63,8 @@
 // Member is another host.
 type Member struct{ Name, Address string }
 
-// Caller asks other hosts.
-type Caller interface {
+// PeerClient asks other hosts.
+type PeerClient interface {
 	Borrow(ctx context.Context, address string, r Request) (Reply, error)
 	Tell(ctx context.Context, address string, news []fleet.LimitNews) error
 	// Known asks for the limits that a host knows of.
@@ -78,7 +78,7 @@
 	// Members lists all other hosts, and Known tells whether the list was read.
 	Members   func() []Member
 	MembersKnown     func() bool
-	Client    Caller
+	Client    PeerClient
 	Telemetry *telemetry.Telemetry
 	Logger    *log.Logger
 }
