--- a/internal/ratelimit/grpc.go
+++ b/internal/ratelimit/grpc.go
@@ -50,8 +50,8 @@
 // grpcCaller sends over gRPC.
 type grpcCaller struct{ connect Connect }
 
-// NewCaller returns a caller over connections that other services share.
-func NewCaller(connect Connect) PeerClient { return grpcCaller{connect} }
+// NewPeerClient returns a caller over connections that other services share.
+func NewPeerClient(connect Connect) PeerClient { return grpcCaller{connect} }
 
 // Borrow implements Caller.
 func (c grpcCaller) Borrow(ctx context.Context, address string, r Request) (Reply, error) {
