--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -61,7 +61,7 @@
 // Call sends a call to a plain service. A call that may not be repeated goes to
 // another endpoint only while it is certain that none has run it.
 func (d *Dispatcher) Call(ctx context.Context, call Call) (Answer, error) {
-	d.budgets.First(call.Service)
+	d.budgets.RecordFirst(call.Service)
 	run := problem.NotRun
 	var avoid []string
 	var last error
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -106,7 +106,7 @@
 // Open sends a completion and returns its answer once it has begun. Errors are
 // problems that say whether it ran.
 func (d *Dispatcher) Open(ctx context.Context, request Request) (*Stream, error) {
-	d.budgets.First(endpoint.Engines)
+	d.budgets.RecordFirst(endpoint.Engines)
 	run := problem.NotRun
 	var avoid []string
 	var last error
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -183,7 +183,7 @@
 
 // serve sends the request to endpoints and answers it.
 func (x *exchange) serve() {
-	x.g.budgets.First(x.service)
+	x.g.budgets.RecordFirst(x.service)
 	x.g.running.add(x.service, 1)
 	defer x.g.running.add(x.service, -1)
 	if x.route.Kind == route.KindStream {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -93,8 +93,8 @@
 	b.limits.Ratio = ratio
 }
 
-// First counts a request's first send.
-func (b *Budgets) First(service string) {
+// RecordFirst counts a request's first send.
+func (b *Budgets) RecordFirst(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.windows[service] = b.windows[service].WithFirst(b.began.Now())
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -73,7 +73,7 @@
 		suite.Paused(func() {
 			b := retry.NewBudgets(retry.Limits{Ratio: 0.5, Reserve: 2})
 			for range 10 {
-				b.First("s")
+				b.RecordFirst("s")
 			}
 			granted := 0
 			for range 20 {
@@ -92,8 +92,8 @@
 			Expect(b.Repeat("a", 1)).To(BeTrue())
 			Expect(b.Repeat("a", 1)).To(BeFalse())
 			Expect(b.Repeat("b", 1)).To(BeTrue())
-			b.First("a")
-			b.First("a")
+			b.RecordFirst("a")
+			b.RecordFirst("a")
 			Expect(b.Repeat("a", 1)).To(BeTrue())
 			Expect(b.Repeat("a", 1)).To(BeFalse())
 			b.SetRatio(1)
