--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -77,7 +77,7 @@
 		if !standing.Repeats(crashes) {
 			break
 		}
-		if attempt > 0 && !d.budgets.Repeat(call.Service, 1) {
+		if attempt > 0 && !d.budgets.TakeRetry(call.Service, 1) {
 			break
 		}
 		hold, ok := d.options.Fleet.Pick(fleet.Ask{Service: call.Service, Avoid: avoid})
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -125,7 +125,7 @@
 		if !standing.Repeats(crashes) {
 			break
 		}
-		if attempt > 0 && !d.budgets.Repeat(endpoint.Engines, 1) {
+		if attempt > 0 && !d.budgets.TakeRetry(endpoint.Engines, 1) {
 			break
 		}
 		hold, ok := d.options.Fleet.Pick(request.ask(avoid))
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -24,7 +24,7 @@
 	}
 	w := x.weigh(x.route.Models[n-1], a.said.Confidence)
 	x.noteBeginning(w)
-	granted := w.better() && x.g.budgets.Repeat(x.service, escalationPart)
+	granted := w.better() && x.g.budgets.TakeRetry(x.service, escalationPart)
 	x.logWeighing(w, granted)
 	if !granted {
 		return false
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -126,7 +126,7 @@
 		return false, "no attempts left"
 	case x.crashes > 0 && !x.standing().Repeats(x.crashes):
 		return false, "endpoints crashed under it"
-	case !x.g.budgets.Repeat(x.service, 1):
+	case !x.g.budgets.TakeRetry(x.service, 1):
 		return false, "the retry budget is spent"
 	default:
 		return true, "may be repeated"
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -100,9 +100,9 @@
 	b.windows[service] = b.windows[service].WithFirst(b.began.Now())
 }
 
-// Repeat takes a further send from a service's budget; false if none is left in a
+// TakeRetry takes a further send from a service's budget; false if none is left in a
 // part of it.
-func (b *Budgets) Repeat(service string, part float64) bool {
+func (b *Budgets) TakeRetry(service string, part float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	next, ok := b.windows[service].WithRepeat(b.began.Now(), b.limits, part)
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -77,30 +77,30 @@
 			}
 			granted := 0
 			for range 20 {
-				if b.Repeat("s", 1) {
+				if b.TakeRetry("s", 1) {
 					granted++
 				}
 			}
 			Expect(granted).To(Equal(7))
-			Expect(b.Repeat("other", 0.4)).To(BeFalse())
+			Expect(b.TakeRetry("other", 0.4)).To(BeFalse())
 		})
 	})
 
 	It("are kept by service, and come back with time", func() {
 		suite.Paused(func() {
 			b := retry.NewBudgets(retry.Limits{Ratio: 0.5, Reserve: 1})
-			Expect(b.Repeat("a", 1)).To(BeTrue())
-			Expect(b.Repeat("a", 1)).To(BeFalse())
-			Expect(b.Repeat("b", 1)).To(BeTrue())
+			Expect(b.TakeRetry("a", 1)).To(BeTrue())
+			Expect(b.TakeRetry("a", 1)).To(BeFalse())
+			Expect(b.TakeRetry("b", 1)).To(BeTrue())
 			b.RecordFirst("a")
 			b.RecordFirst("a")
-			Expect(b.Repeat("a", 1)).To(BeTrue())
-			Expect(b.Repeat("a", 1)).To(BeFalse())
+			Expect(b.TakeRetry("a", 1)).To(BeTrue())
+			Expect(b.TakeRetry("a", 1)).To(BeFalse())
 			b.SetRatio(1)
-			Expect(b.Repeat("a", 1)).To(BeTrue())
+			Expect(b.TakeRetry("a", 1)).To(BeTrue())
 			time.Sleep(11 * time.Second)
-			Expect(b.Repeat("a", 1)).To(BeTrue())
-			Expect(b.Repeat("a", 1)).To(BeFalse())
+			Expect(b.TakeRetry("a", 1)).To(BeTrue())
+			Expect(b.TakeRetry("a", 1)).To(BeFalse())
 		})
 	})
 })
