--- a/internal/experiment/retries.go
+++ b/internal/experiment/retries.go
@@ -88,7 +88,7 @@
 
 // mayRepeat takes a repeat from the host's budget.
 func (h *retryingHost) mayRepeat(now time.Duration) bool {
-	next, ok := h.window.WithRepeat(now, dispatch.DefaultRetries, 1)
+	next, ok := h.window.WithRetry(now, dispatch.DefaultRetries, 1)
 	h.window = next
 	return ok
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -46,9 +46,9 @@
 	return w
 }
 
-// WithRepeat returns the window after a repeat, if there is room for it. A part
+// WithRetry returns the window after a repeat, if there is room for it. A part
 // below 1 leaves the rest of the room to others.
-func (w Window) WithRepeat(now time.Duration, limits Limits, part float64) (Window, bool) {
+func (w Window) WithRetry(now time.Duration, limits Limits, part float64) (Window, bool) {
 	w = w.at(now)
 	firsts, repeats := 0, 0
 	for i := range windowSeconds {
@@ -105,7 +105,7 @@
 func (b *Budgets) TakeRetry(service string, part float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	next, ok := b.windows[service].WithRepeat(b.began.Now(), b.limits, part)
+	next, ok := b.windows[service].WithRetry(b.began.Now(), b.limits, part)
 	b.windows[service] = next
 	return ok
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -29,7 +29,7 @@
 					firsts = append(firsts, now)
 					continue
 				}
-				next, ok := w.WithRepeat(now, limits, 1)
+				next, ok := w.WithRetry(now, limits, 1)
 				w = next
 				if !ok {
 					continue
@@ -49,10 +49,10 @@
 		}
 		taken := 0
 		for ok := true; ok; taken++ {
-			w, ok = w.WithRepeat(now, limits, 0.5)
+			w, ok = w.WithRetry(now, limits, 0.5)
 		}
 		Expect(taken - 1).To(Equal(5))
-		_, ok := w.WithRepeat(now, limits, 1)
+		_, ok := w.WithRetry(now, limits, 1)
 		Expect(ok).To(BeTrue())
 	})
 })
