--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -46,13 +46,13 @@
 
 // Answer is an answer that a caller may get.
 type Answer struct {
-	Right  float64 // chance that it is right
+	Correct  float64 // chance that it is right
 	InTime float64 // chance that it comes in time
 }
 
 // Value is what it is worth on average.
 func (a Answer) Value() float64 {
-	return (a.Right + (1-a.Right)*valueWrong) * (a.InTime + (1-a.InTime)*valueLate)
+	return (a.Correct + (1-a.Correct)*valueWrong) * (a.InTime + (1-a.InTime)*valueLate)
 }
 
 // Option is an answer that has yet to be asked for.
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -16,12 +16,12 @@
 }
 
 func (s situation) asked() bool {
-	kept := cascade.Answer{Right: cascade.ChanceRight(s.confidence), InTime: 1}
+	kept := cascade.Answer{Correct: cascade.ChanceRight(s.confidence), InTime: 1}
 	if s.late {
 		kept.InTime = 0
 	}
 	larger := cascade.Option{
-		Answer: cascade.Answer{Right: cascade.LargestRight, InTime: s.inTime}, Use: cascade.Use(0.2, 0.2), Size: s.size, Delay: s.delay,
+		Answer: cascade.Answer{Correct: cascade.LargestRight, InTime: s.inTime}, Use: cascade.Use(0.2, 0.2), Size: s.size, Delay: s.delay,
 	}
 	return larger.Net() > kept.Value()
 }
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -54,12 +54,12 @@
 	ask.Avoid = nil // where the small model answered, the larger one may
 	w := weighing{model: model, confidence: confidence, took: clock.Since(x.start)}
 	w.expected, w.possible = x.expect(ask)
-	w.kept.Right = cascade.ChanceRight(confidence)
+	w.kept.Correct = cascade.ChanceRight(confidence)
 	if w.took <= x.route.Objective {
 		w.kept.InTime = 1
 	}
 	w.larger = cascade.Option{
-		Answer: cascade.Answer{Right: cascade.LargestRight, InTime: w.expected.InTime(x.route.Objective - w.took)},
+		Answer: cascade.Answer{Correct: cascade.LargestRight, InTime: w.expected.InTime(x.route.Objective - w.took)},
 		Use:    x.use(model), Size: x.size, Delay: x.delay(w.expected),
 	}
 	return w
