--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -20,9 +20,9 @@
 	valueLate  = 0.3
 )
 
-// LargestRight is the prior for the chance that the largest model's answer is right:
+// LargestCorrect is the prior for the chance that the largest model's answer is right:
 // it is there for what smaller ones can't answer.
-const LargestRight = 1.0
+const LargestCorrect = 1.0
 
 // largestUse is the prior for what the use of the largest model costs, as a part of
 // the answer's worth: operators declare what models cost, but not what an answer is
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -59,7 +59,7 @@
 		w.kept.InTime = 1
 	}
 	w.larger = cascade.Option{
-		Answer: cascade.Answer{Correct: cascade.LargestRight, InTime: w.expected.InTime(x.route.Objective - w.took)},
+		Answer: cascade.Answer{Correct: cascade.LargestCorrect, InTime: w.expected.InTime(x.route.Objective - w.took)},
 		Use:    x.use(model), Size: x.size, Delay: x.delay(w.expected),
 	}
 	return w
