--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -78,8 +78,8 @@
 	{0, 0.02}, {20, 0.05}, {30, 0.12}, {40, 0.3}, {50, 0.55}, {60, 0.65}, {80, 0.85}, {100, 1},
 }
 
-// ChanceRight returns how likely an answer of a confidence, 0 to 100, is right.
-func ChanceRight(confidence float64) float64 {
+// CorrectProbability returns how likely an answer of a confidence, 0 to 100, is right.
+func CorrectProbability(confidence float64) float64 {
 	for i := 1; i < len(rightness); i++ {
 		below, above := rightness[i-1], rightness[i]
 		if confidence < above.confidence {
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -16,7 +16,7 @@
 }
 
 func (s situation) asked() bool {
-	kept := cascade.Answer{Correct: cascade.ChanceRight(s.confidence), InTime: 1}
+	kept := cascade.Answer{Correct: cascade.CorrectProbability(s.confidence), InTime: 1}
 	if s.late {
 		kept.InTime = 0
 	}
@@ -64,7 +64,7 @@
 func TestChanceRightRises(t *testing.T) {
 	last := -1.0
 	for confidence := range 101 {
-		chance := cascade.ChanceRight(float64(confidence))
+		chance := cascade.CorrectProbability(float64(confidence))
 		if chance < last || chance < 0 || chance > 1 {
 			t.Fatalf("%v at %d after %v", chance, confidence, last)
 		}
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -54,7 +54,7 @@
 	ask.Avoid = nil // where the small model answered, the larger one may
 	w := weighing{model: model, confidence: confidence, took: clock.Since(x.start)}
 	w.expected, w.possible = x.expect(ask)
-	w.kept.Correct = cascade.ChanceRight(confidence)
+	w.kept.Correct = cascade.CorrectProbability(confidence)
 	if w.took <= x.route.Objective {
 		w.kept.InTime = 1
 	}
