--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -29,8 +29,8 @@
 // worth.
 const largestUse = 0.35
 
-// Use is what the use of a model costs, by its declared cost and that of the largest.
-func Use(cost, largest float64) float64 {
+// RelativeCost is what the use of a model costs, by its declared cost and that of the largest.
+func RelativeCost(cost, largest float64) float64 {
 	if largest <= 0 {
 		return largestUse
 	}
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -21,7 +21,7 @@
 		kept.InTime = 0
 	}
 	larger := cascade.Option{
-		Answer: cascade.Answer{Correct: cascade.LargestCorrect, InTime: s.inTime}, Use: cascade.Use(0.2, 0.2), Size: s.size, Delay: s.delay,
+		Answer: cascade.Answer{Correct: cascade.LargestCorrect, InTime: s.inTime}, Use: cascade.RelativeCost(0.2, 0.2), Size: s.size, Delay: s.delay,
 	}
 	return larger.Net() > kept.Value()
 }
@@ -53,10 +53,10 @@
 }
 
 func TestUseGoesByDeclaredCosts(t *testing.T) {
-	if half, whole := cascade.Use(0.1, 0.2), cascade.Use(0.2, 0.2); half*2 != whole {
+	if half, whole := cascade.RelativeCost(0.1, 0.2), cascade.RelativeCost(0.2, 0.2); half*2 != whole {
 		t.Errorf("%v for half the cost, %v for the largest's", half, whole)
 	}
-	if unsaid := cascade.Use(0, 0); unsaid != cascade.Use(1, 1) {
+	if unsaid := cascade.RelativeCost(0, 0); unsaid != cascade.RelativeCost(1, 1) {
 		t.Errorf("%v where nobody declares costs", unsaid)
 	}
 }
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -114,7 +114,7 @@
 			cost = m.Cost
 		}
 	}
-	return cascade.Use(cost, largest)
+	return cascade.RelativeCost(cost, largest)
 }
 
 // fleetAsk is what the choice of an endpoint for a model goes by.
