--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -58,7 +58,7 @@
 // Option is an answer that has yet to be asked for.
 type Option struct {
 	Answer
-	Use  float64 // what the model's use costs for a request of the mean size
+	Cost  float64 // what the model's use costs for a request of the mean size
 	Size float64 // of the request, relative to the mean one of its route
 	// Delay is how long others wait for the work, as a part of the objective: of
 	// requests whose slack is spread evenly over it, so many become late. They are
@@ -68,7 +68,7 @@
 
 // Net is what it is worth beyond what it takes from others.
 func (o Option) Net() float64 {
-	return o.Value() - (o.Use*o.Size+o.Delay*(1-valueLate))/Worth(o.Size)
+	return o.Value() - (o.Cost*o.Size+o.Delay*(1-valueLate))/Worth(o.Size)
 }
 
 // rightness is the chance that a small model's answer is right, by the confidence it
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -21,7 +21,7 @@
 		kept.InTime = 0
 	}
 	larger := cascade.Option{
-		Answer: cascade.Answer{Correct: cascade.LargestCorrect, InTime: s.inTime}, Use: cascade.RelativeCost(0.2, 0.2), Size: s.size, Delay: s.delay,
+		Answer: cascade.Answer{Correct: cascade.LargestCorrect, InTime: s.inTime}, Cost: cascade.RelativeCost(0.2, 0.2), Size: s.size, Delay: s.delay,
 	}
 	return larger.Net() > kept.Value()
 }
