--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -66,8 +66,8 @@
 	Delay float64
 }
 
-// Net is what it is worth beyond what it takes from others.
-func (o Option) Net() float64 {
+// NetValue is what it is worth beyond what it takes from others.
+func (o Option) NetValue() float64 {
 	return o.Value() - (o.Cost*o.Size+o.Delay*(1-valueLate))/Worth(o.Size)
 }
 
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -23,7 +23,7 @@
 	larger := cascade.Option{
 		Answer: cascade.Answer{Correct: cascade.LargestCorrect, InTime: s.inTime}, Cost: cascade.RelativeCost(0.2, 0.2), Size: s.size, Delay: s.delay,
 	}
-	return larger.Net() > kept.Value()
+	return larger.NetValue() > kept.Value()
 }
 
 func TestLargerModelIsAsked(t *testing.T) {
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -46,7 +46,7 @@
 }
 
 // better reports whether the larger model's answer is worth more.
-func (w weighing) better() bool { return w.possible && w.larger.Net() > w.kept.Value() }
+func (w weighing) better() bool { return w.possible && w.larger.NetValue() > w.kept.Value() }
 
 // weigh weighs an answer of a confidence against a larger model's.
 func (x *exchange) weigh(model string, confidence float64) weighing {
@@ -90,7 +90,7 @@
 	small := cascade.Option{Cost: x.use(x.model), Size: x.size, Delay: x.delay(x.expected)}
 	atOnce := w.larger
 	atOnce.InTime = w.expected.InTime(x.route.Objective)
-	x.g.begins.note(x.route.Name, atOnce.Net()-max(w.kept.Value(), w.larger.Net())-small.Net())
+	x.g.begins.note(x.route.Name, atOnce.NetValue()-max(w.kept.Value(), w.larger.NetValue())-small.NetValue())
 }
 
 // expect is what an attempt is expected to take, as the host knows that advises; false
