--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -24,30 +24,30 @@
 // it is there for what smaller ones can't answer.
 const LargestCorrect = 1.0
 
-// largestUse is the prior for what the use of the largest model costs, as a part of
+// largestCost is the prior for what the use of the largest model costs, as a part of
 // the answer's worth: operators declare what models cost, but not what an answer is
 // worth.
-const largestUse = 0.35
+const largestCost = 0.35
 
 // RelativeCost is what the use of a model costs, by its declared cost and that of the largest.
 func RelativeCost(cost, largest float64) float64 {
 	if largest <= 0 {
-		return largestUse
+		return largestCost
 	}
-	return largestUse * cost / largest
+	return largestCost * cost / largest
 }
 
-// fixedPart of an answer's worth does not grow with its size, as the users tell.
-const fixedPart = 0.3
+// fixedWorth of an answer's worth does not grow with its size, as the users tell.
+const fixedWorth = 0.3
 
 // Worth is what a request is worth, as a part of its route's mean, by its size
 // relative to the mean one.
-func Worth(size float64) float64 { return fixedPart + (1-fixedPart)*size }
+func Worth(size float64) float64 { return fixedWorth + (1-fixedWorth)*size }
 
 // Answer is an answer that a caller may get.
 type Answer struct {
-	Correct  float64 // chance that it is right
-	InTime float64 // chance that it comes in time
+	Correct float64 // chance that it is right
+	InTime  float64 // chance that it comes in time
 }
 
 // Value is what it is worth on average.
@@ -58,7 +58,7 @@
 // Option is an answer that has yet to be asked for.
 type Option struct {
 	Answer
-	Cost  float64 // what the model's use costs for a request of the mean size
+	Cost float64 // what the model's use costs for a request of the mean size
 	Size float64 // of the request, relative to the mean one of its route
 	// Delay is how long others wait for the work, as a part of the objective: of
 	// requests whose slack is spread evenly over it, so many become late. They are
@@ -71,17 +71,17 @@
 	return o.Value() - (o.Cost*o.Size+o.Delay*(1-valueLate))/Worth(o.Size)
 }
 
-// rightness is the chance that a small model's answer is right, by the confidence it
+// calibration is the chance that a small model's answer is right, by the confidence it
 // gives: pairs in rising order. It is a prior, for nothing on the way tells which answers
 // were right.
-var rightness = []struct{ confidence, chance float64 }{
+var calibration = []struct{ confidence, chance float64 }{
 	{0, 0.02}, {20, 0.05}, {30, 0.12}, {40, 0.3}, {50, 0.55}, {60, 0.65}, {80, 0.85}, {100, 1},
 }
 
 // CorrectProbability returns how likely an answer of a confidence, 0 to 100, is right.
 func CorrectProbability(confidence float64) float64 {
-	for i := 1; i < len(rightness); i++ {
-		below, above := rightness[i-1], rightness[i]
+	for i := 1; i < len(calibration); i++ {
+		below, above := calibration[i-1], calibration[i]
 		if confidence < above.confidence {
 			part := (confidence - below.confidence) / (above.confidence - below.confidence)
 			return below.chance + max(part, 0)*(above.chance-below.chance)
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -6,8 +6,8 @@
 	"quaybarrow/internal/cascade"
 )
 
-// situation is a small answer that is there and what the largest model would take.
-type situation struct {
+// choice is a small answer that is there and what the largest model would take.
+type choice struct {
 	confidence float64
 	late       bool    // the small answer
 	inTime     float64 // chance of the larger one
@@ -15,7 +15,7 @@
 	delay      float64
 }
 
-func (s situation) asked() bool {
+func (s choice) asksLarger() bool {
 	kept := cascade.Answer{Correct: cascade.CorrectProbability(s.confidence), InTime: 1}
 	if s.late {
 		kept.InTime = 0
@@ -28,25 +28,25 @@
 
 func TestLargerModelIsAsked(t *testing.T) {
 	cases := map[string]struct {
-		situation
+		choice
 		asked bool
 	}{
-		"a wrong answer":                           {situation{10, false, 1, 1, 0}, true},
-		"a doubtful one":                           {situation{45, false, 1, 1, 0}, true},
-		"a likely one":                             {situation{65, false, 1, 1, 0}, false},
-		"a sure one":                               {situation{100, false, 1, 1, 0}, false},
-		"a likely one that is late":                {situation{65, true, 1, 1, 0}, true},
-		"a wrong one that came late":               {situation{5, true, 1, 1, 0}, true},
-		"a wrong one, the larger surely late":      {situation{10, false, 0, 1, 0}, false},
-		"a doubtful one, the larger perhaps late":  {situation{45, false, 0.5, 1, 0}, false},
-		"a wrong one while many wait":              {situation{10, false, 1, 1, 0.9}, false},
-		"a doubtful one while some wait":           {situation{45, false, 1, 1, 0.4}, false},
-		"a wrong one while some wait":              {situation{10, false, 1, 1, 0.4}, true},
-		"a wrong large one, its work in the worth": {situation{10, false, 1, 4, 1.2}, true},
-		"a doubtful small one, cheap to read":      {situation{47, false, 1, 0.2, 0}, true},
+		"a wrong answer":                           {choice{10, false, 1, 1, 0}, true},
+		"a doubtful one":                           {choice{45, false, 1, 1, 0}, true},
+		"a likely one":                             {choice{65, false, 1, 1, 0}, false},
+		"a sure one":                               {choice{100, false, 1, 1, 0}, false},
+		"a likely one that is late":                {choice{65, true, 1, 1, 0}, true},
+		"a wrong one that came late":               {choice{5, true, 1, 1, 0}, true},
+		"a wrong one, the larger surely late":      {choice{10, false, 0, 1, 0}, false},
+		"a doubtful one, the larger perhaps late":  {choice{45, false, 0.5, 1, 0}, false},
+		"a wrong one while many wait":              {choice{10, false, 1, 1, 0.9}, false},
+		"a doubtful one while some wait":           {choice{45, false, 1, 1, 0.4}, false},
+		"a wrong one while some wait":              {choice{10, false, 1, 1, 0.4}, true},
+		"a wrong large one, its work in the worth": {choice{10, false, 1, 4, 1.2}, true},
+		"a doubtful small one, cheap to read":      {choice{47, false, 1, 0.2, 0}, true},
 	}
 	for name, c := range cases {
-		if got := c.situation.asked(); got != c.asked {
+		if got := c.choice.asksLarger(); got != c.asked {
 			t.Errorf("%s: asked is %v", name, got)
 		}
 	}
@@ -56,8 +56,8 @@
 	if half, whole := cascade.RelativeCost(0.1, 0.2), cascade.RelativeCost(0.2, 0.2); half*2 != whole {
 		t.Errorf("%v for half the cost, %v for the largest's", half, whole)
 	}
-	if unsaid := cascade.RelativeCost(0, 0); unsaid != cascade.RelativeCost(1, 1) {
-		t.Errorf("%v where nobody declares costs", unsaid)
+	if undeclared := cascade.RelativeCost(0, 0); undeclared != cascade.RelativeCost(1, 1) {
+		t.Errorf("%v where nobody declares costs", undeclared)
 	}
 }
 
--- a/internal/choose/choose.go
+++ b/internal/choose/choose.go
@@ -23,8 +23,8 @@
 	"quaybarrow/internal/estimate"
 )
 
-// ErrNone means that no version may take the request.
-var ErrNone = errors.New("no version is in service for this request")
+// ErrNoVersion means that no version may take the request.
+var ErrNoVersion = errors.New("no version is in service for this request")
 
 // Reason says why a version was picked.
 type Reason string
@@ -73,11 +73,11 @@
 
 // option is a usable version with what is known of it.
 type option struct {
-	index int // in Candidates
-	cost  float64
-	low   float64
-	high  float64
-	known estimate.Interval
+	index   int // in Candidates
+	cost    float64
+	lower   float64
+	upper   float64
+	quality estimate.Interval
 }
 
 // Usable reports whether a version may take new work that is not pinned to it.
@@ -98,11 +98,11 @@
 		return pickNewest(in)
 	}
 	var options [maxOptions]option
-	count := in.gather(&options)
+	count := in.usableOptions(&options)
 	if count == 0 {
-		return Decision{}, ErrNone
+		return Decision{}, ErrNoVersion
 	}
-	return in.decide(options[:count]), nil
+	return in.selectOption(options[:count]), nil
 }
 
 // pickNewest takes the last usable version; a canary only if it has a credit.
@@ -117,11 +117,11 @@
 		}
 		return Decision{Candidate: c, Reason: ReasonNewest}, nil
 	}
-	return Decision{}, ErrNone
+	return Decision{}, ErrNoVersion
 }
 
-// gather fills in the usable versions.
-func (in Input) gather(options *[maxOptions]option) int {
+// usableOptions fills in the usable versions.
+func (in Input) usableOptions(options *[maxOptions]option) int {
 	count := 0
 	for i, c := range in.Candidates {
 		if count == maxOptions {
@@ -133,8 +133,8 @@
 		score := in.Estimates.Score(estimate.Key{Workspace: in.Workspace, Class: in.Class, Version: c.Ref})
 		options[count] = option{
 			index: i, cost: Cost(c.Version),
-			low: score.Lower(c.Version.Quality), high: score.Upper(c.Version.Quality),
-			known: score.Interval(c.Version.Quality),
+			lower: score.Lower(c.Version.Quality), upper: score.Upper(c.Version.Quality),
+			quality: score.Interval(c.Version.Quality),
 		}
 		count++
 	}
@@ -150,31 +150,31 @@
 	return float64(v.OutputCost) + inputPerOutput*float64(v.InputCost)
 }
 
-// decide weighs single versions and mixes of two.
-func (in Input) decide(options []option) Decision {
+// selectOption weighs single versions and mixes of two.
+func (in Input) selectOption(options []option) Decision {
 	cheapest, best := -1, 0
 	for i, o := range options {
-		if o.low >= in.Target && (cheapest < 0 || o.cost < options[cheapest].cost) {
+		if o.lower >= in.Target && (cheapest < 0 || o.cost < options[cheapest].cost) {
 			cheapest = i
 		}
-		if o.low > options[best].low {
+		if o.lower > options[best].lower {
 			best = i
 		}
 	}
 	if cheapest < 0 {
-		return in.decided(options[best], ReasonBest)
+		return in.decisionFor(options[best], ReasonBest)
 	}
 	if i := explorable(options, options[cheapest].cost, in.Target); i >= 0 && in.Random < exploreShare {
-		return in.decided(options[i], ReasonExplore)
+		return in.decisionFor(options[i], ReasonExplore)
 	}
-	cheap, dear, share := cheapestMix(options, cheapest, in.Target)
+	cheap, expensive, share := cheapestMix(options, cheapest, in.Target)
 	if cheap < 0 {
-		return in.decided(options[cheapest], ReasonCheapest)
+		return in.decisionFor(options[cheapest], ReasonCheapest)
 	}
 	if rescale(in.Random) < share {
-		return in.decided(options[cheap], ReasonMix)
+		return in.decisionFor(options[cheap], ReasonMix)
 	}
-	return in.decided(options[dear], ReasonMix)
+	return in.decisionFor(options[expensive], ReasonMix)
 }
 
 // rescale spreads the part of the random number that exploration left over.
@@ -182,17 +182,17 @@
 	return math.Max(random-exploreShare, 0) / (1 - exploreShare)
 }
 
-func (in Input) decided(o option, reason Reason) Decision {
+func (in Input) decisionFor(o option, reason Reason) Decision {
 	c := in.Candidates[o.index]
 	return Decision{Candidate: c, Reason: reason, Canary: c.Version.State == declare.StateCanary}
 }
 
 // explorable finds the cheapest version that is cheaper than what is used and
 // might meet the target for all that is known; -1 if there is none.
-func explorable(options []option, below, target float64) int {
+func explorable(options []option, maxCost, target float64) int {
 	found := -1
 	for i, o := range options {
-		if o.cost >= below || o.high < target || o.low >= target {
+		if o.cost >= maxCost || o.upper < target || o.lower >= target {
 			continue
 		}
 		if found < 0 || o.cost < options[found].cost {
@@ -204,39 +204,39 @@
 
 // cheapestMix finds two versions and the share of the cheaper one such that the
 // mix's lower bound meets the target at a lower cost than the single version.
-func cheapestMix(options []option, single int, target float64) (cheap, dear int, share float64) {
-	cheap, dear = -1, -1
-	least := options[single].cost
+func cheapestMix(options []option, single int, target float64) (cheap, expensive int, share float64) {
+	cheap, expensive = -1, -1
+	lowestCost := options[single].cost
 	for i, a := range options {
-		if a.low >= target || a.cost >= options[single].cost {
+		if a.lower >= target || a.cost >= options[single].cost {
 			continue
 		}
 		for j, b := range options {
-			if b.low <= target {
+			if b.lower <= target {
 				continue
 			}
 			// No mix is cheaper than the one that the means alone would allow.
-			most := min((b.known.Mean-target)/(b.known.Mean-a.known.Mean), 1)
-			if most > 0 && most*a.cost+(1-most)*b.cost >= least {
+			maxShare := min((b.quality.Mean-target)/(b.quality.Mean-a.quality.Mean), 1)
+			if maxShare > 0 && maxShare*a.cost+(1-maxShare)*b.cost >= lowestCost {
 				continue
 			}
-			part := largestShare(a.known, b.known, target)
-			if cost := part*a.cost + (1-part)*b.cost; part > 0 && cost < least {
-				least, cheap, dear, share = cost, i, j, part
+			part := largestShare(a.quality, b.quality, target)
+			if cost := part*a.cost + (1-part)*b.cost; part > 0 && cost < lowestCost {
+				lowestCost, cheap, expensive, share = cost, i, j, part
 			}
 		}
 	}
-	return cheap, dear, share
+	return cheap, expensive, share
 }
 
-// halvings is how finely a mix's share is found.
-const halvings = 10
+// bisectionSteps is how finely a mix's share is found.
+const bisectionSteps = 10
 
 // largestShare finds the largest share of the first version with which the mix's
 // lower bound meets the target. Without any of the first it does.
 func largestShare(first, second estimate.Interval, target float64) float64 {
 	low, high := 0.0, 1.0
-	for range halvings {
+	for range bisectionSteps {
 		middle := (low + high) / 2
 		if estimate.MixLower(first, second, middle) >= target {
 			low = middle
@@ -251,25 +251,25 @@
 // the cheapest first, then the cheapest that meets the target by itself.
 func Cascade(in Input) (first, second Decision, err error) {
 	var options [maxOptions]option
-	count := in.gather(&options)
+	count := in.usableOptions(&options)
 	if count == 0 {
-		return Decision{}, Decision{}, ErrNone
+		return Decision{}, Decision{}, ErrNoVersion
 	}
-	low, strong := 0, -1
+	cheapest, sufficient := 0, -1
 	best := 0
 	for i, o := range options[:count] {
-		if o.cost < options[low].cost {
-			low = i
+		if o.cost < options[cheapest].cost {
+			cheapest = i
 		}
-		if o.low >= in.Target && (strong < 0 || o.cost < options[strong].cost) {
-			strong = i
+		if o.lower >= in.Target && (sufficient < 0 || o.cost < options[sufficient].cost) {
+			sufficient = i
 		}
-		if o.low > options[best].low {
+		if o.lower > options[best].lower {
 			best = i
 		}
 	}
-	if strong < 0 {
-		strong = best
+	if sufficient < 0 {
+		sufficient = best
 	}
-	return in.decided(options[low], ReasonCheapest), in.decided(options[strong], ReasonBest), nil
+	return in.decisionFor(options[cheapest], ReasonCheapest), in.decisionFor(options[sufficient], ReasonBest), nil
 }
--- a/internal/choose/choose_test.go
+++ b/internal/choose/choose_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// rated makes estimates in which each model has a mean of many ratings.
-func rated(means map[string]float64) estimate.Table {
+// estimates makes estimates in which each model has a mean of many ratings.
+func estimates(means map[string]float64) estimate.Table {
 	var entries []estimate.Entry
 	for model, mean := range means {
 		entries = append(entries, estimate.Entry{
@@ -42,7 +42,7 @@
 			candidate("middle", 5),
 			candidate("dear", 20),
 		},
-		Workspace: "w", Class: "c", Target: 0.8, Estimates: rated(means), Now: now, Random: random, Proven: time.Minute,
+		Workspace: "w", Class: "c", Target: 0.8, Estimates: estimates(means), Now: now, Random: random, Proven: time.Minute,
 	}
 }
 
@@ -110,7 +110,7 @@
 		Expect(d.Candidate.Ref.Model).To(Equal("middle"))
 		in.Candidates = in.Candidates[2:]
 		_, err = choose.Pick(in)
-		Expect(err).To(MatchError(choose.ErrNone))
+		Expect(err).To(MatchError(choose.ErrNoVersion))
 	})
 })
 
@@ -123,7 +123,7 @@
 		in.Candidates = append(in.Candidates, candidate(model, int64(i+1)))
 		means[model] = 0.5 + float64(i)/26
 	}
-	in.Estimates = rated(means)
+	in.Estimates = estimates(means)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := choose.Pick(in); err != nil {
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -60,7 +60,7 @@
 	}
 	w.larger = cascade.Option{
 		Answer: cascade.Answer{Correct: cascade.LargestCorrect, InTime: w.expected.InTime(x.route.Objective - w.took)},
-		Cost:    x.use(model), Size: x.size, Delay: x.delay(w.expected),
+		Cost:   x.use(model), Size: x.size, Delay: x.delay(w.expected),
 	}
 	return w
 }
--- a/internal/ratelimit/desk_test.go
+++ b/internal/ratelimit/desk_test.go
@@ -18,28 +18,28 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// asked is a host's connections to others, of which one answers to questions.
-type asked struct {
+// fakePeers is a host's connections to others, of which one answers to questions.
+type fakePeers struct {
 	ratelimit.PeerClient
-	answers  string // its address
-	requests []ratelimit.Request
+	reachable string // its address
+	requests  []ratelimit.Request
 }
 
 // Borrow implements ratelimit.Caller.
-func (a *asked) Borrow(_ context.Context, address string, r ratelimit.Request) (ratelimit.Reply, error) {
-	if address != a.answers {
+func (a *fakePeers) Borrow(_ context.Context, address string, r ratelimit.Request) (ratelimit.Reply, error) {
+	if address != a.reachable {
 		return ratelimit.Reply{}, errGone
 	}
 	a.requests = append(a.requests, r)
 	return ratelimit.Reply{Requests: 1, Limit: r.Limit}, nil
 }
 
-// lentBy returns an endpoint of which hosts lend in an order.
-func lentBy(hosts ...string) string {
+// endpointWithOrder returns an endpoint of which hosts lend in an order.
+func endpointWithOrder(hosts ...string) string {
 	for i := 0; ; i++ {
 		endpoint := endpointName(i)
 		order := func(a, b string) int {
-			return cmp.Compare(ratelimit.OrderOf(endpoint, a), ratelimit.OrderOf(endpoint, b))
+			return cmp.Compare(ratelimit.Rank(endpoint, a), ratelimit.Rank(endpoint, b))
 		}
 		if slices.IsSortedFunc(hosts, order) {
 			return endpoint
@@ -48,35 +48,35 @@
 }
 
 var _ = Describe("a host that is asked for a limit though another one comes before it", func() {
-	// ask has host-1 asked by host-2 for a limit of which host-0 lends.
-	ask := func(caller *asked, relayed bool) ratelimit.Reply {
-		d := ratelimit.NewLimiter(ratelimit.Options{
-			Host: "host-1", Fleet: fleet.New(fleet.Options{}), Client: caller, MembersKnown: func() bool { return true },
+	// borrow has host-1 asked by host-2 for a limit of which host-0 lends.
+	borrow := func(peers *fakePeers, relayed bool) ratelimit.Reply {
+		limiter := ratelimit.NewLimiter(ratelimit.Options{
+			Host: "host-1", Fleet: fleet.New(fleet.Options{}), Client: peers, MembersKnown: func() bool { return true },
 			Members: func() []ratelimit.Member {
 				return []ratelimit.Member{{Name: "host-0", Address: "0"}, {Name: "host-2", Address: "2"}}
 			},
 			Telemetry: telemetry.MetricsOnly(), Logger: log.New(io.Discard),
 		})
 		now := clock.Now()
-		limit := fleet.LimitNews{Endpoint: lentBy("host-0", "host-1", "host-2"), Rate: 2, Since: now, Heard: now}
-		return d.Borrow(context.Background(), ratelimit.Request{Requests: 1, From: "host-2", Relayed: relayed, Limit: limit})
+		limit := fleet.LimitNews{Endpoint: endpointWithOrder("host-0", "host-1", "host-2"), Rate: 2, Since: now, Heard: now}
+		return limiter.Borrow(context.Background(), ratelimit.Request{Requests: 1, From: "host-2", Relayed: relayed, Limit: limit})
 	}
 
 	It("asks that one, which lends", func() {
 		suite.Paused(func() {
-			caller := &asked{answers: "0"}
-			Expect(ask(caller, false).Requests).To(Equal(1))
+			caller := &fakePeers{reachable: "0"}
+			Expect(borrow(caller, false).Requests).To(Equal(1))
 			Expect(caller.requests).To(HaveLen(1))
 			Expect(caller.requests[0].Relayed).To(BeTrue())
 			Expect(caller.requests[0].From).To(Equal("host-1"))
 		})
 	})
 
-	for name, answers := range map[string]string{"it does not answer": "", "another host has asked that one": "0"} {
+	for name, reachable := range map[string]string{"it does not answer": "", "another host has asked that one": "0"} {
 		It("lends itself, nothing at first, if "+name, func() {
 			suite.Paused(func() {
-				caller := &asked{answers: answers}
-				Expect(ask(caller, answers != "").Requests).To(BeZero(), fmt.Sprint(caller.requests))
+				caller := &fakePeers{reachable: reachable}
+				Expect(borrow(caller, reachable != "").Requests).To(BeZero(), fmt.Sprint(caller.requests))
 				Expect(caller.requests).To(BeEmpty())
 			})
 		})
--- a/internal/ratelimit/grpc.go
+++ b/internal/ratelimit/grpc.go
@@ -12,68 +12,68 @@
 )
 
 // Register has a gRPC server answer other hosts.
-func Register(s grpc.ServiceRegistrar, d *Limiter) {
-	ratelimitpb.RegisterRateLimitServer(s, &server{desk: d})
+func Register(s grpc.ServiceRegistrar, l *Limiter) {
+	ratelimitpb.RegisterRateLimitServer(s, &server{limiter: l})
 }
 
 // server answers other hosts.
 type server struct {
 	ratelimitpb.UnimplementedRateLimitServer
-	desk *Limiter
+	limiter *Limiter
 }
 
 // Borrow implements ratelimitpb.RateLimitServer.
 func (s *server) Borrow(ctx context.Context, w *ratelimitpb.BorrowRequest) (*ratelimitpb.BorrowReply, error) {
 	now := clock.Now()
-	reply := s.desk.Borrow(ctx, Request{
+	reply := s.limiter.Borrow(ctx, Request{
 		Requests: int(w.GetRequests()), From: w.GetFrom(), Relayed: w.GetRelayed(), Unsaved: w.GetUnsaved(),
 		Limit: limitFromWire(w.GetEndpoint(), w.GetLimit(), now),
 	})
 	return &ratelimitpb.BorrowReply{
 		Requests: int32(reply.Requests), //nolint:gosec // no more than was asked for
-		Limit:    limitToWire(reply.Limit, clock.Now()), LastsMicros: reply.Lasts.Microseconds(), AgainMicros: reply.Again.Microseconds(),
+		Limit:    limitToWire(reply.Limit, clock.Now()), LastsMicros: reply.ValidFor.Microseconds(), AgainMicros: reply.RetryAfter.Microseconds(),
 	}, nil
 }
 
 // Tell implements ratelimitpb.RateLimitServer.
 func (s *server) Tell(_ context.Context, w *ratelimitpb.TellRequest) (*ratelimitpb.TellReply, error) {
-	s.desk.Hear(newsFromWire(w.GetNews()))
+	s.limiter.ApplyLimits(newsFromWire(w.GetNews()))
 	if !w.GetAll() {
 		return &ratelimitpb.TellReply{}, nil
 	}
-	return &ratelimitpb.TellReply{News: newsToWire(s.desk.Limits())}, nil
+	return &ratelimitpb.TellReply{News: newsToWire(s.limiter.KnownLimits())}, nil
 }
 
 // Connect returns the connection to an address.
 type Connect func(address string) (grpc.ClientConnInterface, error)
 
-// grpcCaller sends over gRPC.
-type grpcCaller struct{ connect Connect }
+// grpcClient sends over gRPC.
+type grpcClient struct{ connect Connect }
 
 // NewPeerClient returns a caller over connections that other services share.
-func NewPeerClient(connect Connect) PeerClient { return grpcCaller{connect} }
+func NewPeerClient(connect Connect) PeerClient { return grpcClient{connect} }
 
 // Borrow implements Caller.
-func (c grpcCaller) Borrow(ctx context.Context, address string, r Request) (Reply, error) {
+func (c grpcClient) Borrow(ctx context.Context, address string, r Request) (Reply, error) {
 	connection, err := c.connect(address)
 	if err != nil {
 		return Reply{}, fmt.Errorf("borrow from %s: %w", address, err)
 	}
 	w, err := ratelimitpb.NewRateLimitClient(connection).Borrow(ctx, &ratelimitpb.BorrowRequest{
-		Endpoint: r.Limit.Endpoint, Requests: int32(min(r.Requests, requestsMost)), From: r.From, Relayed: r.Relayed, //nolint:gosec // bounded
+		Endpoint: r.Limit.Endpoint, Requests: int32(min(r.Requests, maxBorrowRequests)), From: r.From, Relayed: r.Relayed, //nolint:gosec // bounded
 		Unsaved: r.Unsaved, Limit: limitToWire(r.Limit, clock.Now()),
 	})
 	if err != nil {
 		return Reply{}, fmt.Errorf("borrow from %s: %w", address, err)
 	}
 	return Reply{
-		Requests: int(w.GetRequests()), Lasts: clock.Micros(w.GetLastsMicros()), Again: clock.Micros(w.GetAgainMicros()),
+		Requests: int(w.GetRequests()), ValidFor: clock.Micros(w.GetLastsMicros()), RetryAfter: clock.Micros(w.GetAgainMicros()),
 		Limit: limitFromWire(r.Limit.Endpoint, w.GetLimit(), clock.Now()),
 	}, nil
 }
 
-// Tell implements Caller.
-func (c grpcCaller) Tell(ctx context.Context, address string, news []fleet.LimitNews) error {
+// SendLimits implements Caller.
+func (c grpcClient) SendLimits(ctx context.Context, address string, news []fleet.LimitNews) error {
 	connection, err := c.connect(address)
 	if err != nil {
 		return fmt.Errorf("tell %s: %w", address, err)
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// Known implements Caller.
-func (c grpcCaller) Known(ctx context.Context, address string) ([]fleet.LimitNews, error) {
+// FetchLimits implements Caller.
+func (c grpcClient) FetchLimits(ctx context.Context, address string) ([]fleet.LimitNews, error) {
 	connection, err := c.connect(address)
 	if err != nil {
 		return nil, fmt.Errorf("ask %s for limits: %w", address, err)
@@ -115,8 +115,8 @@
 	return news
 }
 
-// requestsMost bounds what is asked for at a time.
-const requestsMost = 1 << 20
+// maxBorrowRequests bounds what is asked for at a time.
+const maxBorrowRequests = 1 << 20
 
 // limitToWire encodes what is known of a limit; times are relative to the sending.
 func limitToWire(n fleet.LimitNews, now clock.Instant) *ratelimitpb.Limit {
--- a/internal/ratelimit/lender_test.go
+++ b/internal/ratelimit/lender_test.go
@@ -12,25 +12,25 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// want asks a lender for requests of an endpoint's limit.
-func want(l *ratelimit.Lender, first bool, since clock.Instant, rate float64, requests int) ratelimit.Reply {
-	return lend(l, first, since, rate, ratelimit.Request{Requests: requests})
+// borrow asks a lender for requests of an endpoint's limit.
+func borrow(l *ratelimit.Lender, first bool, since clock.Instant, rate float64, requests int) ratelimit.Reply {
+	return lendRequest(l, first, since, rate, ratelimit.Request{Requests: requests})
 }
 
-// lend asks a lender for what a request says.
-func lend(l *ratelimit.Lender, first bool, since clock.Instant, rate float64, r ratelimit.Request) ratelimit.Reply {
+// lendRequest asks a lender for what a request says.
+func lendRequest(l *ratelimit.Lender, first bool, since clock.Instant, rate float64, r ratelimit.Request) ratelimit.Reply {
 	now := clock.Now()
 	r.Limit = fleet.LimitNews{Endpoint: "e", Rate: rate, Since: since, Heard: now}
 	return l.Lend(r, first, now)
 }
 
-// lentIn is what a lender lends to one that wants as much as there is, over a time.
-func lentIn(l *ratelimit.Lender, first bool, since clock.Instant, rate float64, d time.Duration) int {
+// totalLent is what a lender lends to one that wants as much as there is, over a time.
+func totalLent(l *ratelimit.Lender, first bool, since clock.Instant, rate float64, d time.Duration) int {
 	n, end := 0, clock.Now().Add(d)
 	for clock.Now().Before(end) {
-		r := want(l, first, since, rate, 100)
+		r := borrow(l, first, since, rate, 100)
 		n += r.Requests
-		time.Sleep(max(r.Again, 10*time.Millisecond))
+		time.Sleep(max(r.RetryAfter, 10*time.Millisecond))
 	}
 	return n
 }
@@ -40,7 +40,7 @@
 		suite.Paused(func() {
 			l := ratelimit.NewLender()
 			time.Sleep(time.Second)
-			Expect(lentIn(l, true, clock.Now(), 2.5, 20*time.Second)).To(BeNumerically("~", 50, 2))
+			Expect(totalLent(l, true, clock.Now(), 2.5, 20*time.Second)).To(BeNumerically("~", 50, 2))
 		})
 	})
 
@@ -49,8 +49,8 @@
 			old := clock.Now().Add(-time.Minute)
 			for _, first := range []bool{true, false} {
 				l := ratelimit.NewLender()
-				Expect(lentIn(l, first, old, 8, 3*time.Second)).To(BeNumerically("~", 12, 2))
-				Expect(lentIn(l, first, old, 8, 3*time.Second)).To(BeNumerically("~", 24, 2))
+				Expect(totalLent(l, first, old, 8, 3*time.Second)).To(BeNumerically("~", 12, 2))
+				Expect(totalLent(l, first, old, 8, 3*time.Second)).To(BeNumerically("~", 24, 2))
 			}
 		})
 	})
@@ -60,10 +60,10 @@
 			l := ratelimit.NewLender()
 			time.Sleep(time.Second)
 			since := clock.Now()
-			lentIn(l, true, since, 8, 3*time.Second)
+			totalLent(l, true, since, 8, 3*time.Second)
 			time.Sleep(5 * time.Second)
-			Expect(want(l, true, since, 8, 100).Requests).To(BeZero(), "nothing is saved up")
-			Expect(lentIn(l, true, since, 8, 3*time.Second)).To(BeNumerically("~", 12, 2))
+			Expect(borrow(l, true, since, 8, 100).Requests).To(BeZero(), "nothing is saved up")
+			Expect(totalLent(l, true, since, 8, 3*time.Second)).To(BeNumerically("~", 12, 2))
 		})
 	})
 
@@ -75,7 +75,7 @@
 			lent := 0
 			for i := range 20 {
 				time.Sleep(time.Duration(500+400*(i%3)) * time.Millisecond)
-				n := lend(l, true, since, 4, ratelimit.Request{Requests: 5, Unsaved: true}).Requests
+				n := lendRequest(l, true, since, 4, ratelimit.Request{Requests: 5, Unsaved: true}).Requests
 				Expect(n).To(BeNumerically("<=", 1))
 				lent += n
 			}
@@ -90,7 +90,7 @@
 			since, most := clock.Now(), 0
 			for range 10 {
 				time.Sleep(1900 * time.Millisecond)
-				most = max(most, want(l, true, since, 1, 5).Requests)
+				most = max(most, borrow(l, true, since, 1, 5).Requests)
 			}
 			Expect(most).To(Equal(2))
 		})
@@ -101,11 +101,11 @@
 			l := ratelimit.NewLender()
 			time.Sleep(time.Second)
 			since := clock.Now()
-			Expect(want(l, true, since, 2, 1).Requests).To(Equal(1))
+			Expect(borrow(l, true, since, 2, 1).Requests).To(Equal(1))
 			for i := range 5 {
-				r := want(l, true, since, 2, 1)
+				r := borrow(l, true, since, 2, 1)
 				Expect(r.Requests).To(BeZero())
-				Expect(r.Again).To(BeNumerically("~", time.Duration(i+1)*500*time.Millisecond, 10*time.Millisecond))
+				Expect(r.RetryAfter).To(BeNumerically("~", time.Duration(i+1)*500*time.Millisecond, 10*time.Millisecond))
 			}
 		})
 	})
@@ -114,9 +114,9 @@
 		suite.Paused(func() {
 			l := ratelimit.NewLender()
 			since := clock.Now()
-			want(l, true, since, 2, 1)
+			borrow(l, true, since, 2, 1)
 			time.Sleep(time.Second)
-			want(l, true, clock.Instant{}, 0, 0)
+			borrow(l, true, clock.Instant{}, 0, 0)
 			old := ratelimit.Request{Requests: 1, Limit: fleet.LimitNews{Endpoint: "e", Rate: 2, Since: since, Heard: since}}
 			r := l.Lend(old, true, clock.Now())
 			Expect(r.Requests).To(BeZero())
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -35,29 +35,29 @@
 
 // Times of questions between hosts.
 const (
-	askPatience   = 250 * time.Millisecond
-	relayPatience = 100 * time.Millisecond
-	// awayFor is how long a host is passed over that has not answered. It is short, so that all
+	askTimeout   = 250 * time.Millisecond
+	relayTimeout = 100 * time.Millisecond
+	// skipTime is how long a host is passed over that has not answered. It is short, so that all
 	// come back to a lender at nearly the same time.
-	awayFor = time.Second
-	// nobodyPause is after how long a host asks again that has found no lender.
-	nobodyPause = 200 * time.Millisecond
-	// membersFor is how long the list of hosts is kept in the order's form.
-	membersFor = time.Second
+	skipTime = time.Second
+	// noLenderPause is after how long a host asks again that has found no lender.
+	noLenderPause = 200 * time.Millisecond
+	// hostsMaxAge is how long the list of hosts is kept in the order's form.
+	hostsMaxAge = time.Second
 )
 
 // Bounds of questions.
 const (
-	// triesMost hosts are asked for one question.
-	triesMost = 3
-	// asksMost questions are under way at once.
-	asksMost = 16
-	// tellMost hosts are told of a limit that begins, ends or changes, by each that hears of it for
+	// maxTries hosts are asked for one question.
+	maxTries = 3
+	// maxConcurrentBorrows questions are under way at once.
+	maxConcurrentBorrows = 16
+	// gossipFanout hosts are told of a limit that begins, ends or changes, by each that hears of it for
 	// the first time, as rumours spread (Demers et al., "Epidemic algorithms for replicated database
 	// maintenance", 1987).
-	tellMost = 4
-	// newsMost limits are told of in a message.
-	newsMost = 256
+	gossipFanout = 4
+	// maxLimitsPerMessage limits are told of in a message.
+	maxLimitsPerMessage = 256
 )
 
 // Member is another host.
@@ -66,9 +66,9 @@
 // PeerClient asks other hosts.
 type PeerClient interface {
 	Borrow(ctx context.Context, address string, r Request) (Reply, error)
-	Tell(ctx context.Context, address string, news []fleet.LimitNews) error
-	// Known asks for the limits that a host knows of.
-	Known(ctx context.Context, address string) ([]fleet.LimitNews, error)
+	SendLimits(ctx context.Context, address string, news []fleet.LimitNews) error
+	// FetchLimits asks for the limits that a host knows of.
+	FetchLimits(ctx context.Context, address string) ([]fleet.LimitNews, error)
 }
 
 // Options set up a Desk.
@@ -76,178 +76,180 @@
 	Host  string // this host's name
 	Fleet *fleet.Fleet
 	// Members lists all other hosts, and Known tells whether the list was read.
-	Members   func() []Member
-	MembersKnown     func() bool
-	Client    PeerClient
-	Telemetry *telemetry.Telemetry
-	Logger    *log.Logger
+	Members      func() []Member
+	MembersKnown func() bool
+	Client       PeerClient
+	Telemetry    *telemetry.Telemetry
+	Logger       *log.Logger
 }
 
 // Limiter borrows for this host, and lends to others; safe for use at once.
 type Limiter struct {
-	options Options
-	lender  *Lender
-	wake    wake.Signal
-	asks    chan struct{} // holds one for each question under way
+	options     Options
+	lender      *Lender
+	wake        wake.Signal
+	borrowSlots chan struct{} // holds one for each question under way
 
-	mu      sync.Mutex // guards all below
-	hosts   []host     // this one too
-	readAt  clock.Instant
-	away    map[string]clock.Instant // hosts that have not answered, by name, and until when they are passed over
-	failing map[string]bool          // hosts of which a line says that they don't answer
+	mu           sync.Mutex // guards all below
+	hosts        []host     // this one too
+	hostsReadAt  clock.Instant
+	skippedUntil map[string]clock.Instant // hosts that have not answered, by name, and until when they are passed over
+	logged       map[string]bool          // hosts of which a line says that they don't answer
 }
 
 // host is a host in the endpoints' orders.
 type host struct {
 	Member
-	seed uint64
+	hash uint64
 	self bool
 }
 
-// OrderOf is a host's place in an endpoint's order, 0 to 1; the one with the least lends.
-func OrderOf(endpoint, host string) float64 {
+// Rank is a host's place in an endpoint's order, 0 to 1; the one with the least lends.
+func Rank(endpoint, host string) float64 {
 	return fleet.Weight(xxhash.Sum64String(endpoint), xxhash.Sum64String(host))
 }
 
 // NewLimiter returns a desk.
 func NewLimiter(o Options) *Limiter {
-	d := &Limiter{
-		options: o, lender: NewLender(), wake: wake.NewSignal(), asks: make(chan struct{}, asksMost),
-		away: map[string]clock.Instant{}, failing: map[string]bool{},
+	l := &Limiter{
+		options: o, lender: NewLender(), wake: wake.NewSignal(), borrowSlots: make(chan struct{}, maxConcurrentBorrows),
+		skippedUntil: map[string]clock.Instant{}, logged: map[string]bool{},
 	}
-	o.Fleet.OnWanted(d.wake.Poke)
-	return d
+	o.Fleet.OnWanted(l.wake.Poke)
+	return l
 }
 
 // Run borrows until the context ends.
-func (d *Limiter) Run(ctx context.Context) {
+func (l *Limiter) Run(ctx context.Context) {
 	var working sync.WaitGroup
 	defer working.Wait()
-	working.Go(func() { d.learn(ctx) })
+	working.Go(func() { l.fetchLimits(ctx) })
 	// As a function's, the timer may be due at its setting; see clock.Sleep.
-	later := time.AfterFunc(0, d.wake.Poke)
-	defer later.Stop()
+	timer := time.AfterFunc(0, l.wake.Poke)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.wake:
+		case <-l.wake:
 		}
-		d.tell(ctx, &working)
-		list, next := d.options.Fleet.Wanted()
+		l.gossip(ctx, &working)
+		list, next := l.options.Fleet.Wanted()
 		for _, w := range list {
 			select {
-			case d.asks <- struct{}{}:
+			case l.borrowSlots <- struct{}{}:
 			case <-ctx.Done():
 				return
 			}
 			working.Go(func() {
-				defer func() { <-d.asks }()
-				d.ask(ctx, w)
+				defer func() { <-l.borrowSlots }()
+				l.borrowWanted(ctx, w)
 			})
 		}
 		if !next.IsZero() {
-			later.Reset(max(clock.Until(next), 0))
+			timer.Reset(max(clock.Until(next), 0))
 		}
 	}
 }
 
-// tell spreads what has changed.
-func (d *Limiter) tell(ctx context.Context, working *sync.WaitGroup) {
-	if !d.options.MembersKnown() {
+// gossip spreads what has changed.
+func (l *Limiter) gossip(ctx context.Context, working *sync.WaitGroup) {
+	if !l.options.MembersKnown() {
 		return // it is told with the next news, or by others
 	}
-	news := d.options.Fleet.FreshNews(newsMost)
+	news := l.options.Fleet.FreshNews(maxLimitsPerMessage)
 	if len(news) == 0 {
 		return
 	}
-	for _, h := range d.some(tellMost) {
+	for _, h := range l.randomHosts(gossipFanout) {
 		working.Go(func() {
-			limited, cancel := context.WithTimeout(ctx, askPatience)
+			limited, cancel := context.WithTimeout(ctx, askTimeout)
 			defer cancel()
-			if err := d.options.Client.Tell(limited, h.Address, news); err != nil && ctx.Err() == nil {
-				d.options.Logger.Debug("host not told of limits", "to", h.Name, "count", len(news), "error", err)
+			if err := l.options.Client.SendLimits(limited, h.Address, news); err != nil && ctx.Err() == nil {
+				l.options.Logger.Debug("host not told of limits", "to", h.Name, "count", len(news), "error", err)
 			}
 		})
 	}
 }
 
-// some returns other hosts by chance.
-func (d *Limiter) some(most int) []host {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.read()
+// randomHosts returns other hosts by chance.
+func (l *Limiter) randomHosts(limit int) []host {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.refreshHosts()
 	now := clock.Now()
 	var found []host
-	for range drawsPer * most {
-		h := d.hosts[rand.IntN(len(d.hosts))]
-		if len(found) < most && !h.self && !now.Before(d.away[h.Name]) && !slices.Contains(found, h) {
+	for range drawsPerHost * limit {
+		h := l.hosts[rand.IntN(len(l.hosts))]
+		if len(found) < limit && !h.self && !now.Before(l.skippedUntil[h.Name]) && !slices.Contains(found, h) {
 			found = append(found, h)
 		}
 	}
 	return found
 }
 
-// drawsPer is how many draws a host that is told takes at most.
-const drawsPer = 4
+// drawsPerHost is how many draws a host that is told takes at most.
+const drawsPerHost = 4
 
-// learn asks some hosts, one after the other, what limits there are, as this one starts.
-func (d *Limiter) learn(ctx context.Context) {
-	for !d.options.MembersKnown() {
-		if !clock.Sleep(ctx, learnPause) {
+// fetchLimits asks some hosts, one after the other, what limits there are, as this one starts.
+func (l *Limiter) fetchLimits(ctx context.Context) {
+	for !l.options.MembersKnown() {
+		if !clock.Sleep(ctx, membersPollInterval) {
 			return
 		}
 	}
-	for _, h := range d.some(triesMost) {
-		limited, cancel := context.WithTimeout(ctx, askPatience)
-		news, err := d.options.Client.Known(limited, h.Address)
+	for _, h := range l.randomHosts(maxTries) {
+		limited, cancel := context.WithTimeout(ctx, askTimeout)
+		news, err := l.options.Client.FetchLimits(limited, h.Address)
 		cancel()
 		if err == nil {
-			d.Hear(news)
+			l.ApplyLimits(news)
 			return
 		}
-		d.options.Logger.Debug("host does not tell of limits", "from", h.Name, "error", err)
+		l.options.Logger.Debug("host does not tell of limits", "from", h.Name, "error", err)
 	}
 }
 
-// learnPause is after how long a host that starts looks again whether it knows the list of hosts.
-const learnPause = 20 * time.Millisecond
+// membersPollInterval is after how long a host that starts looks again whether it knows the list of hosts.
+const membersPollInterval = 20 * time.Millisecond
 
-// Limits lists the limits that this host knows of, for one that starts.
-func (d *Limiter) Limits() []fleet.LimitNews { return d.options.Fleet.LimitNews(newsMost) }
+// KnownLimits lists the limits that this host knows of, for one that starts.
+func (l *Limiter) KnownLimits() []fleet.LimitNews {
+	return l.options.Fleet.LimitNews(maxLimitsPerMessage)
+}
 
-// Hear takes in what another host tells.
-func (d *Limiter) Hear(news []fleet.LimitNews) {
+// ApplyLimits takes in what another host tells.
+func (l *Limiter) ApplyLimits(news []fleet.LimitNews) {
 	for _, n := range news {
-		d.options.Fleet.LearnLimit(n)
+		l.options.Fleet.LearnLimit(n)
 	}
 }
 
-// ask borrows of an endpoint's limit.
-func (d *Limiter) ask(ctx context.Context, w fleet.Want) {
-	r := Request{Requests: w.Requests, Limit: w.News, From: d.options.Host}
-	asked := clock.Now()
-	reply, ok := d.borrow(ctx, r)
+// borrowWanted borrows of an endpoint's limit.
+func (l *Limiter) borrowWanted(ctx context.Context, w fleet.Want) {
+	r := Request{Requests: w.Requests, Limit: w.News, From: l.options.Host}
+	sent := clock.Now()
+	reply, ok := l.borrow(ctx, r)
 	if !ok {
-		d.options.Fleet.Lent(w.News.Endpoint, fleet.Loan{Again: clock.Now().Add(nobodyPause)})
+		l.options.Fleet.Lent(w.News.Endpoint, fleet.Loan{Again: clock.Now().Add(noLenderPause)})
 		return
 	}
-	d.options.Telemetry.Count("limit_requests_borrowed", int64(reply.Requests))
-	d.options.Fleet.LearnLimit(reply.Limit)
-	d.options.Fleet.Lent(w.News.Endpoint, fleet.Loan{Requests: reply.Requests, Until: asked.Add(reply.Lasts), Again: clock.Now().Add(reply.Again)})
+	l.options.Telemetry.Count("limit_requests_borrowed", int64(reply.Requests))
+	l.options.Fleet.LearnLimit(reply.Limit)
+	l.options.Fleet.Lent(w.News.Endpoint, fleet.Loan{Requests: reply.Requests, Until: sent.Add(reply.ValidFor), Again: clock.Now().Add(reply.RetryAfter)})
 }
 
 // borrow asks the host that lends; false if none is found.
-func (d *Limiter) borrow(ctx context.Context, r Request) (Reply, bool) {
-	if !d.options.MembersKnown() {
+func (l *Limiter) borrow(ctx context.Context, r Request) (Reply, bool) {
+	if !l.options.MembersKnown() {
 		return Reply{}, false
 	}
-	for range triesMost {
-		h, first := d.lenderOf(r.Limit.Endpoint, "")
+	for range maxTries {
+		h, first := l.lenderOf(r.Limit.Endpoint, "")
 		if h.self {
-			return d.lender.Lend(r, first, clock.Now()), true
+			return l.lender.Lend(r, first, clock.Now()), true
 		}
-		reply, err := d.call(ctx, h, r, askPatience)
+		reply, err := l.borrowFrom(ctx, h, r, askTimeout)
 		if err == nil {
 			return reply, true
 		}
@@ -260,83 +262,83 @@
 
 // TryAcquire asks for one of the turns that all hosts together may have of something by its key, so many a
 // second; granted tells whether this host has it, and wait when to ask again if not.
-func (d *Limiter) TryAcquire(ctx context.Context, key string, rate float64) (wait time.Duration, granted bool) {
+func (l *Limiter) TryAcquire(ctx context.Context, key string, rate float64) (wait time.Duration, granted bool) {
 	now := clock.Now()
-	reply, ok := d.borrow(ctx, Request{Requests: 1, From: d.options.Host, Unsaved: true, Limit: fleet.LimitNews{Endpoint: key, Rate: rate, Since: now, Heard: now}})
+	reply, ok := l.borrow(ctx, Request{Requests: 1, From: l.options.Host, Unsaved: true, Limit: fleet.LimitNews{Endpoint: key, Rate: rate, Since: now, Heard: now}})
 	if !ok {
-		return nobodyPause, false
+		return noLenderPause, false
 	}
-	return reply.Again, reply.Requests > 0
+	return reply.RetryAfter, reply.Requests > 0
 }
 
-// call asks a host, and notes whether it answers.
-func (d *Limiter) call(ctx context.Context, h host, r Request, patience time.Duration) (Reply, error) {
-	limited, cancel := context.WithTimeout(ctx, patience)
+// borrowFrom asks a host, and notes whether it answers.
+func (l *Limiter) borrowFrom(ctx context.Context, h host, r Request, timeout time.Duration) (Reply, error) {
+	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := d.options.Client.Borrow(limited, h.Address, r)
+	reply, err := l.options.Client.Borrow(limited, h.Address, r)
 	if ctx.Err() != nil {
 		return reply, err
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if err == nil {
-		delete(d.away, h.Name)
-		delete(d.failing, h.Name)
+		delete(l.skippedUntil, h.Name)
+		delete(l.logged, h.Name)
 		return reply, nil
 	}
-	d.away[h.Name] = clock.Now().Add(awayFor)
-	if !d.failing[h.Name] {
-		d.failing[h.Name] = true
-		d.options.Logger.Info("host does not lend of limits; the next one is asked", "from", h.Name, "endpoint", r.Limit.Endpoint, "error", err)
+	l.skippedUntil[h.Name] = clock.Now().Add(skipTime)
+	if !l.logged[h.Name] {
+		l.logged[h.Name] = true
+		l.options.Logger.Info("host does not lend of limits; the next one is asked", "from", h.Name, "endpoint", r.Limit.Endpoint, "error", err)
 	}
 	return reply, err
 }
 
 // Borrow answers another host: it lends, or asks the host that comes before it.
-func (d *Limiter) Borrow(ctx context.Context, r Request) Reply {
-	d.mu.Lock()
-	delete(d.away, r.From)
-	d.mu.Unlock()
-	h, first := d.lenderOf(r.Limit.Endpoint, r.From)
+func (l *Limiter) Borrow(ctx context.Context, r Request) Reply {
+	l.mu.Lock()
+	delete(l.skippedUntil, r.From)
+	l.mu.Unlock()
+	h, first := l.lenderOf(r.Limit.Endpoint, r.From)
 	if !h.self && !r.Relayed {
 		relayed := r
-		relayed.From, relayed.Relayed = d.options.Host, true
-		if reply, err := d.call(ctx, h, relayed, relayPatience); err == nil {
+		relayed.From, relayed.Relayed = l.options.Host, true
+		if reply, err := l.borrowFrom(ctx, h, relayed, relayTimeout); err == nil {
 			return reply
 		}
 		first = false
 	}
-	reply := d.lender.Lend(r, first && h.self, clock.Now())
-	d.options.Telemetry.Count("limit_requests_lent", int64(reply.Requests))
+	reply := l.lender.Lend(r, first && h.self, clock.Now())
+	l.options.Telemetry.Count("limit_requests_lent", int64(reply.Requests))
 	return reply
 }
 
 // lenderOf returns the host that lends of an endpoint's limit: the first in its order that answers,
 // but one. First tells whether it is the first of all.
-func (d *Limiter) lenderOf(endpoint, but string) (found host, first bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.read()
+func (l *Limiter) lenderOf(endpoint, except string) (found host, first bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.refreshHosts()
 	now, key := clock.Now(), xxhash.Sum64String(endpoint)
-	best, least := math.Inf(1), math.Inf(1)
-	for _, h := range d.hosts {
-		w := fleet.Weight(key, h.seed)
-		least = min(least, w)
-		if w < best && h.Name != but && !now.Before(d.away[h.Name]) {
+	best, lowest := math.Inf(1), math.Inf(1)
+	for _, h := range l.hosts {
+		w := fleet.Weight(key, h.hash)
+		lowest = min(lowest, w)
+		if w < best && h.Name != except && !now.Before(l.skippedUntil[h.Name]) {
 			found, best = h, w
 		}
 	}
-	return found, best == least
+	return found, best == lowest
 }
 
-// read brings the list of hosts up to date; the caller holds mu.
-func (d *Limiter) read() {
-	if len(d.hosts) > 0 && clock.Since(d.readAt) < membersFor {
+// refreshHosts brings the list of hosts up to date; the caller holds mu.
+func (l *Limiter) refreshHosts() {
+	if len(l.hosts) > 0 && clock.Since(l.hostsReadAt) < hostsMaxAge {
 		return
 	}
-	d.hosts, d.readAt = d.hosts[:0], clock.Now()
-	d.hosts = append(d.hosts, host{Member: Member{Name: d.options.Host}, seed: xxhash.Sum64String(d.options.Host), self: true})
-	for _, m := range d.options.Members() {
-		d.hosts = append(d.hosts, host{Member: m, seed: xxhash.Sum64String(m.Name)})
+	l.hosts, l.hostsReadAt = l.hosts[:0], clock.Now()
+	l.hosts = append(l.hosts, host{Member: Member{Name: l.options.Host}, hash: xxhash.Sum64String(l.options.Host), self: true})
+	for _, m := range l.options.Members() {
+		l.hosts = append(l.hosts, host{Member: m, hash: xxhash.Sum64String(m.Name)})
 	}
 }
--- a/internal/ratelimit/rig_test.go
+++ b/internal/ratelimit/rig_test.go
@@ -26,82 +26,82 @@
 	errSilent = errors.New("no answer")
 )
 
-// world is hosts that send requests to the endpoints of one service, of which some name limits.
-type world struct {
-	play
-	began clock.Instant
-	all   []*simHost
+// simulation is hosts that send requests to the endpoints of one service, of which some name limits.
+type simulation struct {
+	scenario
+	began    clock.Instant
+	simHosts []*simHost
 
 	mu     sync.Mutex // guards all below
 	random *rand.Rand
 	sends  map[string][]arrival
-	good   int // requests of callers that were sent
+	sent   int // requests of callers that were sent
 	calls  int // between hosts
 }
 
-// way is how hosts keep limits.
-type way int
+// strategy is how hosts keep limits.
+type strategy int
 
 // Ways to keep limits.
 const (
-	lending  way = iota // the package's
-	splitted            // each host keeps to its part by itself
+	lending   strategy = iota // the package's
+	splitting                 // each host keeps to its part by itself
 )
 
-// play is what is played.
-type play struct {
-	way     way
-	hosts   int
-	limited int     // of the endpoints
-	rate    float64 // that they name
-	asked   float64 // requests a second, at all hosts
-	hot     float64 // of these, the part at one host
-	kill    time.Duration
-	freeze  time.Duration
-	cut     time.Duration // between moments at which a host is killed, frozen or cut off
-	lender  bool          // the hosts that lend are hit first
-	lasts   time.Duration
-	seed    uint64
+// scenario is what is played.
+type scenario struct {
+	strategy         strategy
+	hosts            int
+	limitedEndpoints int     // of the endpoints
+	rate             float64 // that they name
+	requestRate      float64 // requests a second, at all hosts
+	hotShare         float64 // of these, the part at one host
+	killEvery        time.Duration
+	freezeEvery      time.Duration
+	cutEvery         time.Duration // between moments at which a host is killed, frozen or cut off
+	targetLenders    bool          // the hosts that lend are hit first
+	duration         time.Duration
+	seed             uint64
 }
 
 // Parameters of worlds.
 const (
-	simEndpoints = 12
-	linkTime     = 2 * time.Millisecond
-	answerTime   = 60 * time.Millisecond
-	harmedFor    = 2 * time.Second
-	simWithin    = 2 * time.Second
-	simService   = "s"
+	simEndpoints    = 12
+	linkDelay       = 2 * time.Millisecond
+	answerTime      = 60 * time.Millisecond
+	faultDuration   = 2 * time.Second
+	requestDeadline = 2 * time.Second
+	simService      = "s"
 )
 
 // simHost is a host of a world.
 type simHost struct {
-	world  *world
+	sim    *simulation
 	number int
 
-	mu      sync.Mutex // guards all below
-	fleet   *fleet.Fleet
-	desk    *ratelimit.Limiter
-	cancel  context.CancelFunc
-	working sync.WaitGroup
-	down    bool
-	cut     bool
-	thawsAt clock.Instant
-	harmed  clock.Instant // when it was last hit, or still was
+	mu          sync.Mutex // guards all below
+	fleet       *fleet.Fleet
+	limiter     *ratelimit.Limiter
+	cancel      context.CancelFunc
+	working     sync.WaitGroup
+	down        bool
+	cut         bool
+	frozenUntil clock.Instant
+	faultyUntil clock.Instant // when it was last hit, or still was
 }
 
-func newWorld(p play) *world {
-	w := &world{play: p, random: rand.New(rand.NewPCG(p.seed, 7)), began: clock.Now(), sends: map[string][]arrival{}}
+func newSimulation(p scenario) *simulation {
+	w := &simulation{scenario: p, random: rand.New(rand.NewPCG(p.seed, 7)), began: clock.Now(), sends: map[string][]arrival{}}
 	for i := range p.hosts {
-		w.all = append(w.all, &simHost{world: w, number: i})
+		w.simHosts = append(w.simHosts, &simHost{sim: w, number: i})
 	}
-	for _, h := range w.all {
+	for _, h := range w.simHosts {
 		h.start()
 	}
 	return w
 }
 
-func (w *world) draw() float64 {
+func (w *simulation) draw() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.random.Float64()
@@ -112,22 +112,22 @@
 // start starts the host, which knows its list of hosts and endpoints at once.
 func (h *simHost) start() {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := fleet.New(fleet.Options{Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: h.world.hosts, Advisers: 1} }, Random: h.world.draw})
+	f := fleet.New(fleet.Options{Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: h.sim.hosts, Advisers: 1} }, Random: h.sim.draw})
 	for i := range simEndpoints {
 		f.Put(fleet.Endpoint{ID: endpointName(i), Service: simService, Version: "v1", Slots: 64})
 	}
 	h.mu.Lock()
 	h.fleet, h.cancel, h.down, h.cut = f, cancel, false, false
-	if h.world.way == lending {
-		h.desk = ratelimit.NewLimiter(ratelimit.Options{
+	if h.sim.strategy == lending {
+		h.limiter = ratelimit.NewLimiter(ratelimit.Options{
 			Host: h.name(), Fleet: f, Members: h.members, MembersKnown: func() bool { return true }, Client: h,
 			Telemetry: telemetry.MetricsOnly(), Logger: log.New(io.Discard),
 		})
 	}
-	desk := h.desk
+	limiter := h.limiter
 	h.mu.Unlock()
-	if desk != nil {
-		h.working.Go(func() { desk.Run(ctx) })
+	if limiter != nil {
+		h.working.Go(func() { limiter.Run(ctx) })
 	} else {
 		signal := wake.NewSignal()
 		f.OnWanted(signal.Poke)
@@ -139,7 +139,7 @@
 
 func (h *simHost) members() []ratelimit.Member {
 	var list []ratelimit.Member
-	for i := range h.world.hosts {
+	for i := range h.sim.hosts {
 		if i != h.number {
 			list = append(list, ratelimit.Member{Name: fmt.Sprint("host-", i), Address: fmt.Sprint(i)})
 		}
@@ -150,8 +150,8 @@
 // split lends this host its part of each limit.
 func (h *simHost) split(ctx context.Context, f *fleet.Fleet, signal wake.Signal) {
 	lender := ratelimit.NewLender()
-	later := time.AfterFunc(0, signal.Poke)
-	defer later.Stop()
+	timer := time.AfterFunc(0, signal.Poke)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -159,27 +159,27 @@
 		case <-signal:
 		}
 		list, next := f.Wanted()
-		for _, w := range list {
-			part := w.News
-			part.Rate /= float64(h.world.hosts)
+		for _, want := range list {
+			share := want.News
+			share.Rate /= float64(h.sim.hosts)
 			now := clock.Now()
-			r := lender.Lend(ratelimit.Request{Requests: w.Requests, Limit: part}, true, now)
-			f.Lent(w.News.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.Lasts), Again: now.Add(r.Again)})
+			r := lender.Lend(ratelimit.Request{Requests: want.Requests, Limit: share}, true, now)
+			f.Lent(want.News.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.ValidFor), Again: now.Add(r.RetryAfter)})
 		}
 		if !next.IsZero() {
-			later.Reset(max(clock.Until(next), 0))
+			timer.Reset(max(clock.Until(next), 0))
 		}
 	}
 }
 
 // Borrow implements ratelimit.Caller.
 func (h *simHost) Borrow(ctx context.Context, address string, r ratelimit.Request) (ratelimit.Reply, error) {
-	desk, err := h.reach(ctx, address)
+	desk, err := h.connect(ctx, address)
 	if err != nil {
 		return ratelimit.Reply{}, err
 	}
 	reply := desk.Borrow(ctx, r)
-	if !clock.Sleep(ctx, linkTime) {
+	if !clock.Sleep(ctx, linkDelay) {
 		return ratelimit.Reply{}, errSilent
 	}
 	if _, _, cut := h.state(); cut {
@@ -189,37 +189,37 @@
 	return reply, nil
 }
 
-// Tell implements ratelimit.Caller.
-func (h *simHost) Tell(ctx context.Context, address string, news []fleet.LimitNews) error {
-	desk, err := h.reach(ctx, address)
+// SendLimits implements ratelimit.Caller.
+func (h *simHost) SendLimits(ctx context.Context, address string, news []fleet.LimitNews) error {
+	desk, err := h.connect(ctx, address)
 	if err == nil {
-		desk.Hear(news)
+		desk.ApplyLimits(news)
 	}
 	return err
 }
 
-// Known implements ratelimit.Caller.
-func (h *simHost) Known(ctx context.Context, address string) ([]fleet.LimitNews, error) {
-	desk, err := h.reach(ctx, address)
+// FetchLimits implements ratelimit.Caller.
+func (h *simHost) FetchLimits(ctx context.Context, address string) ([]fleet.LimitNews, error) {
+	desk, err := h.connect(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return desk.Limits(), nil
+	return desk.KnownLimits(), nil
 }
 
-// reach has a message reach another host.
-func (h *simHost) reach(ctx context.Context, address string) (*ratelimit.Limiter, error) {
+// connect has a message connect another host.
+func (h *simHost) connect(ctx context.Context, address string) (*ratelimit.Limiter, error) {
 	var to int
 	if _, err := fmt.Sscan(address, &to); err != nil {
 		return nil, err
 	}
-	h.world.mu.Lock()
-	h.world.calls++
-	h.world.mu.Unlock()
-	if !clock.Sleep(ctx, linkTime) {
+	h.sim.mu.Lock()
+	h.sim.calls++
+	h.sim.mu.Unlock()
+	if !clock.Sleep(ctx, linkDelay) {
 		return nil, errSilent
 	}
-	desk, down, silent := h.world.all[to].state()
+	desk, down, silent := h.sim.simHosts[to].state()
 	if down {
 		return nil, errGone
 	}
@@ -234,22 +234,22 @@
 func (h *simHost) state() (desk *ratelimit.Limiter, down, silent bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.desk, h.down, h.cut || clock.Now().Before(h.thawsAt)
+	return h.limiter, h.down, h.cut || clock.Now().Before(h.frozenUntil)
 }
 
 // run plays the world.
-func (w *world) run() {
-	ctx, cancel := context.WithTimeout(context.Background(), w.lasts)
+func (w *simulation) run() {
+	ctx, cancel := context.WithTimeout(context.Background(), w.duration)
 	defer cancel()
 	var working sync.WaitGroup
-	working.Go(func() { w.callers(ctx, &working) })
-	for every, harm := range map[time.Duration]func(*simHost){w.kill: w.killOne, w.freeze: w.freezeOne, w.cut: w.cutOne} {
+	working.Go(func() { w.generateRequests(ctx, &working) })
+	for every, inject := range map[time.Duration]func(*simHost){w.killEvery: w.killOne, w.freezeEvery: w.freezeOne, w.cutEvery: w.cutOne} {
 		if every > 0 {
 			working.Go(func() {
 				for clock.Sleep(ctx, every) {
-					h := w.victim()
-					h.harm(harmedFor)
-					working.Go(func() { harm(h) })
+					h := w.nextTarget()
+					h.markFaulty(faultDuration)
+					working.Go(func() { inject(h) })
 				}
 			})
 		}
@@ -258,25 +258,25 @@
 	w.stop()
 }
 
-func (w *world) stop() {
-	for _, h := range w.all {
+func (w *simulation) stop() {
+	for _, h := range w.simHosts {
 		h.cancel()
 		h.working.Wait()
 	}
 }
 
-// victim is the host that is hit next: by chance, or one that others ask for a limit.
-func (w *world) victim() *simHost {
-	if !w.lender {
-		return w.all[int(w.draw()*float64(len(w.all)))]
+// nextTarget is the host that is hit next: by chance, or one that others ask for a limit.
+func (w *simulation) nextTarget() *simHost {
+	if !w.targetLenders {
+		return w.simHosts[int(w.draw()*float64(len(w.simHosts)))]
 	}
-	endpoint := endpointName(int(w.draw() * float64(w.limited)))
-	return slices.MinFunc(w.all, func(a, b *simHost) int {
-		return cmp.Compare(ratelimit.OrderOf(endpoint, a.name()), ratelimit.OrderOf(endpoint, b.name()))
+	endpoint := endpointName(int(w.draw() * float64(w.limitedEndpoints)))
+	return slices.MinFunc(w.simHosts, func(a, b *simHost) int {
+		return cmp.Compare(ratelimit.Rank(endpoint, a.name()), ratelimit.Rank(endpoint, b.name()))
 	})
 }
 
-func (w *world) killOne(h *simHost) {
+func (w *simulation) killOne(h *simHost) {
 	h.mu.Lock()
 	if h.down {
 		h.mu.Unlock()
@@ -286,22 +286,22 @@
 	h.cancel()
 	h.mu.Unlock()
 	h.working.Wait()
-	time.Sleep(harmedFor)
+	time.Sleep(faultDuration)
 	h.start()
 }
 
-func (w *world) freezeOne(h *simHost) {
+func (w *simulation) freezeOne(h *simHost) {
 	h.mu.Lock()
-	h.thawsAt = clock.Now().Add(harmedFor)
+	h.frozenUntil = clock.Now().Add(faultDuration)
 	h.mu.Unlock()
-	time.Sleep(harmedFor)
+	time.Sleep(faultDuration)
 }
 
-func (w *world) cutOne(h *simHost) {
+func (w *simulation) cutOne(h *simHost) {
 	h.mu.Lock()
 	h.cut = true
 	h.mu.Unlock()
-	time.Sleep(harmedFor)
+	time.Sleep(faultDuration)
 	h.mu.Lock()
 	h.cut = false
 	h.mu.Unlock()
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -36,38 +36,38 @@
 type Window struct {
 	second  int64 // of the steady clock
 	firsts  [windowSeconds]int
-	repeats [windowSeconds]int
+	retries [windowSeconds]int
 }
 
 // WithFirst returns the window after a first send.
 func (w Window) WithFirst(now time.Duration) Window {
-	w = w.at(now)
+	w = w.advanceTo(now)
 	w.firsts[w.second%windowSeconds]++
 	return w
 }
 
 // WithRetry returns the window after a repeat, if there is room for it. A part
 // below 1 leaves the rest of the room to others.
-func (w Window) WithRetry(now time.Duration, limits Limits, part float64) (Window, bool) {
-	w = w.at(now)
-	firsts, repeats := 0, 0
+func (w Window) WithRetry(now time.Duration, limits Limits, fraction float64) (Window, bool) {
+	w = w.advanceTo(now)
+	firsts, retries := 0, 0
 	for i := range windowSeconds {
 		firsts += w.firsts[i]
-		repeats += w.repeats[i]
+		retries += w.retries[i]
 	}
-	if float64(repeats+1) > part*(limits.Ratio*float64(firsts)+limits.Reserve) {
+	if float64(retries+1) > fraction*(limits.Ratio*float64(firsts)+limits.Reserve) {
 		return w, false
 	}
-	w.repeats[w.second%windowSeconds]++
+	w.retries[w.second%windowSeconds]++
 	return w, true
 }
 
-// at returns the window with the seconds that are over dropped.
-func (w Window) at(now time.Duration) Window {
+// advanceTo returns the window with the seconds that are over dropped.
+func (w Window) advanceTo(now time.Duration) Window {
 	second := int64(now / time.Second)
 	for s := max(w.second, second-windowSeconds); s < second; s++ {
 		next := (s + 1) % windowSeconds
-		w.firsts[next], w.repeats[next] = 0, 0
+		w.firsts[next], w.retries[next] = 0, 0
 	}
 	w.second = max(w.second, second)
 	return w
@@ -78,12 +78,12 @@
 	mu      sync.Mutex // guards all below
 	limits  Limits
 	windows map[string]Window
-	began   clock.Steady
+	clock   clock.Steady
 }
 
 // NewBudgets returns budgets that nothing was taken from.
 func NewBudgets(limits Limits) *Budgets {
-	return &Budgets{limits: limits, windows: map[string]Window{}, began: clock.NewSteady()}
+	return &Budgets{limits: limits, windows: map[string]Window{}, clock: clock.NewSteady()}
 }
 
 // SetRatio bounds repeats from now on.
@@ -97,15 +97,15 @@
 func (b *Budgets) RecordFirst(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.windows[service] = b.windows[service].WithFirst(b.began.Now())
+	b.windows[service] = b.windows[service].WithFirst(b.clock.Now())
 }
 
 // TakeRetry takes a further send from a service's budget; false if none is left in a
 // part of it.
-func (b *Budgets) TakeRetry(service string, part float64) bool {
+func (b *Budgets) TakeRetry(service string, fraction float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	next, ok := b.windows[service].WithRetry(b.began.Now(), b.limits, part)
+	next, ok := b.windows[service].WithRetry(b.clock.Now(), b.limits, fraction)
 	b.windows[service] = next
 	return ok
 }
