--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -46,19 +46,19 @@
 
 // Answer is an answer that a caller may get.
 type Answer struct {
-	Correct float64 // chance that it is right
-	InTime  float64 // chance that it comes in time
+	Right  float64 // chance that it is right
+	InTime float64 // chance that it comes in time
 }
 
 // Value is what it is worth on average.
 func (a Answer) Value() float64 {
-	return (a.Correct + (1-a.Correct)*valueWrong) * (a.InTime + (1-a.InTime)*valueLate)
+	return (a.Right + (1-a.Right)*valueWrong) * (a.InTime + (1-a.InTime)*valueLate)
 }
 
 // Option is an answer that has yet to be asked for.
 type Option struct {
 	Answer
-	Cost float64 // what the model's use costs for a request of the mean size
+	Use  float64 // what the model's use costs for a request of the mean size
 	Size float64 // of the request, relative to the mean one of its route
 	// Delay is how long others wait for the work, as a part of the objective: of
 	// requests whose slack is spread evenly over it, so many become late. They are
@@ -68,7 +68,7 @@
 
 // NetValue is what it is worth beyond what it takes from others.
 func (o Option) NetValue() float64 {
-	return o.Value() - (o.Cost*o.Size+o.Delay*(1-valueLate))/Worth(o.Size)
+	return o.Value() - (o.Use*o.Size+o.Delay*(1-valueLate))/Worth(o.Size)
 }
 
 // calibration is the chance that a small model's answer is right, by the confidence it
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -54,13 +54,13 @@
 	ask.Avoid = nil // where the small model answered, the larger one may
 	w := weighing{model: model, confidence: confidence, took: clock.Since(x.start)}
 	w.expected, w.possible = x.expect(ask)
-	w.kept.Correct = cascade.CorrectProbability(confidence)
+	w.kept.Right = cascade.CorrectProbability(confidence)
 	if w.took <= x.route.Objective {
 		w.kept.InTime = 1
 	}
 	w.larger = cascade.Option{
-		Answer: cascade.Answer{Correct: cascade.LargestCorrect, InTime: w.expected.InTime(x.route.Objective - w.took)},
-		Cost:   x.use(model), Size: x.size, Delay: x.delay(w.expected),
+		Answer: cascade.Answer{Right: cascade.LargestCorrect, InTime: w.expected.InTime(x.route.Objective - w.took)},
+		Use:    x.use(model), Size: x.size, Delay: x.delay(w.expected),
 	}
 	return w
 }
@@ -77,7 +77,7 @@
 // logWeighing writes the line about a small model's answer.
 func (x *exchange) logWeighing(w weighing, granted bool) {
 	x.g.Logger.Info("larger model weighed", "id", x.ask.ID, "model", w.model, "confidence", w.confidence, "kept", w.kept.Value(),
-		"larger", w.larger.Value(), "use", w.larger.Cost, "delay", w.larger.Delay, "in_time", w.larger.InTime, "took_ms", w.took.Milliseconds(),
+		"larger", w.larger.Value(), "use", w.larger.Use, "delay", w.larger.Delay, "in_time", w.larger.InTime, "took_ms", w.took.Milliseconds(),
 		"expected_ms", w.expected.Head.Milliseconds(), "read", w.expected.Read, "price", w.expected.Price, "better", w.better(), "asked", granted)
 }
 
@@ -87,7 +87,7 @@
 	if !w.possible || x.sends > 1 {
 		return
 	}
-	small := cascade.Option{Cost: x.use(x.model), Size: x.size, Delay: x.delay(x.expected)}
+	small := cascade.Option{Use: x.use(x.model), Size: x.size, Delay: x.delay(x.expected)}
 	atOnce := w.larger
 	atOnce.InTime = w.expected.InTime(x.route.Objective)
 	x.g.begins.note(x.route.Name, atOnce.NetValue()-max(w.kept.Value(), w.larger.NetValue())-small.NetValue())
--- a/internal/ratelimit/desk_test.go
+++ b/internal/ratelimit/desk_test.go
@@ -51,7 +51,7 @@
 	// borrow has host-1 asked by host-2 for a limit of which host-0 lends.
 	borrow := func(peers *fakePeers, relayed bool) ratelimit.Reply {
 		limiter := ratelimit.NewLimiter(ratelimit.Options{
-			Host: "host-1", Fleet: fleet.New(fleet.Options{}), Client: peers, MembersKnown: func() bool { return true },
+			Host: "host-1", Fleet: fleet.New(fleet.Options{}), Caller: peers, Known: func() bool { return true },
 			Members: func() []ratelimit.Member {
 				return []ratelimit.Member{{Name: "host-0", Address: "0"}, {Name: "host-2", Address: "2"}}
 			},
--- a/internal/ratelimit/lender.go
+++ b/internal/ratelimit/lender.go
@@ -47,10 +47,10 @@
 
 // Reply is what is lent.
 type Reply struct {
-	Requests   int
-	ValidFor   time.Duration // from the sending of the request on
-	RetryAfter time.Duration // after which more may be asked for
-	Limit      fleet.LimitNews
+	Requests int
+	Lasts    time.Duration // from the sending of the request on
+	Again    time.Duration // after which more may be asked for
+	Limit    fleet.LimitNews
 }
 
 // Lender lends parts of endpoints' limits; safe for use at once.
@@ -90,7 +90,7 @@
 		b.limit = r.Limit
 	}
 	if b.limit.Rate <= 0 || r.Requests <= 0 {
-		return Reply{Limit: b.limit, RetryAfter: minRetryDelay}
+		return Reply{Limit: b.limit, Again: minRetryDelay}
 	}
 	if idle := max(minIdle, clock.Seconds(idleRequests/b.limit.Rate)); now.Sub(b.lastRequest) > idle {
 		b.reset(now, first && b.limit.Since.After(l.began) && now.Sub(b.limit.Since) < newLimitAge)
@@ -127,8 +127,8 @@
 	}
 	delay := clock.Seconds((max(b.waiting, 1) - b.tokens) / rate)
 	return Reply{
-		Requests: n, Limit: b.limit, RetryAfter: min(max(delay, minRetryDelay), maxRetryDelay),
-		ValidFor: min(max(clock.Seconds(1/b.limit.Rate), minValidity), maxValidity),
+		Requests: n, Limit: b.limit, Again: min(max(delay, minRetryDelay), maxRetryDelay),
+		Lasts: min(max(clock.Seconds(1/b.limit.Rate), minValidity), maxValidity),
 	}
 }
 
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -76,11 +76,11 @@
 	Host  string // this host's name
 	Fleet *fleet.Fleet
 	// Members lists all other hosts, and Known tells whether the list was read.
-	Members      func() []Member
-	MembersKnown func() bool
-	Client       PeerClient
-	Telemetry    *telemetry.Telemetry
-	Logger       *log.Logger
+	Members   func() []Member
+	Known     func() bool
+	Caller    PeerClient
+	Telemetry *telemetry.Telemetry
+	Logger    *log.Logger
 }
 
 // Limiter borrows for this host, and lends to others; safe for use at once.
@@ -154,7 +154,7 @@
 
 // gossip spreads what has changed.
 func (l *Limiter) gossip(ctx context.Context, working *sync.WaitGroup) {
-	if !l.options.MembersKnown() {
+	if !l.options.Known() {
 		return // it is told with the next news, or by others
 	}
 	news := l.options.Fleet.FreshNews(maxLimitsPerMessage)
@@ -165,7 +165,7 @@
 		working.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, askTimeout)
 			defer cancel()
-			if err := l.options.Client.SendLimits(limited, h.Address, news); err != nil && ctx.Err() == nil {
+			if err := l.options.Caller.SendLimits(limited, h.Address, news); err != nil && ctx.Err() == nil {
 				l.options.Logger.Debug("host not told of limits", "to", h.Name, "count", len(news), "error", err)
 			}
 		})
@@ -193,14 +193,14 @@
 
 // fetchLimits asks some hosts, one after the other, what limits there are, as this one starts.
 func (l *Limiter) fetchLimits(ctx context.Context) {
-	for !l.options.MembersKnown() {
+	for !l.options.Known() {
 		if !clock.Sleep(ctx, membersPollInterval) {
 			return
 		}
 	}
 	for _, h := range l.randomHosts(maxTries) {
 		limited, cancel := context.WithTimeout(ctx, askTimeout)
-		news, err := l.options.Client.FetchLimits(limited, h.Address)
+		news, err := l.options.Caller.FetchLimits(limited, h.Address)
 		cancel()
 		if err == nil {
 			l.ApplyLimits(news)
@@ -236,12 +236,12 @@
 	}
 	l.options.Telemetry.Count("limit_requests_borrowed", int64(reply.Requests))
 	l.options.Fleet.LearnLimit(reply.Limit)
-	l.options.Fleet.Lent(w.News.Endpoint, fleet.Loan{Requests: reply.Requests, Until: sent.Add(reply.ValidFor), Again: clock.Now().Add(reply.RetryAfter)})
+	l.options.Fleet.Lent(w.News.Endpoint, fleet.Loan{Requests: reply.Requests, Until: sent.Add(reply.Lasts), Again: clock.Now().Add(reply.Again)})
 }
 
 // borrow asks the host that lends; false if none is found.
 func (l *Limiter) borrow(ctx context.Context, r Request) (Reply, bool) {
-	if !l.options.MembersKnown() {
+	if !l.options.Known() {
 		return Reply{}, false
 	}
 	for range maxTries {
@@ -268,14 +268,14 @@
 	if !ok {
 		return noLenderPause, false
 	}
-	return reply.RetryAfter, reply.Requests > 0
+	return reply.Again, reply.Requests > 0
 }
 
 // borrowFrom asks a host, and notes whether it answers.
 func (l *Limiter) borrowFrom(ctx context.Context, h host, r Request, timeout time.Duration) (Reply, error) {
 	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := l.options.Client.Borrow(limited, h.Address, r)
+	reply, err := l.options.Caller.Borrow(limited, h.Address, r)
 	if ctx.Err() != nil {
 		return reply, err
 	}
--- a/internal/ratelimit/rig_test.go
+++ b/internal/ratelimit/rig_test.go
@@ -120,7 +120,7 @@
 	h.fleet, h.cancel, h.down, h.cut = f, cancel, false, false
 	if h.sim.strategy == lending {
 		h.limiter = ratelimit.NewLimiter(ratelimit.Options{
-			Host: h.name(), Fleet: f, Members: h.members, MembersKnown: func() bool { return true }, Client: h,
+			Host: h.name(), Fleet: f, Members: h.members, Known: func() bool { return true }, Caller: h,
 			Telemetry: telemetry.MetricsOnly(), Logger: log.New(io.Discard),
 		})
 	}
@@ -164,7 +164,7 @@
 			share.Rate /= float64(h.sim.hosts)
 			now := clock.Now()
 			r := lender.Lend(ratelimit.Request{Requests: want.Requests, Limit: share}, true, now)
-			f.Lent(want.News.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.ValidFor), Again: now.Add(r.RetryAfter)})
+			f.Lent(want.News.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.Lasts), Again: now.Add(r.Again)})
 		}
 		if !next.IsZero() {
 			timer.Reset(max(clock.Until(next), 0))
