--- a/internal/ratelimit/grpc.go
+++ b/internal/ratelimit/grpc.go
@@ -11,12 +11,12 @@
 	"quaybarrow/internal/ratelimit/ratelimitpb"
 )
 
-// Register has a gRPC server answer other hosts.
+// Register adds the RateLimit service, which handles calls from other hosts, to a gRPC server.
 func Register(s grpc.ServiceRegistrar, l *Limiter) {
 	ratelimitpb.RegisterRateLimitServer(s, &server{limiter: l})
 }
 
-// server answers other hosts.
+// server handles calls from other hosts.
 type server struct {
 	ratelimitpb.UnimplementedRateLimitServer
 	limiter *Limiter
@@ -30,7 +30,7 @@
 		Limit: limitFromWire(w.GetEndpoint(), w.GetLimit(), now),
 	})
 	return &ratelimitpb.BorrowReply{
-		Requests: int32(reply.Requests), //nolint:gosec // no more than was asked for
+		Requests: int32(reply.Requests), //nolint:gosec // no more than was requested
 		Limit:    limitToWire(reply.Limit, clock.Now()), LastsMicros: reply.Lasts.Microseconds(), AgainMicros: reply.Again.Microseconds(),
 	}, nil
 }
@@ -47,13 +47,13 @@
 // Connect returns the connection to an address.
 type Connect func(address string) (grpc.ClientConnInterface, error)
 
-// grpcClient sends over gRPC.
+// grpcClient calls other hosts over gRPC.
 type grpcClient struct{ connect Connect }
 
-// NewPeerClient returns a caller over connections that other services share.
+// NewPeerClient returns a PeerClient over connections that it shares with other services.
 func NewPeerClient(connect Connect) PeerClient { return grpcClient{connect} }
 
-// Borrow implements Caller.
+// Borrow implements PeerClient.
 func (c grpcClient) Borrow(ctx context.Context, address string, r Request) (Reply, error) {
 	connection, err := c.connect(address)
 	if err != nil {
@@ -72,27 +72,27 @@
 	}, nil
 }
 
-// SendLimits implements Caller.
+// SendLimits implements PeerClient.
 func (c grpcClient) SendLimits(ctx context.Context, address string, news []fleet.LimitNews) error {
 	connection, err := c.connect(address)
 	if err != nil {
-		return fmt.Errorf("tell %s: %w", address, err)
+		return fmt.Errorf("send limits to %s: %w", address, err)
 	}
 	if _, err := ratelimitpb.NewRateLimitClient(connection).Tell(ctx, &ratelimitpb.TellRequest{News: newsToWire(news)}); err != nil {
-		return fmt.Errorf("tell %s: %w", address, err)
+		return fmt.Errorf("send limits to %s: %w", address, err)
 	}
 	return nil
 }
 
-// FetchLimits implements Caller.
+// FetchLimits implements PeerClient.
 func (c grpcClient) FetchLimits(ctx context.Context, address string) ([]fleet.LimitNews, error) {
 	connection, err := c.connect(address)
 	if err != nil {
-		return nil, fmt.Errorf("ask %s for limits: %w", address, err)
+		return nil, fmt.Errorf("fetch limits from %s: %w", address, err)
 	}
 	reply, err := ratelimitpb.NewRateLimitClient(connection).Tell(ctx, &ratelimitpb.TellRequest{All: true})
 	if err != nil {
-		return nil, fmt.Errorf("ask %s for limits: %w", address, err)
+		return nil, fmt.Errorf("fetch limits from %s: %w", address, err)
 	}
 	return newsFromWire(reply.GetNews()), nil
 }
@@ -115,10 +115,10 @@
 	return news
 }
 
-// maxBorrowRequests bounds what is asked for at a time.
+// maxBorrowRequests bounds how many requests one call borrows.
 const maxBorrowRequests = 1 << 20
 
-// limitToWire encodes what is known of a limit; times are relative to the sending.
+// limitToWire encodes a limit. Times are sent as ages, relative to when the message is sent.
 func limitToWire(n fleet.LimitNews, now clock.Instant) *ratelimitpb.Limit {
 	heard, since := n.Ages(now)
 	return &ratelimitpb.Limit{PerSecond: n.Rate, HeardMicros: heard.Microseconds(), SinceMicros: since.Microseconds()}
--- a/internal/ratelimit/lender.go
+++ b/internal/ratelimit/lender.go
@@ -10,65 +10,66 @@
 
 // Parameters of lending.
 const (
-	// cautiousFor is for how long a host lends carefully after it has begun: what another one has
-	// lent of the same limit may still be in use, and some hosts may still ask that one.
+	// cautiousFor is how long a host lends only a part of a limit after it starts to lend: loans by
+	// another host from the same limit may still be in use, and some hosts may still ask that host.
 	cautiousFor = 3 * time.Second
-	// cautiousShare is the part of a limit that is lent until then. With another lender who lends
-	// all of it the sum stays within one and a half times the limit.
+	// cautiousShare is the part of a limit that is lent during that time. Together with another
+	// lender that lends the whole limit, the sum stays within 1.5 times the limit.
 	cautiousShare = 0.5
-	// newLimitAge is how young a limit is of which nobody else can have lent.
+	// newLimitAge is the age below which a limit is too new for another host to have lent from it.
 	newLimitAge = 2 * time.Second
-	// minIdle, and quietRequests of the limit's requests, is after how long without a
-	// question a host begins anew: others may have been asked meanwhile.
+	// minIdle, or the time in which the limit allows idleRequests requests if that is longer, is the
+	// time without requests after which a lender starts over: other hosts may have been asked since.
 	minIdle      = 2 * time.Second
 	idleRequests = 2
-	// burstTime is for how long a limit is burstTime up while nobody asks, savedLeast requests at least.
+	// burstTime is the time for which an unused limit accumulates; minBurst is the least capacity
+	// that results, in requests.
 	burstTime = 250 * time.Millisecond
 	minBurst  = 2
-	// minValidity and lastsMost bound for how long a loan lasts; between them as long as one
-	// request takes at the limit's rate.
+	// minValidity and maxValidity bound how long a loan is valid. Between them, a loan is valid for
+	// the time that one request takes at the limit's rate.
 	minValidity = 500 * time.Millisecond
 	maxValidity = 2 * time.Second
-	// minRetryDelay and againMost bound the time until a borrower asks again.
+	// minRetryDelay and maxRetryDelay bound the delay before a borrower asks again.
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = 5 * time.Second
-	// bucketTTL is for how long an account is kept without a question.
+	// bucketTTL is how long a bucket without requests is kept.
 	bucketTTL = time.Minute
 )
 
 // Request asks for a part of an endpoint's limit.
 type Request struct {
-	Requests int // 0 only tells of the limit
+	Requests int // 0 only reports the limit to the lender
 	Limit    fleet.LimitNews
-	From     string // name of the host that asks
-	Relayed  bool   // by a host that was asked
-	Unsaved  bool   // nothing is saved up while nobody asks, but one request
+	From     string // name of the host that sends the request
+	Relayed  bool   // forwarded by a host that was asked first
+	Unsaved  bool   // an unused limit accumulates to one request only
 }
 
-// Reply is what is lent.
+// Reply is a loan, which may be empty.
 type Reply struct {
 	Requests int
-	Lasts    time.Duration // from the sending of the request on
-	Again    time.Duration // after which more may be asked for
+	Lasts    time.Duration // validity of the loan, counted from when the borrower sent its request
+	Again    time.Duration // delay before the borrower may ask for more
 	Limit    fleet.LimitNews
 }
 
-// Lender lends parts of endpoints' limits; safe for use at once.
+// Lender lends parts of endpoints' limits. It is safe for concurrent use.
 type Lender struct {
 	began clock.Instant
 
 	mu      sync.Mutex         // guards all below
-	buckets map[string]*bucket // by the endpoint's id
+	buckets map[string]*bucket // by endpoint ID
 }
 
-// bucket is what has been lent of an endpoint's limit.
+// bucket is the token bucket of one endpoint's limit.
 type bucket struct {
 	limit         fleet.LimitNews
-	tokens        float64       // requests that may be lent
-	updated       clock.Instant // of the level
-	cautiousUntil clock.Instant // from then on all of the limit is lent
-	lastRequest   clock.Instant // when it was last asked for
-	waiting       float64       // hosts that found nothing, and have been told when to ask again
+	tokens        float64       // requests that may be lent now
+	updated       clock.Instant // when tokens was last computed
+	cautiousUntil clock.Instant // the whole limit is lent from then on
+	lastRequest   clock.Instant // when a loan was last requested
+	waiting       float64       // hosts that got no loan and were told when to ask again
 }
 
 // NewLender returns a lender that has lent nothing.
@@ -76,7 +77,8 @@
 	return &Lender{began: clock.Now(), buckets: map[string]*bucket{}}
 }
 
-// Lend answers a request at a moment. First tells whether this host is the one that all ask first.
+// Lend handles a request received at now. First reports whether this host is the first in the
+// endpoint's order, which all hosts ask first.
 func (l *Lender) Lend(r Request, first bool, now clock.Instant) Reply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +100,8 @@
 	return b.lend(r, now)
 }
 
-// reset starts to lend.
+// reset empties the bucket and starts the cautious time; a limit too new for another host to have lent
+// from (fresh) starts with one request and is lent whole at once.
 func (b *bucket) reset(now clock.Instant, fresh bool) {
 	b.tokens, b.updated, b.waiting, b.cautiousUntil = 0, now, 0, now.Add(cautiousFor)
 	if fresh {
@@ -106,7 +109,7 @@
 	}
 }
 
-// lend lends as much as there is of what is asked for.
+// lend lends as many of the requested requests as the bucket holds.
 func (b *bucket) lend(r Request, now clock.Instant) Reply {
 	rate := b.limit.Rate
 	if now.Before(b.cautiousUntil) {
@@ -132,7 +135,7 @@
 	}
 }
 
-// dropIdle drops accounts that nobody has asked for.
+// dropIdle deletes buckets whose limit was neither requested nor reported for bucketTTL.
 func (l *Lender) dropIdle(now clock.Instant) {
 	for id, b := range l.buckets {
 		if now.Sub(b.lastRequest) > bucketTTL && now.Sub(b.limit.Heard) > bucketTTL {
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,19 +1,21 @@
-// Package ratelimit keeps hosts together to the limits that endpoints name: how many requests a
-// second an endpoint takes from all of them.
+// Package ratelimit makes all hosts together respect the rate limits that endpoints declare: how many
+// requests a second an endpoint accepts from all hosts in total.
 //
 // # Usage
 //
-//	d := ratelimit.NewDesk(ratelimit.Options{Host: name, Fleet: f, Members: members, Known: known, Caller: caller})
-//	ratelimit.Register(server, d)
-//	go d.Run(ctx)
+//	l := ratelimit.NewLimiter(ratelimit.Options{Host: name, Fleet: f, Members: members, Known: known, Caller: caller})
+//	ratelimit.Register(server, l)
+//	go l.Run(ctx)
 //
-// Each endpoint has one host that lends of its limit, found by rendezvous hashing over the list of
-// hosts, and the others borrow of it as they have requests. What is lent lasts for a moment, and ends
-// by itself: a host that dies with it costs that much of the limit, and nothing has to be taken back.
-// While the lender does not answer the next host in the endpoint's order lends, at first a part of the
-// limit only. A host that is asked although another comes before it asks that one, so two lend at once
-// only while they don't reach each other. Nothing is agreed or kept: a limit is the endpoint's word of
-// a moment ago. Who hears that one begins, ends or changes tells some others, who tell it on.
+// For each endpoint one host, the lender, hands out its limit; rendezvous hashing over the list of
+// hosts selects it. The other hosts borrow parts of the limit as they have requests. A loan is valid
+// for a short time and expires by itself: if the borrower crashes, its loan is lost from the limit, and
+// nothing has to be revoked. While the lender does not answer, the next host in the endpoint's order
+// lends, at first only a part of the limit. A host that is asked although another host precedes it in
+// the order forwards the request to that host, so two hosts lend at once only while they cannot reach
+// each other. There is no consensus and no persistent state: a limit is what the endpoint declared
+// moments ago. A host that learns that a limit begins, ends or changes tells a few random hosts, which
+// tell others in turn (gossip).
 package ratelimit
 
 import (
@@ -33,49 +35,49 @@
 	"quaybarrow/internal/wake"
 )
 
-// Times of questions between hosts.
+// Timeouts and intervals of calls between hosts.
 const (
 	askTimeout   = 250 * time.Millisecond
 	relayTimeout = 100 * time.Millisecond
-	// skipTime is how long a host is passed over that has not answered. It is short, so that all
-	// come back to a lender at nearly the same time.
+	// skipTime is how long a host that did not answer is skipped. It is short, so that all hosts
+	// return to a lender at nearly the same time.
 	skipTime = time.Second
-	// noLenderPause is after how long a host asks again that has found no lender.
+	// noLenderPause is the delay before a host that found no lender asks again.
 	noLenderPause = 200 * time.Millisecond
-	// hostsMaxAge is how long the list of hosts is kept in the order's form.
+	// hostsMaxAge is how long the hashed list of hosts is used before it is rebuilt.
 	hostsMaxAge = time.Second
 )
 
-// Bounds of questions.
+// Bounds on calls between hosts.
 const (
-	// maxTries hosts are asked for one question.
+	// maxTries is how many hosts are asked for one loan, and for the known limits at start.
 	maxTries = 3
-	// maxConcurrentBorrows questions are under way at once.
+	// maxConcurrentBorrows is how many borrow requests are in flight at once.
 	maxConcurrentBorrows = 16
-	// gossipFanout hosts are told of a limit that begins, ends or changes, by each that hears of it for
-	// the first time, as rumours spread (Demers et al., "Epidemic algorithms for replicated database
+	// gossipFanout is how many hosts a host tells when it first learns that a limit begins, ends or
+	// changes. This is rumor spreading (Demers et al., "Epidemic algorithms for replicated database
 	// maintenance", 1987).
 	gossipFanout = 4
-	// maxLimitsPerMessage limits are told of in a message.
+	// maxLimitsPerMessage is how many limits one message carries.
 	maxLimitsPerMessage = 256
 )
 
 // Member is another host.
 type Member struct{ Name, Address string }
 
-// PeerClient asks other hosts.
+// PeerClient calls other hosts.
 type PeerClient interface {
 	Borrow(ctx context.Context, address string, r Request) (Reply, error)
 	SendLimits(ctx context.Context, address string, news []fleet.LimitNews) error
-	// FetchLimits asks for the limits that a host knows of.
+	// FetchLimits returns the limits that a host knows of.
 	FetchLimits(ctx context.Context, address string) ([]fleet.LimitNews, error)
 }
 
-// Options set up a Desk.
+// Options configure a Limiter.
 type Options struct {
 	Host  string // this host's name
 	Fleet *fleet.Fleet
-	// Members lists all other hosts, and Known tells whether the list was read.
+	// Members lists all other hosts; Known reports whether that list has been read.
 	Members   func() []Member
 	Known     func() bool
 	Caller    PeerClient
@@ -83,33 +85,34 @@
 	Logger    *log.Logger
 }
 
-// Limiter borrows for this host, and lends to others; safe for use at once.
+// Limiter borrows for this host and lends to other hosts. It is safe for concurrent use.
 type Limiter struct {
 	options     Options
 	lender      *Lender
 	wake        wake.Signal
-	borrowSlots chan struct{} // holds one for each question under way
+	borrowSlots chan struct{} // semaphore; holds one element for each borrow request in flight
 
 	mu           sync.Mutex // guards all below
-	hosts        []host     // this one too
+	hosts        []host     // includes this host
 	hostsReadAt  clock.Instant
-	skippedUntil map[string]clock.Instant // hosts that have not answered, by name, and until when they are passed over
-	logged       map[string]bool          // hosts of which a line says that they don't answer
+	skippedUntil map[string]clock.Instant // by name: hosts that did not answer, and until when they are skipped
+	logged       map[string]bool          // hosts whose failure to answer has been logged
 }
 
-// host is a host in the endpoints' orders.
+// host is a host in the rendezvous order, with the hash of its name.
 type host struct {
 	Member
 	hash uint64
 	self bool
 }
 
-// Rank is a host's place in an endpoint's order, 0 to 1; the one with the least lends.
+// Rank returns the position of a host in an endpoint's order, from 0 to 1. The host with the lowest
+// rank lends.
 func Rank(endpoint, host string) float64 {
 	return fleet.Weight(xxhash.Sum64String(endpoint), xxhash.Sum64String(host))
 }
 
-// NewLimiter returns a desk.
+// NewLimiter returns a Limiter that Fleet wakes when there is something to borrow or to tell.
 func NewLimiter(o Options) *Limiter {
 	l := &Limiter{
 		options: o, lender: NewLender(), wake: wake.NewSignal(), borrowSlots: make(chan struct{}, maxConcurrentBorrows),
@@ -119,12 +122,13 @@
 	return l
 }
 
-// Run borrows until the context ends.
+// Run borrows for this host and spreads limits until the context ends.
 func (l *Limiter) Run(ctx context.Context) {
 	var working sync.WaitGroup
 	defer working.Wait()
 	working.Go(func() { l.fetchLimits(ctx) })
-	// As a function's, the timer may be due at its setting; see clock.Sleep.
+	// A timer that calls a function may safely be due when it is set; a timer with a channel may not, see
+	// clock.Sleep.
 	timer := time.AfterFunc(0, l.wake.Poke)
 	defer timer.Stop()
 	for {
@@ -152,10 +156,10 @@
 	}
 }
 
-// gossip spreads what has changed.
+// gossip sends limits that began, ended or changed to random hosts.
 func (l *Limiter) gossip(ctx context.Context, working *sync.WaitGroup) {
 	if !l.options.Known() {
-		return // it is told with the next news, or by others
+		return // the limits are sent with the next change, or by other hosts
 	}
 	news := l.options.Fleet.FreshNews(maxLimitsPerMessage)
 	if len(news) == 0 {
@@ -166,13 +170,13 @@
 			limited, cancel := context.WithTimeout(ctx, askTimeout)
 			defer cancel()
 			if err := l.options.Caller.SendLimits(limited, h.Address, news); err != nil && ctx.Err() == nil {
-				l.options.Logger.Debug("host not told of limits", "to", h.Name, "count", len(news), "error", err)
+				l.options.Logger.Debug("cannot send limits to host", "to", h.Name, "count", len(news), "error", err)
 			}
 		})
 	}
 }
 
-// randomHosts returns other hosts by chance.
+// randomHosts returns up to limit other hosts, chosen at random, that are not skipped.
 func (l *Limiter) randomHosts(limit int) []host {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,10 +192,11 @@
 	return found
 }
 
-// drawsPerHost is how many draws a host that is told takes at most.
+// drawsPerHost is how many random draws randomHosts makes at most for each host wanted.
 const drawsPerHost = 4
 
-// fetchLimits asks some hosts, one after the other, what limits there are, as this one starts.
+// fetchLimits runs at startup: it asks a few hosts, one after the other, for the limits they know of,
+// until one answers.
 func (l *Limiter) fetchLimits(ctx context.Context) {
 	for !l.options.Known() {
 		if !clock.Sleep(ctx, membersPollInterval) {
@@ -206,26 +211,26 @@
 			l.ApplyLimits(news)
 			return
 		}
-		l.options.Logger.Debug("host does not tell of limits", "from", h.Name, "error", err)
+		l.options.Logger.Debug("cannot fetch limits from host", "from", h.Name, "error", err)
 	}
 }
 
-// membersPollInterval is after how long a host that starts looks again whether it knows the list of hosts.
+// membersPollInterval is how often a starting host checks whether the list of hosts has been read.
 const membersPollInterval = 20 * time.Millisecond
 
-// KnownLimits lists the limits that this host knows of, for one that starts.
+// KnownLimits lists limits that this host knows of, for a host that has just started.
 func (l *Limiter) KnownLimits() []fleet.LimitNews {
 	return l.options.Fleet.LimitNews(maxLimitsPerMessage)
 }
 
-// ApplyLimits takes in what another host tells.
+// ApplyLimits records limits received from another host.
 func (l *Limiter) ApplyLimits(news []fleet.LimitNews) {
 	for _, n := range news {
 		l.options.Fleet.LearnLimit(n)
 	}
 }
 
-// borrowWanted borrows of an endpoint's limit.
+// borrowWanted borrows a part of one endpoint's limit and passes the loan to the fleet.
 func (l *Limiter) borrowWanted(ctx context.Context, w fleet.Want) {
 	r := Request{Requests: w.Requests, Limit: w.News, From: l.options.Host}
 	sent := clock.Now()
@@ -239,7 +244,8 @@
 	l.options.Fleet.Lent(w.News.Endpoint, fleet.Loan{Requests: reply.Requests, Until: sent.Add(reply.Lasts), Again: clock.Now().Add(reply.Again)})
 }
 
-// borrow asks the host that lends; false if none is found.
+// borrow requests a loan from the lender, which may be this host. It returns false if it finds
+// no lender.
 func (l *Limiter) borrow(ctx context.Context, r Request) (Reply, bool) {
 	if !l.options.Known() {
 		return Reply{}, false
@@ -260,8 +266,8 @@
 	return Reply{}, false
 }
 
-// TryAcquire asks for one of the turns that all hosts together may have of something by its key, so many a
-// second; granted tells whether this host has it, and wait when to ask again if not.
+// TryAcquire requests one permit for key, of which all hosts together get rate a second. It reports
+// whether the permit was granted and, if not, how long to wait before asking again.
 func (l *Limiter) TryAcquire(ctx context.Context, key string, rate float64) (wait time.Duration, granted bool) {
 	now := clock.Now()
 	reply, ok := l.borrow(ctx, Request{Requests: 1, From: l.options.Host, Unsaved: true, Limit: fleet.LimitNews{Endpoint: key, Rate: rate, Since: now, Heard: now}})
@@ -271,7 +277,7 @@
 	return reply.Again, reply.Requests > 0
 }
 
-// borrowFrom asks a host, and notes whether it answers.
+// borrowFrom requests a loan from a host, and records whether the host answers.
 func (l *Limiter) borrowFrom(ctx context.Context, h host, r Request, timeout time.Duration) (Reply, error) {
 	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -294,7 +300,8 @@
 	return reply, err
 }
 
-// Borrow answers another host: it lends, or asks the host that comes before it.
+// Borrow handles a request from another host: it forwards the request to a host that precedes this one
+// in the order, or lends by itself.
 func (l *Limiter) Borrow(ctx context.Context, r Request) Reply {
 	l.mu.Lock()
 	delete(l.skippedUntil, r.From)
@@ -313,8 +320,8 @@
 	return reply
 }
 
-// lenderOf returns the host that lends of an endpoint's limit: the first in its order that answers,
-// but one. First tells whether it is the first of all.
+// lenderOf returns the current lender of an endpoint: the first host in the endpoint's order that is
+// neither skipped nor the host named except. First reports whether no host of the order precedes it.
 func (l *Limiter) lenderOf(endpoint, except string) (found host, first bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -331,7 +338,7 @@
 	return found, best == lowest
 }
 
-// refreshHosts brings the list of hosts up to date; the caller holds mu.
+// refreshHosts rebuilds the list of hosts if it is too old; the caller holds mu.
 func (l *Limiter) refreshHosts() {
 	if len(l.hosts) > 0 && clock.Since(l.hostsReadAt) < hostsMaxAge {
 		return
