--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,17 +1,17 @@
-// Package retry holds a host's repeats of requests to a part of its first sends, so
-// that they can't multiply the load on endpoints that fail.
+// Package retry limits a host's retries of requests to a fraction of its first attempts, so that
+// retries cannot multiply the load on failing endpoints.
 //
 // # Usage
 //
 //	b := retry.NewBudgets(retry.Limits{Ratio: 0.8, Reserve: 2})
-//	b.First("tagger")           // a request is sent for the first time
-//	if b.Repeat("tagger", 1) {  // and may be sent once more
+//	b.RecordFirst("tagger")       // a request is sent for the first time
+//	if b.TakeRetry("tagger", 1) { // and may be retried
 //		...
 //	}
 //
-// All hosts together may make repeats up to a part of a service's requests in a
-// window of time; each keeps to that part of its own, so nothing is shared. A
-// Window is the value that decides; Budgets keeps one for each service.
+// All hosts together may make retries up to a fraction of a service's requests in a time window. Each
+// host keeps to that fraction of its own requests, so hosts share no state. A Window makes the
+// decision; Budgets keeps one Window for each service.
 package retry
 
 import (
@@ -21,33 +21,32 @@
 	"quaybarrow/internal/clock"
 )
 
-// windowSeconds is the length of the window, which the platform's bound names.
+// windowSeconds is the length of the window; the platform's bound on retries names the same length.
 const windowSeconds = 10
 
-// Limits bound repeats.
+// Limits bound retries.
 type Limits struct {
-	Ratio   float64 // repeats for each first send
-	Reserve float64 // repeats that may be made without any first sends
+	Ratio   float64 // retries for each first attempt
+	Reserve float64 // retries allowed without any first attempts
 }
 
-// Window counts the sends of the last seconds; an immutable value. It goes by a
-// steady clock: by the time of day, a jump ahead and back would leave its counts in
-// place for as long as the jump.
+// Window counts the attempts of the last seconds. It is an immutable value. It uses a monotonic clock:
+// with wall-clock time, a jump forward and back would keep old counts for as long as the jump.
 type Window struct {
-	second  int64 // of the steady clock
+	second  int64 // of the monotonic clock
 	firsts  [windowSeconds]int
 	retries [windowSeconds]int
 }
 
-// WithFirst returns the window after a first send.
+// WithFirst returns the window after a first attempt.
 func (w Window) WithFirst(now time.Duration) Window {
 	w = w.advanceTo(now)
 	w.firsts[w.second%windowSeconds]++
 	return w
 }
 
-// WithRetry returns the window after a repeat, if there is room for it. A part
-// below 1 leaves the rest of the room to others.
+// WithRetry returns the window after a retry, if the limits allow one. A fraction below 1 leaves the
+// rest of the allowance to other uses.
 func (w Window) WithRetry(now time.Duration, limits Limits, fraction float64) (Window, bool) {
 	w = w.advanceTo(now)
 	firsts, retries := 0, 0
@@ -62,7 +61,7 @@
 	return w, true
 }
 
-// advanceTo returns the window with the seconds that are over dropped.
+// advanceTo returns the window without the seconds that have expired.
 func (w Window) advanceTo(now time.Duration) Window {
 	second := int64(now / time.Second)
 	for s := max(w.second, second-windowSeconds); s < second; s++ {
@@ -73,7 +72,7 @@
 	return w
 }
 
-// Budgets keeps a window for each service; safe for use at once.
+// Budgets keeps a window for each service. It is safe for concurrent use.
 type Budgets struct {
 	mu      sync.Mutex // guards all below
 	limits  Limits
@@ -81,27 +80,27 @@
 	clock   clock.Steady
 }
 
-// NewBudgets returns budgets that nothing was taken from.
+// NewBudgets returns budgets without any attempts.
 func NewBudgets(limits Limits) *Budgets {
 	return &Budgets{limits: limits, windows: map[string]Window{}, clock: clock.NewSteady()}
 }
 
-// SetRatio bounds repeats from now on.
+// SetRatio changes the ratio of retries to first attempts from now on.
 func (b *Budgets) SetRatio(ratio float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limits.Ratio = ratio
 }
 
-// RecordFirst counts a request's first send.
+// RecordFirst counts the first attempt of a request.
 func (b *Budgets) RecordFirst(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.windows[service] = b.windows[service].WithFirst(b.clock.Now())
 }
 
-// TakeRetry takes a further send from a service's budget; false if none is left in a
-// part of it.
+// TakeRetry takes one retry from a service's budget. It returns false if the given fraction of the
+// budget is used up.
 func (b *Budgets) TakeRetry(service string, fraction float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
