--- a/internal/choose/choose.go
+++ b/internal/choose/choose.go
@@ -1,15 +1,14 @@
-// Package choose picks the version that answers a request. It is pure: all it
-// reads is in its input, and it changes nothing.
+// Package choose picks the model version that answers a request. Its functions are pure: they read
+// only their input and change nothing.
 //
 // # Usage
 //
 //	decision, err := choose.Pick(choose.Input{Candidates: candidates, ...})
 //
-// A request that names a model gets the newest version in service, or the one
-// in roll-out when there is a credit for it. A request that names a task class
-// gets the cheapest version, or the cheapest mix of two, whose lower bound on
-// quality meets the target; a small, bounded part explores cheaper versions
-// that might.
+// A request that names a model gets the newest version in service, or the one in roll-out (the
+// canary) if this host has a credit for it. A request that names a task class gets the cheapest
+// version, or the cheapest mix of two versions, whose lower confidence bound on quality meets the
+// target. A small, bounded share of requests explores cheaper versions that might meet it.
 package choose
 
 import (
@@ -26,7 +25,7 @@
 // ErrNoVersion means that no version may take the request.
 var ErrNoVersion = errors.New("no version is in service for this request")
 
-// Reason says why a version was picked.
+// Reason tells why a version was picked.
 type Reason string
 
 // Reasons.
@@ -40,40 +39,39 @@
 	ReasonBest     Reason = "best known; none meets the target"
 )
 
-// exploreShare bounds the part of requests that explore.
+// exploreShare bounds the share of requests that explore.
 const exploreShare = 0.02
 
 // Input is everything a choice depends on.
 type Input struct {
-	Candidates []config.Candidate // all that the workspace allows for the request
+	Candidates []config.Candidate // all versions that the workspace allows for the request
 	Workspace  string
 	Class      string  // task class; empty when a model was named
-	Target     float64 // of the class
+	Target     float64 // quality target of the task class
 	Estimates  estimate.Table
 	// Ready reports whether some endpoint serves a version.
 	Ready func(declare.Ref) bool
 	// Credit reports whether this host has a credit for a version in roll-out.
 	Credit func(declare.Ref) bool
-	Stale  bool          // the configuration's freshness is past its bound
-	Proven time.Duration // how long a version must have served when stale
+	Stale  bool          // the configuration is older than its freshness bound
+	Proven time.Duration // how long a version must have been in service to be used while Stale
 	Now    time.Time
-	Random float64 // from [0,1)
+	Random float64 // uniform in [0,1)
 }
 
-// Decision is a choice.
+// Decision is the chosen version.
 type Decision struct {
 	Candidate config.Candidate
 	Reason    Reason
-	Canary    bool // a credit is to be spent
+	Canary    bool // the version is in roll-out, and a credit has to be spent
 }
 
-// maxOptions bounds the versions that are weighed; it keeps the choice free of
-// allocations.
+// maxOptions bounds the versions that are compared; a fixed bound keeps Pick free of allocations.
 const maxOptions = 32
 
-// option is a usable version with what is known of it.
+// option is a usable version with its cost and estimated quality.
 type option struct {
-	index   int // in Candidates
+	index   int // index in Candidates
 	cost    float64
 	lower   float64
 	upper   float64
@@ -105,7 +103,7 @@
 	return in.selectOption(options[:count]), nil
 }
 
-// pickNewest takes the last usable version; a canary only if it has a credit.
+// pickNewest returns the last usable candidate; a canary only if this host has a credit for it.
 func pickNewest(in Input) (Decision, error) {
 	for i := len(in.Candidates) - 1; i >= 0; i-- {
 		c := in.Candidates[i]
@@ -120,7 +118,7 @@
 	return Decision{}, ErrNoVersion
 }
 
-// usableOptions fills in the usable versions.
+// usableOptions fills options with the usable versions and returns their number.
 func (in Input) usableOptions(options *[maxOptions]option) int {
 	count := 0
 	for i, c := range in.Candidates {
@@ -141,16 +139,15 @@
 	return count
 }
 
-// inputPerOutput is how many prompt tokens a usual request has per token of its
-// answer, for comparing costs.
+// inputPerOutput is the typical number of prompt tokens per answer token, for comparing costs.
 const inputPerOutput = 3
 
-// Cost is a version's price for comparing, per token of the answer.
+// Cost returns a version's price per answer token, for comparison with other versions.
 func Cost(v declare.Version) float64 {
 	return float64(v.OutputCost) + inputPerOutput*float64(v.InputCost)
 }
 
-// selectOption weighs single versions and mixes of two.
+// selectOption picks a single version or one of a mix of two.
 func (in Input) selectOption(options []option) Decision {
 	cheapest, best := -1, 0
 	for i, o := range options {
@@ -177,7 +174,7 @@
 	return in.decisionFor(options[expensive], ReasonMix)
 }
 
-// rescale spreads the part of the random number that exploration left over.
+// rescale maps the random numbers that are left over by exploration back to [0,1).
 func rescale(random float64) float64 {
 	return math.Max(random-exploreShare, 0) / (1 - exploreShare)
 }
@@ -187,8 +184,8 @@
 	return Decision{Candidate: c, Reason: reason, Canary: c.Version.State == declare.StateCanary}
 }
 
-// explorable finds the cheapest version that is cheaper than what is used and
-// might meet the target for all that is known; -1 if there is none.
+// explorable returns the index of the cheapest version that costs less than maxCost and whose quality
+// may meet the target as far as the estimate tells, but is not known to; -1 if there is none.
 func explorable(options []option, maxCost, target float64) int {
 	found := -1
 	for i, o := range options {
@@ -202,8 +199,8 @@
 	return found
 }
 
-// cheapestMix finds two versions and the share of the cheaper one such that the
-// mix's lower bound meets the target at a lower cost than the single version.
+// cheapestMix finds two versions and the share of the cheaper one such that the mix's lower bound
+// meets the target at a lower cost than the single version; the indexes are -1 if there are none.
 func cheapestMix(options []option, single int, target float64) (cheap, expensive int, share float64) {
 	cheap, expensive = -1, -1
 	lowestCost := options[single].cost
@@ -215,7 +212,7 @@
 			if b.lower <= target {
 				continue
 			}
-			// No mix is cheaper than the one that the means alone would allow.
+			// No mix of the two is cheaper than the one that meets the target by their means alone.
 			maxShare := min((b.quality.Mean-target)/(b.quality.Mean-a.quality.Mean), 1)
 			if maxShare > 0 && maxShare*a.cost+(1-maxShare)*b.cost >= lowestCost {
 				continue
@@ -229,11 +226,11 @@
 	return cheap, expensive, share
 }
 
-// bisectionSteps is how finely a mix's share is found.
+// bisectionSteps is the number of bisection steps that determine the share of a mix.
 const bisectionSteps = 10
 
-// largestShare finds the largest share of the first version with which the mix's
-// lower bound meets the target. Without any of the first it does.
+// largestShare returns the largest share of the first version with which the mix's lower bound meets
+// the target. The second version alone must meet it.
 func largestShare(first, second estimate.Interval, target float64) float64 {
 	low, high := 0.0, 1.0
 	for range bisectionSteps {
@@ -247,8 +244,8 @@
 	return low
 }
 
-// Cascade returns the usable versions of a class to ask one after the other:
-// the cheapest first, then the cheapest that meets the target by itself.
+// Cascade returns the usable versions of a class to ask one after the other: the cheapest first, then
+// the cheapest that meets the target by itself, or the one with the highest lower bound if none does.
 func Cascade(in Input) (first, second Decision, err error) {
 	var options [maxOptions]option
 	count := in.usableOptions(&options)
