--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -16,14 +16,14 @@
 }
 
 func (s choice) asksLarger() bool {
-	kept := cascade.Answer{Right: cascade.CorrectProbability(s.confidence), InTime: 1}
+	small := cascade.Answer{Right: cascade.CorrectProbability(s.confidence), InTime: 1}
 	if s.late {
-		kept.InTime = 0
+		small.InTime = 0
 	}
 	larger := cascade.Option{
 		Answer: cascade.Answer{Right: cascade.LargestCorrect, InTime: s.inTime}, Use: cascade.RelativeCost(0.2, 0.2), Size: s.size, Delay: s.delay,
 	}
-	return larger.NetValue() > kept.Value()
+	return larger.NetValue() > small.Value()
 }
 
 func TestLargerModelIsAsked(t *testing.T) {
--- a/internal/ratelimit/callers_test.go
+++ b/internal/ratelimit/callers_test.go
@@ -41,26 +41,26 @@
 }
 
 // generateRequests send requests at moments by chance.
-func (w *simulation) generateRequests(ctx context.Context, workers *sync.WaitGroup) {
-	for clock.Sleep(ctx, time.Duration(w.exponential()/w.requestRate*float64(time.Second))) {
-		h := w.simHosts[int(w.draw()*float64(len(w.simHosts)))]
-		if w.draw() < w.hotShare {
-			h = w.simHosts[0]
+func (s *simulation) generateRequests(ctx context.Context, workers *sync.WaitGroup) {
+	for clock.Sleep(ctx, time.Duration(s.exponential()/s.requestRate*float64(time.Second))) {
+		h := s.simHosts[int(s.draw()*float64(len(s.simHosts)))]
+		if s.draw() < s.hotShare {
+			h = s.simHosts[0]
 		}
 		if _, down, silent := h.state(); !down && !silent {
-			workers.Go(func() { w.serve(h) })
+			workers.Go(func() { s.serve(h) })
 		}
 	}
 }
 
-func (w *simulation) exponential() float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.random.ExpFloat64()
+func (s *simulation) exponential() float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.random.ExpFloat64()
 }
 
 // serve has a host serve a request.
-func (w *simulation) serve(h *simHost) {
+func (s *simulation) serve(h *simHost) {
 	h.mu.Lock()
 	f := h.fleet
 	h.mu.Unlock()
@@ -69,7 +69,7 @@
 		waited := clock.Since(arrived)
 		hold, decision := f.Place(fleet.Ask{Service: simService, Within: max(requestDeadline-waited, 1), Waited: waited, Turn: turn, Urgency: -1})
 		if hold != nil {
-			w.complete(h, f, hold)
+			s.complete(h, f, hold)
 			return
 		}
 		wait, ok := decision.(admission.Wait)
@@ -82,34 +82,34 @@
 }
 
 // complete notes a request at an endpoint, which answers.
-func (w *simulation) complete(h *simHost, f *fleet.Fleet, hold *fleet.Hold) {
+func (s *simulation) complete(h *simHost, f *fleet.Fleet, hold *fleet.Hold) {
 	id, sent, healthy := hold.Endpoint.ID, clock.Now(), h.isHealthy()
-	w.mu.Lock()
-	w.sent++
-	w.sends[id] = append(w.sends[id], arrival{at: sent, healthy: healthy})
-	w.mu.Unlock()
+	s.mu.Lock()
+	s.sent++
+	s.sends[id] = append(s.sends[id], arrival{at: sent, healthy: healthy})
+	s.mu.Unlock()
 	time.Sleep(answerTime)
 	var i int
 	_, _ = fmt.Sscanf(id, "e%d", &i)
-	f.HearLimit(id, fleet.Limit{Named: i < w.limitedEndpoints, Rate: w.rate}, sent)
+	f.HearLimit(id, fleet.Limit{Named: i < s.limitedEndpoints, Rate: s.rate}, sent)
 	hold.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 }
 
 // worstWindow is the most that a limited endpoint got in a window from some seconds on, from all hosts and from
 // those that nothing had happened to, and got the part of their limits that they got.
-func (w *simulation) worstWindow(from, window time.Duration) (most, healthy int, used float64) {
+func (s *simulation) worstWindow(from, window time.Duration) (most, healthy int, used float64) {
 	n := 0
-	for i := range w.limitedEndpoints {
-		sends := w.sends[endpointName(i)]
+	for i := range s.limitedEndpoints {
+		sends := s.sends[endpointName(i)]
 		slices.SortFunc(sends, func(a, b arrival) int { return a.at.Compare(b.at) })
-		for first, s := range sends {
-			if s.at.Sub(w.began) < from {
+		for first, send := range sends {
+			if send.at.Sub(s.began) < from {
 				continue
 			}
 			n++
 			total, fromHealthy := 0, 0
 			for _, other := range sends[first:] {
-				if other.at.Sub(s.at) >= window {
+				if other.at.Sub(send.at) >= window {
 					break
 				}
 				total++
@@ -120,5 +120,5 @@
 			most, healthy = max(most, total), max(healthy, fromHealthy)
 		}
 	}
-	return most, healthy, float64(n) / (w.rate * float64(w.limitedEndpoints) * (w.duration - from).Seconds())
+	return most, healthy, float64(n) / (s.rate * float64(s.limitedEndpoints) * (s.duration - from).Seconds())
 }
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -68,10 +68,10 @@
 // runScenario plays a world.
 func runScenario(t *testing.T, p scenario) (most, healthy int, used float64, calls int) {
 	synctest.Test(t, func(*testing.T) {
-		w := newSimulation(p)
-		w.run()
-		most, healthy, used = w.worstWindow(standin.LimitKnown, standin.LimitWindow)
-		calls = w.calls
+		s := newSimulation(p)
+		s.run()
+		most, healthy, used = s.worstWindow(standin.LimitKnown, standin.LimitWindow)
+		calls = s.calls
 	})
 	return most, healthy, used, calls
 }
@@ -81,11 +81,11 @@
 func TestLimitsLentOrSplit(t *testing.T) {
 	for _, hosts := range []int{7, 60} {
 		used := map[strategy]float64{}
-		for _, s := range []strategy{lending, splitting} {
-			p := scenario{strategy: s, hosts: hosts, limitedEndpoints: 12, rate: 5, requestRate: 120, hotShare: 0.9, duration: 20 * time.Second}
+		for _, tried := range []strategy{lending, splitting} {
+			p := scenario{strategy: tried, hosts: hosts, limitedEndpoints: 12, rate: 5, requestRate: 120, hotShare: 0.9, duration: 20 * time.Second}
 			most, _, share, calls := runScenario(t, p)
-			t.Logf("%d hosts, way %d: worst %d in %s, %.2f of the limits used, %d calls between hosts", hosts, s, most, standin.LimitWindow, share, calls)
-			used[s] = share
+			t.Logf("%d hosts, way %d: worst %d in %s, %.2f of the limits used, %d calls between hosts", hosts, tried, most, standin.LimitWindow, share, calls)
+			used[tried] = share
 		}
 		if used[lending] < 0.8 || used[splitting] > 0.6*used[lending] {
 			t.Errorf("%d hosts: %.2f of the limits used by lending, %.2f by splitting", hosts, used[lending], used[splitting])
@@ -95,18 +95,18 @@
 
 func TestHostThatStartsLearnsOfLimitsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(scenario{hosts: 5})
+		s := newSimulation(scenario{hosts: 5})
 		time.Sleep(time.Second)
-		w.simHosts[0].fleet.LearnLimit(fleet.LimitNews{Endpoint: endpointName(0), Rate: 2, Since: clock.Now(), Heard: clock.Now()})
+		s.simHosts[0].fleet.LearnLimit(fleet.LimitNews{Endpoint: endpointName(0), Rate: 2, Since: clock.Now(), Heard: clock.Now()})
 		time.Sleep(time.Second)
-		w.killOne(w.simHosts[1])
+		s.killOne(s.simHosts[1])
 		time.Sleep(learnTime)
-		for _, h := range w.simHosts {
+		for _, h := range s.simHosts {
 			if n := h.fleet.Limited(); n != 1 {
 				t.Errorf("%s knows of %d limits", h.name(), n)
 			}
 		}
-		w.stop()
+		s.stop()
 	})
 }
 
--- a/internal/ratelimit/desk_test.go
+++ b/internal/ratelimit/relay_test.go
@@ -26,11 +26,11 @@
 }
 
 // Borrow implements ratelimit.Caller.
-func (a *fakePeers) Borrow(_ context.Context, address string, r ratelimit.Request) (ratelimit.Reply, error) {
-	if address != a.reachable {
+func (p *fakePeers) Borrow(_ context.Context, address string, r ratelimit.Request) (ratelimit.Reply, error) {
+	if address != p.reachable {
 		return ratelimit.Reply{}, errGone
 	}
-	a.requests = append(a.requests, r)
+	p.requests = append(p.requests, r)
 	return ratelimit.Reply{Requests: 1, Limit: r.Limit}, nil
 }
 
@@ -64,20 +64,20 @@
 
 	It("asks that one, which lends", func() {
 		suite.Paused(func() {
-			caller := &fakePeers{reachable: "0"}
-			Expect(borrow(caller, false).Requests).To(Equal(1))
-			Expect(caller.requests).To(HaveLen(1))
-			Expect(caller.requests[0].Relayed).To(BeTrue())
-			Expect(caller.requests[0].From).To(Equal("host-1"))
+			peers := &fakePeers{reachable: "0"}
+			Expect(borrow(peers, false).Requests).To(Equal(1))
+			Expect(peers.requests).To(HaveLen(1))
+			Expect(peers.requests[0].Relayed).To(BeTrue())
+			Expect(peers.requests[0].From).To(Equal("host-1"))
 		})
 	})
 
 	for name, reachable := range map[string]string{"it does not answer": "", "another host has asked that one": "0"} {
 		It("lends itself, nothing at first, if "+name, func() {
 			suite.Paused(func() {
-				caller := &fakePeers{reachable: reachable}
-				Expect(borrow(caller, reachable != "").Requests).To(BeZero(), fmt.Sprint(caller.requests))
-				Expect(caller.requests).To(BeEmpty())
+				peers := &fakePeers{reachable: reachable}
+				Expect(borrow(peers, reachable != "").Requests).To(BeZero(), fmt.Sprint(peers.requests))
+				Expect(peers.requests).To(BeEmpty())
 			})
 		})
 	}
--- a/internal/ratelimit/rig_test.go
+++ b/internal/ratelimit/simulation_test.go
@@ -83,7 +83,7 @@
 	fleet       *fleet.Fleet
 	limiter     *ratelimit.Limiter
 	cancel      context.CancelFunc
-	working     sync.WaitGroup
+	workers     sync.WaitGroup
 	down        bool
 	cut         bool
 	frozenUntil clock.Instant
@@ -91,20 +91,20 @@
 }
 
 func newSimulation(p scenario) *simulation {
-	w := &simulation{scenario: p, random: rand.New(rand.NewPCG(p.seed, 7)), began: clock.Now(), sends: map[string][]arrival{}}
+	s := &simulation{scenario: p, random: rand.New(rand.NewPCG(p.seed, 7)), began: clock.Now(), sends: map[string][]arrival{}}
 	for i := range p.hosts {
-		w.simHosts = append(w.simHosts, &simHost{sim: w, number: i})
+		s.simHosts = append(s.simHosts, &simHost{sim: s, number: i})
 	}
-	for _, h := range w.simHosts {
+	for _, h := range s.simHosts {
 		h.start()
 	}
-	return w
+	return s
 }
 
-func (w *simulation) draw() float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.random.Float64()
+func (s *simulation) draw() float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.random.Float64()
 }
 
 func endpointName(i int) string { return fmt.Sprint("e", i) }
@@ -127,11 +127,11 @@
 	limiter := h.limiter
 	h.mu.Unlock()
 	if limiter != nil {
-		h.working.Go(func() { limiter.Run(ctx) })
+		h.workers.Go(func() { limiter.Run(ctx) })
 	} else {
 		signal := wake.NewSignal()
 		f.OnWanted(signal.Poke)
-		h.working.Go(func() { h.split(ctx, f, signal) })
+		h.workers.Go(func() { h.split(ctx, f, signal) })
 	}
 }
 
@@ -174,11 +174,11 @@
 
 // Borrow implements ratelimit.Caller.
 func (h *simHost) Borrow(ctx context.Context, address string, r ratelimit.Request) (ratelimit.Reply, error) {
-	desk, err := h.connect(ctx, address)
+	limiter, err := h.connect(ctx, address)
 	if err != nil {
 		return ratelimit.Reply{}, err
 	}
-	reply := desk.Borrow(ctx, r)
+	reply := limiter.Borrow(ctx, r)
 	if !clock.Sleep(ctx, linkDelay) {
 		return ratelimit.Reply{}, errSilent
 	}
@@ -191,20 +191,20 @@
 
 // SendLimits implements ratelimit.Caller.
 func (h *simHost) SendLimits(ctx context.Context, address string, news []fleet.LimitNews) error {
-	desk, err := h.connect(ctx, address)
+	limiter, err := h.connect(ctx, address)
 	if err == nil {
-		desk.ApplyLimits(news)
+		limiter.ApplyLimits(news)
 	}
 	return err
 }
 
 // FetchLimits implements ratelimit.Caller.
 func (h *simHost) FetchLimits(ctx context.Context, address string) ([]fleet.LimitNews, error) {
-	desk, err := h.connect(ctx, address)
+	limiter, err := h.connect(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return desk.KnownLimits(), nil
+	return limiter.KnownLimits(), nil
 }
 
 // connect has a message connect another host.
@@ -219,7 +219,7 @@
 	if !clock.Sleep(ctx, linkDelay) {
 		return nil, errSilent
 	}
-	desk, down, silent := h.sim.simHosts[to].state()
+	limiter, down, silent := h.sim.simHosts[to].state()
 	if down {
 		return nil, errGone
 	}
@@ -227,56 +227,56 @@
 		<-ctx.Done()
 		return nil, errSilent
 	}
-	return desk, nil
+	return limiter, nil
 }
 
 // state tells whether the host is down, or cut off or frozen.
-func (h *simHost) state() (desk *ratelimit.Limiter, down, silent bool) {
+func (h *simHost) state() (limiter *ratelimit.Limiter, down, silent bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.limiter, h.down, h.cut || clock.Now().Before(h.frozenUntil)
 }
 
 // run plays the world.
-func (w *simulation) run() {
-	ctx, cancel := context.WithTimeout(context.Background(), w.duration)
+func (s *simulation) run() {
+	ctx, cancel := context.WithTimeout(context.Background(), s.duration)
 	defer cancel()
-	var working sync.WaitGroup
-	working.Go(func() { w.generateRequests(ctx, &working) })
-	for every, inject := range map[time.Duration]func(*simHost){w.killEvery: w.killOne, w.freezeEvery: w.freezeOne, w.cutEvery: w.cutOne} {
+	var workers sync.WaitGroup
+	workers.Go(func() { s.generateRequests(ctx, &workers) })
+	for every, inject := range map[time.Duration]func(*simHost){s.killEvery: s.killOne, s.freezeEvery: s.freezeOne, s.cutEvery: s.cutOne} {
 		if every > 0 {
-			working.Go(func() {
+			workers.Go(func() {
 				for clock.Sleep(ctx, every) {
-					h := w.nextTarget()
+					h := s.nextTarget()
 					h.markFaulty(faultDuration)
-					working.Go(func() { inject(h) })
+					workers.Go(func() { inject(h) })
 				}
 			})
 		}
 	}
-	working.Wait()
-	w.stop()
+	workers.Wait()
+	s.stop()
 }
 
-func (w *simulation) stop() {
-	for _, h := range w.simHosts {
+func (s *simulation) stop() {
+	for _, h := range s.simHosts {
 		h.cancel()
-		h.working.Wait()
+		h.workers.Wait()
 	}
 }
 
 // nextTarget is the host that is hit next: by chance, or one that others ask for a limit.
-func (w *simulation) nextTarget() *simHost {
-	if !w.targetLenders {
-		return w.simHosts[int(w.draw()*float64(len(w.simHosts)))]
+func (s *simulation) nextTarget() *simHost {
+	if !s.targetLenders {
+		return s.simHosts[int(s.draw()*float64(len(s.simHosts)))]
 	}
-	endpoint := endpointName(int(w.draw() * float64(w.limitedEndpoints)))
-	return slices.MinFunc(w.simHosts, func(a, b *simHost) int {
+	endpoint := endpointName(int(s.draw() * float64(s.limitedEndpoints)))
+	return slices.MinFunc(s.simHosts, func(a, b *simHost) int {
 		return cmp.Compare(ratelimit.Rank(endpoint, a.name()), ratelimit.Rank(endpoint, b.name()))
 	})
 }
 
-func (w *simulation) killOne(h *simHost) {
+func (s *simulation) killOne(h *simHost) {
 	h.mu.Lock()
 	if h.down {
 		h.mu.Unlock()
@@ -285,19 +285,19 @@
 	h.down = true
 	h.cancel()
 	h.mu.Unlock()
-	h.working.Wait()
+	h.workers.Wait()
 	time.Sleep(faultDuration)
 	h.start()
 }
 
-func (w *simulation) freezeOne(h *simHost) {
+func (s *simulation) freezeOne(h *simHost) {
 	h.mu.Lock()
 	h.frozenUntil = clock.Now().Add(faultDuration)
 	h.mu.Unlock()
 	time.Sleep(faultDuration)
 }
 
-func (w *simulation) cutOne(h *simHost) {
+func (s *simulation) cutOne(h *simHost) {
 	h.mu.Lock()
 	h.cut = true
 	h.mu.Unlock()
