--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -6,11 +6,11 @@
 	"quaybarrow/internal/cascade"
 )
 
-// choice is a small answer that is there and what the largest model would take.
+// choice is a small model's answer that has arrived, and what the largest model would take.
 type choice struct {
 	confidence float64
-	late       bool    // the small answer
-	inTime     float64 // chance of the larger one
+	late       bool    // the small model's answer is late
+	inTime     float64 // probability that the larger model's answer comes in time
 	size       float64
 	delay      float64
 }
@@ -31,19 +31,19 @@
 		choice
 		asked bool
 	}{
-		"a wrong answer":                           {choice{10, false, 1, 1, 0}, true},
-		"a doubtful one":                           {choice{45, false, 1, 1, 0}, true},
-		"a likely one":                             {choice{65, false, 1, 1, 0}, false},
-		"a sure one":                               {choice{100, false, 1, 1, 0}, false},
-		"a likely one that is late":                {choice{65, true, 1, 1, 0}, true},
-		"a wrong one that came late":               {choice{5, true, 1, 1, 0}, true},
-		"a wrong one, the larger surely late":      {choice{10, false, 0, 1, 0}, false},
-		"a doubtful one, the larger perhaps late":  {choice{45, false, 0.5, 1, 0}, false},
-		"a wrong one while many wait":              {choice{10, false, 1, 1, 0.9}, false},
-		"a doubtful one while some wait":           {choice{45, false, 1, 1, 0.4}, false},
-		"a wrong one while some wait":              {choice{10, false, 1, 1, 0.4}, true},
-		"a wrong large one, its work in the worth": {choice{10, false, 1, 4, 1.2}, true},
-		"a doubtful small one, cheap to read":      {choice{47, false, 1, 0.2, 0}, true},
+		"a wrong answer":                                               {choice{10, false, 1, 1, 0}, true},
+		"a doubtful one":                                               {choice{45, false, 1, 1, 0}, true},
+		"a likely one":                                                 {choice{65, false, 1, 1, 0}, false},
+		"a sure one":                                                   {choice{100, false, 1, 1, 0}, false},
+		"a likely one that is late":                                    {choice{65, true, 1, 1, 0}, true},
+		"a wrong one that came late":                                   {choice{5, true, 1, 1, 0}, true},
+		"a wrong one, the larger one certainly late":                   {choice{10, false, 0, 1, 0}, false},
+		"a doubtful one, the larger one possibly late":                 {choice{45, false, 0.5, 1, 0}, false},
+		"a wrong one while many requests wait":                         {choice{10, false, 1, 1, 0.9}, false},
+		"a doubtful one while some requests wait":                      {choice{45, false, 1, 1, 0.4}, false},
+		"a wrong one while some requests wait":                         {choice{10, false, 1, 1, 0.4}, true},
+		"a wrong one for a large request, whose worth covers its work": {choice{10, false, 1, 4, 1.2}, true},
+		"a doubtful one for a small request, which costs little":       {choice{47, false, 1, 0.2, 0}, true},
 	}
 	for name, c := range cases {
 		if got := c.choice.asksLarger(); got != c.asked {
@@ -52,12 +52,12 @@
 	}
 }
 
-func TestUseGoesByDeclaredCosts(t *testing.T) {
+func TestRelativeCostFollowsDeclaredCosts(t *testing.T) {
 	if half, whole := cascade.RelativeCost(0.1, 0.2), cascade.RelativeCost(0.2, 0.2); half*2 != whole {
-		t.Errorf("%v for half the cost, %v for the largest's", half, whole)
+		t.Errorf("%v for half the cost, %v for the largest model's", half, whole)
 	}
 	if undeclared := cascade.RelativeCost(0, 0); undeclared != cascade.RelativeCost(1, 1) {
-		t.Errorf("%v where nobody declares costs", undeclared)
+		t.Errorf("%v where no costs are declared", undeclared)
 	}
 }
 
--- a/internal/choose/choose_test.go
+++ b/internal/choose/choose_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// estimates makes estimates in which each model has a mean of many ratings.
+// estimates returns a table in which each model has the given mean over many ratings.
 func estimates(means map[string]float64) estimate.Table {
 	var entries []estimate.Entry
 	for model, mean := range means {
--- a/internal/ratelimit/callers_test.go
+++ b/internal/ratelimit/callers_test.go
@@ -13,20 +13,20 @@
 	"quaybarrow/platform/standin"
 )
 
-// arrival is a request at an endpoint.
+// arrival is a request that an endpoint received.
 type arrival struct {
 	at      clock.Instant
-	healthy bool // nothing had happened to its host for as long as the rule takes hosts to know a limit
+	healthy bool // the sending host had no fault for the time that the rule gives hosts to learn of a limit
 }
 
-// isHealthy reports whether nothing has happened to the host lately.
+// isHealthy reports whether the host has had no fault for that time.
 func (h *simHost) isHealthy() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.faultyUntil.IsZero() || clock.Since(h.faultyUntil) > standin.LimitKnown
 }
 
-// markFaulty notes that something happens to the host until a moment.
+// markFaulty records a fault that starts now and lasts for a duration.
 func (h *simHost) markFaulty(duration time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -40,7 +40,7 @@
 	return b
 }
 
-// generateRequests send requests at moments by chance.
+// generateRequests sends requests as a Poisson process until the context ends.
 func (s *simulation) generateRequests(ctx context.Context, workers *sync.WaitGroup) {
 	for clock.Sleep(ctx, time.Duration(s.exponential()/s.requestRate*float64(time.Second))) {
 		h := s.simHosts[int(s.draw()*float64(len(s.simHosts)))]
@@ -59,7 +59,7 @@
 	return s.random.ExpFloat64()
 }
 
-// serve has a host serve a request.
+// serve makes a host serve one request.
 func (s *simulation) serve(h *simHost) {
 	h.mu.Lock()
 	f := h.fleet
@@ -81,7 +81,7 @@
 	}
 }
 
-// complete notes a request at an endpoint, which answers.
+// complete records a request at an endpoint and waits for its answer.
 func (s *simulation) complete(h *simHost, f *fleet.Fleet, hold *fleet.Hold) {
 	id, sent, healthy := hold.Endpoint.ID, clock.Now(), h.isHealthy()
 	s.mu.Lock()
@@ -95,8 +95,9 @@
 	hold.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 }
 
-// worstWindow is the most that a limited endpoint got in a window from some seconds on, from all hosts and from
-// those that nothing had happened to, and got the part of their limits that they got.
+// worstWindow returns the most requests that a limited endpoint received in any window after from:
+// from all hosts, and from hosts without faults. Used is the part of their limits that the endpoints
+// received.
 func (s *simulation) worstWindow(from, window time.Duration) (most, healthy int, used float64) {
 	n := 0
 	for i := range s.limitedEndpoints {
--- a/internal/ratelimit/lender_test.go
+++ b/internal/ratelimit/lender_test.go
@@ -12,19 +12,19 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// borrow asks a lender for requests of an endpoint's limit.
+// borrow requests a loan of some requests from a lender.
 func borrow(l *ratelimit.Lender, first bool, since clock.Instant, rate float64, requests int) ratelimit.Reply {
 	return lendRequest(l, first, since, rate, ratelimit.Request{Requests: requests})
 }
 
-// lendRequest asks a lender for what a request says.
+// lendRequest sends a request to a lender, with a limit heard of just now.
 func lendRequest(l *ratelimit.Lender, first bool, since clock.Instant, rate float64, r ratelimit.Request) ratelimit.Reply {
 	now := clock.Now()
 	r.Limit = fleet.LimitNews{Endpoint: "e", Rate: rate, Since: since, Heard: now}
 	return l.Lend(r, first, now)
 }
 
-// totalLent is what a lender lends to one that wants as much as there is, over a time.
+// totalLent returns how much a lender lends in a time to a borrower that takes all it can get.
 func totalLent(l *ratelimit.Lender, first bool, since clock.Instant, rate float64, d time.Duration) int {
 	n, end := 0, clock.Now().Add(d)
 	for clock.Now().Before(end) {
@@ -44,7 +44,7 @@
 		})
 	})
 
-	It("lends a part at first where another one may have lent", func() {
+	It("lends only a part at first if another host may have lent", func() {
 		suite.Paused(func() {
 			old := clock.Now().Add(-time.Minute)
 			for _, first := range []bool{true, false} {
@@ -55,19 +55,19 @@
 		})
 	})
 
-	It("begins anew after others may have been asked", func() {
+	It("starts over after other hosts may have been asked", func() {
 		suite.Paused(func() {
 			l := ratelimit.NewLender()
 			time.Sleep(time.Second)
 			since := clock.Now()
 			totalLent(l, true, since, 8, 3*time.Second)
 			time.Sleep(5 * time.Second)
-			Expect(borrow(l, true, since, 8, 100).Requests).To(BeZero(), "nothing is saved up")
+			Expect(borrow(l, true, since, 8, 100).Requests).To(BeZero(), "an unused limit does not accumulate meanwhile")
 			Expect(totalLent(l, true, since, 8, 3*time.Second)).To(BeNumerically("~", 12, 2))
 		})
 	})
 
-	It("never lends two together of what is not to be saved up", func() {
+	It("never lends two requests at once from a limit that does not accumulate", func() {
 		suite.Paused(func() {
 			l := ratelimit.NewLender()
 			time.Sleep(time.Second)
@@ -83,7 +83,7 @@
 		})
 	})
 
-	It("lends two together of a small limit that nobody has asked for in a while", func() {
+	It("lends two requests at once from a small limit that has been unused for a while", func() {
 		suite.Paused(func() {
 			l := ratelimit.NewLender()
 			time.Sleep(time.Second)
@@ -96,7 +96,7 @@
 		})
 	})
 
-	It("tells those that find nothing different moments", func() {
+	It("tells hosts that get no loan different times to ask again", func() {
 		suite.Paused(func() {
 			l := ratelimit.NewLender()
 			time.Sleep(time.Second)
@@ -110,7 +110,7 @@
 		})
 	})
 
-	It("lends nothing of a limit that has ended, and says so", func() {
+	It("lends nothing from a limit that has ended, and reports its end", func() {
 		suite.Paused(func() {
 			l := ratelimit.NewLender()
 			since := clock.Now()
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -12,10 +12,10 @@
 	"quaybarrow/platform/standin"
 )
 
-// seeds is how many plays there are of each; CI plays few.
-var seeds = flag.Int("limit.seeds", 1, "plays of each kind of trouble and size; with more than one all are played with 300 hosts")
+// seeds is the number of runs of each scenario; CI runs few.
+var seeds = flag.Int("limit.seeds", 1, "runs of each kind of fault and size; with more than one all are run with 300 hosts")
 
-// faults are what happens to hosts; times are between two of them.
+// faults lists the faults of hosts; each time is the interval between two faults.
 var faults = map[string]scenario{
 	"calm":                       {},
 	"hosts killed":               {killEvery: 700 * time.Millisecond},
@@ -28,7 +28,7 @@
 	"killed, frozen, cut beside": {killEvery: 1100 * time.Millisecond, freezeEvery: 1300 * time.Millisecond, cutEvery: 1700 * time.Millisecond},
 }
 
-// sizes are how many hosts there are.
+// sizes are the numbers of hosts.
 var sizes = []int{1, 7, 60, 300}
 
 func TestLimitsOfEndpointsWhileHostsAreLost(t *testing.T) {
@@ -53,9 +53,9 @@
 							used[limited] = share
 						}
 						if allowed := standin.LimitMost(rate); healthy > allowed {
-							t.Errorf("seed %d, %d endpoints with %v a second: %d in %s, %d of hosts that were well, %d allowed", seed, limited, rate, most, standin.LimitWindow, healthy, allowed)
+							t.Errorf("seed %d, %d endpoints with %v a second: %d in %s, %d from hosts without faults, %d allowed", seed, limited, rate, most, standin.LimitWindow, healthy, allowed)
 						} else if most > allowed {
-							t.Logf("seed %d, %d endpoints with %v a second: %d in %s, %d of hosts that were well, %d allowed", seed, limited, rate, most, standin.LimitWindow, healthy, allowed)
+							t.Logf("seed %d, %d endpoints with %v a second: %d in %s, %d from hosts without faults, %d allowed", seed, limited, rate, most, standin.LimitWindow, healthy, allowed)
 						}
 					}
 				}
@@ -65,7 +65,7 @@
 	}
 }
 
-// runScenario plays a world.
+// runScenario simulates a scenario.
 func runScenario(t *testing.T, p scenario) (most, healthy int, used float64, calls int) {
 	synctest.Test(t, func(*testing.T) {
 		s := newSimulation(p)
@@ -76,15 +76,15 @@
 	return most, healthy, used, calls
 }
 
-// TestLimitsLentOrSplit compares lending with each host's keeping to its part by itself, where nine in
-// ten requests come to one host and all endpoints name a limit.
+// TestLimitsLentOrSplit compares lending with a fixed split of each limit among the hosts, where nine
+// in ten requests come to one host and all endpoints declare a limit.
 func TestLimitsLentOrSplit(t *testing.T) {
 	for _, hosts := range []int{7, 60} {
 		used := map[strategy]float64{}
 		for _, tried := range []strategy{lending, splitting} {
 			p := scenario{strategy: tried, hosts: hosts, limitedEndpoints: 12, rate: 5, requestRate: 120, hotShare: 0.9, duration: 20 * time.Second}
 			most, _, share, calls := runScenario(t, p)
-			t.Logf("%d hosts, way %d: worst %d in %s, %.2f of the limits used, %d calls between hosts", hosts, tried, most, standin.LimitWindow, share, calls)
+			t.Logf("%d hosts, strategy %d: worst %d in %s, %.2f of the limits used, %d calls between hosts", hosts, tried, most, standin.LimitWindow, share, calls)
 			used[tried] = share
 		}
 		if used[lending] < 0.8 || used[splitting] > 0.6*used[lending] {
@@ -110,5 +110,5 @@
 	})
 }
 
-// learnTime is how long after its start a host knows what limits there are.
+// learnTime is the time after its start in which a host learns of the existing limits.
 const learnTime = 100 * time.Millisecond
--- a/internal/ratelimit/relay_test.go
+++ b/internal/ratelimit/relay_test.go
@@ -18,14 +18,14 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// fakePeers is a host's connections to others, of which one answers to questions.
+// fakePeers is a host's connection to its peers, only one of which answers.
 type fakePeers struct {
 	ratelimit.PeerClient
-	reachable string // its address
+	reachable string // address of the peer that answers
 	requests  []ratelimit.Request
 }
 
-// Borrow implements ratelimit.Caller.
+// Borrow implements ratelimit.PeerClient.
 func (p *fakePeers) Borrow(_ context.Context, address string, r ratelimit.Request) (ratelimit.Reply, error) {
 	if address != p.reachable {
 		return ratelimit.Reply{}, errGone
@@ -34,7 +34,7 @@
 	return ratelimit.Reply{Requests: 1, Limit: r.Limit}, nil
 }
 
-// endpointWithOrder returns an endpoint of which hosts lend in an order.
+// endpointWithOrder returns an endpoint in whose order the hosts rank as given.
 func endpointWithOrder(hosts ...string) string {
 	for i := 0; ; i++ {
 		endpoint := endpointName(i)
@@ -47,8 +47,8 @@
 	}
 }
 
-var _ = Describe("a host that is asked for a limit though another one comes before it", func() {
-	// borrow has host-1 asked by host-2 for a limit of which host-0 lends.
+var _ = Describe("a host that is asked for a loan although another host precedes it", func() {
+	// borrow sends a request from host-2 to host-1 for a limit whose lender is host-0.
 	borrow := func(peers *fakePeers, relayed bool) ratelimit.Reply {
 		limiter := ratelimit.NewLimiter(ratelimit.Options{
 			Host: "host-1", Fleet: fleet.New(fleet.Options{}), Caller: peers, Known: func() bool { return true },
@@ -62,7 +62,7 @@
 		return limiter.Borrow(context.Background(), ratelimit.Request{Requests: 1, From: "host-2", Relayed: relayed, Limit: limit})
 	}
 
-	It("asks that one, which lends", func() {
+	It("forwards the request to that host, which lends", func() {
 		suite.Paused(func() {
 			peers := &fakePeers{reachable: "0"}
 			Expect(borrow(peers, false).Requests).To(Equal(1))
@@ -72,8 +72,8 @@
 		})
 	})
 
-	for name, reachable := range map[string]string{"it does not answer": "", "another host has asked that one": "0"} {
-		It("lends itself, nothing at first, if "+name, func() {
+	for name, reachable := range map[string]string{"that host does not answer": "", "the request was already forwarded": "0"} {
+		It("lends by itself, nothing at first, if "+name, func() {
 			suite.Paused(func() {
 				peers := &fakePeers{reachable: reachable}
 				Expect(borrow(peers, reachable != "").Requests).To(BeZero(), fmt.Sprint(peers.requests))
--- a/internal/ratelimit/simulation_test.go
+++ b/internal/ratelimit/simulation_test.go
@@ -26,7 +26,8 @@
 	errSilent = errors.New("no answer")
 )
 
-// simulation is hosts that send requests to the endpoints of one service, of which some name limits.
+// simulation is a set of hosts that send requests to the endpoints of one service, some of which declare
+// limits.
 type simulation struct {
 	scenario
 	began    clock.Instant
@@ -35,36 +36,37 @@
 	mu     sync.Mutex // guards all below
 	random *rand.Rand
 	sends  map[string][]arrival
-	sent   int // requests of callers that were sent
-	calls  int // between hosts
+	sent   int // number of requests sent to endpoints
+	calls  int // number of calls between hosts
 }
 
-// strategy is how hosts keep limits.
+// strategy is how hosts respect limits.
 type strategy int
 
-// Ways to keep limits.
+// Strategies.
 const (
-	lending   strategy = iota // the package's
-	splitting                 // each host keeps to its part by itself
+	lending   strategy = iota // as the package does
+	splitting                 // each host uses a fixed equal part of each limit
 )
 
-// scenario is what is played.
+// scenario configures a simulation.
 type scenario struct {
 	strategy         strategy
 	hosts            int
-	limitedEndpoints int     // of the endpoints
-	rate             float64 // that they name
-	requestRate      float64 // requests a second, at all hosts
-	hotShare         float64 // of these, the part at one host
-	killEvery        time.Duration
-	freezeEvery      time.Duration
-	cutEvery         time.Duration // between moments at which a host is killed, frozen or cut off
-	targetLenders    bool          // the hosts that lend are hit first
-	duration         time.Duration
-	seed             uint64
+	limitedEndpoints int     // number of endpoints that declare a limit
+	rate             float64 // limit that they declare, in requests a second
+	requestRate      float64 // requests a second, over all hosts
+	hotShare         float64 // share of the requests that all come to host 0
+	// Intervals at which a host is killed, frozen or cut off; 0 for never.
+	killEvery     time.Duration
+	freezeEvery   time.Duration
+	cutEvery      time.Duration
+	targetLenders bool // faults hit the hosts that lend
+	duration      time.Duration
+	seed          uint64
 }
 
-// Parameters of worlds.
+// Parameters of simulations.
 const (
 	simEndpoints    = 12
 	linkDelay       = 2 * time.Millisecond
@@ -74,7 +76,7 @@
 	simService      = "s"
 )
 
-// simHost is a host of a world.
+// simHost is a host of a simulation.
 type simHost struct {
 	sim    *simulation
 	number int
@@ -87,7 +89,7 @@
 	down        bool
 	cut         bool
 	frozenUntil clock.Instant
-	faultyUntil clock.Instant // when it was last hit, or still was
+	faultyUntil clock.Instant // end of the last fault
 }
 
 func newSimulation(p scenario) *simulation {
@@ -109,7 +111,7 @@
 
 func endpointName(i int) string { return fmt.Sprint("e", i) }
 
-// start starts the host, which knows its list of hosts and endpoints at once.
+// start starts the host. Its lists of hosts and endpoints are known at once.
 func (h *simHost) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := fleet.New(fleet.Options{Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: h.sim.hosts, Advisers: 1} }, Random: h.sim.draw})
@@ -147,7 +149,7 @@
 	return list
 }
 
-// split lends this host its part of each limit.
+// split lends the host its fixed part of each limit.
 func (h *simHost) split(ctx context.Context, f *fleet.Fleet, signal wake.Signal) {
 	lender := ratelimit.NewLender()
 	timer := time.AfterFunc(0, signal.Poke)
@@ -172,7 +174,7 @@
 	}
 }
 
-// Borrow implements ratelimit.Caller.
+// Borrow implements ratelimit.PeerClient.
 func (h *simHost) Borrow(ctx context.Context, address string, r ratelimit.Request) (ratelimit.Reply, error) {
 	limiter, err := h.connect(ctx, address)
 	if err != nil {
@@ -189,7 +191,7 @@
 	return reply, nil
 }
 
-// SendLimits implements ratelimit.Caller.
+// SendLimits implements ratelimit.PeerClient.
 func (h *simHost) SendLimits(ctx context.Context, address string, news []fleet.LimitNews) error {
 	limiter, err := h.connect(ctx, address)
 	if err == nil {
@@ -198,7 +200,7 @@
 	return err
 }
 
-// FetchLimits implements ratelimit.Caller.
+// FetchLimits implements ratelimit.PeerClient.
 func (h *simHost) FetchLimits(ctx context.Context, address string) ([]fleet.LimitNews, error) {
 	limiter, err := h.connect(ctx, address)
 	if err != nil {
@@ -207,7 +209,7 @@
 	return limiter.KnownLimits(), nil
 }
 
-// connect has a message connect another host.
+// connect delivers a message to another host after linkDelay and returns that host's Limiter.
 func (h *simHost) connect(ctx context.Context, address string) (*ratelimit.Limiter, error) {
 	var to int
 	if _, err := fmt.Sscan(address, &to); err != nil {
@@ -230,14 +232,14 @@
 	return limiter, nil
 }
 
-// state tells whether the host is down, or cut off or frozen.
+// state returns the Limiter, and reports whether the host is down, and whether it is cut off or frozen.
 func (h *simHost) state() (limiter *ratelimit.Limiter, down, silent bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.limiter, h.down, h.cut || clock.Now().Before(h.frozenUntil)
 }
 
-// run plays the world.
+// run runs the simulation.
 func (s *simulation) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), s.duration)
 	defer cancel()
@@ -265,7 +267,8 @@
 	}
 }
 
-// nextTarget is the host that is hit next: by chance, or one that others ask for a limit.
+// nextTarget returns the host that the next fault hits: a random host, or the lender of a random limited
+// endpoint.
 func (s *simulation) nextTarget() *simHost {
 	if !s.targetLenders {
 		return s.simHosts[int(s.draw()*float64(len(s.simHosts)))]
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -11,10 +11,10 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// window is the time in which sends count; a send counts in whole seconds.
+// window is the time for which attempts count; they are counted in whole seconds.
 const window = 10 * time.Second
 
-var _ = Describe("a window of sends", func() {
+var _ = Describe("a window of attempts", func() {
 	It("never lets through more than the ratio and the reserve in any ten seconds", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			limits := retry.Limits{
@@ -42,7 +42,7 @@
 		})
 	})
 
-	It("leaves the rest to others where only a part may be taken", func() {
+	It("leaves the rest to other uses where only a fraction may be taken", func() {
 		limits, now, w := retry.Limits{Ratio: 1}, 1_000_000*time.Second, retry.Window{}
 		for range 10 {
 			w = w.WithFirst(now)
@@ -57,7 +57,7 @@
 	})
 })
 
-// within counts the moments in the window's seconds before now.
+// within counts the times that lie in the window that ends now.
 func within(moments []time.Duration, now time.Duration) int {
 	n := 0
 	for _, m := range moments {
@@ -69,7 +69,7 @@
 }
 
 var _ = Describe("budgets", func() {
-	It("grant the ratio of the first sends and the reserve, and nothing where a part of the reserve is less than one", func() {
+	It("allow the ratio of the first attempts plus the reserve, and nothing where the fraction of the reserve is below one", func() {
 		suite.Paused(func() {
 			b := retry.NewBudgets(retry.Limits{Ratio: 0.5, Reserve: 2})
 			for range 10 {
@@ -86,7 +86,7 @@
 		})
 	})
 
-	It("are kept by service, and come back with time", func() {
+	It("are separate for each service, and refill with time", func() {
 		suite.Paused(func() {
 			b := retry.NewBudgets(retry.Limits{Ratio: 0.5, Reserve: 1})
 			Expect(b.TakeRetry("a", 1)).To(BeTrue())
