--- a/internal/ratelimit/grpc.go
+++ b/internal/ratelimit/grpc.go
@@ -30,7 +30,7 @@
 		Limit: limitFromWire(w.GetEndpoint(), w.GetLimit(), now),
 	})
 	return &ratelimitpb.BorrowReply{
-		Requests: int32(reply.Requests), //nolint:gosec // no more than was requested
+		Requests: int32(reply.Requests), //nolint:gosec // no more than was asked for
 		Limit:    limitToWire(reply.Limit, clock.Now()), LastsMicros: reply.Lasts.Microseconds(), AgainMicros: reply.Again.Microseconds(),
 	}, nil
 }
@@ -76,10 +76,10 @@
 func (c grpcClient) SendLimits(ctx context.Context, address string, news []fleet.LimitNews) error {
 	connection, err := c.connect(address)
 	if err != nil {
-		return fmt.Errorf("send limits to %s: %w", address, err)
+		return fmt.Errorf("tell %s: %w", address, err)
 	}
 	if _, err := ratelimitpb.NewRateLimitClient(connection).Tell(ctx, &ratelimitpb.TellRequest{News: newsToWire(news)}); err != nil {
-		return fmt.Errorf("send limits to %s: %w", address, err)
+		return fmt.Errorf("tell %s: %w", address, err)
 	}
 	return nil
 }
