--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -15,7 +15,7 @@
 	delay      float64
 }
 
-func (s choice) asksLarger() bool {
+func (s choice) asked() bool {
 	small := cascade.Answer{Right: cascade.CorrectProbability(s.confidence), InTime: 1}
 	if s.late {
 		small.InTime = 0
@@ -46,7 +46,7 @@
 		"a doubtful one for a small request, which costs little":       {choice{47, false, 1, 0.2, 0}, true},
 	}
 	for name, c := range cases {
-		if got := c.choice.asksLarger(); got != c.asked {
+		if got := c.choice.asked(); got != c.asked {
 			t.Errorf("%s: asked is %v", name, got)
 		}
 	}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -167,9 +167,9 @@
 	}
 	for _, h := range l.randomHosts(gossipFanout) {
 		working.Go(func() {
-			limited, cancel := context.WithTimeout(ctx, askTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, askTimeout)
 			defer cancel()
-			if err := l.options.Caller.SendLimits(limited, h.Address, news); err != nil && ctx.Err() == nil {
+			if err := l.options.Caller.SendLimits(callCtx, h.Address, news); err != nil && ctx.Err() == nil {
 				l.options.Logger.Debug("cannot send limits to host", "to", h.Name, "count", len(news), "error", err)
 			}
 		})
@@ -204,8 +204,8 @@
 		}
 	}
 	for _, h := range l.randomHosts(maxTries) {
-		limited, cancel := context.WithTimeout(ctx, askTimeout)
-		news, err := l.options.Caller.FetchLimits(limited, h.Address)
+		callCtx, cancel := context.WithTimeout(ctx, askTimeout)
+		news, err := l.options.Caller.FetchLimits(callCtx, h.Address)
 		cancel()
 		if err == nil {
 			l.ApplyLimits(news)
@@ -279,9 +279,9 @@
 
 // borrowFrom requests a loan from a host, and records whether the host answers.
 func (l *Limiter) borrowFrom(ctx context.Context, h host, r Request, timeout time.Duration) (Reply, error) {
-	limited, cancel := context.WithTimeout(ctx, timeout)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := l.options.Caller.Borrow(limited, h.Address, r)
+	reply, err := l.options.Caller.Borrow(callCtx, h.Address, r)
 	if ctx.Err() != nil {
 		return reply, err
 	}
