--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -106,7 +106,7 @@
 // Open sends a completion and returns its answer once it has begun. Errors are
 // problems that say whether it ran.
 func (d *Dispatcher) Open(ctx context.Context, request Request) (*Stream, error) {
-	d.budgets.First(endpoint.Engines)
+	d.budgets.RecordFirst(endpoint.Engines)
 	run := problem.NotRun
 	var avoid []string
 	var last error
@@ -125,7 +125,7 @@
 		if !standing.HostMayRetry(crashes) {
 			break
 		}
-		if attempt > 0 && !d.budgets.Repeat(endpoint.Engines, 1) {
+		if attempt > 0 && !d.budgets.TakeRetry(endpoint.Engines, 1) {
 			break
 		}
 		hold, ok := d.options.Fleet.Pick(request.ask(avoid))
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -24,7 +24,7 @@
 	}
 	c := x.compareWith(x.route.Models[n-1], a.header.Confidence)
 	x.recordLargestFirstGain(c)
-	granted := c.largerIsBetter() && x.g.retryBudgets.Repeat(x.service, escalationBudgetFraction)
+	granted := c.largerIsBetter() && x.g.retryBudgets.TakeRetry(x.service, escalationBudgetFraction)
 	x.logComparison(c, granted)
 	if !granted {
 		return false
@@ -48,7 +48,9 @@
 
 // largerIsBetter reports whether the larger model's response, net of its cost, is worth more than
 // the small model's.
-func (c modelComparison) largerIsBetter() bool { return c.available && c.larger.Net() > c.kept.Value() }
+func (c modelComparison) largerIsBetter() bool {
+	return c.available && c.larger.NetValue() > c.kept.Value()
+}
 
 // compareWith compares a response of the given confidence with the expected response of a larger
 // model.
@@ -57,12 +59,12 @@
 	ask.Avoid = nil // the endpoint that ran the small model may also run the larger one
 	c := modelComparison{model: model, confidence: confidence, elapsed: clock.Since(x.start)}
 	c.expected, c.available = x.expect(ask)
-	c.kept.Right = cascade.ChanceRight(confidence)
+	c.kept.Right = cascade.CorrectProbability(confidence)
 	if c.elapsed <= x.route.Objective {
 		c.kept.InTime = 1
 	}
 	c.larger = cascade.Option{
-		Answer: cascade.Answer{Right: cascade.LargestRight, InTime: c.expected.InTime(x.route.Objective - c.elapsed)},
+		Answer: cascade.Answer{Right: cascade.LargestCorrect, InTime: c.expected.InTime(x.route.Objective - c.elapsed)},
 		Use:    x.useCost(model), Size: x.relativeSize, Delay: x.delayCost(c.expected),
 	}
 	return c
@@ -93,7 +95,7 @@
 	small := cascade.Option{Use: x.useCost(x.model), Size: x.relativeSize, Delay: x.delayCost(x.expected)}
 	largestFirst := c.larger
 	largestFirst.InTime = c.expected.InTime(x.route.Objective)
-	x.g.firstModels.record(x.route.Name, largestFirst.Net()-max(c.kept.Value(), c.larger.Net())-small.Net())
+	x.g.firstModels.record(x.route.Name, largestFirst.NetValue()-max(c.kept.Value(), c.larger.NetValue())-small.NetValue())
 }
 
 // expect returns what an attempt is expected to take, as estimated by the host that advises or else
@@ -117,7 +119,7 @@
 			cost = m.Cost
 		}
 	}
-	return cascade.Use(cost, largest)
+	return cascade.RelativeCost(cost, largest)
 }
 
 // fleetAsk returns the criteria for choosing an endpoint for a model.
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -35,7 +35,7 @@
 // endpoint is not attributed to another request.
 func (x *exchange) awaitSuspectTurn(ctx context.Context) error {
 	for x.g.Limits != nil && !x.maySendSuspect && x.isSuspect() {
-		wait, granted := x.g.Limits.Turn(ctx, "suspect/"+x.service, suspectSendsPerSecond)
+		wait, granted := x.g.Limits.TryAcquire(ctx, "suspect/"+x.service, suspectSendsPerSecond)
 		if granted {
 			x.maySendSuspect = true
 			x.g.Logger.Info("suspect request may be sent", "id", x.header.ID, "fingerprint", x.fingerprint(), "crashed", x.standing().Crashed)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,7 +48,7 @@
 	// Quarantine tracks the requests that make endpoints crash.
 	Quarantine *quarantine.Tracker
 	// Limits makes all hosts together send suspect requests one after the other; nil for no bound.
-	Limits    *ratelimit.Desk
+	Limits    *ratelimit.Limiter
 	Deadlines *clock.Deadlines // watched by the host
 	Telemetry *telemetry.Telemetry
 	Logger    *log.Logger
@@ -183,7 +183,7 @@
 
 // serve sends the request to endpoints and responds to the caller.
 func (x *exchange) serve() {
-	x.g.retryBudgets.First(x.service)
+	x.g.retryBudgets.RecordFirst(x.service)
 	x.g.running.add(x.service, 1)
 	defer x.g.running.add(x.service, -1)
 	if x.route.Kind == route.KindStream {
--- a/internal/gateway/unary.go
+++ b/internal/gateway/unary.go
@@ -127,7 +127,7 @@
 		return false, "no attempts left"
 	case x.crashes > 0 && !x.standing().HostMayRetry(x.crashes):
 		return false, "endpoints crashed under it"
-	case !x.g.retryBudgets.Repeat(x.service, 1):
+	case !x.g.retryBudgets.TakeRetry(x.service, 1):
 		return false, "the retry budget is spent"
 	default:
 		return true, "may be repeated"
--- a/internal/ratelimit/callers_test.go
+++ b/internal/ratelimit/callers_test.go
@@ -13,24 +13,24 @@
 	"quaybarrow/platform/standin"
 )
 
-// arrival is a request at an endpoint.
+// arrival is a request that an endpoint received.
 type arrival struct {
-	at   clock.Instant
-	well bool // nothing had happened to its host for as long as the rule takes hosts to know a limit
+	at      clock.Instant
+	healthy bool // the sending host had no fault for the time that the rule gives hosts to learn of a limit
 }
 
-// wasWell reports whether nothing has happened to the host lately.
-func (h *simHost) wasWell() bool {
+// isHealthy reports whether the host has had no fault for longer than standin.LimitKnown.
+func (h *simHost) isHealthy() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.harmed.IsZero() || clock.Since(h.harmed) > standin.LimitKnown
+	return h.faultyUntil.IsZero() || clock.Since(h.faultyUntil) > standin.LimitKnown
 }
 
-// harm notes that something happens to the host until a moment.
-func (h *simHost) harm(lasts time.Duration) {
+// markFaulty records a fault that starts now and lasts for a duration.
+func (h *simHost) markFaulty(duration time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.harmed = later(h.harmed, clock.Now().Add(lasts))
+	h.faultyUntil = later(h.faultyUntil, clock.Now().Add(duration))
 }
 
 func later(a, b clock.Instant) clock.Instant {
@@ -40,36 +40,36 @@
 	return b
 }
 
-// callers send requests at moments by chance.
-func (w *world) callers(ctx context.Context, working *sync.WaitGroup) {
-	for clock.Sleep(ctx, time.Duration(w.exponential()/w.asked*float64(time.Second))) {
-		h := w.all[int(w.draw()*float64(len(w.all)))]
-		if w.draw() < w.hot {
-			h = w.all[0]
+// generateRequests sends requests as a Poisson process until the context ends.
+func (s *simulation) generateRequests(ctx context.Context, workers *sync.WaitGroup) {
+	for clock.Sleep(ctx, time.Duration(s.exponential()/s.requestRate*float64(time.Second))) {
+		h := s.simHosts[int(s.draw()*float64(len(s.simHosts)))]
+		if s.draw() < s.hotShare {
+			h = s.simHosts[0]
 		}
 		if _, down, silent := h.state(); !down && !silent {
-			working.Go(func() { w.serve(h) })
+			workers.Go(func() { s.serve(h) })
 		}
 	}
 }
 
-func (w *world) exponential() float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.random.ExpFloat64()
+func (s *simulation) exponential() float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.random.ExpFloat64()
 }
 
-// serve has a host serve a request.
-func (w *world) serve(h *simHost) {
+// serve makes a host serve one request.
+func (s *simulation) serve(h *simHost) {
 	h.mu.Lock()
 	f := h.fleet
 	h.mu.Unlock()
-	came, turn := clock.Now(), int64(0)
+	arrived, turn := clock.Now(), int64(0)
 	for {
-		waited := clock.Since(came)
-		hold, decision := f.Place(fleet.Request{Service: simService, MaxLimitWait: max(simWithin-waited, 1), Waited: waited, Turn: turn, Urgency: -1})
+		waited := clock.Since(arrived)
+		hold, decision := f.Place(fleet.Request{Service: simService, MaxLimitWait: max(requestDeadline-waited, 1), Waited: waited, Turn: turn, Urgency: -1})
 		if hold != nil {
-			w.arrive(h, f, hold)
+			s.complete(h, f, hold)
 			return
 		}
 		wait, ok := decision.(admission.Wait)
@@ -81,44 +81,45 @@
 	}
 }
 
-// arrive notes a request at an endpoint, which answers.
-func (w *world) arrive(h *simHost, f *fleet.Fleet, hold *fleet.Hold) {
-	id, sent, well := hold.Endpoint.ID, clock.Now(), h.wasWell()
-	w.mu.Lock()
-	w.good++
-	w.sends[id] = append(w.sends[id], arrival{at: sent, well: well})
-	w.mu.Unlock()
+// complete records a request at an endpoint and waits for its answer.
+func (s *simulation) complete(h *simHost, f *fleet.Fleet, hold *fleet.Hold) {
+	id, sent, healthy := hold.Endpoint.ID, clock.Now(), h.isHealthy()
+	s.mu.Lock()
+	s.sent++
+	s.sends[id] = append(s.sends[id], arrival{at: sent, healthy: healthy})
+	s.mu.Unlock()
 	time.Sleep(answerTime)
 	var i int
 	_, _ = fmt.Sscanf(id, "e%d", &i)
-	f.ObserveLimit(id, fleet.Limit{Named: i < w.limited, Rate: w.rate}, sent)
+	f.ObserveLimit(id, fleet.Limit{Named: i < s.limitedEndpoints, Rate: s.rate}, sent)
 	hold.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 }
 
-// worst is the most that a limited endpoint got in a window from some seconds on, from all hosts and from
-// those that nothing had happened to, and got the part of their limits that they got.
-func (w *world) worst(from, window time.Duration) (most, well int, got float64) {
+// worstWindow returns the most requests that a limited endpoint received in any window after from:
+// from all hosts, and from hosts without faults. Used is the part of their limits that the endpoints
+// received.
+func (s *simulation) worstWindow(from, window time.Duration) (most, healthy int, used float64) {
 	n := 0
-	for i := range w.limited {
-		sends := w.sends[endpointName(i)]
+	for i := range s.limitedEndpoints {
+		sends := s.sends[endpointName(i)]
 		slices.SortFunc(sends, func(a, b arrival) int { return a.at.Compare(b.at) })
-		for first, s := range sends {
-			if s.at.Sub(w.began) < from {
+		for first, send := range sends {
+			if send.at.Sub(s.began) < from {
 				continue
 			}
 			n++
-			all, ofWell := 0, 0
+			total, fromHealthy := 0, 0
 			for _, other := range sends[first:] {
-				if other.at.Sub(s.at) >= window {
+				if other.at.Sub(send.at) >= window {
 					break
 				}
-				all++
-				if other.well {
-					ofWell++
+				total++
+				if other.healthy {
+					fromHealthy++
 				}
 			}
-			most, well = max(most, all), max(well, ofWell)
+			most, healthy = max(most, total), max(healthy, fromHealthy)
 		}
 	}
-	return most, well, float64(n) / (w.rate * float64(w.limited) * (w.lasts - from).Seconds())
+	return most, healthy, float64(n) / (s.rate * float64(s.limitedEndpoints) * (s.duration - from).Seconds())
 }
--- a/internal/ratelimit/grpc.go
+++ b/internal/ratelimit/grpc.go
@@ -11,21 +11,21 @@
 	"quaybarrow/internal/ratelimit/ratelimitpb"
 )
 
-// Register has a gRPC server answer other hosts.
-func Register(s grpc.ServiceRegistrar, d *Desk) {
-	ratelimitpb.RegisterRateLimitServer(s, &server{desk: d})
+// Register adds the RateLimit service, which handles calls from other hosts, to a gRPC server.
+func Register(s grpc.ServiceRegistrar, l *Limiter) {
+	ratelimitpb.RegisterRateLimitServer(s, &server{limiter: l})
 }
 
-// server answers other hosts.
+// server handles calls from other hosts.
 type server struct {
 	ratelimitpb.UnimplementedRateLimitServer
-	desk *Desk
+	limiter *Limiter
 }
 
 // Borrow implements ratelimitpb.RateLimitServer.
 func (s *server) Borrow(ctx context.Context, w *ratelimitpb.BorrowRequest) (*ratelimitpb.BorrowReply, error) {
 	now := clock.Now()
-	reply := s.desk.Borrow(ctx, Request{
+	reply := s.limiter.Borrow(ctx, Request{
 		Requests: int(w.GetRequests()), From: w.GetFrom(), Relayed: w.GetRelayed(), Unsaved: w.GetUnsaved(),
 		Limit: limitFromWire(w.GetEndpoint(), w.GetLimit(), now),
 	})
@@ -37,30 +37,30 @@
 
 // Tell implements ratelimitpb.RateLimitServer.
 func (s *server) Tell(_ context.Context, w *ratelimitpb.TellRequest) (*ratelimitpb.TellReply, error) {
-	s.desk.Hear(newsFromWire(w.GetNews()))
+	s.limiter.ApplyLimits(newsFromWire(w.GetNews()))
 	if !w.GetAll() {
 		return &ratelimitpb.TellReply{}, nil
 	}
-	return &ratelimitpb.TellReply{News: newsToWire(s.desk.Limits())}, nil
+	return &ratelimitpb.TellReply{News: newsToWire(s.limiter.KnownLimits())}, nil
 }
 
 // Connect returns the connection to an address.
 type Connect func(address string) (grpc.ClientConnInterface, error)
 
-// grpcCaller sends over gRPC.
-type grpcCaller struct{ connect Connect }
+// grpcClient calls other hosts over gRPC.
+type grpcClient struct{ connect Connect }
 
-// NewCaller returns a caller over connections that other services share.
-func NewCaller(connect Connect) Caller { return grpcCaller{connect} }
+// NewPeerClient returns a PeerClient over connections that it shares with other services.
+func NewPeerClient(connect Connect) PeerClient { return grpcClient{connect} }
 
-// Borrow implements Caller.
-func (c grpcCaller) Borrow(ctx context.Context, address string, r Request) (Reply, error) {
+// Borrow implements PeerClient.
+func (c grpcClient) Borrow(ctx context.Context, address string, r Request) (Reply, error) {
 	connection, err := c.connect(address)
 	if err != nil {
 		return Reply{}, fmt.Errorf("borrow from %s: %w", address, err)
 	}
 	w, err := ratelimitpb.NewRateLimitClient(connection).Borrow(ctx, &ratelimitpb.BorrowRequest{
-		Endpoint: r.Limit.Endpoint, Requests: int32(min(r.Requests, requestsMost)), From: r.From, Relayed: r.Relayed, //nolint:gosec // bounded
+		Endpoint: r.Limit.Endpoint, Requests: int32(min(r.Requests, maxBorrowRequests)), From: r.From, Relayed: r.Relayed, //nolint:gosec // bounded
 		Unsaved: r.Unsaved, Limit: limitToWire(r.Limit, clock.Now()),
 	})
 	if err != nil {
@@ -72,8 +72,8 @@
 	}, nil
 }
 
-// Tell implements Caller.
-func (c grpcCaller) Tell(ctx context.Context, address string, news []fleet.LimitUpdate) error {
+// SendLimits implements PeerClient.
+func (c grpcClient) SendLimits(ctx context.Context, address string, news []fleet.LimitUpdate) error {
 	connection, err := c.connect(address)
 	if err != nil {
 		return fmt.Errorf("tell %s: %w", address, err)
@@ -84,15 +84,15 @@
 	return nil
 }
 
-// Known implements Caller.
-func (c grpcCaller) Known(ctx context.Context, address string) ([]fleet.LimitUpdate, error) {
+// FetchLimits implements PeerClient.
+func (c grpcClient) FetchLimits(ctx context.Context, address string) ([]fleet.LimitUpdate, error) {
 	connection, err := c.connect(address)
 	if err != nil {
-		return nil, fmt.Errorf("ask %s for limits: %w", address, err)
+		return nil, fmt.Errorf("fetch limits from %s: %w", address, err)
 	}
 	reply, err := ratelimitpb.NewRateLimitClient(connection).Tell(ctx, &ratelimitpb.TellRequest{All: true})
 	if err != nil {
-		return nil, fmt.Errorf("ask %s for limits: %w", address, err)
+		return nil, fmt.Errorf("fetch limits from %s: %w", address, err)
 	}
 	return newsFromWire(reply.GetNews()), nil
 }
@@ -115,10 +115,10 @@
 	return news
 }
 
-// requestsMost bounds what is asked for at a time.
-const requestsMost = 1 << 20
+// maxBorrowRequests bounds how many requests one call borrows.
+const maxBorrowRequests = 1 << 20
 
-// limitToWire encodes what is known of a limit; times are relative to the sending.
+// limitToWire encodes a limit. Times are sent as ages, relative to when the message is sent.
 func limitToWire(n fleet.LimitUpdate, now clock.Instant) *ratelimitpb.Limit {
 	heard, since := n.Ages(now)
 	return &ratelimitpb.Limit{PerSecond: n.Rate, HeardMicros: heard.Microseconds(), SinceMicros: since.Microseconds()}
--- a/internal/ratelimit/lender.go
+++ b/internal/ratelimit/lender.go
@@ -10,133 +10,136 @@
 
 // Parameters of lending.
 const (
-	// settle is for how long a host lends carefully after it has begun: what another one has
-	// lent of the same limit may still be in use, and some hosts may still ask that one.
-	settle = 3 * time.Second
-	// carefully is the part of a limit that is lent until then. With another lender who lends
-	// all of it the sum stays within one and a half times the limit.
-	carefully = 0.5
-	// freshFor is how young a limit is of which nobody else can have lent.
-	freshFor = 2 * time.Second
-	// quietLeast, and quietRequests of the limit's requests, is after how long without a
-	// question a host begins anew: others may have been asked meanwhile.
-	quietLeast    = 2 * time.Second
-	quietRequests = 2
-	// saved is for how long a limit is saved up while nobody asks, savedLeast requests at least.
-	saved      = 250 * time.Millisecond
-	savedLeast = 2
-	// lastsLeast and lastsMost bound for how long a loan lasts; between them as long as one
-	// request takes at the limit's rate.
-	lastsLeast = 500 * time.Millisecond
-	lastsMost  = 2 * time.Second
-	// againLeast and againMost bound the time until a borrower asks again.
-	againLeast = 20 * time.Millisecond
-	againMost  = 5 * time.Second
-	// keptFor is for how long an account is kept without a question.
-	keptFor = time.Minute
+	// cautiousFor is how long a host lends only a part of a limit after it starts to lend: loans by
+	// another host from the same limit may still be in use, and some hosts may still ask that host.
+	cautiousFor = 3 * time.Second
+	// cautiousShare is the part of a limit that is lent during that time. Together with another
+	// lender that lends the whole limit, the sum stays within 1.5 times the limit.
+	cautiousShare = 0.5
+	// newLimitAge is the age below which a limit is too new for another host to have lent from it.
+	newLimitAge = 2 * time.Second
+	// minIdle, or the time in which the limit allows idleRequests requests if that is longer, is the
+	// time without requests after which a lender starts over: other hosts may have been asked since.
+	minIdle      = 2 * time.Second
+	idleRequests = 2
+	// burstTime is the time for which an unused limit accumulates; minBurst is the least capacity
+	// that results, in requests.
+	burstTime = 250 * time.Millisecond
+	minBurst  = 2
+	// minValidity and maxValidity bound how long a loan is valid. Between them, a loan is valid for
+	// the time that one request takes at the limit's rate.
+	minValidity = 500 * time.Millisecond
+	maxValidity = 2 * time.Second
+	// minRetryDelay and maxRetryDelay bound the delay before a borrower asks again.
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
+	// bucketTTL is how long a bucket without requests is kept.
+	bucketTTL = time.Minute
 )
 
 // Request asks for a part of an endpoint's limit.
 type Request struct {
-	Requests int // 0 only tells of the limit
+	Requests int // 0 only reports the limit to the lender
 	Limit    fleet.LimitUpdate
-	From     string // name of the host that asks
-	Relayed  bool   // by a host that was asked
-	Unsaved  bool   // nothing is saved up while nobody asks, but one request
+	From     string // name of the host that sends the request
+	Relayed  bool   // forwarded by a host that was asked first
+	Unsaved  bool   // an unused limit accumulates to one request only
 }
 
-// Reply is what is lent.
+// Reply is a loan, which may be empty.
 type Reply struct {
 	Requests int
-	Lasts    time.Duration // from the sending of the request on
-	Again    time.Duration // after which more may be asked for
+	Lasts    time.Duration // validity of the loan, counted from when the borrower sent its request
+	Again    time.Duration // delay before the borrower may ask for more
 	Limit    fleet.LimitUpdate
 }
 
-// Lender lends parts of endpoints' limits; safe for use at once.
+// Lender lends parts of endpoints' limits. It is safe for concurrent use.
 type Lender struct {
 	began clock.Instant
 
-	mu       sync.Mutex          // guards all below
-	accounts map[string]*account // by the endpoint's id
+	mu      sync.Mutex         // guards all below
+	buckets map[string]*bucket // by endpoint ID
 }
 
-// account is what has been lent of an endpoint's limit.
-type account struct {
-	limit  fleet.LimitUpdate
-	level  float64       // requests that may be lent
-	at     clock.Instant // of the level
-	steady clock.Instant // from then on all of the limit is lent
-	last   clock.Instant // when it was last asked for
-	queue  float64       // hosts that found nothing, and have been told when to ask again
+// bucket is the token bucket of one endpoint's limit.
+type bucket struct {
+	limit         fleet.LimitUpdate
+	tokens        float64       // requests that may be lent now
+	updated       clock.Instant // when tokens was last computed
+	cautiousUntil clock.Instant // the whole limit is lent from then on
+	lastRequest   clock.Instant // when a loan was last requested
+	waiting       float64       // hosts that got no loan and were told when to ask again
 }
 
 // NewLender returns a lender that has lent nothing.
 func NewLender() *Lender {
-	return &Lender{began: clock.Now(), accounts: map[string]*account{}}
+	return &Lender{began: clock.Now(), buckets: map[string]*bucket{}}
 }
 
-// Lend answers a request at a moment. First tells whether this host is the one that all ask first.
+// Lend handles a request received at now. First reports whether this host is the first in the
+// endpoint's order, which all hosts ask first.
 func (l *Lender) Lend(r Request, first bool, now clock.Instant) Reply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a, ok := l.accounts[r.Limit.Endpoint]
+	b, ok := l.buckets[r.Limit.Endpoint]
 	if !ok {
-		l.sweep(now)
-		a = &account{limit: r.Limit}
-		l.accounts[r.Limit.Endpoint] = a
+		l.dropIdle(now)
+		b = &bucket{limit: r.Limit}
+		l.buckets[r.Limit.Endpoint] = b
 	}
-	if r.Limit.ConfirmedAt.After(a.limit.ConfirmedAt) {
-		a.limit = r.Limit
+	if r.Limit.ConfirmedAt.After(b.limit.ConfirmedAt) {
+		b.limit = r.Limit
 	}
-	if a.limit.Rate <= 0 || r.Requests <= 0 {
-		return Reply{Limit: a.limit, Again: againLeast}
+	if b.limit.Rate <= 0 || r.Requests <= 0 {
+		return Reply{Limit: b.limit, Again: minRetryDelay}
 	}
-	if quiet := max(quietLeast, clock.Seconds(quietRequests/a.limit.Rate)); now.Sub(a.last) > quiet {
-		a.begin(now, first && a.limit.Since.After(l.began) && now.Sub(a.limit.Since) < freshFor)
+	if idle := max(minIdle, clock.Seconds(idleRequests/b.limit.Rate)); now.Sub(b.lastRequest) > idle {
+		b.reset(now, first && b.limit.Since.After(l.began) && now.Sub(b.limit.Since) < newLimitAge)
 	}
-	return a.lend(r, now)
+	return b.lend(r, now)
 }
 
-// begin starts to lend.
-func (a *account) begin(now clock.Instant, fresh bool) {
-	a.level, a.at, a.queue, a.steady = 0, now, 0, now.Add(settle)
+// reset empties the bucket and starts the cautious time; a limit too new for another host to have lent
+// from (fresh) starts with one request and is lent whole at once.
+func (b *bucket) reset(now clock.Instant, fresh bool) {
+	b.tokens, b.updated, b.waiting, b.cautiousUntil = 0, now, 0, now.Add(cautiousFor)
 	if fresh {
-		a.level, a.steady = 1, now
+		b.tokens, b.cautiousUntil = 1, now
 	}
 }
 
-// lend lends as much as there is of what is asked for.
-func (a *account) lend(r Request, now clock.Instant) Reply {
-	rate := a.limit.Rate
-	if now.Before(a.steady) {
-		rate *= carefully
+// lend lends as many of the requested requests as the bucket holds.
+func (b *bucket) lend(r Request, now clock.Instant) Reply {
+	rate := b.limit.Rate
+	if now.Before(b.cautiousUntil) {
+		rate *= cautiousShare
 	}
-	come := rate * now.Sub(a.at).Seconds()
-	most := max(savedLeast, rate*saved.Seconds())
+	refill := rate * now.Sub(b.updated).Seconds()
+	burst := max(minBurst, rate*burstTime.Seconds())
 	if r.Unsaved {
-		most = 1
+		burst = 1
 	}
-	a.level = min(most, a.level+come)
-	a.queue = max(0, a.queue-come)
-	a.at, a.last = now, now
-	n := min(r.Requests, int(a.level))
-	a.level -= float64(n)
+	b.tokens = min(burst, b.tokens+refill)
+	b.waiting = max(0, b.waiting-refill)
+	b.updated, b.lastRequest = now, now
+	n := min(r.Requests, int(b.tokens))
+	b.tokens -= float64(n)
 	if n == 0 {
-		a.queue++
+		b.waiting++
 	}
-	next := clock.Seconds((max(a.queue, 1) - a.level) / rate)
+	delay := clock.Seconds((max(b.waiting, 1) - b.tokens) / rate)
 	return Reply{
-		Requests: n, Limit: a.limit, Again: min(max(next, againLeast), againMost),
-		Lasts: min(max(clock.Seconds(1/a.limit.Rate), lastsLeast), lastsMost),
+		Requests: n, Limit: b.limit, Again: min(max(delay, minRetryDelay), maxRetryDelay),
+		Lasts: min(max(clock.Seconds(1/b.limit.Rate), minValidity), maxValidity),
 	}
 }
 
-// sweep drops accounts that nobody has asked for.
-func (l *Lender) sweep(now clock.Instant) {
-	for id, a := range l.accounts {
-		if now.Sub(a.last) > keptFor && now.Sub(a.limit.ConfirmedAt) > keptFor {
-			delete(l.accounts, id)
+// dropIdle deletes buckets whose limit was neither requested nor reported for bucketTTL.
+func (l *Lender) dropIdle(now clock.Instant) {
+	for id, b := range l.buckets {
+		if now.Sub(b.lastRequest) > bucketTTL && now.Sub(b.limit.ConfirmedAt) > bucketTTL {
+			delete(l.buckets, id)
 		}
 	}
 }
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,19 +1,21 @@
-// Package ratelimit keeps hosts together to the limits that endpoints name: how many requests a
-// second an endpoint takes from all of them.
+// Package ratelimit makes all hosts together respect the rate limits that endpoints declare: how many
+// requests a second an endpoint accepts from all hosts in total.
 //
 // # Usage
 //
-//	d := ratelimit.NewDesk(ratelimit.Options{Host: name, Fleet: f, Members: members, Known: known, Caller: caller})
-//	ratelimit.Register(server, d)
-//	go d.Run(ctx)
+//	l := ratelimit.NewLimiter(ratelimit.Options{Host: name, Fleet: f, Members: members, Known: known, Caller: caller})
+//	ratelimit.Register(server, l)
+//	go l.Run(ctx)
 //
-// Each endpoint has one host that lends of its limit, found by rendezvous hashing over the list of
-// hosts, and the others borrow of it as they have requests. What is lent lasts for a moment, and ends
-// by itself: a host that dies with it costs that much of the limit, and nothing has to be taken back.
-// While the lender does not answer the next host in the endpoint's order lends, at first a part of the
-// limit only. A host that is asked although another comes before it asks that one, so two lend at once
-// only while they don't reach each other. Nothing is agreed or kept: a limit is the endpoint's word of
-// a moment ago. Who hears that one begins, ends or changes tells some others, who tell it on.
+// For each endpoint one host, the lender, hands out its limit; rendezvous hashing over the list of
+// hosts selects it. The other hosts borrow parts of the limit as they have requests. A loan is valid
+// for a short time and expires by itself: if the borrower crashes, its loan is lost from the limit, and
+// nothing has to be revoked. While the lender does not answer, the next host in the endpoint's order
+// lends, at first only a part of the limit. A host that is asked although another host precedes it in
+// the order forwards the request to that host, so two hosts lend at once only while they cannot reach
+// each other. There is no consensus and no persistent state: a limit is what the endpoint declared
+// moments ago. A host that learns that a limit begins, ends or changes tells a few random hosts, which
+// tell others in turn (gossip).
 package ratelimit
 
 import (
@@ -33,221 +35,227 @@
 	"quaybarrow/internal/wake"
 )
 
-// Times of questions between hosts.
+// Timeouts and intervals of calls between hosts.
 const (
-	askPatience   = 250 * time.Millisecond
-	relayPatience = 100 * time.Millisecond
-	// awayFor is how long a host is passed over that has not answered. It is short, so that all
-	// come back to a lender at nearly the same time.
-	awayFor = time.Second
-	// nobodyPause is after how long a host asks again that has found no lender.
-	nobodyPause = 200 * time.Millisecond
-	// membersFor is how long the list of hosts is kept in the order's form.
-	membersFor = time.Second
+	askTimeout   = 250 * time.Millisecond
+	relayTimeout = 100 * time.Millisecond
+	// skipTime is how long a host that did not answer is skipped. It is short, so that all hosts
+	// return to a lender at nearly the same time.
+	skipTime = time.Second
+	// noLenderPause is the delay before a host that found no lender asks again.
+	noLenderPause = 200 * time.Millisecond
+	// hostsMaxAge is how long the hashed list of hosts is used before it is rebuilt.
+	hostsMaxAge = time.Second
 )
 
-// Bounds of questions.
+// Bounds on calls between hosts.
 const (
-	// triesMost hosts are asked for one question.
-	triesMost = 3
-	// asksMost questions are under way at once.
-	asksMost = 16
-	// tellMost hosts are told of a limit that begins, ends or changes, by each that hears of it for
-	// the first time, as rumours spread (Demers et al., "Epidemic algorithms for replicated database
+	// maxTries is how many hosts are asked for one loan, and for the known limits at start.
+	maxTries = 3
+	// maxConcurrentBorrows is how many borrow requests are in flight at once.
+	maxConcurrentBorrows = 16
+	// gossipFanout is how many hosts a host tells when it first learns that a limit begins, ends or
+	// changes. This is rumor spreading (Demers et al., "Epidemic algorithms for replicated database
 	// maintenance", 1987).
-	tellMost = 4
-	// newsMost limits are told of in a message.
-	newsMost = 256
+	gossipFanout = 4
+	// maxLimitsPerMessage is how many limits one message carries.
+	maxLimitsPerMessage = 256
 )
 
 // Member is another host.
 type Member struct{ Name, Address string }
 
-// Caller asks other hosts.
-type Caller interface {
+// PeerClient calls other hosts.
+type PeerClient interface {
 	Borrow(ctx context.Context, address string, r Request) (Reply, error)
-	Tell(ctx context.Context, address string, news []fleet.LimitUpdate) error
-	// Known asks for the limits that a host knows of.
-	Known(ctx context.Context, address string) ([]fleet.LimitUpdate, error)
+	SendLimits(ctx context.Context, address string, news []fleet.LimitUpdate) error
+	// FetchLimits returns the limits that a host knows of.
+	FetchLimits(ctx context.Context, address string) ([]fleet.LimitUpdate, error)
 }
 
-// Options set up a Desk.
+// Options configure a Limiter.
 type Options struct {
 	Host  string // this host's name
 	Fleet *fleet.Fleet
-	// Members lists all other hosts, and Known tells whether the list was read.
+	// Members lists all other hosts; Known reports whether that list has been read.
 	Members   func() []Member
 	Known     func() bool
-	Caller    Caller
+	Caller    PeerClient
 	Telemetry *telemetry.Telemetry
 	Logger    *log.Logger
 }
 
-// Desk borrows for this host, and lends to others; safe for use at once.
-type Desk struct {
-	options Options
-	lender  *Lender
-	wake    wake.Signal
-	asks    chan struct{} // holds one for each question under way
+// Limiter borrows for this host and lends to other hosts. It is safe for concurrent use.
+type Limiter struct {
+	options     Options
+	lender      *Lender
+	wake        wake.Signal
+	borrowSlots chan struct{} // semaphore; holds one element for each borrow request in flight
 
-	mu      sync.Mutex // guards all below
-	hosts   []host     // this one too
-	readAt  clock.Instant
-	away    map[string]clock.Instant // hosts that have not answered, by name, and until when they are passed over
-	failing map[string]bool          // hosts of which a line says that they don't answer
+	mu           sync.Mutex // guards all below
+	hosts        []host     // includes this host
+	hostsReadAt  clock.Instant
+	skippedUntil map[string]clock.Instant // by name: hosts that did not answer, and until when they are skipped
+	logged       map[string]bool          // hosts whose failure to answer has been logged
 }
 
-// host is a host in the endpoints' orders.
+// host is a host in the rendezvous order, with the hash of its name.
 type host struct {
 	Member
-	seed uint64
+	hash uint64
 	self bool
 }
 
-// OrderOf is a host's place in an endpoint's order, 0 to 1; the one with the least lends.
-func OrderOf(endpoint, host string) float64 {
+// Rank returns the position of a host in an endpoint's order, from 0 to 1. The host with the lowest
+// rank lends.
+func Rank(endpoint, host string) float64 {
 	return fleet.RendezvousWeight(xxhash.Sum64String(endpoint), xxhash.Sum64String(host))
 }
 
-// NewDesk returns a desk.
-func NewDesk(o Options) *Desk {
-	d := &Desk{
-		options: o, lender: NewLender(), wake: wake.NewSignal(), asks: make(chan struct{}, asksMost),
-		away: map[string]clock.Instant{}, failing: map[string]bool{},
+// NewLimiter returns a Limiter that Fleet wakes when there is something to borrow or to tell.
+func NewLimiter(o Options) *Limiter {
+	l := &Limiter{
+		options: o, lender: NewLender(), wake: wake.NewSignal(), borrowSlots: make(chan struct{}, maxConcurrentBorrows),
+		skippedUntil: map[string]clock.Instant{}, logged: map[string]bool{},
 	}
-	o.Fleet.OnLoanNeeded(d.wake.Poke)
-	return d
+	o.Fleet.OnLoanNeeded(l.wake.Poke)
+	return l
 }
 
-// Run borrows until the context ends.
-func (d *Desk) Run(ctx context.Context) {
+// Run borrows for this host and spreads limits until the context ends.
+func (l *Limiter) Run(ctx context.Context) {
 	var working sync.WaitGroup
 	defer working.Wait()
-	working.Go(func() { d.learn(ctx) })
-	// As a function's, the timer may be due at its setting; see clock.Sleep.
-	later := time.AfterFunc(0, d.wake.Poke)
-	defer later.Stop()
+	working.Go(func() { l.fetchLimits(ctx) })
+	// A timer that calls a function may safely be due when it is set; a timer with a channel may not, see
+	// clock.Sleep.
+	timer := time.AfterFunc(0, l.wake.Poke)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.wake:
+		case <-l.wake:
 		}
-		d.tell(ctx, &working)
-		list, next := d.options.Fleet.LoanRequests()
+		l.gossip(ctx, &working)
+		list, next := l.options.Fleet.LoanRequests()
 		for _, w := range list {
 			select {
-			case d.asks <- struct{}{}:
+			case l.borrowSlots <- struct{}{}:
 			case <-ctx.Done():
 				return
 			}
 			working.Go(func() {
-				defer func() { <-d.asks }()
-				d.ask(ctx, w)
+				defer func() { <-l.borrowSlots }()
+				l.borrowWanted(ctx, w)
 			})
 		}
 		if !next.IsZero() {
-			later.Reset(max(clock.Until(next), 0))
+			timer.Reset(max(clock.Until(next), 0))
 		}
 	}
 }
 
-// tell spreads what has changed.
-func (d *Desk) tell(ctx context.Context, working *sync.WaitGroup) {
-	if !d.options.Known() {
-		return // it is told with the next news, or by others
+// gossip sends limits that began, ended or changed to random hosts.
+func (l *Limiter) gossip(ctx context.Context, working *sync.WaitGroup) {
+	if !l.options.Known() {
+		return // the limits are sent with the next change, or by other hosts
 	}
-	news := d.options.Fleet.TakeLimitUpdates(newsMost)
+	news := l.options.Fleet.TakeLimitUpdates(maxLimitsPerMessage)
 	if len(news) == 0 {
 		return
 	}
-	for _, h := range d.some(tellMost) {
+	for _, h := range l.randomHosts(gossipFanout) {
 		working.Go(func() {
-			limited, cancel := context.WithTimeout(ctx, askPatience)
+			callCtx, cancel := context.WithTimeout(ctx, askTimeout)
 			defer cancel()
-			if err := d.options.Caller.Tell(limited, h.Address, news); err != nil && ctx.Err() == nil {
-				d.options.Logger.Debug("host not told of limits", "to", h.Name, "count", len(news), "error", err)
+			if err := l.options.Caller.SendLimits(callCtx, h.Address, news); err != nil && ctx.Err() == nil {
+				l.options.Logger.Debug("cannot send limits to host", "to", h.Name, "count", len(news), "error", err)
 			}
 		})
 	}
 }
 
-// some returns other hosts by chance.
-func (d *Desk) some(most int) []host {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.read()
+// randomHosts returns up to limit other hosts, chosen at random, that are not skipped.
+func (l *Limiter) randomHosts(limit int) []host {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.refreshHosts()
 	now := clock.Now()
 	var found []host
-	for range drawsPer * most {
-		h := d.hosts[rand.IntN(len(d.hosts))]
-		if len(found) < most && !h.self && !now.Before(d.away[h.Name]) && !slices.Contains(found, h) {
+	for range drawsPerHost * limit {
+		h := l.hosts[rand.IntN(len(l.hosts))]
+		if len(found) < limit && !h.self && !now.Before(l.skippedUntil[h.Name]) && !slices.Contains(found, h) {
 			found = append(found, h)
 		}
 	}
 	return found
 }
 
-// drawsPer is how many draws a host that is told takes at most.
-const drawsPer = 4
+// drawsPerHost is how many random draws randomHosts makes at most for each host wanted.
+const drawsPerHost = 4
 
-// learn asks some hosts, one after the other, what limits there are, as this one starts.
-func (d *Desk) learn(ctx context.Context) {
-	for !d.options.Known() {
-		if !clock.Sleep(ctx, learnPause) {
+// fetchLimits runs at startup: it asks a few hosts, one after the other, for the limits they know of,
+// until one answers.
+func (l *Limiter) fetchLimits(ctx context.Context) {
+	for !l.options.Known() {
+		if !clock.Sleep(ctx, membersPollInterval) {
 			return
 		}
 	}
-	for _, h := range d.some(triesMost) {
-		limited, cancel := context.WithTimeout(ctx, askPatience)
-		news, err := d.options.Caller.Known(limited, h.Address)
+	for _, h := range l.randomHosts(maxTries) {
+		callCtx, cancel := context.WithTimeout(ctx, askTimeout)
+		news, err := l.options.Caller.FetchLimits(callCtx, h.Address)
 		cancel()
 		if err == nil {
-			d.Hear(news)
+			l.ApplyLimits(news)
 			return
 		}
-		d.options.Logger.Debug("host does not tell of limits", "from", h.Name, "error", err)
+		l.options.Logger.Debug("cannot fetch limits from host", "from", h.Name, "error", err)
 	}
 }
 
-// learnPause is after how long a host that starts looks again whether it knows the list of hosts.
-const learnPause = 20 * time.Millisecond
+// membersPollInterval is how often a starting host checks whether the list of hosts has been read.
+const membersPollInterval = 20 * time.Millisecond
 
-// Limits lists the limits that this host knows of, for one that starts.
-func (d *Desk) Limits() []fleet.LimitUpdate { return d.options.Fleet.LimitUpdates(newsMost) }
+// KnownLimits lists limits that this host knows of, for a host that has just started.
+func (l *Limiter) KnownLimits() []fleet.LimitUpdate {
+	return l.options.Fleet.LimitUpdates(maxLimitsPerMessage)
+}
 
-// Hear takes in what another host tells.
-func (d *Desk) Hear(news []fleet.LimitUpdate) {
+// ApplyLimits records limits received from another host.
+func (l *Limiter) ApplyLimits(news []fleet.LimitUpdate) {
 	for _, n := range news {
-		d.options.Fleet.MergeLimit(n)
+		l.options.Fleet.MergeLimit(n)
 	}
 }
 
-// ask borrows of an endpoint's limit.
-func (d *Desk) ask(ctx context.Context, w fleet.LoanRequest) {
-	r := Request{Requests: w.Requests, Limit: w.Update, From: d.options.Host}
-	asked := clock.Now()
-	reply, ok := d.borrow(ctx, r)
+// borrowWanted borrows a part of one endpoint's limit and passes the loan to the fleet.
+func (l *Limiter) borrowWanted(ctx context.Context, w fleet.LoanRequest) {
+	r := Request{Requests: w.Requests, Limit: w.Update, From: l.options.Host}
+	sent := clock.Now()
+	reply, ok := l.borrow(ctx, r)
 	if !ok {
-		d.options.Fleet.FinishLoan(w.Update.Endpoint, fleet.Loan{RetryAt: clock.Now().Add(nobodyPause)})
+		l.options.Fleet.FinishLoan(w.Update.Endpoint, fleet.Loan{RetryAt: clock.Now().Add(noLenderPause)})
 		return
 	}
-	d.options.Telemetry.Count("limit_requests_borrowed", int64(reply.Requests))
-	d.options.Fleet.MergeLimit(reply.Limit)
-	d.options.Fleet.FinishLoan(w.Update.Endpoint, fleet.Loan{Requests: reply.Requests, Until: asked.Add(reply.Lasts), RetryAt: clock.Now().Add(reply.Again)})
+	l.options.Telemetry.Count("limit_requests_borrowed", int64(reply.Requests))
+	l.options.Fleet.MergeLimit(reply.Limit)
+	l.options.Fleet.FinishLoan(w.Update.Endpoint, fleet.Loan{Requests: reply.Requests, Until: sent.Add(reply.Lasts), RetryAt: clock.Now().Add(reply.Again)})
 }
 
-// borrow asks the host that lends; false if none is found.
-func (d *Desk) borrow(ctx context.Context, r Request) (Reply, bool) {
-	if !d.options.Known() {
+// borrow requests a loan from the lender, which may be this host. It returns false if it finds
+// no lender.
+func (l *Limiter) borrow(ctx context.Context, r Request) (Reply, bool) {
+	if !l.options.Known() {
 		return Reply{}, false
 	}
-	for range triesMost {
-		h, first := d.lenderOf(r.Limit.Endpoint, "")
+	for range maxTries {
+		h, first := l.lenderOf(r.Limit.Endpoint, "")
 		if h.self {
-			return d.lender.Lend(r, first, clock.Now()), true
+			return l.lender.Lend(r, first, clock.Now()), true
 		}
-		reply, err := d.call(ctx, h, r, askPatience)
+		reply, err := l.borrowFrom(ctx, h, r, askTimeout)
 		if err == nil {
 			return reply, true
 		}
@@ -258,85 +266,86 @@
 	return Reply{}, false
 }
 
-// Turn asks for one of the turns that all hosts together may have of something by its key, so many a
-// second; granted tells whether this host has it, and wait when to ask again if not.
-func (d *Desk) Turn(ctx context.Context, key string, rate float64) (wait time.Duration, granted bool) {
+// TryAcquire requests one permit for key, of which all hosts together get rate a second. It reports
+// whether the permit was granted and, if not, how long to wait before asking again.
+func (l *Limiter) TryAcquire(ctx context.Context, key string, rate float64) (wait time.Duration, granted bool) {
 	now := clock.Now()
-	reply, ok := d.borrow(ctx, Request{Requests: 1, From: d.options.Host, Unsaved: true, Limit: fleet.LimitUpdate{Endpoint: key, Rate: rate, Since: now, ConfirmedAt: now}})
+	reply, ok := l.borrow(ctx, Request{Requests: 1, From: l.options.Host, Unsaved: true, Limit: fleet.LimitUpdate{Endpoint: key, Rate: rate, Since: now, ConfirmedAt: now}})
 	if !ok {
-		return nobodyPause, false
+		return noLenderPause, false
 	}
 	return reply.Again, reply.Requests > 0
 }
 
-// call asks a host, and notes whether it answers.
-func (d *Desk) call(ctx context.Context, h host, r Request, patience time.Duration) (Reply, error) {
-	limited, cancel := context.WithTimeout(ctx, patience)
+// borrowFrom requests a loan from a host, and records whether the host answers.
+func (l *Limiter) borrowFrom(ctx context.Context, h host, r Request, timeout time.Duration) (Reply, error) {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := d.options.Caller.Borrow(limited, h.Address, r)
+	reply, err := l.options.Caller.Borrow(callCtx, h.Address, r)
 	if ctx.Err() != nil {
 		return reply, err
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if err == nil {
-		delete(d.away, h.Name)
-		delete(d.failing, h.Name)
+		delete(l.skippedUntil, h.Name)
+		delete(l.logged, h.Name)
 		return reply, nil
 	}
-	d.away[h.Name] = clock.Now().Add(awayFor)
-	if !d.failing[h.Name] {
-		d.failing[h.Name] = true
-		d.options.Logger.Info("host does not lend of limits; the next one is asked", "from", h.Name, "endpoint", r.Limit.Endpoint, "error", err)
+	l.skippedUntil[h.Name] = clock.Now().Add(skipTime)
+	if !l.logged[h.Name] {
+		l.logged[h.Name] = true
+		l.options.Logger.Info("host does not lend of limits; the next one is asked", "from", h.Name, "endpoint", r.Limit.Endpoint, "error", err)
 	}
 	return reply, err
 }
 
-// Borrow answers another host: it lends, or asks the host that comes before it.
-func (d *Desk) Borrow(ctx context.Context, r Request) Reply {
-	d.mu.Lock()
-	delete(d.away, r.From)
-	d.mu.Unlock()
-	h, first := d.lenderOf(r.Limit.Endpoint, r.From)
+// Borrow handles a request from another host: it forwards the request to a host that precedes this one
+// in the order, or lends by itself.
+func (l *Limiter) Borrow(ctx context.Context, r Request) Reply {
+	l.mu.Lock()
+	delete(l.skippedUntil, r.From)
+	l.mu.Unlock()
+	h, first := l.lenderOf(r.Limit.Endpoint, r.From)
 	if !h.self && !r.Relayed {
 		relayed := r
-		relayed.From, relayed.Relayed = d.options.Host, true
-		if reply, err := d.call(ctx, h, relayed, relayPatience); err == nil {
+		relayed.From, relayed.Relayed = l.options.Host, true
+		if reply, err := l.borrowFrom(ctx, h, relayed, relayTimeout); err == nil {
 			return reply
 		}
 		first = false
 	}
-	reply := d.lender.Lend(r, first && h.self, clock.Now())
-	d.options.Telemetry.Count("limit_requests_lent", int64(reply.Requests))
+	reply := l.lender.Lend(r, first && h.self, clock.Now())
+	l.options.Telemetry.Count("limit_requests_lent", int64(reply.Requests))
 	return reply
 }
 
-// lenderOf returns the host that lends of an endpoint's limit: the first in its order that answers,
-// but one. First tells whether it is the first of all.
-func (d *Desk) lenderOf(endpoint, but string) (found host, first bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.read()
+// lenderOf returns the current lender of an endpoint: the first host in the endpoint's order that is
+// neither skipped nor the host named except. First reports whether no host of the order precedes it.
+func (l *Limiter) lenderOf(endpoint, except string) (found host, first bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.refreshHosts()
 	now, key := clock.Now(), xxhash.Sum64String(endpoint)
-	best, least := math.Inf(1), math.Inf(1)
-	for _, h := range d.hosts {
-		w := fleet.RendezvousWeight(key, h.seed)
-		least = min(least, w)
-		if w < best && h.Name != but && !now.Before(d.away[h.Name]) {
+	best, lowest := math.Inf(1), math.Inf(1)
+	for _, h := range l.hosts {
+		w := fleet.RendezvousWeight(key, h.hash)
+		lowest = min(lowest, w)
+		if w < best && h.Name != except && !now.Before(l.skippedUntil[h.Name]) {
 			found, best = h, w
 		}
 	}
-	return found, best == least
+	return found, best == lowest
 }
 
-// read brings the list of hosts up to date; the caller holds mu.
-func (d *Desk) read() {
-	if len(d.hosts) > 0 && clock.Since(d.readAt) < membersFor {
+// refreshHosts rebuilds the list of hosts if it is too old; the caller holds mu.
+func (l *Limiter) refreshHosts() {
+	if len(l.hosts) > 0 && clock.Since(l.hostsReadAt) < hostsMaxAge {
 		return
 	}
-	d.hosts, d.readAt = d.hosts[:0], clock.Now()
-	d.hosts = append(d.hosts, host{Member: Member{Name: d.options.Host}, seed: xxhash.Sum64String(d.options.Host), self: true})
-	for _, m := range d.options.Members() {
-		d.hosts = append(d.hosts, host{Member: m, seed: xxhash.Sum64String(m.Name)})
+	l.hosts, l.hostsReadAt = l.hosts[:0], clock.Now()
+	l.hosts = append(l.hosts, host{Member: Member{Name: l.options.Host}, hash: xxhash.Sum64String(l.options.Host), self: true})
+	for _, m := range l.options.Members() {
+		l.hosts = append(l.hosts, host{Member: m, hash: xxhash.Sum64String(m.Name)})
 	}
 }
