--- a/internal/spread/changes_test.go
+++ b/internal/spread/changes_test.go
@@ -9,26 +9,26 @@
 	"quaybarrow/internal/store"
 )
 
-// TestMassRemovalIsTold has a seventh of a large table go at the same moment: who asks from before it
+// TestMassRemovalIsReported has a seventh of a large table go at the same moment: who asks from before it
 // is told of each removal, and need not read the table whole.
-func TestMassRemovalIsTold(t *testing.T) {
+func TestMassRemovalIsReported(t *testing.T) {
 	for _, count := range []int{300, 10_000, 20_000} {
-		source := newPicture()
+		source := newReplica()
 		for i := range count {
 			source.apply([]store.Change{{Row: store.Row{Key: fmt.Sprint("e", i), Version: int64(i + 1)}}}, int64(i+1))
 		}
-		host := newKnown()
-		host.replace(news{changes: source.since(-1), version: source.version})
+		host := newCachedTable()
+		host.replace(tableUpdate{changes: source.changesSince(-1), version: source.version})
 		version := source.version
 		for i := range count / 7 {
 			version++
 			source.apply([]store.Change{{Row: store.Row{Key: fmt.Sprint("e", 7*i), Version: version}, Deleted: true}}, version)
 		}
-		changes := source.since(host.version())
+		changes := source.changesSince(host.version())
 		if len(changes) != count/7 {
 			t.Errorf("%d rows: told of %d removals, %d were made", count, len(changes), count/7)
 		}
-		if !host.apply(news{changes: changes, version: version, keys: source.keys, checked: true}) {
+		if !host.apply(tableUpdate{changes: changes, version: version, keyHash: source.keyHash, hasKeyHash: true}) {
 			t.Errorf("%d rows: a removal was missed", count)
 		}
 	}
@@ -38,7 +38,7 @@
 // forgotten.
 func TestChangesOfLongTables(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	p, version := newPicture(), int64(0)
+	p, version := newReplica(), int64(0)
 	for range 6_000 {
 		version++
 		p.apply([]store.Change{{Row: store.Row{Key: fmt.Sprint("e", random.IntN(1_500)), Version: version}, Deleted: random.IntN(5) == 0}}, version)
@@ -46,33 +46,33 @@
 			continue
 		}
 		after := version - int64(random.IntN(3_000))
-		var told, truth []string
-		for _, c := range p.since(after) {
+		var reported, want []string
+		for _, c := range p.changesSince(after) {
 			if !c.Deleted {
-				told = append(told, c.Key)
+				reported = append(reported, c.Key)
 			}
 		}
 		for key, row := range p.rows {
 			if row.Version > after {
-				truth = append(truth, key)
+				want = append(want, key)
 			}
 		}
-		slices.Sort(told)
-		slices.Sort(truth)
-		if !slices.Equal(told, truth) {
-			t.Fatalf("after %d of %d: told of %d rows, %d were written", after, version, len(told), len(truth))
+		slices.Sort(reported)
+		slices.Sort(want)
+		if !slices.Equal(reported, want) {
+			t.Fatalf("after %d of %d: told of %d rows, %d were written", after, version, len(reported), len(want))
 		}
 	}
 }
 
 func benchmarkSince(b *testing.B, count int) {
-	p := newPicture()
+	p := newReplica()
 	for i := range count {
 		p.apply([]store.Change{{Row: store.Row{Key: fmt.Sprint("e", i), Version: int64(i + 1)}}}, int64(i+1))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(p.since(p.version-5)) != 5 {
+		if len(p.changesSince(p.version-5)) != 5 {
 			b.Fatal("wrong changes")
 		}
 	}
--- a/internal/spread/rig_test.go
+++ b/internal/spread/cluster_test.go
@@ -34,12 +34,12 @@
 
 // host is a host that follows a table.
 type host struct {
-	name    string
-	address string
-	watcher *spread.Watcher
-	server  *grpc.Server
-	cancel  context.CancelFunc
-	door    atomic.Bool // the store turns this host away
+	name     string
+	address  string
+	watcher  *spread.Watcher
+	server   *grpc.Server
+	cancel   context.CancelFunc
+	rejected atomic.Bool // the store turns this host away
 
 	mu     sync.Mutex // guards all below
 	values map[string]string
@@ -74,17 +74,17 @@
 	return h.values[key]
 }
 
-// hall is several hosts at one store.
-type hall struct {
+// cluster is several hosts at one store.
+type cluster struct {
 	net    *memnet.Network
 	store  *standin.Store
 	server *http.Server
 	hosts  []*host
-	cut    []*host // still to be stopped
+	cutOff []*host // still to be stopped
 }
 
 // reader returns the place of the host that the others ask first.
-func (h *hall) reader() int {
+func (h *cluster) reader() int {
 	first, least := 0, uint64(math.MaxUint64)
 	for i, n := range h.hosts {
 		if rank := xxhash.Sum64String("0/" + n.name); rank < least {
@@ -94,14 +94,14 @@
 	return first
 }
 
-func (h *hall) start(i int, first bool) *host {
+func (h *cluster) start(i int, first bool) *host {
 	n := &host{name: fmt.Sprint("host-", i), address: fmt.Sprintf("10.0.0.%d:7340", i)}
 	client := platform.NewStore(storeAddress, func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := h.net.Dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &turnedConn{Conn: c, away: &n.door}, nil
+		return &rejectingConn{Conn: c, rejected: &n.rejected}, nil
 	})
 	n.watcher = spread.NewWatcher(spread.Options{
 		Host: n.name, Address: n.address, Cores: 1, First: first, Wait: testWait, Seeds: []string{"10.0.0.1:7340", "10.0.0.77:7340"}, Tables: client, Store: client,
@@ -124,36 +124,36 @@
 	h.watcher.Close()
 }
 
-// turnedConn is a connection to a store that may turn its host away.
-type turnedConn struct {
+// rejectingConn is a connection to a store that may turn its host away.
+type rejectingConn struct {
 	net.Conn
-	away *atomic.Bool
+	rejected *atomic.Bool
 }
 
 // Read implements net.Conn. Answers to calls that were made before the host was
 // turned away never come.
-func (c *turnedConn) Read(p []byte) (int, error) {
+func (c *rejectingConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
-		if err != nil || !c.away.Load() {
+		if err != nil || !c.rejected.Load() {
 			return n, err
 		}
 	}
 }
 
 // Write implements net.Conn.
-func (c *turnedConn) Write(p []byte) (int, error) {
-	if c.away.Load() {
+func (c *rejectingConn) Write(p []byte) (int, error) {
+	if c.rejected.Load() {
 		_ = c.Close()
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(p)
 }
 
-// withHall runs a body beside several hosts, under the paused clock.
-func withHall(count int, body func(h *hall)) {
+// withCluster runs a body beside several hosts, under the paused clock.
+func withCluster(count int, body func(h *cluster)) {
 	suite.Paused(func() {
-		h := &hall{net: memnet.New(), store: standin.NewStore()}
+		h := &cluster{net: memnet.New(), store: standin.NewStore()}
 		h.server = &http.Server{Handler: h.store}
 		l := h.net.Listen(storeAddress)
 		go func() { _ = h.server.Serve(l) }()
@@ -164,7 +164,7 @@
 		time.Sleep(10 * time.Second)
 		body(h)
 		h.store.Break(standin.Healthy)
-		for _, n := range append(h.hosts, h.cut...) {
+		for _, n := range append(h.hosts, h.cutOff...) {
 			n.stop()
 		}
 		_ = h.server.Close()
@@ -172,29 +172,29 @@
 	})
 }
 
-// expectEverywhere waits for a time and expects a value at hosts.
-func expectEverywhere(hosts []*host, value string, within time.Duration) {
+// expectOnAll waits for a time and expects a value at hosts.
+func expectOnAll(hosts []*host, value string, within time.Duration) {
 	time.Sleep(within)
 	for i, n := range hosts {
 		ExpectWithOffset(1, n.value("k")).To(Equal(value), "host %d", i)
 	}
 }
 
-// turnAway has the store turn some hosts away while it changes.
-func turnAway(h *hall, turned int) {
-	for _, n := range h.hosts[:turned] {
-		n.door.Store(true)
+// rejectHosts has the store turn some hosts away while it changes.
+func rejectHosts(h *cluster, count int) {
+	for _, n := range h.hosts[:count] {
+		n.rejected.Store(true)
 	}
 	h.store.Forget()
 	for i := range 4 {
 		h.store.Put("t", "k", fmt.Append(nil, i))
-		expectEverywhere(h.hosts, fmt.Sprint(i), 2500*time.Millisecond)
+		expectOnAll(h.hosts, fmt.Sprint(i), 2500*time.Millisecond)
 	}
 	h.store.Drop("t", "k")
-	expectEverywhere(h.hosts, "", 2500*time.Millisecond)
-	for _, n := range h.hosts[:turned] {
-		n.door.Store(false)
+	expectOnAll(h.hosts, "", 2500*time.Millisecond)
+	for _, n := range h.hosts[:count] {
+		n.rejected.Store(false)
 	}
 	h.store.Put("t", "k", []byte("after"))
-	expectEverywhere(h.hosts, "after", 2500*time.Millisecond)
+	expectOnAll(h.hosts, "after", 2500*time.Millisecond)
 }
--- a/internal/spread/link.go
+++ b/internal/spread/connpool.go
@@ -23,12 +23,12 @@
 
 // Parameters of connections between hosts.
 const (
-	connectTimeout = time.Second
-	backoffFirst   = 100 * time.Millisecond
-	backoffMost    = time.Second
-	messageBytes   = 16 << 20 // a table of thousands of endpoints
-	writeBuffer    = 4 << 10  // hosts have little memory and many connections
-	readBuffer     = 4 << 10
+	connectTimeout  = time.Second
+	minBackoff      = 100 * time.Millisecond
+	maxBackoff      = time.Second
+	maxMessageBytes = 16 << 20 // a table of thousands of endpoints
+	writeBuffer     = 4 << 10  // hosts have little memory and many connections
+	readBuffer      = 4 << 10
 )
 
 // waitForReady has a call wait for a connection, as long as its time lasts.
@@ -39,37 +39,37 @@
 
 // staleError means that a host was told too long ago.
 func staleError(p peer, age time.Duration) error {
-	return fmt.Errorf("ask %s: told %s ago: %w: %w", p.name, age, errStoreLost, store.ErrUnavailable)
+	return fmt.Errorf("ask %s: told %s ago: %w: %w", p.name, age, errStoreUnreachable, store.ErrUnavailable)
 }
 
-// errStoreLost means that the host that was asked does not reach the store.
-var errStoreLost = errors.New("the host does not reach the store")
+// errStoreUnreachable means that the host that was asked does not reach the store.
+var errStoreUnreachable = errors.New("the host does not reach the store")
 
-// errTooLong means that a table is too long to be passed on whole.
-var errTooLong = errors.New("the table is too long to be passed on whole")
+// errTableTooLong means that a table is too long to be passed on whole.
+var errTableTooLong = errors.New("the table is too long to be passed on whole")
 
 // errClosed means that this host has stopped.
 var errClosed = errors.New("the host has stopped")
 
-func storeLost(err error) bool { return errors.Is(err, errStoreLost) }
+func isStoreUnreachable(err error) bool { return errors.Is(err, errStoreUnreachable) }
 
-// link holds the connections to other hosts; safe for use at once.
-type link struct {
+// connPool holds the connections to other hosts; safe for use at once.
+type connPool struct {
 	credentials credentials.TransportCredentials
 	dial        Dialer
 
-	mu     sync.Mutex // guards all below
-	conns  map[string]*grpc.ClientConn
-	silent map[string]clock.Instant // since when calls to an address run out of time
-	closed bool
+	mu            sync.Mutex // guards all below
+	conns         map[string]*grpc.ClientConn
+	timeoutsSince map[string]clock.Instant // since when calls to an address run out of time
+	closed        bool
 }
 
-func newLink(c credentials.TransportCredentials, dial Dialer) *link {
-	return &link{credentials: c, dial: dial, conns: map[string]*grpc.ClientConn{}, silent: map[string]clock.Instant{}}
+func newConnPool(c credentials.TransportCredentials, dial Dialer) *connPool {
+	return &connPool{credentials: c, dial: dial, conns: map[string]*grpc.ClientConn{}, timeoutsSince: map[string]clock.Instant{}}
 }
 
 // close ends all connections.
-func (l *link) close() {
+func (l *connPool) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
@@ -80,7 +80,7 @@
 }
 
 // conn returns the connection to an address.
-func (l *link) conn(address string) (*grpc.ClientConn, error) {
+func (l *connPool) conn(address string) (*grpc.ClientConn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -90,11 +90,11 @@
 		return c, nil
 	}
 	options := []grpc.DialOption{
-		grpc.WithTransportCredentials(l.credentials), grpc.WithUnaryInterceptor(l.watch(address)),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(messageBytes)),
+		grpc.WithTransportCredentials(l.credentials), grpc.WithUnaryInterceptor(l.trackAnswers(address)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithWriteBufferSize(writeBuffer), grpc.WithReadBufferSize(readBuffer),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: backoffFirst, Multiplier: 2, Jitter: 0.2, MaxDelay: backoffMost},
+			Backoff:           backoff.Config{BaseDelay: minBackoff, Multiplier: 2, Jitter: 0.2, MaxDelay: maxBackoff},
 			MinConnectTimeout: connectTimeout,
 		}),
 	}
@@ -106,12 +106,12 @@
 		return nil, fmt.Errorf("connect to %s: %w", address, err)
 	}
 	l.conns[address] = c
-	delete(l.silent, address) // it has no past
+	delete(l.timeoutsSince, address) // it has no past
 	return c, nil
 }
 
 // connected reports whether there is a connection to an address.
-func (l *link) connected(address string) bool {
+func (l *connPool) connected(address string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c, ok := l.conns[address]
@@ -119,28 +119,28 @@
 }
 
 // Conn returns the connection to another host, which other services share.
-func (w *Watcher) Conn(address string) (grpc.ClientConnInterface, error) { return w.link.conn(address) }
+func (w *Watcher) Conn(address string) (grpc.ClientConnInterface, error) { return w.pool.conn(address) }
 
 // read asks a host for changes of a table, or for all of it.
-func (l *link) read(ctx context.Context, p peer, request *spreadpb.ReadRequest, hear func(shown clock.Bounds, sent clock.Instant)) (news, error) {
+func (l *connPool) read(ctx context.Context, p peer, request *spreadpb.ReadRequest, recordClock func(shown clock.Bounds, sent clock.Instant)) (tableUpdate, error) {
 	c, err := l.conn(p.address)
 	if err != nil {
-		return news{}, err
+		return tableUpdate{}, err
 	}
 	sent := clock.Now()
 	reply, err := spreadpb.NewSpreadClient(c).Read(ctx, request)
 	if err != nil {
-		return news{}, errorOf(p, err)
+		return tableUpdate{}, storeError(p, err)
 	}
-	hear(clock.Bounds{Earliest: clock.Micros(reply.GetEarliestMicros()), Latest: clock.Micros(reply.GetLatestMicros())}, sent)
-	n := news{
+	recordClock(clock.Bounds{Earliest: clock.Micros(reply.GetEarliestMicros()), Latest: clock.Micros(reply.GetLatestMicros())}, sent)
+	n := tableUpdate{
 		version: reply.GetVersion(), age: clock.Micros(reply.GetAgeMicros()),
-		keys: reply.GetKeys(), checked: true,
+		keyHash: reply.GetKeys(), hasKeyHash: true,
 	}
 	rows := reply.GetRows()
 	if len(reply.GetPacked()) > 0 {
 		if rows, err = unpack(reply.GetPacked()); err != nil {
-			return news{}, fmt.Errorf("ask %s: %w", p.name, err)
+			return tableUpdate{}, fmt.Errorf("ask %s: %w", p.name, err)
 		}
 	}
 	for _, row := range rows {
@@ -149,13 +149,13 @@
 	return n, nil
 }
 
-// errorOf makes a store's error of a gRPC one.
-func errorOf(p peer, err error) error {
+// storeError makes a store's error of a gRPC one.
+func storeError(p peer, err error) error {
 	switch status.Code(err) {
 	case codes.OutOfRange:
-		return fmt.Errorf("ask %s: %w", p.name, errTooLong)
+		return fmt.Errorf("ask %s: %w", p.name, errTableTooLong)
 	case codes.FailedPrecondition:
-		return fmt.Errorf("ask %s: %w: %w", p.name, errStoreLost, store.ErrUnavailable)
+		return fmt.Errorf("ask %s: %w: %w", p.name, errStoreUnreachable, store.ErrUnavailable)
 	default:
 		return fmt.Errorf("ask %s: %w", p.name, err)
 	}
--- a/internal/spread/enlist.go
+++ b/internal/spread/enlist.go
@@ -19,35 +19,35 @@
 // hundred writes a second: of many hosts that write for themselves most are refused. So a host has a
 // seed list it, which writes what came to it together.
 const (
-	// enlistMost rows are written at once.
-	enlistMost = 90
-	// enlistGather is how long those that come first wait for others.
-	enlistGather = 150 * time.Millisecond
-	// enlistLimit is how long seeds are tried, seedLimit each; then the host writes its row itself.
-	enlistLimit = 1500 * time.Millisecond
-	seedLimit   = 700 * time.Millisecond
+	// maxEnlistBatch rows are written at once.
+	maxEnlistBatch = 90
+	// enlistBatchDelay is how long those that come first wait for others.
+	enlistBatchDelay = 150 * time.Millisecond
+	// enlistThroughSeedsTimeout is how long seeds are tried, seedLimit each; then the host writes its row itself.
+	enlistThroughSeedsTimeout = 1500 * time.Millisecond
+	seedTimeout               = 700 * time.Millisecond
 )
 
-// listed is a host with its entry.
-type listed struct {
+// namedEntry is a host with its entry.
+type namedEntry struct {
 	name string
 	entry
 }
 
-// enlist writes this host's row.
-func (w *Watcher) enlist(ctx context.Context) error {
-	return w.enlistAll(ctx, []listed{{w.options.Host, w.own()}})
+// enlistSelf writes this host's row.
+func (w *Watcher) enlistSelf(ctx context.Context) error {
+	return w.writeEntries(ctx, []namedEntry{{w.options.Host, w.ownEntry()}})
 }
 
-// enlistAll writes the rows of some hosts.
-func (w *Watcher) enlistAll(ctx context.Context, hosts []listed) error {
+// writeEntries writes the rows of some hosts.
+func (w *Watcher) writeEntries(ctx context.Context, hosts []namedEntry) error {
 	var txn store.Transaction
 	for _, h := range hosts {
 		data, err := codec.Encode(h.entry)
 		if err != nil {
 			return fmt.Errorf("list host: %w", err)
 		}
-		txn.Writes = append(txn.Writes, store.Put(Table, h.name, data))
+		txn.Writes = append(txn.Writes, store.Put(HostsTable, h.name, data))
 	}
 	if err := w.options.Tables.Commit(ctx, txn); err != nil {
 		return fmt.Errorf("list host: %w", err)
@@ -55,46 +55,46 @@
 	return nil
 }
 
-// enlistGathered writes the rows of hosts that have this one list them, after a moment in which
+// writeEntryBatch writes the rows of hosts that have this one list them, after a moment in which
 // others come.
-func (w *Watcher) enlistGathered(ctx context.Context, hosts []listed) error {
-	err := w.enlistAll(ctx, hosts)
-	clock.Sleep(ctx, enlistGather)
+func (w *Watcher) writeEntryBatch(ctx context.Context, hosts []namedEntry) error {
+	err := w.writeEntries(ctx, hosts)
+	clock.Sleep(ctx, enlistBatchDelay)
 	return err
 }
 
-// enlistThrough has a seed list this host, or does so itself. Each host has another first seed, so
+// enlistThroughSeeds has a seed list this host, or does so itself. Each host has another first seed, so
 // that they share the work.
-func (w *Watcher) enlistThrough(ctx context.Context) error {
+func (w *Watcher) enlistThroughSeeds(ctx context.Context) error {
 	seeds := w.options.Seeds
 	if len(seeds) == 0 {
-		return w.enlist(ctx)
+		return w.enlistSelf(ctx)
 	}
 	first := xxhash.Sum64String(w.options.Host) % uint64(len(seeds))
 	began := clock.Now()
-	for i := first; clock.Since(began) < enlistLimit; i++ {
+	for i := first; clock.Since(began) < enlistThroughSeedsTimeout; i++ {
 		seed := seeds[i%uint64(len(seeds))]
 		if seed == w.options.Address {
-			return w.enlistings.Do(ctx, listed{w.options.Host, w.own()})
+			return w.enlistBatcher.Do(ctx, namedEntry{w.options.Host, w.ownEntry()})
 		}
-		limited, cancel := context.WithTimeout(ctx, min(seedLimit, enlistLimit-clock.Since(began)))
-		err := w.askToEnlist(limited, seed)
+		limited, cancel := context.WithTimeout(ctx, min(seedTimeout, enlistThroughSeedsTimeout-clock.Since(began)))
+		err := w.requestEnlist(limited, seed)
 		cancel()
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
 		w.options.Logger.Info("seed does not list this host", "address", seed, "error", err)
 	}
-	return w.enlist(ctx)
+	return w.enlistSelf(ctx)
 }
 
-// askToEnlist has a seed list this host.
-func (w *Watcher) askToEnlist(ctx context.Context, seed string) error {
-	c, err := w.link.conn(seed)
+// requestEnlist has a seed list this host.
+func (w *Watcher) requestEnlist(ctx context.Context, seed string) error {
+	c, err := w.pool.conn(seed)
 	if err != nil {
 		return err
 	}
-	own := w.own()
+	own := w.ownEntry()
 	// A seed may start a moment later than this host.
 	_, err = spreadpb.NewSpreadClient(c).Enlist(ctx, &spreadpb.EnlistRequest{
 		Name: w.options.Host, Address: own.Address, Hall: own.Hall, Cores: own.Cores,
@@ -107,8 +107,8 @@
 
 // Enlist implements spreadpb.SpreadServer.
 func (s *server) Enlist(ctx context.Context, r *spreadpb.EnlistRequest) (*spreadpb.EnlistReply, error) {
-	h := listed{r.GetName(), entry{Address: r.GetAddress(), Hall: r.GetHall(), Cores: r.GetCores()}}
-	if err := s.watcher.enlistings.Do(ctx, h); err != nil {
+	h := namedEntry{r.GetName(), entry{Address: r.GetAddress(), Hall: r.GetHall(), Cores: r.GetCores()}}
+	if err := s.watcher.enlistBatcher.Do(ctx, h); err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
 	return &spreadpb.EnlistReply{}, nil
--- a/internal/spread/groups_test.go
+++ b/internal/spread/groups_test.go
@@ -13,8 +13,8 @@
 	"quaybarrow/internal/store"
 )
 
-// hallsOf lists hosts in data halls, of which the first ones of each may use more of a processor.
-func hallsOf(halls, each, larger int) map[string]entry {
+// hostsInHalls lists hosts in data halls, of which the first ones of each may use more of a processor.
+func hostsInHalls(halls, each, larger int) map[string]entry {
 	entries := map[string]entry{}
 	for h := range halls {
 		for i := range each {
@@ -32,44 +32,44 @@
 // how many they read for; of large fleets by some hundreds of hosts.
 func readersOf(entries map[string]entry) map[string]int {
 	readers := map[string]int{}
-	step, i := max(1, len(entries)/looked), 0
+	step, i := max(1, len(entries)/sampledHosts), 0
 	for name, e := range entries {
 		if i++; i%step == 0 {
-			readers[rankedFor(entries, name, e.Hall)[0].name] += step
+			readers[askOrder(entries, name, e.Hall)[0].name] += step
 		}
 	}
 	return readers
 }
 
-// looked is about how many hosts are looked at of a large fleet.
-const looked = 500
+// sampledHosts is about how many hosts are sampledHosts at of a large fleet.
+const sampledHosts = 500
 
-// fleets are deployments, and how many hosts read the store at most.
-var fleets = map[string]struct {
+// deployments are deployments, and how many hosts read the store at most.
+var deployments = map[string]struct {
 	entries map[string]entry
 	readers int
 }{
-	"6 hosts alike":                 {hallsOf(3, 2, 0), 1},
-	"91 hosts, some larger":         {hallsOf(3, 30, 2), 1},
-	"295 hosts, some larger":        {hallsOf(5, 59, 5), 5},
-	"985 hosts, some larger":        {hallsOf(5, 197, 10), 5},
-	"2,000 hosts, some larger":      {hallsOf(5, 400, 20), 10},
-	"985 hosts, none of them":       {hallsOf(5, 197, 0), 20},
-	"300 hosts of small data halls": {hallsOf(15, 20, 1), 2},
+	"6 hosts alike":                 {hostsInHalls(3, 2, 0), 1},
+	"91 hosts, some larger":         {hostsInHalls(3, 30, 2), 1},
+	"295 hosts, some larger":        {hostsInHalls(5, 59, 5), 5},
+	"985 hosts, some larger":        {hostsInHalls(5, 197, 10), 5},
+	"2,000 hosts, some larger":      {hostsInHalls(5, 400, 20), 10},
+	"985 hosts, none of them":       {hostsInHalls(5, 197, 0), 20},
+	"300 hosts of small data halls": {hostsInHalls(15, 20, 1), 2},
 }
 
-// readMost is the hosts that one reads for, for each core that it may use.
-const readMost = 400
+// maxHostsPerCore is the hosts that one reads for, for each core that it may use.
+const maxHostsPerCore = 400
 
-func TestReadersByWhatTheyMayUse(t *testing.T) {
-	for name, c := range fleets {
+func TestReadersByCores(t *testing.T) {
+	for name, c := range deployments {
 		t.Run(name, func(t *testing.T) {
 			readers := readersOf(c.entries)
 			if len(readers) > c.readers {
 				t.Errorf("%d readers, %d at most", len(readers), c.readers)
 			}
 			for reader, hosts := range readers {
-				if most := readMost * c.entries[reader].Cores; float64(hosts) > max(most, 1.6*groupSize) {
+				if most := maxHostsPerCore * c.entries[reader].Cores; float64(hosts) > max(most, 1.6*hostsPerReader) {
 					t.Errorf("%s reads for %d hosts with %.2f cores", reader, hosts, c.entries[reader].Cores)
 				}
 			}
@@ -77,26 +77,26 @@
 	}
 }
 
-// lostStore is a store that does not answer.
-type lostStore struct{ store.Watcher }
+// unavailableStore is a store that does not answer.
+type unavailableStore struct{ store.Watcher }
 
-func (lostStore) Changes(context.Context, string, int64, time.Duration) ([]store.Change, int64, error) {
+func (unavailableStore) Changes(context.Context, string, int64, time.Duration) ([]store.Change, int64, error) {
 	return nil, 0, store.ErrUnavailable
 }
 
-// rightAgain is how long a host that has lost its sources may go without asking the store itself.
-const rightAgain = 6 * time.Second
+// maxDirectPause is how long a host that has lost its sources may go without asking the store itself.
+const maxDirectPause = 6 * time.Second
 
 // TestDirectReadsOfLargeFleets: a host whose other sources are lost asks the store again soon, at any
 // number of hosts.
 func TestDirectReadsOfLargeFleets(t *testing.T) {
 	for _, each := range []int{2, 20, 200, 400} {
-		w := NewWatcher(Options{Host: "front-0-0", Hall: "hall-0", Store: lostStore{}, Logger: log.New(io.Discard)})
-		w.peers.set(hallsOf(5, each, 0))
+		w := NewWatcher(Options{Host: "front-0-0", Hall: "hall-0", Store: unavailableStore{}, Logger: log.New(io.Discard)})
+		w.peers.set(hostsInHalls(5, each, 0))
 		if _, err := w.readDirectly(context.Background(), "t", 1, 0); err == nil {
 			t.Fatal("the store has answered")
 		}
-		if pause := clock.Until(w.direct); pause > rightAgain {
+		if pause := clock.Until(w.nextDirectRead); pause > maxDirectPause {
 			t.Errorf("%d hosts: asked again after %s", 5*each, pause)
 		}
 	}
--- a/internal/spread/mirror.go
+++ b/internal/spread/mirror.go
@@ -15,14 +15,14 @@
 
 // Parameters of mirrors.
 const (
-	// gather is how long changes that follow each other share a call; the
+	// changesDelay is how long changes that follow each other share a call; the
 	// platform's bounds are seconds.
-	gather = 400 * time.Millisecond
-	// wantedFor is how long a mirror is kept up after it was last asked; who
+	changesDelay = 400 * time.Millisecond
+	// mirrorIdleTimeout is how long a mirror is kept up after it was last asked; who
 	// goes on asking does so every second.
-	wantedFor  = 2500 * time.Millisecond
-	retryFirst = 150 * time.Millisecond
-	retryMost  = 1200 * time.Millisecond
+	mirrorIdleTimeout = 2500 * time.Millisecond
+	minRetryDelay     = 150 * time.Millisecond
+	maxRetryDelay     = 1200 * time.Millisecond
 )
 
 // mirror is a host's copy of a table, read from the store while somebody asks
@@ -31,67 +31,67 @@
 	table  string
 	watch  store.Watcher
 	wait   time.Duration // one wait for changes at the store
-	fresh  time.Duration // what it says is passed on for so long
+	maxAge time.Duration // what it says is passed on for so long
 	logger *log.Logger
 
-	mu      sync.Mutex // guards all below
-	loaded  bool       // the table was read whole, and its history is not gone
-	sure    bool       // the store has answered since the mirror is kept up
-	lost    bool       // the store did not answer last time
-	picture picture
-	told    clock.Instant // when the store last answered
-	wanted  clock.Instant
-	running bool
-	changed chan struct{} // closed at each change of the above
+	mu         sync.Mutex // guards all below
+	loaded     bool       // the table was read whole, and its history is not gone
+	confirmed  bool       // the store has answered since the mirror is kept up
+	storeLost  bool       // the store did not answer last time
+	replica    replica
+	answeredAt clock.Instant // when the store last answered
+	lastWanted clock.Instant
+	running    bool
+	changed    chan struct{} // closed at each change of the above
 }
 
 // newMirror returns a mirror that goes on from what the host knows already.
-func newMirror(table string, o Options, k *known) *mirror {
+func newMirror(table string, o Options, k *cachedTable) *mirror {
 	m := &mirror{
-		table: table, watch: o.Store, wait: o.Wait, fresh: o.fresh(), logger: o.Logger, changed: make(chan struct{}),
+		table: table, watch: o.Store, wait: o.Wait, maxAge: o.maxAge(), logger: o.Logger, changed: make(chan struct{}),
 	}
-	m.picture, m.loaded = k.copy()
+	m.replica, m.loaded = k.copy()
 	return m
 }
 
-// want keeps the mirror up for a while longer; it reports whether run has to be
+// keepRunning keeps the mirror up for a while longer; it reports whether run has to be
 // started.
-func (m *mirror) want() bool {
+func (m *mirror) keepRunning() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.wanted = clock.Now()
+	m.lastWanted = clock.Now()
 	if m.running {
 		return false
 	}
 	// What was known when the mirror was last kept up may be old.
-	m.running, m.lost, m.sure = true, false, false
+	m.running, m.storeLost, m.confirmed = true, false, false
 	return true
 }
 
 // run reads the table and its changes until nobody wants them.
 func (m *mirror) run(ctx context.Context) {
-	retry := retryFirst
-	for m.goesOn(ctx) {
+	retry := minRetryDelay
+	for m.stillWanted(ctx) {
 		err := m.step(ctx)
 		if err == nil || errors.Is(err, store.ErrCompacted) {
-			retry = retryFirst
+			retry = minRetryDelay
 			continue
 		}
-		m.fail(ctx, err)
+		m.recordFailure(ctx, err)
 		clock.Sleep(ctx, clock.Jitter(retry))
-		retry = min(2*retry, retryMost)
+		retry = min(2*retry, maxRetryDelay)
 	}
 }
 
-// goesOn reports whether the mirror is still wanted, and ends it if not.
-func (m *mirror) goesOn(ctx context.Context) bool {
+// stillWanted reports whether the mirror is still wanted, and ends it if not.
+func (m *mirror) stillWanted(ctx context.Context) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if ctx.Err() == nil && clock.Since(m.wanted) < wantedFor {
+	if ctx.Err() == nil && clock.Since(m.lastWanted) < mirrorIdleTimeout {
 		return true
 	}
 	m.running = false
-	m.announce()
+	m.notify()
 	return false
 }
 
@@ -99,7 +99,7 @@
 // answered once it is asked for what there is now.
 func (m *mirror) step(ctx context.Context) error {
 	m.mu.Lock()
-	loaded, sure, version := m.loaded, m.sure, m.picture.version
+	loaded, sure, version := m.loaded, m.confirmed, m.replica.version
 	m.mu.Unlock()
 	if !loaded {
 		state, err := m.watch.State(ctx, m.table)
@@ -122,31 +122,31 @@
 	}
 	m.apply(changes, next)
 	if sure && len(changes) > 0 {
-		clock.Sleep(ctx, gather)
+		clock.Sleep(ctx, changesDelay)
 	}
 	return nil
 }
 
-func (m *mirror) announce() {
+func (m *mirror) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-func (m *mirror) fail(ctx context.Context, err error) {
+func (m *mirror) recordFailure(ctx context.Context, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.lost && ctx.Err() == nil {
-		m.logger.Warn("store lost", "table", m.table, "version", m.picture.version, "error", err)
+	if !m.storeLost && ctx.Err() == nil {
+		m.logger.Warn("store lost", "table", m.table, "version", m.replica.version, "error", err)
 	}
-	m.lost = true
-	m.announce()
+	m.storeLost = true
+	m.notify()
 }
 
 // unload makes the next step read the whole table.
 func (m *mirror) unload() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.logger.Warn("history of the table is gone; reading it whole", "table", m.table, "version", m.picture.version)
+	m.logger.Warn("history of the table is gone; reading it whole", "table", m.table, "version", m.replica.version)
 	m.loaded = false
 }
 
@@ -155,7 +155,7 @@
 func (m *mirror) load(state store.State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.take(m.picture.difference(state), state.Version)
+	m.applyLocked(m.replica.diff(state), state.Version)
 	m.loaded = true
 }
 
@@ -163,61 +163,61 @@
 func (m *mirror) apply(changes []store.Change, version int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.take(changes, version)
+	m.applyLocked(changes, version)
 }
 
-// take notes changes and wakes who waits for them.
-func (m *mirror) take(changes []store.Change, version int64) {
-	m.picture.apply(changes, version)
-	if m.lost {
+// applyLocked notes changes and wakes who waits for them.
+func (m *mirror) applyLocked(changes []store.Change, version int64) {
+	m.replica.apply(changes, version)
+	if m.storeLost {
 		m.logger.Info("store regained", "table", m.table, "version", version)
 	}
-	m.lost, m.sure = false, true
-	m.told = clock.Now()
-	m.announce()
+	m.storeLost, m.confirmed = false, true
+	m.answeredAt = clock.Now()
+	m.notify()
 }
 
-// news waits for what changed after a version; -1 asks for the whole table. It
+// read waits for what changed after a version; -1 asks for the whole table. It
 // fails as soon as the store was silent for longer than what it said is passed on.
-func (m *mirror) news(ctx context.Context, after int64, wait time.Duration) (news, error) {
+func (m *mirror) read(ctx context.Context, after int64, wait time.Duration) (tableUpdate, error) {
 	var timer <-chan time.Time
 	if wait > 0 {
 		timer = time.After(wait)
 	}
-	for over := wait <= 0; ; {
-		n, left, changed, err := m.look(after)
-		if err != nil || (left > 0 && (len(n.changes) > 0 || over || after < 0)) {
+	for expired := wait <= 0; ; {
+		n, freshFor, changed, err := m.current(after)
+		if err != nil || (freshFor > 0 && (len(n.changes) > 0 || expired || after < 0)) {
 			return n, err
 		}
 		var stale <-chan time.Time
-		if left > 0 {
-			stale = time.After(left)
+		if freshFor > 0 {
+			stale = time.After(freshFor)
 		}
 		select {
 		case <-ctx.Done():
-			return news{}, fmt.Errorf("mirror of %s: %w", m.table, ctx.Err())
+			return tableUpdate{}, fmt.Errorf("mirror of %s: %w", m.table, ctx.Err())
 		case <-timer:
-			over = true
+			expired = true
 		case <-stale:
 		case <-changed:
 		}
 	}
 }
 
-// look returns what there is after a version, how long it may still be passed on,
+// current returns what there is after a version, how long it may still be passed on,
 // 0 if the store has not answered yet, and a channel that is closed when there may
 // be more.
-func (m *mirror) look(after int64) (n news, left time.Duration, changed <-chan struct{}, err error) {
+func (m *mirror) current(after int64) (n tableUpdate, freshFor time.Duration, changed <-chan struct{}, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	age := clock.Since(m.told)
+	age := clock.Since(m.answeredAt)
 	switch {
-	case m.lost || !m.running || (m.sure && age >= m.fresh):
-		return news{}, 0, nil, errors.WithMessagef(store.ErrUnavailable, "mirror of %s", m.table)
-	case !m.sure:
-		return news{}, 0, m.changed, nil
+	case m.storeLost || !m.running || (m.confirmed && age >= m.maxAge):
+		return tableUpdate{}, 0, nil, errors.WithMessagef(store.ErrUnavailable, "mirror of %s", m.table)
+	case !m.confirmed:
+		return tableUpdate{}, 0, m.changed, nil
 	}
-	return news{
-		changes: m.picture.since(after), version: m.picture.version, age: age, keys: m.picture.keys, checked: true,
-	}, m.fresh - age, m.changed, nil
+	return tableUpdate{
+		changes: m.replica.changesSince(after), version: m.replica.version, age: age, keyHash: m.replica.keyHash, hasKeyHash: true,
+	}, m.maxAge - age, m.changed, nil
 }
--- a/internal/spread/pack.go
+++ b/internal/spread/pack.go
@@ -26,21 +26,21 @@
 	after, version int64
 }
 
-// packedMost bounds what is kept; hosts of a group ask for the same few versions.
-const packedMost = 8
+// maxPacked bounds what is kept; hosts of a group ask for the same few versions.
+const maxPacked = 8
 
 // What is worth packing: many rows, or long ones. A configuration of 1,800 routes is a
 // single row of 560 KB, which takes a host on 10 Mbit/s half a second, and packed a tenth
 // of that.
 const (
-	packRows  = 16
-	packBytes = 2 << 10
+	minPackRows  = 16
+	minPackBytes = 2 << 10
 )
 
 func newPacker() *packer { return &packer{packed: map[packKey][]byte{}} }
 
 // fill puts what came after a version into a reply, packed where that is worth it.
-func (p *packer) fill(reply *spreadpb.ReadReply, table string, after int64, n news) error {
+func (p *packer) fill(reply *spreadpb.ReadReply, table string, after int64, n tableUpdate) error {
 	if !worthPacking(n.changes) {
 		for _, c := range n.changes {
 			reply.Rows = append(reply.Rows, rowToWire(c.Row, c.Deleted))
@@ -57,18 +57,18 @@
 	for _, c := range changes {
 		size += len(c.Value)
 	}
-	return len(changes) >= packRows || size >= packBytes
+	return len(changes) >= minPackRows || size >= minPackBytes
 }
 
 // pack returns rows that came after a version, gzipped.
-func (p *packer) pack(table string, after int64, n news) ([]byte, error) {
+func (p *packer) pack(table string, after int64, n tableUpdate) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	key := packKey{table: table, after: after, version: n.version}
-	if known, ok := p.packed[key]; ok {
-		return known, nil
+	if packed, ok := p.packed[key]; ok {
+		return packed, nil
 	}
-	if len(p.packed) >= packedMost {
+	if len(p.packed) >= maxPacked {
 		clear(p.packed)
 	}
 	rows := &spreadpb.Rows{}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("unpack table: %w", err)
 	}
-	plain, err := io.ReadAll(io.LimitReader(r, tableBytes))
+	plain, err := io.ReadAll(io.LimitReader(r, maxTableBytes))
 	if err != nil {
 		return nil, fmt.Errorf("unpack table: %w", err)
 	}
@@ -108,5 +108,5 @@
 	return rows.GetRows(), nil
 }
 
-// tableBytes is the longest table that is taken from another host.
-const tableBytes = 64 << 20
+// maxTableBytes is the longest table that is taken from another host.
+const maxTableBytes = 64 << 20
--- a/internal/spread/pack_test.go
+++ b/internal/spread/pack_test.go
@@ -22,10 +22,10 @@
 	return changes
 }
 
-func TestWhatIsPassedOnIsPackedWhereItIsLong(t *testing.T) {
+func TestLongUpdatesArePacked(t *testing.T) {
 	cases := map[string]struct {
-		changes []store.Change
-		most    int // bytes of the reply
+		changes  []store.Change
+		maxBytes int // bytes of the reply
 	}{
 		"a single long row":    {rows(1, 560_000), 60_000},
 		"many short rows":      {rows(200, 200), 8_000},
@@ -35,10 +35,10 @@
 	}
 	for name, c := range cases {
 		p, reply := newPacker(), &spreadpb.ReadReply{}
-		if err := p.fill(reply, "t", 0, news{changes: c.changes, version: 9}); err != nil {
+		if err := p.fill(reply, "t", 0, tableUpdate{changes: c.changes, version: 9}); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if size := proto.Size(reply); size > c.most {
+		if size := proto.Size(reply); size > c.maxBytes {
 			t.Errorf("%s: %d bytes", name, size)
 		}
 		got := reply.GetRows()
--- a/internal/spread/peers_test.go
+++ b/internal/spread/peers_test.go
@@ -7,8 +7,8 @@
 	"quaybarrow/internal/fleet"
 )
 
-// fleetOf lists hosts of some data halls, by turns.
-func fleetOf(hosts, halls int) map[string]entry {
+// hostsAcrossHalls lists hosts of some data halls, by turns.
+func hostsAcrossHalls(hosts, halls int) map[string]entry {
 	entries := map[string]entry{}
 	for i := range hosts {
 		name := fmt.Sprintf("h%03d", i)
@@ -33,7 +33,7 @@
 		"two regions, one large": {300, 2, 2, fleet.Choosers{Hosts: 300, Advisers: 2}, map[string]string{"hall-0": "r", "hall-1": "s"}},
 	}
 	for name, c := range cases {
-		entries := fleetOf(c.hosts, c.halls)
+		entries := hostsAcrossHalls(c.hosts, c.halls)
 		leaders := 0
 		for self, e := range entries {
 			p := newPeers(Options{Host: self, Hall: e.Hall, Address: e.Address, Regions: c.regions})
@@ -55,18 +55,18 @@
 	}
 }
 
-func TestAHostThatIsNotListedDoesNotLead(t *testing.T) {
+func TestUnlistedHostDoesNotLead(t *testing.T) {
 	p := newPeers(Options{Host: "new", Hall: "hall-0", Address: "new"})
-	p.set(fleetOf(6, 3))
+	p.set(hostsAcrossHalls(6, 3))
 	if w := (&Watcher{peers: p}); w.Leads() {
 		t.Error("it leads, and the others have a leader of their own")
 	}
 }
 
 func TestRing(t *testing.T) {
-	entries := fleetOf(61, 3)
+	entries := hostsAcrossHalls(61, 3)
 	next := map[string]string{}
-	far := 0
+	crossings := 0
 	for self, e := range entries {
 		p := newPeers(Options{Host: self, Hall: e.Hall, Address: e.Address})
 		p.set(entries)
@@ -77,7 +77,7 @@
 		}
 		next[self] = members[0].Name
 		if entries[members[0].Name].Hall != e.Hall {
-			far++
+			crossings++
 		}
 	}
 	at, seen := "h000", map[string]bool{}
@@ -88,7 +88,7 @@
 	if len(seen) != len(entries) {
 		t.Errorf("the ring has %d of %d hosts", len(seen), len(entries))
 	}
-	if far != 3 {
-		t.Errorf("%d hosts have their next one in another data hall, not one for each of 3", far)
+	if crossings != 3 {
+		t.Errorf("%d hosts have their next one in another data hall, not one for each of 3", crossings)
 	}
 }
--- a/internal/spread/race.go
+++ b/internal/spread/race.go
@@ -9,93 +9,93 @@
 
 // source is a way to learn of a table.
 type source struct {
-	read func(ctx context.Context) (news, error)
-	// patience is how long nothing is heard before the next source is asked too.
-	patience time.Duration
-	// longer is added to the patience if the source is connected by then: it is
+	read func(ctx context.Context) (tableUpdate, error)
+	// hedgeDelay is how long nothing is heard before the next source is asked too.
+	hedgeDelay time.Duration
+	// connectedDelay is added to the patience if the source is connected by then: it is
 	// there, and has much to send.
-	longer    time.Duration
-	connected func() bool
-	// silent is called if a later source answered while this one had not; nil if
+	connectedDelay time.Duration
+	connected      func() bool
+	// onNoAnswer is called if a later source answered while this one had not; nil if
 	// nobody minds.
-	silent func()
+	onNoAnswer func()
 }
 
-// silentMost sources may say nothing one after the other; then all others are asked at
+// maxUnanswered sources may say nothing one after the other; then all others are asked at
 // once, since most likely this host's connections have fallen silent.
-const silentMost = 3
+const maxUnanswered = 3
 
 // errNoSource means that there is nobody to ask.
 var errNoSource = errors.New("nobody to ask")
 
-// heard is what a source said.
-type heard struct {
-	index int
-	news  news
-	err   error
+// answer is what a source said.
+type answer struct {
+	index  int
+	update tableUpdate
+	err    error
 }
 
-// race asks sources in order, the next one as soon as one fails or its patience
+// hedgedRead asks sources in order, the next one as soon as one fails or its patience
 // is over, and returns the first sound answer with its place in the order.
-func race(ctx context.Context, sources []source) (news, int, error) {
+func hedgedRead(ctx context.Context, sources []source) (tableUpdate, int, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if len(sources) == 0 {
-		return news{}, 0, errNoSource
+		return tableUpdate{}, 0, errNoSource
 	}
-	answers := make(chan heard, len(sources))
-	timer := time.NewTimer(sources[0].patience)
+	answers := make(chan answer, len(sources))
+	timer := time.NewTimer(sources[0].hedgeDelay)
 	defer timer.Stop()
-	started, open, lengthened := 0, 0, false
+	started, open, extended := 0, 0, false
 	failed := make([]bool, len(sources))
-	var last error
+	var lastErr error
 	start := func() {
 		i := started
-		started, open, lengthened = started+1, open+1, false
-		timer.Reset(sources[i].patience)
+		started, open, extended = started+1, open+1, false
+		timer.Reset(sources[i].hedgeDelay)
 		go func() {
 			n, err := sources[i].read(ctx)
-			answers <- heard{i, n, err}
+			answers <- answer{i, n, err}
 		}()
 	}
 	for {
 		if open == 0 {
 			if started == len(sources) {
-				return news{}, 0, last
+				return tableUpdate{}, 0, lastErr
 			}
 			start()
 		}
 		select {
 		case <-ctx.Done():
-			return news{}, 0, ctx.Err()
+			return tableUpdate{}, 0, ctx.Err()
 		case <-timer.C:
 			latest := sources[started-1]
 			switch {
-			case latest.longer > 0 && !lengthened && latest.connected():
-				lengthened = true
-				timer.Reset(latest.longer)
+			case latest.connectedDelay > 0 && !extended && latest.connected():
+				extended = true
+				timer.Reset(latest.connectedDelay)
 			case started < len(sources):
 				start()
-				for open > silentMost && started < len(sources) {
+				for open > maxUnanswered && started < len(sources) {
 					start()
 				}
 			}
-		case h := <-answers:
+		case a := <-answers:
 			open--
-			if h.err == nil {
-				missed(sources[:started], failed, h.index)
-				return h.news, h.index, nil
+			if a.err == nil {
+				reportUnanswered(sources[:started], failed, a.index)
+				return a.update, a.index, nil
 			}
-			last, failed[h.index] = h.err, true
+			lastErr, failed[a.index] = a.err, true
 		}
 	}
 }
 
-// missed tells of the sources before the winner that have said nothing.
-func missed(sources []source, failed []bool, winner int) {
+// reportUnanswered tells of the sources before the winner that have said nothing.
+func reportUnanswered(sources []source, failed []bool, winner int) {
 	for i, s := range sources[:winner] {
-		if !failed[i] && s.silent != nil {
-			s.silent()
+		if !failed[i] && s.onNoAnswer != nil {
+			s.onNoAnswer()
 		}
 	}
 }
--- a/internal/spread/race_test.go
+++ b/internal/spread/race_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// TestRaceAsksTheNextAfterSilence has a race pass by sources that say nothing, and
+// TestHedgedReadAsksNextAfterNoAnswer has a race pass by sources that say nothing, and
 // tell them so.
-func TestRaceAsksTheNextAfterSilence(t *testing.T) {
+func TestHedgedReadAsksNextAfterNoAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		silent := 0
-		mute := source{
-			patience: 200 * time.Millisecond,
-			read: func(ctx context.Context) (news, error) {
+		unresponsive := source{
+			hedgeDelay: 200 * time.Millisecond,
+			read: func(ctx context.Context) (tableUpdate, error) {
 				<-ctx.Done()
-				return news{}, ctx.Err()
+				return tableUpdate{}, ctx.Err()
 			},
-			silent: func() { silent++ },
+			onNoAnswer: func() { silent++ },
 		}
-		sound := source{patience: time.Second, read: func(context.Context) (news, error) { return news{version: 7}, nil }}
+		sound := source{hedgeDelay: time.Second, read: func(context.Context) (tableUpdate, error) { return tableUpdate{version: 7}, nil }}
 		began := time.Now()
-		n, place, err := race(context.Background(), []source{mute, mute, sound})
+		n, place, err := hedgedRead(context.Background(), []source{unresponsive, unresponsive, sound})
 		if err != nil || n.version != 7 || place != 2 {
 			t.Fatalf("version %d of source %d: %v", n.version, place, err)
 		}
--- a/internal/spread/picture_test.go
+++ b/internal/spread/replica_test.go
@@ -15,8 +15,8 @@
 // answer the host has the same rows, or the hash over the keys shows that it has not.
 func TestPicturesAgreeOrShowIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		source, version := newPicture(), int64(0)
-		host := &known{picture: newPicture(), loaded: true}
+		source, version := newReplica(), int64(0)
+		host := &cachedTable{replica: newReplica(), loaded: true}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
@@ -26,16 +26,16 @@
 				source.removed = source.removed[rapid.IntRange(0, len(source.removed)).Draw(t, "forgotten"):]
 			default:
 				after := host.version()
-				n := news{changes: source.since(after), version: source.version, keys: source.keys, checked: true}
+				n := tableUpdate{changes: source.changesSince(after), version: source.version, keyHash: source.keyHash, hasKeyHash: true}
 				same := host.apply(n)
-				equal := maps.EqualFunc(host.picture.rows, source.rows, sameRow)
+				equal := maps.EqualFunc(host.replica.rows, source.rows, sameRow)
 				if same && !equal {
 					t.Fatalf("rows differ and nothing shows it")
 				}
 				if !same {
-					host.replace(news{changes: source.since(-1), version: source.version})
+					host.replace(tableUpdate{changes: source.changesSince(-1), version: source.version})
 				}
-				if !maps.EqualFunc(host.picture.rows, source.rows, sameRow) {
+				if !maps.EqualFunc(host.replica.rows, source.rows, sameRow) {
 					t.Fatalf("rows differ after the table was read whole")
 				}
 			}
@@ -56,27 +56,27 @@
 	return a.Version == b.Version && string(a.Value) == string(b.Value)
 }
 
-// TestOlderNewsTellNothing has a host refuse to go back.
-func TestOlderNewsTellNothing(t *testing.T) {
-	host := newKnown()
-	host.replace(news{version: 7, changes: []store.Change{{Row: store.Row{Key: "k", Version: 7}}}})
+// TestOlderUpdateIsIgnored has a host refuse to go back.
+func TestOlderUpdateIsIgnored(t *testing.T) {
+	host := newCachedTable()
+	host.replace(tableUpdate{version: 7, changes: []store.Change{{Row: store.Row{Key: "k", Version: 7}}}})
 	old := store.Change{Row: store.Row{Key: "k", Version: 7}, Deleted: true}
-	if !host.apply(news{version: 6, changes: []store.Change{old}, checked: true}) {
+	if !host.apply(tableUpdate{version: 6, changes: []store.Change{old}, hasKeyHash: true}) {
 		t.Fatal("older news count as a missed removal")
 	}
-	if got := host.version(); got != 7 || len(host.picture.rows) != 1 {
-		t.Fatalf("version %d, %d rows", got, len(host.picture.rows))
+	if got := host.version(); got != 7 || len(host.replica.rows) != 1 {
+		t.Fatalf("version %d, %d rows", got, len(host.replica.rows))
 	}
 }
 
-// TestPackedTablesComeBack packs tables and changes them.
-func TestPackedTablesComeBack(t *testing.T) {
+// TestPackRoundTrip packs tables and changes them.
+func TestPackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, table := newPacker(), newPicture()
+		p, table := newPacker(), newReplica()
 		versions := int64(rapid.IntRange(1, 20).Draw(t, "versions"))
 		for version := int64(1); version <= versions; version++ {
 			table.apply([]store.Change{drawChange(t, version)}, version)
-			data, err := p.pack("t", -1, news{changes: table.since(-1), version: version})
+			data, err := p.pack("t", -1, tableUpdate{changes: table.changesSince(-1), version: version})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -84,7 +84,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := newPicture()
+			got := newReplica()
 			for _, row := range rows {
 				got.put(rowFromWire(row))
 			}
@@ -96,7 +96,7 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	data, err := newPacker().pack("t", 0, news{changes: []store.Change{{Row: store.Row{Key: "k", Value: []byte("v")}}}})
+	data, err := newPacker().pack("t", 0, tableUpdate{changes: []store.Change{{Row: store.Row{Key: "k", Value: []byte("v")}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -109,8 +109,8 @@
 	})
 }
 
-// TestLargeHallsAskTheirOwn ranks the hosts of small and of large data halls.
-func TestLargeHallsAskTheirOwn(t *testing.T) {
+// TestLargeHallsPreferTheirOwnHosts ranks the hosts of small and of large data halls.
+func TestLargeHallsPreferTheirOwnHosts(t *testing.T) {
 	listed := func(count int) map[string]entry {
 		entries := map[string]entry{}
 		for i := range count {
@@ -121,13 +121,13 @@
 		entries["lekki-large"] = entry{Address: "large", Hall: "lekki", Cores: 0.8}
 		return entries
 	}
-	first := rankedFor(listed(10), "ikeja-3", "ikeja")[0]
+	first := askOrder(listed(10), "ikeja-3", "ikeja")[0]
 	if first.name != "lekki-large" {
 		t.Errorf("of few hosts %s comes first", first.name)
 	}
-	ranked := rankedFor(listed(60), "ikeja-3", "ikeja")
+	ranked := askOrder(listed(60), "ikeja-3", "ikeja")
 	for i, q := range ranked[:60] {
-		if q.far {
+		if q.otherHall {
 			t.Fatalf("of many hosts %s comes at place %d", q.name, i)
 		}
 	}
--- a/internal/spread/server.go
+++ b/internal/spread/server.go
@@ -14,9 +14,9 @@
 	"quaybarrow/internal/store"
 )
 
-// wholeRows is the longest table that is passed on whole; packed it is some 400 KB,
+// maxWholeRows is the longest table that is passed on whole; packed it is some 400 KB,
 // which takes a host on 10 Mbit/s a third of a second.
-const wholeRows = 20_000
+const maxWholeRows = 20_000
 
 // Server returns a gRPC server that passes on what this host reads.
 func (w *Watcher) Server(c credentials.TransportCredentials) *grpc.Server {
@@ -37,16 +37,16 @@
 	if s.watcher.isStopping() {
 		return nil, status.Error(codes.Unavailable, "stopping")
 	}
-	n, err := s.news(ctx, r)
+	n, err := s.readTable(ctx, r)
 	switch {
 	case errors.Is(err, store.ErrUnavailable):
 		return nil, status.Error(codes.FailedPrecondition, err.Error())
 	case err != nil:
 		return nil, status.Error(codes.Unavailable, err.Error())
-	case r.GetAfter() < 0 && len(n.changes) > wholeRows:
-		return nil, status.Error(codes.OutOfRange, errTooLong.Error())
+	case r.GetAfter() < 0 && len(n.changes) > maxWholeRows:
+		return nil, status.Error(codes.OutOfRange, errTableTooLong.Error())
 	}
-	reply := &spreadpb.ReadReply{Version: n.version, AgeMicros: n.age.Microseconds(), Keys: n.keys}
+	reply := &spreadpb.ReadReply{Version: n.version, AgeMicros: n.age.Microseconds(), Keys: n.keyHash}
 	if now, ok := s.watcher.Now(); ok {
 		reply.EarliestMicros, reply.LatestMicros = now.Earliest.Microseconds(), now.Latest.Microseconds()+1 // cut to whole ones
 	}
@@ -56,31 +56,31 @@
 	return reply, nil
 }
 
-// news is what this host has to tell.
-func (s *server) news(ctx context.Context, r *spreadpb.ReadRequest) (news, error) {
+// readTable is what this host has to tell.
+func (s *server) readTable(ctx context.Context, r *spreadpb.ReadRequest) (tableUpdate, error) {
 	w := s.watcher
 	if r.GetLately() {
-		return w.lately(r.GetTable(), r.GetAfter())
+		return w.recentUpdate(r.GetTable(), r.GetAfter())
 	}
 	wait := min(time.Duration(r.GetWaitMicros())*time.Microsecond, w.options.peerWait())
-	n, err := w.mirror(r.GetTable()).news(ctx, r.GetAfter(), wait)
+	n, err := w.mirror(r.GetTable()).read(ctx, r.GetAfter(), wait)
 	if err == nil || r.GetAfter() >= 0 {
 		return n, err
 	}
 	// A host that has just started takes what was known before the store was lost.
-	old, ok := w.remember(r.GetTable()).news(r.GetAfter())
+	stale, ok := w.cached(r.GetTable()).updateSince(r.GetAfter())
 	if !ok {
-		return news{}, err
+		return tableUpdate{}, err
 	}
-	w.options.Logger.Info("passing on what was known before the store was lost", "table", r.GetTable(), "version", old.version, "age_ms", old.age.Milliseconds())
-	return old, nil
+	w.options.Logger.Info("passing on what was known before the store was lost", "table", r.GetTable(), "version", stale.version, "age_ms", stale.age.Milliseconds())
+	return stale, nil
 }
 
-// lately is what this host was told a moment ago.
-func (w *Watcher) lately(table string, after int64) (news, error) {
-	n, ok := w.remember(table).news(after)
-	if !ok || n.age > w.options.fresh() {
-		return news{}, errors.WithMessage(store.ErrUnavailable, "nothing was told lately")
+// recentUpdate is what this host was told a moment ago.
+func (w *Watcher) recentUpdate(table string, after int64) (tableUpdate, error) {
+	n, ok := w.cached(table).updateSince(after)
+	if !ok || n.age > w.options.maxAge() {
+		return tableUpdate{}, errors.WithMessage(store.ErrUnavailable, "nothing was told lately")
 	}
 	return n, nil
 }
--- a/internal/spread/silence.go
+++ b/internal/spread/silence.go
@@ -11,45 +11,45 @@
 	"quaybarrow/internal/clock"
 )
 
-// silentAfter is how long a connection has given no answer, while calls ran out of time,
+// unansweredTimeout is how long a connection has given no answer, while calls ran out of time,
 // until it is made anew. Connections may fall silent without an error, and the gRPC
 // library notices by its keep-alive after ten seconds at the earliest: an adviser was not
 // heard of again for as long as hosts lived.
-const silentAfter = 500 * time.Millisecond
+const unansweredTimeout = 500 * time.Millisecond
 
-// watch notices on a connection whether it has fallen silent.
-func (l *link) watch(address string) grpc.UnaryClientInterceptor {
+// trackAnswers notices on a connection whether it has fallen silent.
+func (l *connPool) trackAnswers(address string) grpc.UnaryClientInterceptor {
 	return func(ctx context.Context, method string, request, reply any, c *grpc.ClientConn, invoke grpc.UnaryInvoker, options ...grpc.CallOption) error {
 		err := invoke(ctx, method, request, reply, c, options...)
 		switch status.Code(err) {
 		case codes.DeadlineExceeded:
-			l.unanswered(address)
+			l.recordTimeout(address)
 		case codes.Canceled: // says nothing: another source was faster, or the connection was closed
 		default:
-			l.heard(address)
+			l.recordAnswer(address)
 		}
 		return err
 	}
 }
 
-// heard notes an answer on the connection to an address.
-func (l *link) heard(address string) {
+// recordAnswer notes an answer on the connection to an address.
+func (l *connPool) recordAnswer(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.silent, address)
+	delete(l.timeoutsSince, address)
 }
 
-// unanswered notes a call that ran out of time, and closes a connection that is silent.
-func (l *link) unanswered(address string) {
+// recordTimeout notes a call that ran out of time, and closes a connection that is silent.
+func (l *connPool) recordTimeout(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	since, known := l.silent[address]
+	since, known := l.timeoutsSince[address]
 	switch {
 	case !known:
-		l.silent[address] = clock.Now()
-	case clock.Since(since) >= silentAfter && l.conns[address] != nil:
+		l.timeoutsSince[address] = clock.Now()
+	case clock.Since(since) >= unansweredTimeout && l.conns[address] != nil:
 		_ = l.conns[address].Close()
-		delete(l.silent, address)
+		delete(l.timeoutsSince, address)
 		delete(l.conns, address)
 	}
 }
--- a/internal/spread/silence_test.go
+++ b/internal/spread/silence_test.go
@@ -12,8 +12,8 @@
 )
 
 var _ = Describe("connections that fall silent for good", func() {
-	// talks reports whether a host gets answers of another on the connection that it has.
-	talks := func(from, to *host) bool {
+	// answers reports whether a host gets answers of another on the connection that it has.
+	answers := func(from, to *host) bool {
 		c, err := from.watcher.Conn(to.address)
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
@@ -23,27 +23,27 @@
 	}
 
 	It("between hosts are noticed under traffic, and made anew", func() {
-		withHall(5, func(h *hall) {
+		withCluster(5, func(h *cluster) {
 			reader := h.hosts[h.reader()]
 			other := h.hosts[(h.reader()+1)%5]
-			Expect(talks(other, reader)).To(BeTrue())
+			Expect(answers(other, reader)).To(BeTrue())
 			h.net.Silence(reader.address)
-			Expect(talks(other, reader)).To(BeFalse())
+			Expect(answers(other, reader)).To(BeFalse())
 			time.Sleep(600 * time.Millisecond)
-			Expect(talks(other, reader)).To(BeFalse())
-			Expect(talks(other, reader)).To(BeTrue(), "it was silent for as long as hosts lived")
+			Expect(answers(other, reader)).To(BeFalse())
+			Expect(answers(other, reader)).To(BeTrue(), "it was silent for as long as hosts lived")
 		})
 	})
 
 	It("keep no change from any host for longer than it may take", func() {
-		withHall(5, func(h *hall) {
+		withCluster(5, func(h *cluster) {
 			for i := range 3 {
 				for _, n := range h.hosts {
 					h.net.Silence(n.address)
 				}
 				h.net.Silence(storeAddress)
 				h.store.Put("t", "k", fmt.Append(nil, "silent", i))
-				expectEverywhere(h.hosts, fmt.Sprint("silent", i), 4*time.Second)
+				expectOnAll(h.hosts, fmt.Sprint("silent", i), 4*time.Second)
 			}
 		})
 	})
--- a/internal/spread/sources.go
+++ b/internal/spread/sources.go
@@ -17,8 +17,8 @@
 	candidates := w.peers.candidates(peersTried)
 	if len(candidates) == 0 {
 		m := w.mirror(table)
-		return []source{{patience: wait + hopMargin, connected: func() bool { return true }, read: func(ctx context.Context) (news, error) {
-			return m.news(ctx, after, wait)
+		return []source{{hedgeDelay: wait + hopMargin, connected: func() bool { return true }, read: func(ctx context.Context) (tableUpdate, error) {
+			return m.read(ctx, after, wait)
 		}}}
 	}
 	var sources []source
@@ -32,7 +32,7 @@
 // otherSources are a few hosts of any group, asked for what they were told.
 func (w *Watcher) otherSources(table string, after int64) []source {
 	var sources []source
-	for _, p := range w.peers.some(othersTried, w.peers.candidates(peersTried)) {
+	for _, p := range w.peers.randomPeers(othersTried, w.peers.candidates(peersTried)) {
 		sources = append(sources, w.peerSource(p, &spreadpb.ReadRequest{Table: table, After: after, Lately: true}))
 	}
 	return sources
@@ -41,47 +41,47 @@
 // peerSource asks another host. What it tells is taken only while it is fresh.
 func (w *Watcher) peerSource(p peer, request *spreadpb.ReadRequest) source {
 	wait := time.Duration(request.GetWaitMicros()) * time.Microsecond
-	read := func(ctx context.Context) (news, error) {
+	read := func(ctx context.Context) (tableUpdate, error) {
 		limited, cancel := context.WithTimeout(ctx, wait+peerTimeout)
 		defer cancel()
-		n, err := w.link.read(limited, p, request, w.hear)
-		behind := request.GetAfter() < 0 && n.version < w.remember(request.GetTable()).version()
-		if err == nil && (n.age > w.options.fresh() || behind) {
+		n, err := w.pool.read(limited, p, request, w.recordClock)
+		behind := request.GetAfter() < 0 && n.version < w.cached(request.GetTable()).version()
+		if err == nil && (n.age > w.options.maxAge() || behind) {
 			err = staleError(p, n.age)
 		}
 		switch {
 		case err == nil:
-			w.peers.answered(p)
-		case ctx.Err() == nil && !errors.Is(err, errTooLong):
-			w.peers.failed(p, err)
+			w.peers.recordAnswer(p)
+		case ctx.Err() == nil && !errors.Is(err, errTableTooLong):
+			w.peers.recordFailure(p, err)
 			w.options.Logger.Info("host does not pass on the store", "peer", p.name, "address", p.address, "error", err)
 		}
 		return n, err
 	}
-	silent := func() {
-		w.link.unanswered(p.address)
-		w.peers.failed(p, errSilent)
-		w.options.Logger.Info("host does not pass on the store", "peer", p.name, "address", p.address, "error", errSilent)
+	onNoAnswer := func() {
+		w.pool.recordTimeout(p.address)
+		w.peers.recordFailure(p, errNoAnswer)
+		w.options.Logger.Info("host does not pass on the store", "peer", p.name, "address", p.address, "error", errNoAnswer)
 	}
-	connected := func() bool { return w.link.connected(p.address) }
-	return source{patience: wait + hopMargin, connected: connected, read: read, silent: silent}
+	connected := func() bool { return w.pool.connected(p.address) }
+	return source{hedgeDelay: wait + hopMargin, connected: connected, read: read, onNoAnswer: onNoAnswer}
 }
 
 // peerTimeout is when an answer of another host is given up, beyond its wait, if
 // nobody else has answered either.
 const peerTimeout = 2 * time.Second
 
-// errSilent means that a host has not answered in time.
-var errSilent = errors.New("no answer in time")
+// errNoAnswer means that a host has not answered in time.
+var errNoAnswer = errors.New("no answer in time")
 
 // readDirectly reads the store. After a failure it is not read again for a while,
 // the longer the more hosts there are, since it is most likely away for all.
-func (w *Watcher) readDirectly(ctx context.Context, table string, after int64, wait time.Duration) (news, error) {
+func (w *Watcher) readDirectly(ctx context.Context, table string, after int64, wait time.Duration) (tableUpdate, error) {
 	w.mu.Lock()
-	early := clock.Now().Before(w.direct)
+	tooEarly := clock.Now().Before(w.nextDirectRead)
 	w.mu.Unlock()
-	if early {
-		return news{}, errors.WithMessage(store.ErrUnavailable, "not read directly so soon after a failure")
+	if tooEarly {
+		return tableUpdate{}, errors.WithMessage(store.ErrUnavailable, "not read directly so soon after a failure")
 	}
 	n, err := w.readStore(ctx, table, after, wait)
 	if errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil {
@@ -89,22 +89,22 @@
 		n, err = w.readStore(ctx, table, after, wait)
 	}
 	if err != nil && !errors.Is(err, store.ErrCompacted) && ctx.Err() == nil {
-		pause := min(directEvery*time.Duration(max(1, w.Hosts()/directHosts)), directMost)
+		pause := min(directReadPause*time.Duration(max(1, w.Hosts()/directReadPauseHosts)), maxDirectReadPause)
 		w.mu.Lock()
-		w.direct = clock.Now().Add(clock.Around(pause))
+		w.nextDirectRead = clock.Now().Add(clock.Around(pause))
 		w.mu.Unlock()
 	}
 	return n, err
 }
 
 // readStore reads changes of a table from the store, or all of it.
-func (w *Watcher) readStore(ctx context.Context, table string, after int64, wait time.Duration) (news, error) {
+func (w *Watcher) readStore(ctx context.Context, table string, after int64, wait time.Duration) (tableUpdate, error) {
 	if after >= 0 {
 		changes, version, err := w.options.Store.Changes(ctx, table, after, wait)
-		return news{changes: changes, version: version}, err
+		return tableUpdate{changes: changes, version: version}, err
 	}
 	state, err := w.options.Store.State(ctx, table)
-	n := news{version: state.Version}
+	n := tableUpdate{version: state.Version}
 	for _, row := range state.Rows {
 		n.changes = append(n.changes, store.Change{Row: row})
 	}
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -36,11 +36,11 @@
 
 // Times of a watcher.
 const (
-	// peerPart of the wait at the store is one wait for changes at another host.
-	peerPart = 0.45
-	// slowStore is what an answer of a slow store takes beyond its wait; what is
+	// peerWaitFraction of the wait at the store is one wait for changes at another host.
+	peerWaitFraction = 0.45
+	// slowStoreMargin is what an answer of a slow store takes beyond its wait; what is
 	// passed on may be that much older than one wait.
-	slowStore = 250 * time.Millisecond
+	slowStoreMargin = 250 * time.Millisecond
 	// hopMargin is how long an answer takes at most that need not be waited for:
 	// a connection, a call to the store and a slow processor. After it the next
 	// source is asked too.
@@ -48,22 +48,22 @@
 	// peersTried hosts are asked in order, and then others for what they were told.
 	peersTried  = 3
 	othersTried = 2
-	// pollEvery is how often those are asked that do not wait for changes.
-	pollEvery = 400 * time.Millisecond
-	// directEvery is the pause after a direct read of the store that failed, for
+	// pollInterval is how often those are asked that do not wait for changes.
+	pollInterval = 400 * time.Millisecond
+	// directReadPause is the pause after a direct read of the store that failed, for
 	// each directHosts hosts that there are: most likely it is away for all. It is directMost
 	// at most: a host whose sources are lost has nothing else, at any number of hosts.
-	directEvery = 2 * time.Second
-	directHosts = 12
-	directMost  = 5 * time.Second
-	// listAfter the first start of all hosts each has been listed.
-	listAfter = enlistLimit + time.Second
-	listEvery = 2 * time.Minute
-	listRetry = 2 * time.Second
-	// listPatience is how long the first read of a table waits for that list;
+	directReadPause      = 2 * time.Second
+	directReadPauseHosts = 12
+	maxDirectReadPause   = 5 * time.Second
+	// firstListDelay the first start of all hosts each has been listed.
+	firstListDelay = enlistThroughSeedsTimeout + time.Second
+	listInterval   = 2 * time.Minute
+	listRetryDelay = 2 * time.Second
+	// listWait is how long the first read of a table waits for that list;
 	// at the first start of all hosts there is time.
-	listPatience      = 300 * time.Millisecond
-	listPatienceFirst = 3 * time.Second
+	listWait           = 300 * time.Millisecond
+	firstStartListWait = 3 * time.Second
 )
 
 // Options set up a Watcher.
@@ -90,75 +90,75 @@
 	Dial Dialer
 }
 
-// fresh is how old what is passed on may be.
-func (o Options) fresh() time.Duration { return o.Wait + slowStore }
+// maxAge is how old what is passed on may be.
+func (o Options) maxAge() time.Duration { return o.Wait + slowStoreMargin }
 
 // peerWait is one wait for changes at another host.
-func (o Options) peerWait() time.Duration { return time.Duration(peerPart * float64(o.Wait)) }
+func (o Options) peerWait() time.Duration { return time.Duration(peerWaitFraction * float64(o.Wait)) }
 
-// patient gives other hosts the time that passing on a whole table takes: the reader
+// withWholeTableDelays gives other hosts the time that passing on a whole table takes: the reader
 // of a group packs a long one and sends it to all its hosts. A host that is not
 // connected after the time of a short answer is not there: after a loss of power those
 // that started before their reader waited 0.6 s for it and refused requests. At the
 // first start of all hosts there is time, and bytes from the store are dear.
-func (w *Watcher) patient(sources []source) []source {
-	longest := wholePatienceOf(w.peers.near())
+func (w *Watcher) withWholeTableDelays(sources []source) []source {
+	longest := wholeTableDelayFor(w.peers.readerScopeHosts())
 	for i := range sources {
 		if w.options.First {
-			sources[i].patience = wholePatienceFirst
+			sources[i].hedgeDelay = firstStartWholeTableDelay
 			continue
 		}
-		sources[i].longer = longest - sources[i].patience
+		sources[i].connectedDelay = longest - sources[i].hedgeDelay
 	}
 	return sources
 }
 
 const (
-	wholePatience      = 600 * time.Millisecond
-	wholePatienceFirst = 2 * time.Second
+	wholeTableDelay           = 600 * time.Millisecond
+	firstStartWholeTableDelay = 2 * time.Second
 	// A reader of more than a small group is waited for longer, each of its hosts a moment, up to
 	// wholePatienceMost: a host that reads a table of thousands itself, on a slow link, is
 	// ready no sooner, and hundreds of them take hundreds of MB from the store.
-	wholePatienceEach = 4 * time.Millisecond
-	wholePatienceMost = 1200 * time.Millisecond
+	wholeTableDelayPerHost = 4 * time.Millisecond
+	maxWholeTableDelay     = 1200 * time.Millisecond
 )
 
-// wholePatienceOf is how long a reader that is connected is waited for that sends a whole table to
+// wholeTableDelayFor is how long a reader that is connected is waited for that sends a whole table to
 // so many hosts.
-func wholePatienceOf(hosts int) time.Duration {
-	return min(wholePatience+time.Duration(max(0, hosts-groupSize))*wholePatienceEach, wholePatienceMost)
+func wholeTableDelayFor(hosts int) time.Duration {
+	return min(wholeTableDelay+time.Duration(max(0, hosts-hostsPerReader))*wholeTableDelayPerHost, maxWholeTableDelay)
 }
 
 // Watcher reads tables from another host, or from the store; safe for use at
 // once.
 type Watcher struct {
-	options Options
-	peers   *peers
-	link    *link
-	ctx     context.Context // of the mirrors
-	cancel  context.CancelFunc
-	working sync.WaitGroup
-	listed  chan struct{} // closed once the other hosts are known
-	// enlistings are of hosts that have this one list them.
-	enlistings *batch.Batcher[listed]
+	options        Options
+	peers          *peers
+	pool           *connPool
+	ctx            context.Context // of the mirrors
+	cancel         context.CancelFunc
+	mirrorsRunning sync.WaitGroup
+	hostsKnown     chan struct{} // closed once the other hosts are known
+	// enlistBatcher are of hosts that have this one list them.
+	enlistBatcher *batch.Batcher[namedEntry]
 
-	mu       sync.Mutex // guards all below
-	mirrors  map[string]*mirror
-	known    map[string]*known // by table, what this host was told last
-	direct   clock.Instant     // the store is not read directly before
-	stopping bool              // other hosts are sent elsewhere
-	closed   bool              // no mirror starts any more
+	mu             sync.Mutex // guards all below
+	mirrors        map[string]*mirror
+	cachedTables   map[string]*cachedTable // by table, what this host was told last
+	nextDirectRead clock.Instant           // the store is not read directly before
+	stopping       bool                    // other hosts are sent elsewhere
+	closed         bool                    // no mirror starts any more
 
-	clock clock.Remote // the store's, as other hosts tell it
+	storeClock clock.Remote // the store's, as other hosts tell it
 }
 
 // NewWatcher returns a watcher that knows no other host yet.
 func NewWatcher(options Options) *Watcher {
 	w := &Watcher{
-		options: options, peers: newPeers(options), link: newLink(options.Credentials, options.Dial),
-		listed: make(chan struct{}), mirrors: map[string]*mirror{}, known: map[string]*known{},
+		options: options, peers: newPeers(options), pool: newConnPool(options.Credentials, options.Dial),
+		hostsKnown: make(chan struct{}), mirrors: map[string]*mirror{}, cachedTables: map[string]*cachedTable{},
 	}
-	w.enlistings = batch.New(enlistMost, w.enlistGathered)
+	w.enlistBatcher = batch.New(maxEnlistBatch, w.writeEntryBatch)
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	return w
 }
@@ -167,47 +167,47 @@
 // ends. A host that starts again finds its own entry as it was and writes nothing;
 // at the first start of all hosts there is no list to find it in.
 func (w *Watcher) Run(ctx context.Context) {
-	read := w.readPeers
+	read := w.readHostList
 	if w.options.First {
 		began := clock.Now()
-		w.update(ctx, w.enlistThrough, "host can't list itself")
-		clock.Sleep(ctx, clock.Around(listAfter)-clock.Since(began))
-		read = w.askPeers // there is time, and the seeds have just started too
+		w.retryUntilDone(ctx, w.enlistThroughSeeds, "host can't list itself")
+		clock.Sleep(ctx, clock.Around(firstListDelay)-clock.Since(began))
+		read = w.requestHostList // there is time, and the seeds have just started too
 	}
-	w.update(ctx, read, "list of hosts can't be read")
+	w.retryUntilDone(ctx, read, "list of hosts can't be read")
 	// The list that others pass on may be older than this host's entry.
-	if !w.options.First && !w.peers.has(w.options.Host, w.own()) {
-		w.update(ctx, w.enlist, "host can't list itself")
+	if !w.options.First && !w.peers.has(w.options.Host, w.ownEntry()) {
+		w.retryUntilDone(ctx, w.enlistSelf, "host can't list itself")
 	}
-	close(w.listed)
-	for clock.Sleep(ctx, clock.Around(listEvery)) {
-		w.update(ctx, w.readPeers, "list of hosts can't be read")
+	close(w.hostsKnown)
+	for clock.Sleep(ctx, clock.Around(listInterval)) {
+		w.retryUntilDone(ctx, w.readHostList, "list of hosts can't be read")
 	}
 }
 
-// update does a step until it succeeds or the context ends.
-func (w *Watcher) update(ctx context.Context, step func(context.Context) error, problem string) {
+// retryUntilDone does a step until it succeeds or the context ends.
+func (w *Watcher) retryUntilDone(ctx context.Context, step func(context.Context) error, problem string) {
 	for ctx.Err() == nil {
 		err := step(ctx)
 		if err == nil {
 			return
 		}
 		w.options.Logger.Warn(problem, "error", err)
-		clock.Sleep(ctx, clock.Around(listRetry))
+		clock.Sleep(ctx, clock.Around(listRetryDelay))
 	}
 }
 
-// awaitList waits until the other hosts are known, for a short while.
-func (w *Watcher) awaitList(ctx context.Context) {
-	patience := listPatience
+// awaitHostList waits until the other hosts are known, for a short while.
+func (w *Watcher) awaitHostList(ctx context.Context) {
+	timeout := listWait
 	if w.options.First {
-		patience = listPatienceFirst
+		timeout = firstStartListWait
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-w.listed:
+	case <-w.hostsKnown:
 	case <-timer.C:
 	}
 }
@@ -226,8 +226,8 @@
 	w.closed = true
 	w.mu.Unlock()
 	w.cancel()
-	w.working.Wait()
-	w.link.close()
+	w.mirrorsRunning.Wait()
+	w.pool.close()
 }
 
 // mirror returns the host's own copy of a table, kept up for a while.
@@ -235,12 +235,12 @@
 	w.mu.Lock()
 	m, ok := w.mirrors[table]
 	if !ok {
-		m = newMirror(table, w.options, w.rememberLocked(table))
+		m = newMirror(table, w.options, w.cachedLocked(table))
 		w.mirrors[table] = m
 	}
 	defer w.mu.Unlock()
-	if m.want() && !w.closed {
-		w.working.Go(func() { m.run(w.ctx) })
+	if m.keepRunning() && !w.closed {
+		w.mirrorsRunning.Go(func() { m.run(w.ctx) })
 	}
 	return m
 }
@@ -248,49 +248,49 @@
 // Now implements store.Watcher. What this host read from the store and what others
 // tell both bound its clock.
 func (w *Watcher) Now() (clock.Bounds, bool) {
-	own, read := w.options.Store.Now()
-	told, heard := w.clock.Now()
-	both := clock.Bounds{Earliest: max(own.Earliest, told.Earliest), Latest: min(own.Latest, told.Latest)}
+	own, ownKnown := w.options.Store.Now()
+	fromPeers, peersKnown := w.storeClock.Now()
+	both := clock.Bounds{Earliest: max(own.Earliest, fromPeers.Earliest), Latest: min(own.Latest, fromPeers.Latest)}
 	switch {
-	case !read:
-		return told, heard
-	case !heard || both.Width() < 0: // the store's own word counts for more
+	case !ownKnown:
+		return fromPeers, peersKnown
+	case !peersKnown || both.Width() < 0: // the store's own word counts for more
 		return own, true
 	default:
 		return both, true
 	}
 }
 
-// hear notes what another host says of the store's clock, of which it may know nothing.
-func (w *Watcher) hear(shown clock.Bounds, sent clock.Instant) {
+// recordClock notes what another host says of the store's clock, of which it may know nothing.
+func (w *Watcher) recordClock(shown clock.Bounds, sent clock.Instant) {
 	if shown.Earliest > 0 && shown.Latest >= shown.Earliest {
-		w.clock.Heard(shown, sent, clock.Now())
+		w.storeClock.Heard(shown, sent, clock.Now())
 	}
 }
 
 // State implements store.Watcher.
 func (w *Watcher) State(ctx context.Context, table string) (store.State, error) {
-	w.awaitList(ctx)
-	n, err := w.whole(ctx, table)
+	w.awaitHostList(ctx)
+	n, err := w.readWhole(ctx, table)
 	if err != nil {
 		return store.State{}, err
 	}
-	return w.remember(table).replace(n), nil
+	return w.cached(table).replace(n), nil
 }
 
-// whole asks other hosts for a whole table, then the store. A host that knows
+// readWhole asks other hosts for a readWhole table, then the store. A host that knows
 // nothing yet takes what is old rather than nothing.
-func (w *Watcher) whole(ctx context.Context, table string) (news, error) {
-	old := make(chan news, peersTried+othersTried)
-	sources := w.patient(w.peerSources(table, -1, 0))
-	sources = append(sources, source{patience: directPatience, read: func(ctx context.Context) (news, error) {
+func (w *Watcher) readWhole(ctx context.Context, table string) (tableUpdate, error) {
+	old := make(chan tableUpdate, peersTried+othersTried)
+	sources := w.withWholeTableDelays(w.peerSources(table, -1, 0))
+	sources = append(sources, source{hedgeDelay: directReadHedgeDelay, read: func(ctx context.Context) (tableUpdate, error) {
 		return w.readDirectly(ctx, table, -1, 0)
 	}})
 	sources = append(sources, w.otherSources(table, -1)...)
-	if !w.remember(table).isLoaded() {
-		sources = keepingOld(sources, old)
+	if !w.cached(table).isLoaded() {
+		sources = keepStale(sources, old)
 	}
-	n, _, err := race(ctx, sources)
+	n, _, err := hedgedRead(ctx, sources)
 	if err == nil {
 		return n, nil
 	}
@@ -299,20 +299,20 @@
 		w.options.Logger.Warn("only old state of a table is to be had", "table", table, "version", n.version, "age_ms", n.age.Milliseconds())
 		return n, nil
 	default:
-		return news{}, err
+		return tableUpdate{}, err
 	}
 }
 
-// directPatience is how long the store is waited for before hosts are asked that
+// directReadHedgeDelay is how long the store is waited for before hosts are asked that
 // are asked last: some pages of a long table.
-const directPatience = time.Second
+const directReadHedgeDelay = time.Second
 
-// keepingOld puts what was too old to be taken into a channel with room for all.
-func keepingOld(sources []source, old chan<- news) []source {
+// keepStale puts what was too old to be taken into a channel with room for all.
+func keepStale(sources []source, old chan<- tableUpdate) []source {
 	kept := make([]source, len(sources))
 	for i, s := range sources {
 		kept[i] = s
-		kept[i].read = func(ctx context.Context) (news, error) {
+		kept[i].read = func(ctx context.Context) (tableUpdate, error) {
 			n, err := s.read(ctx)
 			if err != nil && n.version > 0 {
 				old <- n
@@ -323,18 +323,18 @@
 	return kept
 }
 
-// remember returns what this host was told last of a table.
-func (w *Watcher) remember(table string) *known {
+// cached returns what this host was told last of a table.
+func (w *Watcher) cached(table string) *cachedTable {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.rememberLocked(table)
+	return w.cachedLocked(table)
 }
 
-func (w *Watcher) rememberLocked(table string) *known {
-	k, ok := w.known[table]
+func (w *Watcher) cachedLocked(table string) *cachedTable {
+	k, ok := w.cachedTables[table]
 	if !ok {
-		k = newKnown()
-		w.known[table] = k
+		k = newCachedTable()
+		w.cachedTables[table] = k
 	}
 	return k
 }
@@ -342,26 +342,26 @@
 // Changes implements store.Watcher. A wait that another host cuts short returns
 // no changes.
 func (w *Watcher) Changes(ctx context.Context, table string, after int64, wait time.Duration) ([]store.Change, int64, error) {
-	w.awaitList(ctx)
+	w.awaitHostList(ctx)
 	wait = min(wait, w.options.peerWait())
 	sources := append(w.peerSources(table, after, wait), w.otherSources(table, after)...)
-	sources = append(sources, source{patience: directPatience, read: func(ctx context.Context) (news, error) {
+	sources = append(sources, source{hedgeDelay: directReadHedgeDelay, read: func(ctx context.Context) (tableUpdate, error) {
 		return w.readDirectly(ctx, table, after, 0)
 	}})
-	n, place, err := race(ctx, sources)
+	n, index, err := hedgedRead(ctx, sources)
 	if err != nil {
 		return nil, 0, err
 	}
-	if !w.remember(table).apply(n) {
+	if !w.cached(table).apply(n) {
 		w.options.Logger.Warn("a removal was missed; reading the table whole", "table", table, "version", after)
-		clock.Sleep(ctx, clock.Jitter(wholePause))
+		clock.Sleep(ctx, clock.Jitter(wholeReadPause))
 		return nil, 0, errors.WithMessagef(store.ErrCompacted, "changes of %s", table)
 	}
-	if place > 0 && len(n.changes) == 0 {
-		clock.Sleep(ctx, min(wait, pollEvery)) // only the first was asked to wait
+	if index > 0 && len(n.changes) == 0 {
+		clock.Sleep(ctx, min(wait, pollInterval)) // only the first was asked to wait
 	}
 	return n.changes, max(after, n.version), nil
 }
 
-// wholePause bounds how often a table is read whole that does not come to agree.
-const wholePause = 100 * time.Millisecond
+// wholeReadPause bounds how often a table is read whole that does not come to agree.
+const wholeReadPause = 100 * time.Millisecond
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -12,7 +12,7 @@
 
 var _ = Describe("hosts that pass on the store", func() {
 	It("list themselves in few writes at the first start of many, and know each other", func() {
-		withHall(200, func(h *hall) {
+		withCluster(200, func(h *cluster) {
 			Expect(h.store.Writes()).To(BeNumerically("<", 20))
 			for _, n := range h.hosts {
 				Expect(n.watcher.Hosts()).To(Equal(200))
@@ -21,7 +21,7 @@
 	})
 
 	It("list themselves though a seed is not there", func() {
-		withHall(20, func(h *hall) {
+		withCluster(20, func(h *cluster) {
 			for _, n := range h.hosts {
 				Expect(n.watcher.Hosts()).To(Equal(20))
 			}
@@ -29,65 +29,65 @@
 	})
 
 	It("all see a change at once, for few calls", func() {
-		withHall(12, func(h *hall) {
+		withCluster(12, func(h *cluster) {
 			before := h.store.Feeds()
 			for i := range 20 {
 				h.store.Put("t", "k", fmt.Append(nil, i))
 				time.Sleep(time.Second)
 			}
-			expectEverywhere(h.hosts, "19", 300*time.Millisecond)
+			expectOnAll(h.hosts, "19", 300*time.Millisecond)
 			Expect(h.store.Feeds() - before).To(BeNumerically("<", 60))
 		})
 	})
 
 	It("see a change soon when those that read the store die, one after the other", func() {
-		withHall(6, func(h *hall) {
+		withCluster(6, func(h *cluster) {
 			for i := 0; len(h.hosts) > 1; i++ {
 				h.hosts[0].stop()
 				h.hosts = h.hosts[1:]
 				h.store.Put("t", "k", fmt.Append(nil, i))
-				expectEverywhere(h.hosts, fmt.Sprint(i), 2*time.Second)
+				expectOnAll(h.hosts, fmt.Sprint(i), 2*time.Second)
 			}
 		})
 	})
 
 	It("see a change soon when hosts are silent", func() {
-		withHall(5, func(h *hall) {
+		withCluster(5, func(h *cluster) {
 			for i, n := range h.hosts[:4] {
 				h.net.Cut(n.address, true)
 				h.store.Put("t", "k", fmt.Append(nil, i))
-				expectEverywhere(h.hosts, fmt.Sprint(i), 3*time.Second)
+				expectOnAll(h.hosts, fmt.Sprint(i), 3*time.Second)
 			}
 		})
 	})
 
 	It("are right again soon after the store was away, and did not storm it", func() {
-		withHall(12, func(h *hall) {
+		withCluster(12, func(h *cluster) {
 			before := h.store.Feeds() + h.store.Reads()
 			h.store.Break(standin.Busy)
 			h.store.Put("t", "k", []byte("1"))
 			time.Sleep(20 * time.Second)
 			Expect(h.store.Feeds() + h.store.Reads() - before).To(BeNumerically("<", 12*20))
 			h.store.Break(standin.Healthy)
-			expectEverywhere(h.hosts, "1", 2900*time.Millisecond)
+			expectOnAll(h.hosts, "1", 2900*time.Millisecond)
 		})
 	})
 
-	for turned := 1; turned <= 3; turned++ {
+	for rejected := 1; rejected <= 3; rejected++ {
 		for phase := time.Duration(0); phase < 2*time.Second; phase += 400 * time.Millisecond {
-			It(fmt.Sprintf("see changes while the store turns %d of 4 away, %s into a wait", turned, phase), func() {
-				withHall(4, func(h *hall) {
+			It(fmt.Sprintf("see changes while the store turns %d of 4 away, %s into a wait", rejected, phase), func() {
+				withCluster(4, func(h *cluster) {
 					time.Sleep(phase)
-					turnAway(h, turned)
+					rejectHosts(h, rejected)
 				})
 			})
 		}
 	}
 
 	It("pass on a removal that came before the reader's own record", func() {
-		withHall(6, func(h *hall) {
+		withCluster(6, func(h *cluster) {
 			h.store.Put("t", "gone", []byte("x"))
-			expectEverywhere(h.hosts, "0", time.Second)
+			expectOnAll(h.hosts, "0", time.Second)
 			reader := h.reader()
 			// The host that comes next knows the table from before the removal, or
 			// from after it; either way it may tell others nothing of it.
@@ -102,7 +102,7 @@
 	})
 
 	It("pass on a long table whole, and then its changes", func() {
-		withHall(4, func(h *hall) {
+		withCluster(4, func(h *cluster) {
 			for i := range 600 {
 				h.store.Put("t", fmt.Sprint("row-", i), []byte("x"))
 			}
@@ -129,24 +129,24 @@
 	for silent := 1; silent <= 3; silent++ {
 		for phase := time.Duration(0); phase < time.Second; phase += 200 * time.Millisecond {
 			It(fmt.Sprintf("see a change in time when the first %d fall silent at once, %s into a wait", silent, phase), func() {
-				withHall(7, func(h *hall) {
+				withCluster(7, func(h *cluster) {
 					time.Sleep(phase)
 					for range silent {
 						reader := h.reader()
 						h.net.Cut(h.hosts[reader].address, true)
-						h.hosts[reader].door.Store(true)
-						h.cut = append(h.cut, h.hosts[reader])
+						h.hosts[reader].rejected.Store(true)
+						h.cutOff = append(h.cutOff, h.hosts[reader])
 						h.hosts = append(h.hosts[:reader], h.hosts[reader+1:]...)
 					}
 					h.store.Put("t", "k", []byte("1"))
-					expectEverywhere(h.hosts, "1", 2400*time.Millisecond)
+					expectOnAll(h.hosts, "1", 2400*time.Millisecond)
 				})
 			})
 		}
 	}
 
 	It("start for few calls, and serve from each other's knowledge after a restart", func() {
-		withHall(12, func(h *hall) {
+		withCluster(12, func(h *cluster) {
 			writes := h.store.Writes()
 			Expect(writes).To(BeNumerically("<=", 12))
 			reads := h.store.Reads()
@@ -165,7 +165,7 @@
 	})
 
 	It("know the table soon after all lost power, while those that are asked first are still dark", func() {
-		withHall(8, func(h *hall) {
+		withCluster(8, func(h *cluster) {
 			first := h.hosts[h.reader()]
 			for _, n := range h.hosts {
 				n.stop()
@@ -178,26 +178,26 @@
 				}
 			}
 			h.hosts = up
-			expectEverywhere(up, "0", 350*time.Millisecond)
+			expectOnAll(up, "0", 350*time.Millisecond)
 		})
 	})
 
 	It("read on after the history was dropped", func() {
-		withHall(4, func(h *hall) {
+		withCluster(4, func(h *cluster) {
 			h.store.Break(standin.LoseFeed)
 			h.store.Put("t", "k", []byte("1"))
 			h.store.Drop("t", "k")
 			h.store.Put("t", "k", []byte("2"))
 			h.store.Forget()
 			h.store.Break(standin.Healthy)
-			expectEverywhere(h.hosts, "2", 2*time.Second)
+			expectOnAll(h.hosts, "2", 2*time.Second)
 		})
 	})
 
 	It("let a host that starts while the store is away read from others", func() {
-		withHall(3, func(h *hall) {
+		withCluster(3, func(h *cluster) {
 			h.store.Put("t", "k", []byte("1"))
-			expectEverywhere(h.hosts, "1", time.Second)
+			expectOnAll(h.hosts, "1", time.Second)
 			h.store.Break(standin.Silent)
 			time.Sleep(5 * time.Second)
 			late := h.start(9, false)
@@ -206,23 +206,23 @@
 			Expect(late.value("k")).To(Equal("1"))
 			h.store.Break(standin.Healthy)
 			h.store.Put("t", "k", []byte("2"))
-			expectEverywhere(h.hosts, "2", 3*time.Second)
+			expectOnAll(h.hosts, "2", 3*time.Second)
 		})
 	})
 
 	It("send others elsewhere before they stop", func() {
-		withHall(4, func(h *hall) {
+		withCluster(4, func(h *cluster) {
 			for _, n := range h.hosts[:3] {
 				n.watcher.Stop()
 			}
 			h.store.Put("t", "k", []byte("1"))
-			expectEverywhere(h.hosts[3:], "1", time.Second)
+			expectOnAll(h.hosts[3:], "1", time.Second)
 			Expect(h.store.Value("hosts", "host-0")).NotTo(BeNil())
 		})
 	})
 
 	It("write and read little when they start again", func() {
-		withHall(4, func(h *hall) {
+		withCluster(4, func(h *cluster) {
 			writes, reads := h.store.Writes(), h.store.Reads()
 			Expect(writes).To(BeNumerically("<=", 4))
 			h.hosts[0].stop()
