--- a/internal/spread/peers.go
+++ b/internal/spread/peers.go
@@ -291,9 +291,9 @@
 	return entry{Address: w.options.Address, Hall: w.options.Hall, Cores: w.options.Cores}
 }
 
-// Before returns the addresses of the data hall's hosts that come before this one in
+// PrecedingHosts returns the addresses of the data hall's hosts that come before this one in
 // an order that all its hosts agree on while they know the same list.
-func (w *Watcher) Before() []string {
+func (w *Watcher) PrecedingHosts() []string {
 	w.peers.mu.Lock()
 	defer w.peers.mu.Unlock()
 	return w.peers.before
