--- a/internal/spread/peers.go
+++ b/internal/spread/peers.go
@@ -299,8 +299,8 @@
 	return w.peers.before
 }
 
-// After returns the addresses of those that come after it.
-func (w *Watcher) After() []string {
+// FollowingHosts returns the addresses of those that come after it.
+func (w *Watcher) FollowingHosts() []string {
 	w.peers.mu.Lock()
 	defer w.peers.mu.Unlock()
 	return w.peers.after
