--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -125,7 +125,7 @@
 
 func newWatcher(s settings.Settings, p Ports, c storeClient, files *tlsfiles.Files, l *log.Logger) (*spread.Watcher, store.Watcher) {
 	w := spread.NewWatcher(spread.Options{
-		Host: s.Host, Hall: s.DataHall, Regions: s.Gateway.Halls, Address: s.Gateway.Peers, Cores: s.Gateway.Cores, Seeds: s.Gateway.SeedPeers(), First: s.Gateway.First,
+		Host: s.Host, Hall: s.DataHall, Regions: s.Gateway.Halls, Address: s.Gateway.Peers, Cores: s.Gateway.Cores, Seeds: s.Gateway.SeedPeers(), FirstStart: s.Gateway.First,
 		Wait: time.Duration(waitPart * float64(s.Gateway.Bound())), Tables: c, Store: c, Logger: l,
 		Credentials: files.ClientCredentials(), Dial: p.dialPeer(),
 	})
--- a/internal/spread/cluster_test.go
+++ b/internal/spread/cluster_test.go
@@ -104,7 +104,7 @@
 		return &rejectingConn{Conn: c, rejected: &n.rejected}, nil
 	})
 	n.watcher = spread.NewWatcher(spread.Options{
-		Host: n.name, Address: n.address, Cores: 1, First: first, Wait: testWait, Seeds: []string{"10.0.0.1:7340", "10.0.0.77:7340"}, Tables: client, Store: client,
+		Host: n.name, Address: n.address, Cores: 1, FirstStart: first, Wait: testWait, Seeds: []string{"10.0.0.1:7340", "10.0.0.77:7340"}, Tables: client, Store: client,
 		Logger: log.New(io.Discard), Credentials: insecure.NewCredentials(),
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return h.net.Dial(ctx, "tcp", address) },
 	})
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -73,8 +73,8 @@
 	Regions map[string]string // of all data halls; empty where they are not known
 	Address string            // ip:port for the other hosts
 	Cores   float64           // what this host may use of a processor; those with most read the store
-	// First tells that all hosts start for the first time.
-	First bool
+	// FirstStart tells that all hosts start for the first time.
+	FirstStart bool
 	// Wait is the longest wait for changes at the store; what this host passes on
 	// is at most so old and a quarter of a second.
 	Wait time.Duration
@@ -104,7 +104,7 @@
 func (w *Watcher) withWholeTableDelays(sources []source) []source {
 	longest := wholeTableDelayFor(w.peers.readerScopeHosts())
 	for i := range sources {
-		if w.options.First {
+		if w.options.FirstStart {
 			sources[i].hedgeDelay = firstStartWholeTableDelay
 			continue
 		}
@@ -168,7 +168,7 @@
 // at the first start of all hosts there is no list to find it in.
 func (w *Watcher) Run(ctx context.Context) {
 	read := w.readHostList
-	if w.options.First {
+	if w.options.FirstStart {
 		began := clock.Now()
 		w.retryUntilDone(ctx, w.enlistThroughSeeds, "host can't list itself")
 		clock.Sleep(ctx, clock.Around(firstListDelay)-clock.Since(began))
@@ -176,7 +176,7 @@
 	}
 	w.retryUntilDone(ctx, read, "list of hosts can't be read")
 	// The list that others pass on may be older than this host's entry.
-	if !w.options.First && !w.peers.has(w.options.Host, w.ownEntry()) {
+	if !w.options.FirstStart && !w.peers.has(w.options.Host, w.ownEntry()) {
 		w.retryUntilDone(ctx, w.enlistSelf, "host can't list itself")
 	}
 	close(w.hostsKnown)
@@ -200,7 +200,7 @@
 // awaitHostList waits until the other hosts are known, for a short while.
 func (w *Watcher) awaitHostList(ctx context.Context) {
 	timeout := listWait
-	if w.options.First {
+	if w.options.FirstStart {
 		timeout = firstStartListWait
 	}
 	timer := time.NewTimer(timeout)
