--- a/internal/spread/advisers.go
+++ b/internal/spread/advisers.go
@@ -8,11 +8,12 @@
 	"quaybarrow/internal/fleet"
 )
 
-// adviserGroups tells which hosts choose endpoints together: all of a region while they are few, since a
-// question to another region takes longer than an answer is worth, else those of a data hall.
+// adviserGroups divides hosts into groups that choose endpoints together, each advised by one of
+// its hosts. A group is a region while the region has few hosts, and a data hall otherwise. It
+// never spans regions, since a request to another region takes longer than its answer is worth.
 type adviserGroups struct {
-	regions map[string]string // by data hall; empty where nothing is known of them
-	hosts   map[string]int    // by region
+	regions map[string]string // by data hall; empty if unknown
+	hosts   map[string]int    // number of hosts by region
 }
 
 func newAdviserGroups(entries map[string]entry, regions map[string]string) adviserGroups {
@@ -23,7 +24,7 @@
 	return a
 }
 
-// groupOf names the hosts that those of a data hall choose together with.
+// groupOf returns the name of the group of a data hall's hosts.
 func (a adviserGroups) groupOf(hall string) string {
 	region := a.regions[hall]
 	if a.hosts[region] <= maxAdvisedRegion {
@@ -32,7 +33,7 @@
 	return hall
 }
 
-// count counts the groups of hosts that choose together.
+// count returns the number of groups.
 func (a adviserGroups) count(entries map[string]entry) int {
 	groups := map[string]bool{}
 	for _, e := range entries {
@@ -41,8 +42,8 @@
 	return len(groups)
 }
 
-// beforeAndAfter lists the addresses of the hosts that come before and after one of them, of those that it
-// chooses with: those that may use more of a processor first.
+// beforeAndAfter returns the addresses of the hosts that come before and after self in its group.
+// Hosts that may use more of a processor come first.
 func (a adviserGroups) beforeAndAfter(entries map[string]entry, self, hall string) (before, after []string) {
 	group := a.groupOf(hall)
 	var members []peer
@@ -61,10 +62,10 @@
 		}
 		before = append(before, q.address)
 	}
-	return nil, nil // this host is not listed yet
+	return nil, nil // self is not listed yet
 }
 
-// Choosers counts the hosts that choose endpoints, and those that choose for others.
+// Choosers returns the number of hosts that choose endpoints, and of the advisers among them.
 func (w *Watcher) Choosers() fleet.Choosers {
 	w.peers.mu.Lock()
 	defer w.peers.mu.Unlock()
--- a/internal/spread/cache.go
+++ b/internal/spread/cache.go
@@ -9,22 +9,22 @@
 	"quaybarrow/internal/store"
 )
 
-// tableUpdate is what a source tells of a table.
+// tableUpdate is the answer of a source to a read of a table.
 type tableUpdate struct {
-	changes    []store.Change // all rows if the whole table was asked for
-	version    int64          // that the source has
-	age        time.Duration  // since the store said so
-	keyHash    uint64         // hash over the keys of the whole table, if checked
+	changes    []store.Change // all rows if the whole table was requested
+	version    int64          // of the table at the source
+	age        time.Duration  // since the store confirmed this version
+	keyHash    uint64         // hash over the keys of the whole table; set only if hasKeyHash
 	hasKeyHash bool
 }
 
-// cachedTable is what a host was told last of a table. While the store is away it is
-// the best there is for a host that has just started; safe for use at once.
+// cachedTable is the last state of a table that this host received. While the store is unreachable
+// it is the best available state for a host that has just started. It is safe for concurrent use.
 type cachedTable struct {
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards the fields below
 	loaded      bool
 	replica     replica
-	confirmedAt clock.Instant // when the store said so
+	confirmedAt clock.Instant // when the store confirmed this version
 }
 
 func newCachedTable() *cachedTable { return &cachedTable{replica: newReplica()} }
@@ -35,14 +35,14 @@
 	return k.loaded
 }
 
-// version is that of what is known, 0 if nothing is.
+// version returns the version of the cached state, 0 if there is none.
 func (k *cachedTable) version() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.replica.version
 }
 
-// replace takes in a whole table.
+// replace replaces the cached state by a whole table.
 func (k *cachedTable) replace(n tableUpdate) store.State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -55,8 +55,8 @@
 	return state
 }
 
-// apply takes in what changed; false if it shows that a removal was missed. A
-// source that knows less than this host tells nothing.
+// apply applies an update and returns false if the key hash shows that a removal was missed.
+// Updates older than the cached version are ignored.
 func (k *cachedTable) apply(n tableUpdate) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -68,7 +68,8 @@
 	return !n.hasKeyHash || n.keyHash == k.replica.keyHash
 }
 
-// updateSince returns what is known after a version, all for -1; false if nothing is.
+// updateSince returns the changes after a version, or all rows if after is -1; false if there is no
+// cached state.
 func (k *cachedTable) updateSince(after int64) (tableUpdate, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -78,7 +79,7 @@
 	}, k.loaded
 }
 
-// copy returns what is known for a mirror to begin with; false if nothing is.
+// copy returns a copy of the cached state for a new mirror; false if there is none.
 func (k *cachedTable) copy() (replica, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/spread/changes_test.go
+++ b/internal/spread/changes_test.go
@@ -9,8 +9,8 @@
 	"quaybarrow/internal/store"
 )
 
-// TestMassRemovalIsReported has a seventh of a large table go at the same moment: who asks from before it
-// is told of each removal, and need not read the table whole.
+// TestMassRemovalIsReported removes a seventh of a large table at the same moment. A host that asks
+// from before the removals receives each of them, and does not need to read the whole table.
 func TestMassRemovalIsReported(t *testing.T) {
 	for _, count := range []int{300, 10_000, 20_000} {
 		source := newReplica()
@@ -26,7 +26,7 @@
 		}
 		changes := source.changesSince(host.version())
 		if len(changes) != count/7 {
-			t.Errorf("%d rows: told of %d removals, %d were made", count, len(changes), count/7)
+			t.Errorf("%d rows: %d removals reported, want %d", count, len(changes), count/7)
 		}
 		if !host.apply(tableUpdate{changes: changes, version: version, keyHash: source.keyHash, hasKeyHash: true}) {
 			t.Errorf("%d rows: a removal was missed", count)
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestChangesOfLongTables compares what is told of changes with what rows say, while older ones are
-// forgotten.
+// TestChangesOfLongTables compares the reported changes with the rows of the table while older
+// changes are dropped from the history.
 func TestChangesOfLongTables(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	p, version := newReplica(), int64(0)
@@ -60,7 +60,7 @@
 		slices.Sort(reported)
 		slices.Sort(want)
 		if !slices.Equal(reported, want) {
-			t.Fatalf("after %d of %d: told of %d rows, %d were written", after, version, len(reported), len(want))
+			t.Fatalf("after version %d of %d: %d rows reported, want %d", after, version, len(reported), len(want))
 		}
 	}
 }
@@ -78,6 +78,6 @@
 	}
 }
 
-// What a reader tells of a few changes of 10,000 rows took 110 us where it looked at all of them.
+// A lookup of a few changes among 10,000 rows took 110 us when it scanned all rows.
 func BenchmarkSince1000(b *testing.B)  { benchmarkSince(b, 1_000) }
 func BenchmarkSince10000(b *testing.B) { benchmarkSince(b, 10_000) }
--- a/internal/spread/cluster_test.go
+++ b/internal/spread/cluster_test.go
@@ -26,8 +26,7 @@
 	"quaybarrow/platform/standin"
 )
 
-// testWait is the wait of sites whose configuration has to be in force in three
-// seconds.
+// testWait is the wait of deployments whose configuration has to be in force within three seconds.
 const testWait = time.Second
 
 const storeAddress = "10.9.0.1:80"
@@ -39,9 +38,9 @@
 	watcher  *spread.Watcher
 	server   *grpc.Server
 	cancel   context.CancelFunc
-	rejected atomic.Bool // the store turns this host away
+	rejected atomic.Bool // the store rejects this host
 
-	mu     sync.Mutex // guards all below
+	mu     sync.Mutex // guards the fields below
 	values map[string]string
 }
 
@@ -74,16 +73,16 @@
 	return h.values[key]
 }
 
-// cluster is several hosts at one store.
+// cluster is several hosts that share one store.
 type cluster struct {
 	net    *memnet.Network
 	store  *standin.Store
 	server *http.Server
 	hosts  []*host
-	cutOff []*host // still to be stopped
+	cutOff []*host // removed from hosts, still to be stopped
 }
 
-// reader returns the place of the host that the others ask first.
+// reader returns the index of the host that the others ask first.
 func (h *cluster) reader() int {
 	first, least := 0, uint64(math.MaxUint64)
 	for i, n := range h.hosts {
@@ -124,14 +123,14 @@
 	h.watcher.Close()
 }
 
-// rejectingConn is a connection to a store that may turn its host away.
+// rejectingConn is a connection to a store that may reject its host.
 type rejectingConn struct {
 	net.Conn
 	rejected *atomic.Bool
 }
 
-// Read implements net.Conn. Answers to calls that were made before the host was
-// turned away never come.
+// Read implements net.Conn. Answers to calls that were made before the host was rejected never
+// arrive.
 func (c *rejectingConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -150,7 +149,7 @@
 	return c.Conn.Write(p)
 }
 
-// withCluster runs a body beside several hosts, under the paused clock.
+// withCluster runs body with several hosts under the paused clock.
 func withCluster(count int, body func(h *cluster)) {
 	suite.Paused(func() {
 		h := &cluster{net: memnet.New(), store: standin.NewStore()}
@@ -172,7 +171,7 @@
 	})
 }
 
-// expectOnAll waits for a time and expects a value at hosts.
+// expectOnAll sleeps for within, then expects the value at all given hosts.
 func expectOnAll(hosts []*host, value string, within time.Duration) {
 	time.Sleep(within)
 	for i, n := range hosts {
@@ -180,7 +179,7 @@
 	}
 }
 
-// rejectHosts has the store turn some hosts away while it changes.
+// rejectHosts lets the store reject the first count hosts while the table changes.
 func rejectHosts(h *cluster, count int) {
 	for _, n := range h.hosts[:count] {
 		n.rejected.Store(true)
--- a/internal/spread/connpool.go
+++ b/internal/spread/connpool.go
@@ -21,46 +21,46 @@
 	"quaybarrow/internal/store"
 )
 
-// Parameters of connections between hosts.
+// Parameters of the connections between hosts.
 const (
 	connectTimeout  = time.Second
 	minBackoff      = 100 * time.Millisecond
 	maxBackoff      = time.Second
-	maxMessageBytes = 16 << 20 // a table of thousands of endpoints
-	writeBuffer     = 4 << 10  // hosts have little memory and many connections
+	maxMessageBytes = 16 << 20 // enough for a table of thousands of endpoints
+	writeBuffer     = 4 << 10  // small, because hosts have little memory and many connections
 	readBuffer      = 4 << 10
 )
 
-// waitForReady has a call wait for a connection, as long as its time lasts.
+// waitForReady makes a call wait for a connection until its deadline.
 var waitForReady = grpc.WaitForReady(true)
 
-// Dialer opens connections.
+// Dialer opens a connection to an address.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// staleError means that a host was told too long ago.
+// staleError returns the error for an update that is too old.
 func staleError(p peer, age time.Duration) error {
-	return fmt.Errorf("ask %s: told %s ago: %w: %w", p.name, age, errStoreUnreachable, store.ErrUnavailable)
+	return fmt.Errorf("read from %s: update of %s ago is stale: %w: %w", p.name, age, errStoreUnreachable, store.ErrUnavailable)
 }
 
-// errStoreUnreachable means that the host that was asked does not reach the store.
-var errStoreUnreachable = errors.New("the host does not reach the store")
+// errStoreUnreachable means that the host that was asked cannot reach the store.
+var errStoreUnreachable = errors.New("host cannot reach the store")
 
-// errTableTooLong means that a table is too long to be passed on whole.
-var errTableTooLong = errors.New("the table is too long to be passed on whole")
+// errTableTooLong means that a table has too many rows to be sent whole.
+var errTableTooLong = errors.New("table is too long to be sent whole")
 
-// errClosed means that this host has stopped.
-var errClosed = errors.New("the host has stopped")
+// errClosed means that the watcher of this host is closed.
+var errClosed = errors.New("watcher is closed")
 
 func isStoreUnreachable(err error) bool { return errors.Is(err, errStoreUnreachable) }
 
-// connPool holds the connections to other hosts; safe for use at once.
+// connPool holds the connections to other hosts. It is safe for concurrent use.
 type connPool struct {
 	credentials credentials.TransportCredentials
 	dial        Dialer
 
-	mu            sync.Mutex // guards all below
+	mu            sync.Mutex // guards the fields below
 	conns         map[string]*grpc.ClientConn
-	timeoutsSince map[string]clock.Instant // since when calls to an address run out of time
+	timeoutsSince map[string]clock.Instant // by address; time of the first timeout since the last answer
 	closed        bool
 }
 
@@ -68,7 +68,7 @@
 	return &connPool{credentials: c, dial: dial, conns: map[string]*grpc.ClientConn{}, timeoutsSince: map[string]clock.Instant{}}
 }
 
-// close ends all connections.
+// close closes all connections.
 func (l *connPool) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +79,7 @@
 	}
 }
 
-// conn returns the connection to an address.
+// conn returns the connection to an address, and creates it if there is none.
 func (l *connPool) conn(address string) (*grpc.ClientConn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,7 +106,7 @@
 		return nil, fmt.Errorf("connect to %s: %w", address, err)
 	}
 	l.conns[address] = c
-	delete(l.timeoutsSince, address) // it has no past
+	delete(l.timeoutsSince, address) // timeouts of an earlier connection do not count
 	return c, nil
 }
 
@@ -118,10 +118,10 @@
 	return ok && c.GetState() == connectivity.Ready
 }
 
-// Conn returns the connection to another host, which other services share.
+// Conn returns the connection to another host, for use by other services too.
 func (w *Watcher) Conn(address string) (grpc.ClientConnInterface, error) { return w.pool.conn(address) }
 
-// read asks a host for changes of a table, or for all of it.
+// read requests changes of a table, or the whole table, from another host.
 func (l *connPool) read(ctx context.Context, p peer, request *spreadpb.ReadRequest, recordClock func(shown clock.Bounds, sent clock.Instant)) (tableUpdate, error) {
 	c, err := l.conn(p.address)
 	if err != nil {
@@ -140,7 +140,7 @@
 	rows := reply.GetRows()
 	if len(reply.GetPacked()) > 0 {
 		if rows, err = unpack(reply.GetPacked()); err != nil {
-			return tableUpdate{}, fmt.Errorf("ask %s: %w", p.name, err)
+			return tableUpdate{}, fmt.Errorf("read from %s: %w", p.name, err)
 		}
 	}
 	for _, row := range rows {
@@ -149,15 +149,15 @@
 	return n, nil
 }
 
-// storeError makes a store's error of a gRPC one.
+// storeError converts a gRPC error to an error of this package or of store.
 func storeError(p peer, err error) error {
 	switch status.Code(err) {
 	case codes.OutOfRange:
-		return fmt.Errorf("ask %s: %w", p.name, errTableTooLong)
+		return fmt.Errorf("read from %s: %w", p.name, errTableTooLong)
 	case codes.FailedPrecondition:
-		return fmt.Errorf("ask %s: %w: %w", p.name, errStoreUnreachable, store.ErrUnavailable)
+		return fmt.Errorf("read from %s: %w: %w", p.name, errStoreUnreachable, store.ErrUnavailable)
 	default:
-		return fmt.Errorf("ask %s: %w", p.name, err)
+		return fmt.Errorf("read from %s: %w", p.name, err)
 	}
 }
 
--- a/internal/spread/enlist.go
+++ b/internal/spread/enlist.go
@@ -15,56 +15,59 @@
 	"quaybarrow/internal/store"
 )
 
-// At the first start of all hosts each has to be listed within a second or two, and a table takes a few
-// hundred writes a second: of many hosts that write for themselves most are refused. So a host has a
-// seed list it, which writes what came to it together.
+// At the first start of all hosts, each host has to be enlisted within a second or two. A table
+// accepts a few hundred writes a second, so if many hosts wrote their own rows, most writes would
+// be refused. Instead, a host asks a seed to enlist it, and the seed writes the rows of several
+// hosts in one transaction.
 const (
-	// maxEnlistBatch rows are written at once.
+	// maxEnlistBatch is the maximum number of rows in one write.
 	maxEnlistBatch = 90
-	// enlistBatchDelay is how long those that come first wait for others.
+	// enlistBatchDelay is the pause after a write in which further hosts join the next batch.
 	enlistBatchDelay = 150 * time.Millisecond
-	// enlistThroughSeedsTimeout is how long seeds are tried, seedLimit each; then the host writes its row itself.
+	// enlistThroughSeedsTimeout is how long seeds are tried, for seedTimeout each; after that the
+	// host writes its own row.
 	enlistThroughSeedsTimeout = 1500 * time.Millisecond
 	seedTimeout               = 700 * time.Millisecond
 )
 
-// namedEntry is a host with its entry.
+// namedEntry is a host's name and entry.
 type namedEntry struct {
 	name string
 	entry
 }
 
-// enlistSelf writes this host's row.
+// enlistSelf writes the row of this host.
 func (w *Watcher) enlistSelf(ctx context.Context) error {
 	return w.writeEntries(ctx, []namedEntry{{w.options.Host, w.ownEntry()}})
 }
 
-// writeEntries writes the rows of some hosts.
+// writeEntries writes the rows of the given hosts in one transaction.
 func (w *Watcher) writeEntries(ctx context.Context, hosts []namedEntry) error {
 	var txn store.Transaction
 	for _, h := range hosts {
 		data, err := codec.Encode(h.entry)
 		if err != nil {
-			return fmt.Errorf("list host: %w", err)
+			return fmt.Errorf("enlist host: %w", err)
 		}
 		txn.Writes = append(txn.Writes, store.Put(HostsTable, h.name, data))
 	}
 	if err := w.options.Tables.Commit(ctx, txn); err != nil {
-		return fmt.Errorf("list host: %w", err)
+		return fmt.Errorf("enlist host: %w", err)
 	}
 	return nil
 }
 
-// writeEntryBatch writes the rows of hosts that have this one list them, after a moment in which
-// others come.
+// writeEntryBatch writes the rows of hosts that asked this one to enlist them, then waits while
+// further hosts join the next batch.
 func (w *Watcher) writeEntryBatch(ctx context.Context, hosts []namedEntry) error {
 	err := w.writeEntries(ctx, hosts)
 	clock.Sleep(ctx, enlistBatchDelay)
 	return err
 }
 
-// enlistThroughSeeds has a seed list this host, or does so itself. Each host has another first seed, so
-// that they share the work.
+// enlistThroughSeeds asks a seed to enlist this host, and writes the row itself if no seed does.
+// The first seed to ask is chosen by the hash of the host's name, which shares the load among the
+// seeds.
 func (w *Watcher) enlistThroughSeeds(ctx context.Context) error {
 	seeds := w.options.Seeds
 	if len(seeds) == 0 {
@@ -83,24 +86,24 @@
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		w.options.Logger.Info("seed does not list this host", "address", seed, "error", err)
+		w.options.Logger.Info("seed did not enlist this host; trying the next one", "address", seed, "error", err)
 	}
 	return w.enlistSelf(ctx)
 }
 
-// requestEnlist has a seed list this host.
+// requestEnlist asks a seed to enlist this host.
 func (w *Watcher) requestEnlist(ctx context.Context, seed string) error {
 	c, err := w.pool.conn(seed)
 	if err != nil {
 		return err
 	}
 	own := w.ownEntry()
-	// A seed may start a moment later than this host.
+	// WaitForReady, because a seed may start a moment later than this host.
 	_, err = spreadpb.NewSpreadClient(c).Enlist(ctx, &spreadpb.EnlistRequest{
 		Name: w.options.Host, Address: own.Address, Hall: own.Hall, Cores: own.Cores,
 	}, waitForReady)
 	if err != nil {
-		return fmt.Errorf("have %s list this host: %w", seed, err)
+		return fmt.Errorf("enlist this host through %s: %w", seed, err)
 	}
 	return nil
 }
--- a/internal/spread/groups_test.go
+++ b/internal/spread/groups_test.go
@@ -13,7 +13,8 @@
 	"quaybarrow/internal/store"
 )
 
-// hostsInHalls lists hosts in data halls, of which the first ones of each may use more of a processor.
+// hostsInHalls returns hosts in data halls; the first ones of each hall may use more of a
+// processor.
 func hostsInHalls(halls, each, larger int) map[string]entry {
 	entries := map[string]entry{}
 	for h := range halls {
@@ -28,8 +29,9 @@
 	return entries
 }
 
-// readersOf are the hosts that read the store for others, those that come first for some host, with
-// how many they read for; of large fleets by some hundreds of hosts.
+// readersOf returns the hosts that read the store for others, which come first in the order of some
+// host, with the number of hosts that each reads for. In large deployments it samples some hundreds
+// of hosts.
 func readersOf(entries map[string]entry) map[string]int {
 	readers := map[string]int{}
 	step, i := max(1, len(entries)/sampledHosts), 0
@@ -41,24 +43,25 @@
 	return readers
 }
 
-// sampledHosts is about how many hosts are sampledHosts at of a large fleet.
+// sampledHosts is about how many hosts of a large deployment are sampled.
 const sampledHosts = 500
 
-// deployments are deployments, and how many hosts read the store at most.
+// deployments lists deployments with the maximum number of hosts that may read the store.
 var deployments = map[string]struct {
 	entries map[string]entry
 	readers int
 }{
-	"6 hosts alike":                 {hostsInHalls(3, 2, 0), 1},
+	"6 equal hosts":                 {hostsInHalls(3, 2, 0), 1},
 	"91 hosts, some larger":         {hostsInHalls(3, 30, 2), 1},
 	"295 hosts, some larger":        {hostsInHalls(5, 59, 5), 5},
 	"985 hosts, some larger":        {hostsInHalls(5, 197, 10), 5},
 	"2,000 hosts, some larger":      {hostsInHalls(5, 400, 20), 10},
-	"985 hosts, none of them":       {hostsInHalls(5, 197, 0), 20},
+	"985 hosts, none larger":        {hostsInHalls(5, 197, 0), 20},
 	"300 hosts of small data halls": {hostsInHalls(15, 20, 1), 2},
 }
 
-// maxHostsPerCore is the hosts that one reads for, for each core that it may use.
+// maxHostsPerCore is the maximum number of hosts that one reader serves, for each core that it may
+// use.
 const maxHostsPerCore = 400
 
 func TestReadersByCores(t *testing.T) {
@@ -66,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			readers := readersOf(c.entries)
 			if len(readers) > c.readers {
-				t.Errorf("%d readers, %d at most", len(readers), c.readers)
+				t.Errorf("%d readers, want at most %d", len(readers), c.readers)
 			}
 			for reader, hosts := range readers {
 				if most := maxHostsPerCore * c.entries[reader].Cores; float64(hosts) > max(most, 1.6*hostsPerReader) {
@@ -77,27 +80,28 @@
 	}
 }
 
-// unavailableStore is a store that does not answer.
+// unavailableStore is a store whose reads fail.
 type unavailableStore struct{ store.Watcher }
 
 func (unavailableStore) Changes(context.Context, string, int64, time.Duration) ([]store.Change, int64, error) {
 	return nil, 0, store.ErrUnavailable
 }
 
-// maxDirectPause is how long a host that has lost its sources may go without asking the store itself.
+// maxDirectPause is how long a host that has lost its other sources may go without a read of the
+// store.
 const maxDirectPause = 6 * time.Second
 
-// TestDirectReadsOfLargeFleets: a host whose other sources are lost asks the store again soon, at any
-// number of hosts.
+// TestDirectReadsOfLargeFleets checks that a host whose other sources are lost reads the store
+// again soon, at any number of hosts.
 func TestDirectReadsOfLargeFleets(t *testing.T) {
 	for _, each := range []int{2, 20, 200, 400} {
 		w := NewWatcher(Options{Host: "front-0-0", Hall: "hall-0", Store: unavailableStore{}, Logger: log.New(io.Discard)})
 		w.peers.set(hostsInHalls(5, each, 0))
 		if _, err := w.readDirectly(context.Background(), "t", 1, 0); err == nil {
-			t.Fatal("the store has answered")
+			t.Fatal("the read succeeded without a store")
 		}
 		if pause := clock.Until(w.nextDirectRead); pause > maxDirectPause {
-			t.Errorf("%d hosts: asked again after %s", 5*each, pause)
+			t.Errorf("%d hosts: store is read again only after %s", 5*each, pause)
 		}
 	}
 }
--- a/internal/spread/mirror.go
+++ b/internal/spread/mirror.go
@@ -13,39 +13,39 @@
 	"quaybarrow/internal/store"
 )
 
-// Parameters of mirrors.
+// Timing of mirrors.
 const (
-	// changesDelay is how long changes that follow each other share a call; the
-	// platform's bounds are seconds.
+	// changesDelay is the pause after a change, so that changes in quick succession share one call
+	// to the store. The platform's time limits are in seconds.
 	changesDelay = 400 * time.Millisecond
-	// mirrorIdleTimeout is how long a mirror is kept up after it was last asked; who
-	// goes on asking does so every second.
+	// mirrorIdleTimeout is how long a mirror runs after its last request; a host that follows the
+	// table sends one every second.
 	mirrorIdleTimeout = 2500 * time.Millisecond
 	minRetryDelay     = 150 * time.Millisecond
 	maxRetryDelay     = 1200 * time.Millisecond
 )
 
-// mirror is a host's copy of a table, read from the store while somebody asks
-// for it; safe for use at once.
+// mirror is a host's copy of a table, updated from the store while there are requests for it. It is
+// safe for concurrent use.
 type mirror struct {
 	table  string
 	watch  store.Watcher
-	wait   time.Duration // one wait for changes at the store
-	maxAge time.Duration // what it says is passed on for so long
+	wait   time.Duration // longest wait for changes at the store
+	maxAge time.Duration // of the updates that it serves
 	logger *log.Logger
 
-	mu         sync.Mutex // guards all below
-	loaded     bool       // the table was read whole, and its history is not gone
-	confirmed  bool       // the store has answered since the mirror is kept up
-	storeLost  bool       // the store did not answer last time
+	mu         sync.Mutex // guards the fields below
+	loaded     bool       // the whole table was read, and its history is still available
+	confirmed  bool       // the store has answered since the mirror was started
+	storeLost  bool       // the last call to the store failed
 	replica    replica
 	answeredAt clock.Instant // when the store last answered
-	lastWanted clock.Instant
+	lastWanted clock.Instant // when the mirror was last requested
 	running    bool
-	changed    chan struct{} // closed at each change of the above
+	changed    chan struct{} // closed and replaced whenever a field above changes
 }
 
-// newMirror returns a mirror that goes on from what the host knows already.
+// newMirror returns a mirror that starts from the cached state of the table.
 func newMirror(table string, o Options, k *cachedTable) *mirror {
 	m := &mirror{
 		table: table, watch: o.Store, wait: o.Wait, maxAge: o.maxAge(), logger: o.Logger, changed: make(chan struct{}),
@@ -54,8 +54,7 @@
 	return m
 }
 
-// keepRunning keeps the mirror up for a while longer; it reports whether run has to be
-// started.
+// keepRunning extends the mirror's run; it reports whether the caller has to start run.
 func (m *mirror) keepRunning() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,12 +62,12 @@
 	if m.running {
 		return false
 	}
-	// What was known when the mirror was last kept up may be old.
+	// The state from the previous run may be stale.
 	m.running, m.storeLost, m.confirmed = true, false, false
 	return true
 }
 
-// run reads the table and its changes until nobody wants them.
+// run reads the table and its changes until there are no more requests for them.
 func (m *mirror) run(ctx context.Context) {
 	retry := minRetryDelay
 	for m.stillWanted(ctx) {
@@ -83,7 +82,7 @@
 	}
 }
 
-// stillWanted reports whether the mirror is still wanted, and ends it if not.
+// stillWanted reports whether the mirror is still requested, and marks it as stopped if not.
 func (m *mirror) stillWanted(ctx context.Context) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,8 +94,8 @@
 	return false
 }
 
-// step reads the table, or waits for its next changes. Until the store has
-// answered once it is asked for what there is now.
+// step reads the whole table, or waits for its next changes. Until the store has answered once, it
+// asks for the current changes without waiting.
 func (m *mirror) step(ctx context.Context) error {
 	m.mu.Lock()
 	loaded, sure, version := m.loaded, m.confirmed, m.replica.version
@@ -146,12 +145,12 @@
 func (m *mirror) unload() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.logger.Warn("history of the table is gone; reading it whole", "table", m.table, "version", m.replica.version)
+	m.logger.Warn("history of the table is gone; reading the whole table", "table", m.table, "version", m.replica.version)
 	m.loaded = false
 }
 
-// load takes in a whole table. What differs from before becomes changes, so that
-// who asks goes on from the version it has.
+// load replaces the state by a whole table. The differences are recorded as changes, so that other
+// hosts can continue from the versions that they have.
 func (m *mirror) load(state store.State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -159,14 +158,14 @@
 	m.loaded = true
 }
 
-// apply takes in changes.
+// apply applies changes that the store reported.
 func (m *mirror) apply(changes []store.Change, version int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.applyLocked(changes, version)
 }
 
-// applyLocked notes changes and wakes who waits for them.
+// applyLocked applies changes and wakes the readers that wait for them; the caller holds mu.
 func (m *mirror) applyLocked(changes []store.Change, version int64) {
 	m.replica.apply(changes, version)
 	if m.storeLost {
@@ -177,8 +176,8 @@
 	m.notify()
 }
 
-// read waits for what changed after a version; -1 asks for the whole table. It
-// fails as soon as the store was silent for longer than what it said is passed on.
+// read waits for changes after a version; -1 requests the whole table. It fails as soon as the
+// store has been silent for longer than maxAge.
 func (m *mirror) read(ctx context.Context, after int64, wait time.Duration) (tableUpdate, error) {
 	var timer <-chan time.Time
 	if wait > 0 {
@@ -204,9 +203,8 @@
 	}
 }
 
-// current returns what there is after a version, how long it may still be passed on,
-// 0 if the store has not answered yet, and a channel that is closed when there may
-// be more.
+// current returns the changes after a version, how long they may still be served (0 if the store
+// has not answered yet), and a channel that is closed when there may be more.
 func (m *mirror) current(after int64) (n tableUpdate, freshFor time.Duration, changed <-chan struct{}, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/spread/pack.go
+++ b/internal/spread/pack.go
@@ -13,25 +13,26 @@
 	"quaybarrow/internal/store"
 )
 
-// packer packs many rows for other hosts, once for all that ask for the same ones;
-// safe for use at once.
+// packer compresses updates with many or long rows. It compresses each update once for all hosts
+// that request it. It is safe for concurrent use.
 type packer struct {
 	mu     sync.Mutex // guards packed
 	packed map[packKey][]byte
 }
 
-// packKey names rows: those of a table from after a version to another.
+// packKey identifies the changes of a table from after one version up to another.
 type packKey struct {
 	table          string
 	after, version int64
 }
 
-// maxPacked bounds what is kept; hosts of a group ask for the same few versions.
+// maxPacked limits how many compressed updates are kept; the hosts of a group request the same few
+// versions.
 const maxPacked = 8
 
-// What is worth packing: many rows, or long ones. A configuration of 1,800 routes is a
-// single row of 560 KB, which takes a host on 10 Mbit/s half a second, and packed a tenth
-// of that.
+// An update with at least minPackRows rows or minPackBytes bytes of values is compressed. A
+// configuration of 1,800 routes is a single row of 560 KB: a host on 10 Mbit/s takes half a second
+// to receive it, and a tenth of that if it is compressed.
 const (
 	minPackRows  = 16
 	minPackBytes = 2 << 10
@@ -39,7 +40,7 @@
 
 func newPacker() *packer { return &packer{packed: map[packKey][]byte{}} }
 
-// fill puts what came after a version into a reply, packed where that is worth it.
+// fill puts the changes after a version into a reply, compressed where that is worthwhile.
 func (p *packer) fill(reply *spreadpb.ReadReply, table string, after int64, n tableUpdate) error {
 	if !worthPacking(n.changes) {
 		for _, c := range n.changes {
@@ -60,7 +61,7 @@
 	return len(changes) >= minPackRows || size >= minPackBytes
 }
 
-// pack returns rows that came after a version, gzipped.
+// pack returns the changes after a version as a gzipped spreadpb.Rows.
 func (p *packer) pack(table string, after int64, n tableUpdate) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +92,7 @@
 	return b.Bytes(), nil
 }
 
-// unpack returns the rows that pack has packed.
+// unpack decodes the output of pack.
 func unpack(data []byte) ([]*spreadpb.Row, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
@@ -108,5 +109,5 @@
 	return rows.GetRows(), nil
 }
 
-// maxTableBytes is the longest table that is taken from another host.
+// maxTableBytes is the largest uncompressed table that is accepted from another host.
 const maxTableBytes = 64 << 20
--- a/internal/spread/pack_test.go
+++ b/internal/spread/pack_test.go
@@ -12,7 +12,8 @@
 	"quaybarrow/internal/store"
 )
 
-// rows are a number of rows of a length, whose bytes repeat as declarations do.
+// rows returns count rows with values of the given length, whose bytes repeat as those of
+// declarations do.
 func rows(count, length int) []store.Change {
 	value := bytes.Repeat([]byte(`{"kind":"stream","attempts":3},`), length/31+1)[:length]
 	changes := make([]store.Change, count)
@@ -25,13 +26,13 @@
 func TestLongUpdatesArePacked(t *testing.T) {
 	cases := map[string]struct {
 		changes  []store.Change
-		maxBytes int // bytes of the reply
+		maxBytes int // of the reply
 	}{
-		"a single long row":    {rows(1, 560_000), 60_000},
-		"many short rows":      {rows(200, 200), 8_000},
-		"a few of some length": {rows(10, 4_000), 8_000},
-		"a short row":          {rows(1, 100), 200},
-		"nothing":              {nil, 50},
+		"a single long row":           {rows(1, 560_000), 60_000},
+		"many short rows":             {rows(200, 200), 8_000},
+		"a few rows of medium length": {rows(10, 4_000), 8_000},
+		"a short row":                 {rows(1, 100), 200},
+		"no rows":                     {nil, 50},
 	}
 	for name, c := range cases {
 		p, reply := newPacker(), &spreadpb.ReadReply{}
@@ -52,7 +53,7 @@
 			return r.GetKey() == c.Key && bytes.Equal(r.GetValue(), c.Value) && r.GetVersion() == c.Version
 		})
 		if !same {
-			t.Errorf("%s: %d rows came of %d", name, len(got), len(c.changes))
+			t.Errorf("%s: got %d rows that differ from the %d sent", name, len(got), len(c.changes))
 		}
 	}
 }
--- a/internal/spread/peers.go
+++ b/internal/spread/peers.go
@@ -16,32 +16,33 @@
 	"quaybarrow/internal/store"
 )
 
-// HostsTable is where hosts list themselves, by name.
+// HostsTable is the table in which each host has a row, keyed by its name.
 const HostsTable = "hosts"
 
 const (
-	// hostsPerReader is how many hosts share a reader of the store that may use as much of a processor
-	// as the hosts of a large deployment mostly do, and hostsPerCore how many share one that may
-	// use more: a reader answers some two and a half questions a second of each. Each reader of a
-	// table makes a call in a second or two.
+	// hostsPerReader is how many hosts share one reader of the store if the reader may use as much
+	// of a processor as most hosts of a large deployment do. hostsPerReaderCore is how many share
+	// one that may use more, for each core: a reader answers about two and a half requests a second
+	// from each of them. Each reader of a table makes one call to the store in a second or two.
 	hostsPerReader     = 64
 	hostsPerReaderCore = 320
-	// maxHallWithoutReader is from how many hosts on a data hall has readers of its own.
+	// maxHallWithoutReader is the largest data hall, in hosts, that has no readers of its own.
 	maxHallWithoutReader = hostsPerReader / 2
-	// maxAdvisedRegion is up to how many hosts one of them advises all data halls: it sees all that
-	// waits and is kept at an endpoint, where one for each data hall sees a part.
+	// maxAdvisedRegion is the largest number of hosts in a region that share one adviser. A single
+	// adviser sees all waiting requests and all that are kept at an endpoint, where one adviser per
+	// data hall sees only a part.
 	maxAdvisedRegion = 128
-	// minPeerPause and pauseMost bound the time before a host that failed is asked
-	// again; it doubles each time, since a host that is gone for good stays listed.
+	// minPeerPause and maxPeerPause bound the time before a host that failed is asked again. The
+	// time doubles with each failure, since a host that is gone for good stays in the table.
 	minPeerPause = 3 * time.Second
 	maxPeerPause = 60 * time.Second
 )
 
-// entry is a host's row.
+// entry is the value of a host's row.
 type entry struct {
 	Address string  `json:"address"`
 	Hall    string  `json:"hall"`
-	Cores   float64 `json:"cores"` // what it may use of a processor
+	Cores   float64 `json:"cores"` // processor cores that the host may use
 }
 
 // peer is another host, or this one.
@@ -51,30 +52,30 @@
 	hall      string
 	cores     float64
 	rank      uint64
-	otherHall bool // in another data hall, where that matters
+	otherHall bool // in another data hall, if the asking host prefers its own
 }
 
-// peerBackoff is how a peer has lately done.
+// peerBackoff delays requests to a host that failed recently.
 type peerBackoff struct {
-	retryAt clock.Instant // not asked before
+	retryAt clock.Instant // no request is sent before
 	pause   time.Duration
 }
 
-// peers are the listed hosts; safe for use at once.
+// peers is the list of hosts, as seen from this host. It is safe for concurrent use.
 type peers struct {
 	self, hall string
 	regions    map[string]string // by data hall
 
-	mu              sync.Mutex // guards all below
-	ranked          []peer     // in the order in which this host asks; the seeds until the list was read
-	before          []string   // addresses of the hosts that choose endpoints with this one and come before it
+	mu              sync.Mutex // guards the fields below
+	ranked          []peer     // in the order in which this host asks; the seeds until the list has been read
+	before          []string   // addresses of the hosts of the same adviser group that come before this one
 	after           []string   // addresses of those that come after it
-	leads           bool       // this host is listed, and none comes before it
+	leads           bool       // this host is listed, and comes first in its adviser group
 	hostCount       int
-	adviserGroups   int // of hosts that choose endpoints together
-	readerScopeSize int // hosts that this one's reader may read for
+	adviserGroups   int // number of groups of hosts that choose endpoints together
+	readerScopeSize int // number of hosts that may share this host's reader
 	backoffs        map[string]peerBackoff
-	ring            []Member // all other hosts, from the next one on
+	ring            []Member // all other hosts, starting at the next one
 }
 
 func newPeers(o Options) *peers {
@@ -88,7 +89,7 @@
 	return p
 }
 
-// set replaces the list.
+// set replaces the list of hosts.
 func (p *peers) set(entries map[string]entry) {
 	ranked := askOrder(entries, p.self, p.hall)
 	advisers := newAdviserGroups(entries, p.regions)
@@ -103,7 +104,8 @@
 	p.ring = ringOf(ranked, peer{name: p.self, hall: p.hall})
 }
 
-// ringOf lists all hosts but one in a ring that is the same for all, from the next one on.
+// ringOf returns all hosts but self in ring order, starting at the one after self. The order is the
+// same for all hosts.
 func ringOf(hosts []peer, self peer) []Member {
 	ring := slices.Clone(hosts)
 	slices.SortFunc(ring, byRingOrder)
@@ -117,11 +119,10 @@
 	return members
 }
 
-// askOrder lists hosts in the order in which one of them asks. A group of hosts has
-// an order of its own; those that may use more of a processor come first, so that
-// the readers are among them. Where data halls are large, a host's own come
-// first: then a reader for each hall costs few calls more, and bytes between halls are
-// dear.
+// askOrder returns all hosts in the order in which the host self asks them. Each group of hosts has
+// an order of its own. Hosts that may use more of a processor come first, which makes them the
+// readers. In a large data hall, its own hosts come first: a reader for each hall costs only a few
+// calls more, and traffic between halls is expensive.
 func askOrder(entries map[string]entry, self, hall string) []peer {
 	members, ownHall := readerScope(entries, hall)
 	groups := uint64(readerGroupCount(entries, members, hall, ownHall))
@@ -135,8 +136,8 @@
 	return ranked
 }
 
-// readerScope counts the hosts that have readers together, and tells whether they are those of a data
-// hall.
+// readerScope counts the hosts among which the readers for a data hall are chosen, and reports
+// whether these are only the hosts of that hall.
 func readerScope(entries map[string]entry, hall string) (members int, ownHall bool) {
 	inHall := 0
 	for _, e := range entries {
@@ -150,8 +151,8 @@
 	return len(entries), false
 }
 
-// readerGroupCount is how many groups hosts fall into, each with a reader of its own: as many as the hosts
-// with most of a processor can read for.
+// readerGroupCount returns the number of groups, each with its own reader: as few as the hosts with
+// the most processor cores can serve.
 func readerGroupCount(entries map[string]entry, members int, hall string, ownHall bool) int {
 	var cores []float64
 	for _, e := range entries {
@@ -177,7 +178,7 @@
 	return cmp.Or(cmp.Compare(b.cores, a.cores), cmp.Compare(a.rank, b.rank))
 }
 
-// randomPeers returns a few hosts by chance, of those that are not asked first.
+// randomPeers returns up to limit random hosts that are not in except and not backed off.
 func (p *peers) randomPeers(limit int, except []peer) []peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,7 +197,7 @@
 	return found
 }
 
-// has reports whether the list has a host's entry as it is.
+// has reports whether the list has an entry of the host with the same address and cores.
 func (p *peers) has(name string, e entry) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,8 +209,8 @@
 	return false
 }
 
-// candidates returns the hosts to ask, best first, at most limit; none if this
-// host comes first.
+// candidates returns the hosts to ask, best first and at most limit; none if this host itself comes
+// first.
 func (p *peers) candidates(limit int) []peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -233,12 +234,12 @@
 	delete(p.backoffs, q.name)
 }
 
-// recordFailure notes that a host did not answer, or does not reach the store.
+// recordFailure records that a host did not answer, or that it cannot reach the store.
 func (p *peers) recordFailure(q peer, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if isStoreUnreachable(err) {
-		// The host is well, and goes on trying for everyone.
+		// The host itself works, and keeps trying to reach the store for all others.
 		delete(p.backoffs, q.name)
 		return
 	}
@@ -248,21 +249,21 @@
 	p.backoffs[q.name] = s
 }
 
-// readerScopeHosts counts the hosts that this one's reader may read for.
+// readerScopeHosts returns the number of hosts that may share this host's reader.
 func (p *peers) readerScopeHosts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.readerScopeSize
 }
 
-// Hosts counts the listed hosts, at least this one.
+// Hosts returns the number of listed hosts, at least 1 for this host.
 func (w *Watcher) Hosts() int {
 	w.peers.mu.Lock()
 	defer w.peers.mu.Unlock()
 	return max(w.peers.hostCount, 1)
 }
 
-// Leads reports whether this host is listed and comes before all others.
+// Leads reports whether this host is listed and comes first in its adviser group.
 func (w *Watcher) Leads() bool {
 	w.peers.mu.Lock()
 	defer w.peers.mu.Unlock()
@@ -272,34 +273,35 @@
 // Member is another host.
 type Member struct{ Name, Address string }
 
-// Members lists all other hosts in a ring that is the same for all, from the next one on; the
-// seeds until the list was read. Hosts of a data hall stand together, so that few messages between
-// neighbours leave it.
+// Members returns all other hosts in ring order, starting at the next one, or the seeds until the
+// list has been read. The order is the same for all hosts. Hosts of a data hall are adjacent, so
+// that few messages between neighbors leave the hall.
 func (w *Watcher) Members() []Member {
 	w.peers.mu.Lock()
 	defer w.peers.mu.Unlock()
 	return slices.Clone(w.peers.ring)
 }
 
-// byRingOrder compares hosts by their place in the ring.
+// byRingOrder compares hosts by their position in the ring.
 func byRingOrder(a, b peer) int {
 	return cmp.Or(cmp.Compare(a.hall, b.hall), cmp.Compare(xxhash.Sum64String(a.name), xxhash.Sum64String(b.name)), cmp.Compare(a.name, b.name))
 }
 
-// ownEntry is this host's entry.
+// ownEntry returns the entry of this host.
 func (w *Watcher) ownEntry() entry {
 	return entry{Address: w.options.Address, Hall: w.options.Hall, Cores: w.options.Cores}
 }
 
-// PrecedingHosts returns the addresses of the data hall's hosts that come before this one in
-// an order that all its hosts agree on while they know the same list.
+// PrecedingHosts returns the addresses of the hosts of the same adviser group that come before this
+// one. All hosts of the group use the same order while they know the same list.
 func (w *Watcher) PrecedingHosts() []string {
 	w.peers.mu.Lock()
 	defer w.peers.mu.Unlock()
 	return w.peers.before
 }
 
-// FollowingHosts returns the addresses of those that come after it.
+// FollowingHosts returns the addresses of the hosts of the same adviser group that come after this
+// one.
 func (w *Watcher) FollowingHosts() []string {
 	w.peers.mu.Lock()
 	defer w.peers.mu.Unlock()
@@ -310,33 +312,33 @@
 func (w *Watcher) readHostList(ctx context.Context) error {
 	state, err := w.options.Store.State(ctx, HostsTable)
 	if err != nil {
-		return fmt.Errorf("read hosts: %w", err)
+		return fmt.Errorf("read list of hosts: %w", err)
 	}
 	w.setHostList(state)
 	return nil
 }
 
-// requestHostList reads the list of hosts as other hosts pass it on.
+// requestHostList reads the list of hosts from other hosts, or from the store if none has it.
 func (w *Watcher) requestHostList(ctx context.Context) error {
 	n, err := w.readWhole(ctx, HostsTable)
 	if err != nil {
-		return fmt.Errorf("ask for hosts: %w", err)
+		return fmt.Errorf("request list of hosts: %w", err)
 	}
 	w.setHostList(w.cached(HostsTable).replace(n))
 	return nil
 }
 
-// setHostList takes in the list of hosts.
+// setHostList decodes the rows of the table of hosts and replaces the list.
 func (w *Watcher) setHostList(state store.State) {
 	entries := map[string]entry{}
 	for _, row := range state.Rows {
 		e, err := codec.Decode[entry](row.Value)
 		if err != nil {
-			w.options.Logger.Error("entry of a host can't be read", "row", row.Key, "error", err)
+			w.options.Logger.Error("cannot decode the entry of a host", "row", row.Key, "error", err)
 			continue
 		}
 		entries[row.Key] = e
 	}
 	w.peers.set(entries)
-	w.options.Logger.Info("hosts read", "count", len(entries))
+	w.options.Logger.Info("list of hosts read", "count", len(entries))
 }
--- a/internal/spread/peers_test.go
+++ b/internal/spread/peers_test.go
@@ -7,7 +7,7 @@
 	"quaybarrow/internal/fleet"
 )
 
-// hostsAcrossHalls lists hosts of some data halls, by turns.
+// hostsAcrossHalls returns hosts that are assigned to data halls in turn.
 func hostsAcrossHalls(hosts, halls int) map[string]entry {
 	entries := map[string]entry{}
 	for i := range hosts {
@@ -24,13 +24,13 @@
 		want         fleet.Choosers
 		regions      map[string]string
 	}{
-		"no list yet":            {0, 0, 0, fleet.Choosers{Advisers: 1}, nil},
-		"a small deployment":     {6, 3, 1, fleet.Choosers{Hosts: 6, Advisers: 1}, nil},
-		"as many as one advises": {128, 4, 1, fleet.Choosers{Hosts: 128, Advisers: 1}, nil},
-		"a large deployment":     {295, 5, 5, fleet.Choosers{Hosts: 295, Advisers: 5}, nil},
-		"one region":             {90, 3, 1, fleet.Choosers{Hosts: 90, Advisers: 1}, map[string]string{"hall-0": "r", "hall-1": "r", "hall-2": "r"}},
-		"a region each":          {90, 3, 3, fleet.Choosers{Hosts: 90, Advisers: 3}, map[string]string{"hall-0": "r", "hall-1": "s", "hall-2": "t"}},
-		"two regions, one large": {300, 2, 2, fleet.Choosers{Hosts: 300, Advisers: 2}, map[string]string{"hall-0": "r", "hall-1": "s"}},
+		"no list yet":                      {0, 0, 0, fleet.Choosers{Advisers: 1}, nil},
+		"a small deployment":               {6, 3, 1, fleet.Choosers{Hosts: 6, Advisers: 1}, nil},
+		"the largest group of one adviser": {128, 4, 1, fleet.Choosers{Hosts: 128, Advisers: 1}, nil},
+		"a large deployment":               {295, 5, 5, fleet.Choosers{Hosts: 295, Advisers: 5}, nil},
+		"one region":                       {90, 3, 1, fleet.Choosers{Hosts: 90, Advisers: 1}, map[string]string{"hall-0": "r", "hall-1": "r", "hall-2": "r"}},
+		"a region each":                    {90, 3, 3, fleet.Choosers{Hosts: 90, Advisers: 3}, map[string]string{"hall-0": "r", "hall-1": "s", "hall-2": "t"}},
+		"two regions, one large":           {300, 2, 2, fleet.Choosers{Hosts: 300, Advisers: 2}, map[string]string{"hall-0": "r", "hall-1": "s"}},
 	}
 	for name, c := range cases {
 		entries := hostsAcrossHalls(c.hosts, c.halls)
@@ -59,7 +59,7 @@
 	p := newPeers(Options{Host: "new", Hall: "hall-0", Address: "new"})
 	p.set(hostsAcrossHalls(6, 3))
 	if w := (&Watcher{peers: p}); w.Leads() {
-		t.Error("it leads, and the others have a leader of their own")
+		t.Error("an unlisted host leads, beside the leader of the listed hosts")
 	}
 }
 
@@ -73,7 +73,7 @@
 		w := &Watcher{peers: p, options: Options{Host: self, Hall: e.Hall}}
 		members := w.Members()
 		if len(members) != len(entries)-1 {
-			t.Fatalf("%s knows %d others of %d hosts", self, len(members), len(entries))
+			t.Fatalf("%s has %d members in its ring of %d hosts", self, len(members), len(entries))
 		}
 		next[self] = members[0].Name
 		if entries[members[0].Name].Hall != e.Hall {
@@ -86,9 +86,9 @@
 		at = next[at]
 	}
 	if len(seen) != len(entries) {
-		t.Errorf("the ring has %d of %d hosts", len(seen), len(entries))
+		t.Errorf("the ring visits %d of %d hosts", len(seen), len(entries))
 	}
 	if crossings != 3 {
-		t.Errorf("%d hosts have their next one in another data hall, not one for each of 3", crossings)
+		t.Errorf("%d hosts are followed by a host of another data hall, want one for each of 3 halls", crossings)
 	}
 }
--- a/internal/spread/race.go
+++ b/internal/spread/race.go
@@ -7,36 +7,36 @@
 	"github.com/pkg/errors"
 )
 
-// source is a way to learn of a table.
+// source is one way to read a table.
 type source struct {
 	read func(ctx context.Context) (tableUpdate, error)
-	// hedgeDelay is how long nothing is heard before the next source is asked too.
+	// hedgeDelay is how long to wait for an answer before the next source is asked too.
 	hedgeDelay time.Duration
-	// connectedDelay is added to the patience if the source is connected by then: it is
-	// there, and has much to send.
+	// connectedDelay is added to hedgeDelay if the source is connected when hedgeDelay ends: then
+	// it is up, and has much to send.
 	connectedDelay time.Duration
 	connected      func() bool
-	// onNoAnswer is called if a later source answered while this one had not; nil if
-	// nobody minds.
+	// onNoAnswer is called if a later source answered before this one did; it may be nil.
 	onNoAnswer func()
 }
 
-// maxUnanswered sources may say nothing one after the other; then all others are asked at
-// once, since most likely this host's connections have fallen silent.
+// maxUnanswered is how many requests may be unanswered at the same time. Beyond that all remaining
+// sources are asked at once, since most likely this host's own connections have stopped working
+// without an error.
 const maxUnanswered = 3
 
-// errNoSource means that there is nobody to ask.
-var errNoSource = errors.New("nobody to ask")
+// errNoSource means that there is no source to read from.
+var errNoSource = errors.New("no source to read from")
 
-// answer is what a source said.
+// answer is the result of reading one source.
 type answer struct {
 	index  int
 	update tableUpdate
 	err    error
 }
 
-// hedgedRead asks sources in order, the next one as soon as one fails or its patience
-// is over, and returns the first sound answer with its place in the order.
+// hedgedRead asks sources in order. It asks the next one as soon as one fails or its delay ends
+// without an answer, and returns the first valid answer with the index of its source.
 func hedgedRead(ctx context.Context, sources []source) (tableUpdate, int, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -91,7 +91,7 @@
 	}
 }
 
-// reportUnanswered tells of the sources before the winner that have said nothing.
+// reportUnanswered calls onNoAnswer of the sources before the winner that have not answered.
 func reportUnanswered(sources []source, failed []bool, winner int) {
 	for i, s := range sources[:winner] {
 		if !failed[i] && s.onNoAnswer != nil {
--- a/internal/spread/race_test.go
+++ b/internal/spread/race_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestHedgedReadAsksNextAfterNoAnswer has a race pass by sources that say nothing, and
-// tell them so.
+// TestHedgedReadAsksNextAfterNoAnswer checks that a read goes on to the next source when one does
+// not answer, and calls onNoAnswer of each such source.
 func TestHedgedReadAsksNextAfterNoAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		silent := 0
@@ -30,7 +30,7 @@
 			t.Errorf("took %s", took)
 		}
 		if silent != 2 {
-			t.Errorf("%d sources were told that they were silent", silent)
+			t.Errorf("onNoAnswer was called for %d sources, want 2", silent)
 		}
 	})
 }
--- a/internal/spread/replica.go
+++ b/internal/spread/replica.go
@@ -9,26 +9,27 @@
 	"quaybarrow/internal/store"
 )
 
-// Bounds of the changes that a picture remembers, to tell those who ask what came after a version.
-// They grow with the table: a seventh of its rows may go at the same moment, and who asks from
-// before a removal that is not remembered reads the table whole.
+// Bounds on the recent changes that a replica keeps in order to answer requests for the changes
+// after a version. They grow with the table: a seventh of its rows may be removed at the same
+// moment, and a host that asks from before a removal that is no longer kept has to read the whole
+// table.
 const (
 	minHistory      = 512
-	historyFraction = 0.5 // of the rows
+	historyFraction = 0.5 // of the number of rows
 )
 
-// replica is a table as of a version, with its latest removals.
+// replica is a copy of a table at one version, with its most recent removals and writes.
 type replica struct {
 	rows                map[string]store.Row
 	version             int64
-	latestVersion       int64          // of the rows and removals
+	latestVersion       int64          // highest version among the rows and removals
 	keyHash             uint64         // hash over the keys of all rows
 	removed             []store.Change // oldest first
-	writes              []rowWrite     // rows, oldest first; one that was written again may stand there twice
-	writesCompleteAfter int64          // all rows that were written after this version are among these
+	writes              []rowWrite     // oldest first; a row that was written again may occur twice
+	writesCompleteAfter int64          // writes contains every row written after this version
 }
 
-// rowWrite is a row that was rowWrite.
+// rowWrite records that a row was written at a version.
 type rowWrite struct {
 	key     string
 	version int64
@@ -36,7 +37,7 @@
 
 func newReplica() replica { return replica{rows: map[string]store.Row{}} }
 
-// replicaOf makes a picture of a whole table.
+// replicaOf returns a replica of a whole table.
 func replicaOf(state store.State) replica {
 	p := newReplica()
 	for _, row := range state.Rows {
@@ -69,15 +70,16 @@
 	}
 }
 
-// historyLimit is how many changes of a kind are remembered at least, and twice as many at historyLimit.
+// historyLimit returns how many removals and how many writes are kept at least. Each list is cut
+// back to it when it exceeds twice that length.
 func (p *replica) historyLimit() int {
 	return max(minHistory, int(historyFraction*float64(len(p.rows))))
 }
 
-// recordWrite remembers that a row is written.
+// recordWrite records that a row was written.
 func (p *replica) recordWrite(row store.Row) {
 	if row.Version < p.latestVersion {
-		p.writes, p.writesCompleteAfter = nil, p.latestVersion // out of order: nothing is known of before
+		p.writes, p.writesCompleteAfter = nil, p.latestVersion // out of order: earlier writes may be missing
 		return
 	}
 	p.writes = append(p.writes, rowWrite{row.Key, row.Version})
@@ -88,7 +90,7 @@
 	}
 }
 
-// apply takes in changes up to a version.
+// apply applies changes and advances the replica to a version.
 func (p *replica) apply(changes []store.Change, version int64) {
 	for _, c := range changes {
 		if c.Deleted {
@@ -100,9 +102,8 @@
 	p.version = max(p.version, version)
 }
 
-// changesSince lists what changed after a version, in order; all rows for -1. Removals
-// that are no longer remembered are not among it; who misses one sees it by the
-// hash over the keys.
+// changesSince returns the changes after a version in order, or all rows if after is -1. Removals
+// that are no longer kept are missing from it; a host that missed one detects that by the key hash.
 func (p *replica) changesSince(after int64) []store.Change {
 	if after >= p.latestVersion {
 		return nil
@@ -117,8 +118,8 @@
 	return changes
 }
 
-// writtenSince lists the rows that were written after a version, by what is remembered of it if
-// that reaches so far back: a reader is asked for a few changes many times a second.
+// writtenSince returns the rows written after a version. It uses the recorded writes if they reach
+// back that far, since a reader gets requests for a few changes many times a second.
 func (p *replica) writtenSince(after int64) []store.Change {
 	var changes []store.Change
 	if after < p.writesCompleteAfter {
@@ -138,7 +139,7 @@
 	return changes
 }
 
-// state returns the table whole.
+// state returns the whole table.
 func (p *replica) state() store.State {
 	state := store.State{Version: p.version, Rows: make([]store.Row, 0, len(p.rows))}
 	for _, row := range p.rows {
@@ -147,7 +148,7 @@
 	return state
 }
 
-// diff lists what a newer state changes, in order.
+// diff returns the changes that lead from the replica to a newer state, in order.
 func (p *replica) diff(state store.State) []store.Change {
 	var changes []store.Change
 	present := map[string]bool{}
--- a/internal/spread/replica_test.go
+++ b/internal/spread/replica_test.go
@@ -10,9 +10,9 @@
 	"quaybarrow/internal/store"
 )
 
-// TestPicturesAgreeOrShowIt has a host follow another one from any version that it
-// has, while rows are written and removed and both forget old removals. After each
-// answer the host has the same rows, or the hash over the keys shows that it has not.
+// TestPicturesAgreeOrShowIt lets a host follow another one from any version that it has, while rows
+// are written and removed and both drop old removals from their history. After each update the host
+// has the same rows, or the key hash shows that it has not.
 func TestPicturesAgreeOrShowIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, version := newReplica(), int64(0)
@@ -30,20 +30,20 @@
 				same := host.apply(n)
 				equal := maps.EqualFunc(host.replica.rows, source.rows, sameRow)
 				if same && !equal {
-					t.Fatalf("rows differ and nothing shows it")
+					t.Fatalf("rows differ, and the key hash does not show it")
 				}
 				if !same {
 					host.replace(tableUpdate{changes: source.changesSince(-1), version: source.version})
 				}
 				if !maps.EqualFunc(host.replica.rows, source.rows, sameRow) {
-					t.Fatalf("rows differ after the table was read whole")
+					t.Fatalf("rows differ after the whole table was read")
 				}
 			}
 		}
 	})
 }
 
-// drawChange writes or removes one of a few rows.
+// drawChange draws a write or removal of one of a few rows.
 func drawChange(t *rapid.T, version int64) store.Change {
 	key := fmt.Sprint("k", rapid.IntRange(0, 5).Draw(t, "key"))
 	return store.Change{
@@ -56,20 +56,20 @@
 	return a.Version == b.Version && string(a.Value) == string(b.Value)
 }
 
-// TestOlderUpdateIsIgnored has a host refuse to go back.
+// TestOlderUpdateIsIgnored checks that a host does not return to an older version.
 func TestOlderUpdateIsIgnored(t *testing.T) {
 	host := newCachedTable()
 	host.replace(tableUpdate{version: 7, changes: []store.Change{{Row: store.Row{Key: "k", Version: 7}}}})
 	old := store.Change{Row: store.Row{Key: "k", Version: 7}, Deleted: true}
 	if !host.apply(tableUpdate{version: 6, changes: []store.Change{old}, hasKeyHash: true}) {
-		t.Fatal("older news count as a missed removal")
+		t.Fatal("an older update counts as a missed removal")
 	}
 	if got := host.version(); got != 7 || len(host.replica.rows) != 1 {
 		t.Fatalf("version %d, %d rows", got, len(host.replica.rows))
 	}
 }
 
-// TestPackRoundTrip packs tables and changes them.
+// TestPackRoundTrip packs and unpacks a table after each of several changes.
 func TestPackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, table := newPacker(), newReplica()
@@ -89,7 +89,7 @@
 				got.put(rowFromWire(row))
 			}
 			if !maps.EqualFunc(got.rows, table.rows, sameRow) {
-				t.Fatalf("version %d came back otherwise", version)
+				t.Fatalf("version %d: unpacked rows differ from the packed ones", version)
 			}
 		}
 	})
@@ -104,12 +104,12 @@
 	f.Add([]byte("no gzip"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if rows, err := unpack(data); err != nil && rows != nil {
-			t.Fatal("rows beside an error")
+			t.Fatal("unpack returned rows with an error")
 		}
 	})
 }
 
-// TestLargeHallsPreferTheirOwnHosts ranks the hosts of small and of large data halls.
+// TestLargeHallsPreferTheirOwnHosts checks the order of hosts for small and for large data halls.
 func TestLargeHallsPreferTheirOwnHosts(t *testing.T) {
 	listed := func(count int) map[string]entry {
 		entries := map[string]entry{}
@@ -123,15 +123,15 @@
 	}
 	first := askOrder(listed(10), "ikeja-3", "ikeja")[0]
 	if first.name != "lekki-large" {
-		t.Errorf("of few hosts %s comes first", first.name)
+		t.Errorf("small data halls: %s comes first", first.name)
 	}
 	ranked := askOrder(listed(60), "ikeja-3", "ikeja")
 	for i, q := range ranked[:60] {
 		if q.otherHall {
-			t.Fatalf("of many hosts %s comes at place %d", q.name, i)
+			t.Fatalf("large data halls: %s of another hall comes at place %d", q.name, i)
 		}
 	}
 	if ranked[60].name != "lekki-large" {
-		t.Errorf("of the far hosts %s comes first", ranked[60].name)
+		t.Errorf("hosts of other halls: %s comes first", ranked[60].name)
 	}
 }
--- a/internal/spread/server.go
+++ b/internal/spread/server.go
@@ -14,18 +14,18 @@
 	"quaybarrow/internal/store"
 )
 
-// maxWholeRows is the longest table that is passed on whole; packed it is some 400 KB,
-// which takes a host on 10 Mbit/s a third of a second.
+// maxWholeRows is the longest table that is sent whole. Compressed it takes some 400 KB, which a
+// host on 10 Mbit/s receives in a third of a second.
 const maxWholeRows = 20_000
 
-// Server returns a gRPC server that passes on what this host reads.
+// Server returns a gRPC server that serves to other hosts what this host reads.
 func (w *Watcher) Server(c credentials.TransportCredentials) *grpc.Server {
 	s := grpc.NewServer(grpc.Creds(c), grpc.WriteBufferSize(writeBuffer), grpc.ReadBufferSize(readBuffer))
 	spreadpb.RegisterSpreadServer(s, &server{watcher: w, packer: newPacker()})
 	return s
 }
 
-// server answers other hosts from this host's mirrors.
+// server implements the Spread service on top of this host's mirrors.
 type server struct {
 	spreadpb.UnimplementedSpreadServer
 	watcher *Watcher
@@ -48,7 +48,7 @@
 	}
 	reply := &spreadpb.ReadReply{Version: n.version, AgeMicros: n.age.Microseconds(), Keys: n.keyHash}
 	if now, ok := s.watcher.Now(); ok {
-		reply.EarliestMicros, reply.LatestMicros = now.Earliest.Microseconds(), now.Latest.Microseconds()+1 // cut to whole ones
+		reply.EarliestMicros, reply.LatestMicros = now.Earliest.Microseconds(), now.Latest.Microseconds()+1 // rounded down and up to whole microseconds
 	}
 	if err := s.packer.fill(reply, r.GetTable(), r.GetAfter(), n); err != nil {
 		return nil, status.Error(codes.Internal, err.Error())
@@ -56,7 +56,7 @@
 	return reply, nil
 }
 
-// readTable is what this host has to tell.
+// readTable returns the update that answers a request.
 func (s *server) readTable(ctx context.Context, r *spreadpb.ReadRequest) (tableUpdate, error) {
 	w := s.watcher
 	if r.GetLately() {
@@ -67,20 +67,21 @@
 	if err == nil || r.GetAfter() >= 0 {
 		return n, err
 	}
-	// A host that has just started takes what was known before the store was lost.
+	// A host that has just started accepts the state from before the store became unreachable.
 	stale, ok := w.cached(r.GetTable()).updateSince(r.GetAfter())
 	if !ok {
 		return tableUpdate{}, err
 	}
-	w.options.Logger.Info("passing on what was known before the store was lost", "table", r.GetTable(), "version", stale.version, "age_ms", stale.age.Milliseconds())
+	w.options.Logger.Info("store is unreachable; serving the cached table", "table", r.GetTable(), "version", stale.version, "age_ms", stale.age.Milliseconds())
 	return stale, nil
 }
 
-// recentUpdate is what this host was told a moment ago.
+// recentUpdate returns the cached changes after a version, if the cached state is recent enough to
+// be served.
 func (w *Watcher) recentUpdate(table string, after int64) (tableUpdate, error) {
 	n, ok := w.cached(table).updateSince(after)
 	if !ok || n.age > w.options.maxAge() {
-		return tableUpdate{}, errors.WithMessage(store.ErrUnavailable, "nothing was told lately")
+		return tableUpdate{}, errors.WithMessage(store.ErrUnavailable, "no recent update of the table")
 	}
 	return n, nil
 }
--- a/internal/spread/silence.go
+++ b/internal/spread/silence.go
@@ -11,20 +11,21 @@
 	"quaybarrow/internal/clock"
 )
 
-// unansweredTimeout is how long a connection has given no answer, while calls ran out of time,
-// until it is made anew. Connections may fall silent without an error, and the gRPC
-// library notices by its keep-alive after ten seconds at the earliest: an adviser was not
-// heard of again for as long as hosts lived.
+// unansweredTimeout is how long a connection may give no answer, while calls time out, before it is
+// replaced. Connections may stop delivering data without an error, and the keep-alive of the gRPC
+// library detects that after ten seconds at the earliest. Without this check an adviser remained
+// unreachable for the lifetime of the hosts.
 const unansweredTimeout = 500 * time.Millisecond
 
-// trackAnswers notices on a connection whether it has fallen silent.
+// trackAnswers returns an interceptor that records answers and timeouts of the connection to an
+// address.
 func (l *connPool) trackAnswers(address string) grpc.UnaryClientInterceptor {
 	return func(ctx context.Context, method string, request, reply any, c *grpc.ClientConn, invoke grpc.UnaryInvoker, options ...grpc.CallOption) error {
 		err := invoke(ctx, method, request, reply, c, options...)
 		switch status.Code(err) {
 		case codes.DeadlineExceeded:
 			l.recordTimeout(address)
-		case codes.Canceled: // says nothing: another source was faster, or the connection was closed
+		case codes.Canceled: // no evidence: another source was faster, or the connection was closed
 		default:
 			l.recordAnswer(address)
 		}
@@ -32,14 +33,15 @@
 	}
 }
 
-// recordAnswer notes an answer on the connection to an address.
+// recordAnswer records an answer on the connection to an address.
 func (l *connPool) recordAnswer(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.timeoutsSince, address)
 }
 
-// recordTimeout notes a call that ran out of time, and closes a connection that is silent.
+// recordTimeout records a call that timed out, and closes the connection if it has given no answer
+// for unansweredTimeout.
 func (l *connPool) recordTimeout(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/spread/silence_test.go
+++ b/internal/spread/silence_test.go
@@ -11,8 +11,8 @@
 	"quaybarrow/internal/spread/spreadpb"
 )
 
-var _ = Describe("connections that fall silent for good", func() {
-	// answers reports whether a host gets answers of another on the connection that it has.
+var _ = Describe("connections that stop delivering data for good", func() {
+	// answers reports whether one host gets an answer from another on their current connection.
 	answers := func(from, to *host) bool {
 		c, err := from.watcher.Conn(to.address)
 		Expect(err).NotTo(HaveOccurred())
@@ -22,7 +22,7 @@
 		return err == nil
 	}
 
-	It("between hosts are noticed under traffic, and made anew", func() {
+	It("between hosts are detected under traffic and replaced", func() {
 		withCluster(5, func(h *cluster) {
 			reader := h.hosts[h.reader()]
 			other := h.hosts[(h.reader()+1)%5]
@@ -31,11 +31,11 @@
 			Expect(answers(other, reader)).To(BeFalse())
 			time.Sleep(600 * time.Millisecond)
 			Expect(answers(other, reader)).To(BeFalse())
-			Expect(answers(other, reader)).To(BeTrue(), "it was silent for as long as hosts lived")
+			Expect(answers(other, reader)).To(BeTrue(), "the connection was not replaced")
 		})
 	})
 
-	It("keep no change from any host for longer than it may take", func() {
+	It("keep no change from any host for longer than its time limit", func() {
 		withCluster(5, func(h *cluster) {
 			for i := range 3 {
 				for _, n := range h.hosts {
--- a/internal/spread/sources.go
+++ b/internal/spread/sources.go
@@ -11,8 +11,8 @@
 	"quaybarrow/internal/store"
 )
 
-// peerSources are the hosts that come before this one in its order, and if there
-// are none, this host's own mirror. The first is asked to wait for changes.
+// peerSources returns the hosts that come before this one in its order, or this host's own mirror
+// if there are none. Only the first one is asked to wait for changes.
 func (w *Watcher) peerSources(table string, after int64, wait time.Duration) []source {
 	candidates := w.peers.candidates(peersTried)
 	if len(candidates) == 0 {
@@ -29,7 +29,8 @@
 	return sources
 }
 
-// otherSources are a few hosts of any group, asked for what they were told.
+// otherSources returns a few random hosts of any group, which are asked for the updates that they
+// received recently.
 func (w *Watcher) otherSources(table string, after int64) []source {
 	var sources []source
 	for _, p := range w.peers.randomPeers(othersTried, w.peers.candidates(peersTried)) {
@@ -38,7 +39,7 @@
 	return sources
 }
 
-// peerSource asks another host. What it tells is taken only while it is fresh.
+// peerSource returns a source that asks another host. Its updates are rejected if they are too old.
 func (w *Watcher) peerSource(p peer, request *spreadpb.ReadRequest) source {
 	wait := time.Duration(request.GetWaitMicros()) * time.Microsecond
 	read := func(ctx context.Context) (tableUpdate, error) {
@@ -67,25 +68,25 @@
 	return source{hedgeDelay: wait + hopMargin, connected: connected, read: read, onNoAnswer: onNoAnswer}
 }
 
-// peerTimeout is when an answer of another host is given up, beyond its wait, if
-// nobody else has answered either.
+// peerTimeout is the deadline of a request to another host, beyond its wait for changes, if no
+// other source has answered either.
 const peerTimeout = 2 * time.Second
 
-// errNoAnswer means that a host has not answered in time.
+// errNoAnswer means that a host did not answer in time.
 var errNoAnswer = errors.New("no answer in time")
 
-// readDirectly reads the store. After a failure it is not read again for a while,
-// the longer the more hosts there are, since it is most likely away for all.
+// readDirectly reads from the store. After a failure it does not read again for a pause that grows
+// with the number of hosts, since the store is most likely unreachable for all of them.
 func (w *Watcher) readDirectly(ctx context.Context, table string, after int64, wait time.Duration) (tableUpdate, error) {
 	w.mu.Lock()
 	tooEarly := clock.Now().Before(w.nextDirectRead)
 	w.mu.Unlock()
 	if tooEarly {
-		return tableUpdate{}, errors.WithMessage(store.ErrUnavailable, "not read directly so soon after a failure")
+		return tableUpdate{}, errors.WithMessage(store.ErrUnavailable, "direct reads are paused after a failure")
 	}
 	n, err := w.readStore(ctx, table, after, wait)
 	if errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil {
-		// The connection may have fallen silent, and a new one works.
+		// The connection may have stopped working without an error; a new one may work.
 		n, err = w.readStore(ctx, table, after, wait)
 	}
 	if err != nil && !errors.Is(err, store.ErrCompacted) && ctx.Err() == nil {
@@ -97,7 +98,7 @@
 	return n, err
 }
 
-// readStore reads changes of a table from the store, or all of it.
+// readStore reads changes of a table, or the whole table, from the store.
 func (w *Watcher) readStore(ctx context.Context, table string, after int64, wait time.Duration) (tableUpdate, error) {
 	if after >= 0 {
 		changes, version, err := w.options.Store.Changes(ctx, table, after, wait)
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -1,23 +1,22 @@
-// Package spread lets a few hosts read the platform's store and pass on what they
-// read to the others, since every call to the store is priced.
+// Package spread lets a few hosts read the platform's store and distribute what they read to all
+// other hosts, because every call to the store is priced.
 //
 // # Usage
 //
 //	w := spread.NewWatcher(spread.Options{Host: "front-1", Address: "10.0.0.1:7340", ...})
 //	go w.Run(ctx)
-//	state, err := w.State(ctx, "endpoints") // as from the store
+//	state, err := w.State(ctx, "endpoints") // same result as reading the store
 //
-// A Watcher is a store.Watcher: who follows a table does not know where changes
-// come from. Hosts list themselves in a table of the store. A group of hosts ranks
-// all hosts in an order of its own; the first of those that answer is asked, and
-// asking it makes it read the store. A host that hears nothing in time asks the
-// next as well, then hosts of other groups for what they were told, then the store
-// itself; the first sound answer counts. Nobody is elected and nothing is agreed:
-// two readers cost calls, none costs a moment's delay.
+// A Watcher implements store.Watcher, so its callers do not depend on where updates come from.
+// Hosts register themselves in a table of the store. Each group of hosts ranks all hosts in an
+// order of its own; a host asks the first reachable host in that order, and the request makes that
+// host read the store. A host that gets no answer in time also asks the next host in the order,
+// then hosts of any group for the updates that they received recently, then the store itself; the
+// first valid answer is used. There is no election and no agreement protocol: two readers in a
+// group cost extra store calls, and a group without a reader costs a short delay.
 //
-// What is passed on carries the time since the store said so, and is taken only
-// while it is fresh, so that the age of what a host knows is bounded however many
-// hands it came through.
+// Each update carries the time since the store confirmed it, and a host accepts it only up to a
+// maximum age. This bounds the staleness of a host's data, however many hosts relayed the update.
 package spread
 
 import (
@@ -34,73 +33,77 @@
 	"quaybarrow/internal/store"
 )
 
-// Times of a watcher.
+// Timing of a watcher.
 const (
-	// peerWaitFraction of the wait at the store is one wait for changes at another host.
+	// peerWaitFraction is the fraction of Options.Wait that one request to another host waits for
+	// changes.
 	peerWaitFraction = 0.45
-	// slowStoreMargin is what an answer of a slow store takes beyond its wait; what is
-	// passed on may be that much older than one wait.
+	// slowStoreMargin is how long a slow store takes to answer beyond the requested wait. Updates
+	// from other hosts may be older than one wait by this much.
 	slowStoreMargin = 250 * time.Millisecond
-	// hopMargin is how long an answer takes at most that need not be waited for:
-	// a connection, a call to the store and a slow processor. After it the next
-	// source is asked too.
+	// hopMargin is the longest time that an answer takes without waiting for changes: a new
+	// connection, a call to the store and a slow processor. After it the next source is asked too.
 	hopMargin = 200 * time.Millisecond
-	// peersTried hosts are asked in order, and then others for what they were told.
+	// peersTried is how many hosts are asked in order; after them othersTried random hosts are
+	// asked for updates that they received recently.
 	peersTried  = 3
 	othersTried = 2
-	// pollInterval is how often those are asked that do not wait for changes.
+	// pollInterval is how often sources are asked that do not wait for changes.
 	pollInterval = 400 * time.Millisecond
-	// directReadPause is the pause after a direct read of the store that failed, for
-	// each directHosts hosts that there are: most likely it is away for all. It is directMost
-	// at most: a host whose sources are lost has nothing else, at any number of hosts.
+	// directReadPause is the pause after a failed direct read of the store, for each
+	// directReadPauseHosts hosts of the deployment, since the store is most likely unreachable for
+	// all of them. The pause is at most maxDirectReadPause, at any number of hosts: a host that has
+	// lost its other sources has only the store.
 	directReadPause      = 2 * time.Second
 	directReadPauseHosts = 12
 	maxDirectReadPause   = 5 * time.Second
-	// firstListDelay the first start of all hosts each has been listed.
+	// firstListDelay is the time after the first start of all hosts by which every host has been
+	// enlisted.
 	firstListDelay = enlistThroughSeedsTimeout + time.Second
 	listInterval   = 2 * time.Minute
 	listRetryDelay = 2 * time.Second
-	// listWait is how long the first read of a table waits for that list;
-	// at the first start of all hosts there is time.
+	// listWait is how long the first read of a table waits for the list of hosts. At the first
+	// start of all hosts a longer wait is acceptable.
 	listWait           = 300 * time.Millisecond
 	firstStartListWait = 3 * time.Second
 )
 
-// Options set up a Watcher.
+// Options configure a Watcher.
 type Options struct {
 	Host    string
 	Hall    string
-	Regions map[string]string // of all data halls; empty where they are not known
-	Address string            // ip:port for the other hosts
-	Cores   float64           // what this host may use of a processor; those with most read the store
-	// FirstStart tells that all hosts start for the first time.
+	Regions map[string]string // region of each data hall; empty if unknown
+	Address string            // ip:port at which other hosts reach this one
+	Cores   float64           // processor cores that this host may use; hosts with the most read the store
+	// FirstStart reports whether all hosts of the deployment start for the first time.
 	FirstStart bool
-	// Wait is the longest wait for changes at the store; what this host passes on
-	// is at most so old and a quarter of a second.
+	// Wait is the longest wait for changes at the store. Updates that this host serves are at most
+	// a quarter of a second older than that.
 	Wait time.Duration
-	// Seeds are addresses of hosts that may be asked before the list of hosts
-	// could be read; some may be stale.
+	// Seeds are addresses of hosts to ask before the list of hosts has been read; some may be
+	// stale.
 	Seeds  []string
 	Tables store.Tables
 	Store  store.Watcher
 	Logger *log.Logger
 	// Credentials secure the connections to other hosts.
 	Credentials credentials.TransportCredentials
-	// Dial replaces the network in tests.
+	// Dial replaces the network dialer in tests.
 	Dial Dialer
 }
 
-// maxAge is how old what is passed on may be.
+// maxAge returns the maximum age of an update from another host.
 func (o Options) maxAge() time.Duration { return o.Wait + slowStoreMargin }
 
-// peerWait is one wait for changes at another host.
+// peerWait returns how long one request to another host waits for changes.
 func (o Options) peerWait() time.Duration { return time.Duration(peerWaitFraction * float64(o.Wait)) }
 
-// withWholeTableDelays gives other hosts the time that passing on a whole table takes: the reader
-// of a group packs a long one and sends it to all its hosts. A host that is not
-// connected after the time of a short answer is not there: after a loss of power those
-// that started before their reader waited 0.6 s for it and refused requests. At the
-// first start of all hosts there is time, and bytes from the store are dear.
+// withWholeTableDelays gives connected hosts the time that sending a whole table takes: the reader
+// of a group compresses a long table and sends it to all hosts of the group. A host that is not
+// connected within the time of a short answer counts as down: after a power loss, hosts that
+// started before their reader waited 0.6 s for it and refused requests. At the first start of all
+// hosts the longer delay applies to every source, because there is time and bytes read from the
+// store are expensive.
 func (w *Watcher) withWholeTableDelays(sources []source) []source {
 	longest := wholeTableDelayFor(w.peers.readerScopeHosts())
 	for i := range sources {
@@ -116,43 +119,43 @@
 const (
 	wholeTableDelay           = 600 * time.Millisecond
 	firstStartWholeTableDelay = 2 * time.Second
-	// A reader of more than a small group is waited for longer, each of its hosts a moment, up to
-	// wholePatienceMost: a host that reads a table of thousands itself, on a slow link, is
-	// ready no sooner, and hundreds of them take hundreds of MB from the store.
+	// For a reader that serves more than a small group the delay grows by wholeTableDelayPerHost
+	// for each further host, up to maxWholeTableDelay. A host that reads a table of thousands of
+	// rows itself over a slow link is ready no sooner, and hundreds of such hosts transfer hundreds
+	// of MB from the store.
 	wholeTableDelayPerHost = 4 * time.Millisecond
 	maxWholeTableDelay     = 1200 * time.Millisecond
 )
 
-// wholeTableDelayFor is how long a reader that is connected is waited for that sends a whole table to
-// so many hosts.
+// wholeTableDelayFor returns how long to wait for a connected reader that sends a whole table to
+// the given number of hosts.
 func wholeTableDelayFor(hosts int) time.Duration {
 	return min(wholeTableDelay+time.Duration(max(0, hosts-hostsPerReader))*wholeTableDelayPerHost, maxWholeTableDelay)
 }
 
-// Watcher reads tables from another host, or from the store; safe for use at
-// once.
+// Watcher reads tables from other hosts or from the store. It is safe for concurrent use.
 type Watcher struct {
 	options        Options
 	peers          *peers
 	pool           *connPool
-	ctx            context.Context // of the mirrors
+	ctx            context.Context // of the mirrors; ends when the watcher is closed
 	cancel         context.CancelFunc
 	mirrorsRunning sync.WaitGroup
-	hostsKnown     chan struct{} // closed once the other hosts are known
-	// enlistBatcher are of hosts that have this one list them.
+	hostsKnown     chan struct{} // closed once the list of hosts has been read
+	// enlistBatcher collects the hosts that ask this one to enlist them.
 	enlistBatcher *batch.Batcher[namedEntry]
 
-	mu             sync.Mutex // guards all below
+	mu             sync.Mutex // guards the fields below, up to closed
 	mirrors        map[string]*mirror
-	cachedTables   map[string]*cachedTable // by table, what this host was told last
-	nextDirectRead clock.Instant           // the store is not read directly before
-	stopping       bool                    // other hosts are sent elsewhere
-	closed         bool                    // no mirror starts any more
+	cachedTables   map[string]*cachedTable // by table; the last state that this host received
+	nextDirectRead clock.Instant           // earliest time of the next direct read of the store
+	stopping       bool                    // requests of other hosts are refused, so that they ask elsewhere
+	closed         bool                    // no new mirror starts
 
-	storeClock clock.Remote // the store's, as other hosts tell it
+	storeClock clock.Remote // bounds of the store's clock, as reported by other hosts
 }
 
-// NewWatcher returns a watcher that knows no other host yet.
+// NewWatcher returns a watcher that knows only its seeds.
 func NewWatcher(options Options) *Watcher {
 	w := &Watcher{
 		options: options, peers: newPeers(options), pool: newConnPool(options.Credentials, options.Dial),
@@ -163,29 +166,29 @@
 	return w
 }
 
-// Run lists this host and keeps the list of others up to date, until the context
-// ends. A host that starts again finds its own entry as it was and writes nothing;
-// at the first start of all hosts there is no list to find it in.
+// Run enlists this host and keeps the list of hosts up to date until ctx ends. A restarted host
+// finds its own entry unchanged and writes nothing; at the first start of all hosts there is no
+// list that could contain it.
 func (w *Watcher) Run(ctx context.Context) {
 	read := w.readHostList
 	if w.options.FirstStart {
 		began := clock.Now()
-		w.retryUntilDone(ctx, w.enlistThroughSeeds, "host can't list itself")
+		w.retryUntilDone(ctx, w.enlistThroughSeeds, "cannot enlist this host; retrying")
 		clock.Sleep(ctx, clock.Around(firstListDelay)-clock.Since(began))
 		read = w.requestHostList // there is time, and the seeds have just started too
 	}
-	w.retryUntilDone(ctx, read, "list of hosts can't be read")
-	// The list that others pass on may be older than this host's entry.
+	w.retryUntilDone(ctx, read, "cannot read the list of hosts; retrying")
+	// The list that other hosts serve may be older than the entry of this host.
 	if !w.options.FirstStart && !w.peers.has(w.options.Host, w.ownEntry()) {
-		w.retryUntilDone(ctx, w.enlistSelf, "host can't list itself")
+		w.retryUntilDone(ctx, w.enlistSelf, "cannot enlist this host; retrying")
 	}
 	close(w.hostsKnown)
 	for clock.Sleep(ctx, clock.Around(listInterval)) {
-		w.retryUntilDone(ctx, w.readHostList, "list of hosts can't be read")
+		w.retryUntilDone(ctx, w.readHostList, "cannot read the list of hosts; retrying")
 	}
 }
 
-// retryUntilDone does a step until it succeeds or the context ends.
+// retryUntilDone runs step until it succeeds or ctx ends.
 func (w *Watcher) retryUntilDone(ctx context.Context, step func(context.Context) error, problem string) {
 	for ctx.Err() == nil {
 		err := step(ctx)
@@ -197,7 +200,7 @@
 	}
 }
 
-// awaitHostList waits until the other hosts are known, for a short while.
+// awaitHostList waits, up to a short timeout, until the list of hosts has been read.
 func (w *Watcher) awaitHostList(ctx context.Context) {
 	timeout := listWait
 	if w.options.FirstStart {
@@ -212,15 +215,16 @@
 	}
 }
 
-// Stop sends other hosts elsewhere. The host's entry stays: it starts again at the
-// same address, and if it does not, others ask it less and less.
+// Stop makes this host refuse the requests of other hosts, so that they ask elsewhere. The entry of
+// the host stays in the table: it usually restarts at the same address, and if it does not, other
+// hosts ask it at growing intervals.
 func (w *Watcher) Stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopping = true
 }
 
-// Close ends the mirrors and the connections to other hosts.
+// Close stops the mirrors and closes the connections to other hosts.
 func (w *Watcher) Close() {
 	w.mu.Lock()
 	w.closed = true
@@ -230,7 +234,7 @@
 	w.pool.close()
 }
 
-// mirror returns the host's own copy of a table, kept up for a while.
+// mirror returns this host's mirror of a table, and starts it or extends its run.
 func (w *Watcher) mirror(table string) *mirror {
 	w.mu.Lock()
 	m, ok := w.mirrors[table]
@@ -245,8 +249,8 @@
 	return m
 }
 
-// Now implements store.Watcher. What this host read from the store and what others
-// tell both bound its clock.
+// Now implements store.Watcher. It combines the bounds of the store's clock from this host's own
+// reads with those that other hosts report.
 func (w *Watcher) Now() (clock.Bounds, bool) {
 	own, ownKnown := w.options.Store.Now()
 	fromPeers, peersKnown := w.storeClock.Now()
@@ -254,14 +258,15 @@
 	switch {
 	case !ownKnown:
 		return fromPeers, peersKnown
-	case !peersKnown || both.Width() < 0: // the store's own word counts for more
+	case !peersKnown || both.Width() < 0: // on a contradiction the store's own answers win
 		return own, true
 	default:
 		return both, true
 	}
 }
 
-// recordClock notes what another host says of the store's clock, of which it may know nothing.
+// recordClock records the bounds of the store's clock that another host reported; that host may not
+// know them.
 func (w *Watcher) recordClock(shown clock.Bounds, sent clock.Instant) {
 	if shown.Earliest > 0 && shown.Latest >= shown.Earliest {
 		w.storeClock.Heard(shown, sent, clock.Now())
@@ -278,8 +283,8 @@
 	return w.cached(table).replace(n), nil
 }
 
-// readWhole asks other hosts for a readWhole table, then the store. A host that knows
-// nothing yet takes what is old rather than nothing.
+// readWhole reads a whole table from other hosts or from the store. A host that has no state of the
+// table yet accepts a stale one if there is no other.
 func (w *Watcher) readWhole(ctx context.Context, table string) (tableUpdate, error) {
 	old := make(chan tableUpdate, peersTried+othersTried)
 	sources := w.withWholeTableDelays(w.peerSources(table, -1, 0))
@@ -303,11 +308,12 @@
 	}
 }
 
-// directReadHedgeDelay is how long the store is waited for before hosts are asked that
-// are asked last: some pages of a long table.
+// directReadHedgeDelay is how long to wait for the store before the remaining sources are asked:
+// the time for some pages of a long table.
 const directReadHedgeDelay = time.Second
 
-// keepStale puts what was too old to be taken into a channel with room for all.
+// keepStale wraps sources so that updates that are rejected for their age are sent to stale, which
+// must have room for all of them.
 func keepStale(sources []source, old chan<- tableUpdate) []source {
 	kept := make([]source, len(sources))
 	for i, s := range sources {
@@ -323,13 +329,14 @@
 	return kept
 }
 
-// cached returns what this host was told last of a table.
+// cached returns the last state of a table that this host received.
 func (w *Watcher) cached(table string) *cachedTable {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.cachedLocked(table)
 }
 
+// cachedLocked is cached for callers that hold w.mu.
 func (w *Watcher) cachedLocked(table string) *cachedTable {
 	k, ok := w.cachedTables[table]
 	if !ok {
@@ -339,8 +346,7 @@
 	return k
 }
 
-// Changes implements store.Watcher. A wait that another host cuts short returns
-// no changes.
+// Changes implements store.Watcher. It returns no changes if another host ends the wait early.
 func (w *Watcher) Changes(ctx context.Context, table string, after int64, wait time.Duration) ([]store.Change, int64, error) {
 	w.awaitHostList(ctx)
 	wait = min(wait, w.options.peerWait())
@@ -353,15 +359,15 @@
 		return nil, 0, err
 	}
 	if !w.cached(table).apply(n) {
-		w.options.Logger.Warn("a removal was missed; reading the table whole", "table", table, "version", after)
+		w.options.Logger.Warn("a removal was missed; reading the whole table", "table", table, "version", after)
 		clock.Sleep(ctx, clock.Jitter(wholeReadPause))
 		return nil, 0, errors.WithMessagef(store.ErrCompacted, "changes of %s", table)
 	}
 	if index > 0 && len(n.changes) == 0 {
-		clock.Sleep(ctx, min(wait, pollInterval)) // only the first was asked to wait
+		clock.Sleep(ctx, min(wait, pollInterval)) // only the first source was asked to wait for changes
 	}
 	return n.changes, max(after, n.version), nil
 }
 
-// wholeReadPause bounds how often a table is read whole that does not come to agree.
+// wholeReadPause limits how often a whole table is read if its key hash keeps differing.
 const wholeReadPause = 100 * time.Millisecond
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -10,8 +10,8 @@
 	"quaybarrow/platform/standin"
 )
 
-var _ = Describe("hosts that pass on the store", func() {
-	It("list themselves in few writes at the first start of many, and know each other", func() {
+var _ = Describe("hosts that share reads of the store", func() {
+	It("are enlisted in few writes at the first start of many, and know each other", func() {
 		withCluster(200, func(h *cluster) {
 			Expect(h.store.Writes()).To(BeNumerically("<", 20))
 			for _, n := range h.hosts {
@@ -20,7 +20,7 @@
 		})
 	})
 
-	It("list themselves though a seed is not there", func() {
+	It("are enlisted although a seed is down", func() {
 		withCluster(20, func(h *cluster) {
 			for _, n := range h.hosts {
 				Expect(n.watcher.Hosts()).To(Equal(20))
@@ -28,7 +28,7 @@
 		})
 	})
 
-	It("all see a change at once, for few calls", func() {
+	It("all receive a change at once, with few calls to the store", func() {
 		withCluster(12, func(h *cluster) {
 			before := h.store.Feeds()
 			for i := range 20 {
@@ -40,7 +40,7 @@
 		})
 	})
 
-	It("see a change soon when those that read the store die, one after the other", func() {
+	It("receive a change soon when the readers of the store stop, one after the other", func() {
 		withCluster(6, func(h *cluster) {
 			for i := 0; len(h.hosts) > 1; i++ {
 				h.hosts[0].stop()
@@ -51,7 +51,7 @@
 		})
 	})
 
-	It("see a change soon when hosts are silent", func() {
+	It("receive a change soon when hosts do not answer", func() {
 		withCluster(5, func(h *cluster) {
 			for i, n := range h.hosts[:4] {
 				h.net.Cut(n.address, true)
@@ -61,7 +61,7 @@
 		})
 	})
 
-	It("are right again soon after the store was away, and did not storm it", func() {
+	It("are up to date soon after an outage of the store, and do not overload it with calls", func() {
 		withCluster(12, func(h *cluster) {
 			before := h.store.Feeds() + h.store.Reads()
 			h.store.Break(standin.Busy)
@@ -75,7 +75,7 @@
 
 	for rejected := 1; rejected <= 3; rejected++ {
 		for phase := time.Duration(0); phase < 2*time.Second; phase += 400 * time.Millisecond {
-			It(fmt.Sprintf("see changes while the store turns %d of 4 away, %s into a wait", rejected, phase), func() {
+			It(fmt.Sprintf("receive changes while the store rejects %d of 4 hosts, %s into a wait", rejected, phase), func() {
 				withCluster(4, func(h *cluster) {
 					time.Sleep(phase)
 					rejectHosts(h, rejected)
@@ -84,13 +84,13 @@
 		}
 	}
 
-	It("pass on a removal that came before the reader's own record", func() {
+	It("report a removal that is older than the history of the reader", func() {
 		withCluster(6, func(h *cluster) {
 			h.store.Put("t", "gone", []byte("x"))
 			expectOnAll(h.hosts, "0", time.Second)
 			reader := h.reader()
-			// The host that comes next knows the table from before the removal, or
-			// from after it; either way it may tell others nothing of it.
+			// The next reader has the table from before or after the removal. In either case it may
+			// not report the removal to others.
 			h.store.Drop("t", "gone")
 			h.hosts[reader].stop()
 			h.hosts = append(h.hosts[:reader], h.hosts[reader+1:]...)
@@ -101,7 +101,7 @@
 		})
 	})
 
-	It("pass on a long table whole, and then its changes", func() {
+	It("send a long table whole, and then its changes", func() {
 		withCluster(4, func(h *cluster) {
 			for i := range 600 {
 				h.store.Put("t", fmt.Sprint("row-", i), []byte("x"))
@@ -112,7 +112,7 @@
 			h.hosts = append(h.hosts, late)
 			time.Sleep(2 * time.Second)
 			Expect(late.value("row-599")).To(Equal("x"))
-			// The list of hosts in two pages; the table has two hundred.
+			// The list of hosts takes two pages; the table would take two hundred.
 			Expect(h.store.Reads() - reads).To(BeNumerically("<=", 3))
 			reads = h.store.Reads()
 			h.store.Put("t", "row-5", []byte("y"))
@@ -128,7 +128,7 @@
 
 	for silent := 1; silent <= 3; silent++ {
 		for phase := time.Duration(0); phase < time.Second; phase += 200 * time.Millisecond {
-			It(fmt.Sprintf("see a change in time when the first %d fall silent at once, %s into a wait", silent, phase), func() {
+			It(fmt.Sprintf("receive a change in time when the first %d stop answering at once, %s into a wait", silent, phase), func() {
 				withCluster(7, func(h *cluster) {
 					time.Sleep(phase)
 					for range silent {
@@ -145,7 +145,7 @@
 		}
 	}
 
-	It("start for few calls, and serve from each other's knowledge after a restart", func() {
+	It("start with few calls to the store, and after a restart read the table from each other", func() {
 		withCluster(12, func(h *cluster) {
 			writes := h.store.Writes()
 			Expect(writes).To(BeNumerically("<=", 12))
@@ -158,13 +158,13 @@
 			for i, n := range h.hosts {
 				Expect(n.value("k")).To(Equal("0"), "host %d", i)
 			}
-			// The list of hosts in four pages each, and the table for a few.
+			// Each host reads the list of hosts in four pages, and a few read the table.
 			Expect(h.store.Reads() - reads).To(BeNumerically("<=", 6*4+4))
 			Expect(h.store.Writes()).To(Equal(writes))
 		})
 	})
 
-	It("know the table soon after all lost power, while those that are asked first are still dark", func() {
+	It("have the table soon after a power loss of all, while the host that is asked first is still down", func() {
 		withCluster(8, func(h *cluster) {
 			first := h.hosts[h.reader()]
 			for _, n := range h.hosts {
@@ -182,7 +182,7 @@
 		})
 	})
 
-	It("read on after the history was dropped", func() {
+	It("continue after the store has dropped its history", func() {
 		withCluster(4, func(h *cluster) {
 			h.store.Break(standin.LoseFeed)
 			h.store.Put("t", "k", []byte("1"))
@@ -194,7 +194,7 @@
 		})
 	})
 
-	It("let a host that starts while the store is away read from others", func() {
+	It("serve the table to a host that starts while the store is unreachable", func() {
 		withCluster(3, func(h *cluster) {
 			h.store.Put("t", "k", []byte("1"))
 			expectOnAll(h.hosts, "1", time.Second)
@@ -210,7 +210,7 @@
 		})
 	})
 
-	It("send others elsewhere before they stop", func() {
+	It("refuse requests of other hosts before they stop", func() {
 		withCluster(4, func(h *cluster) {
 			for _, n := range h.hosts[:3] {
 				n.watcher.Stop()
@@ -221,7 +221,7 @@
 		})
 	})
 
-	It("write and read little when they start again", func() {
+	It("write nothing and read little when they restart", func() {
 		withCluster(4, func(h *cluster) {
 			writes, reads := h.store.Writes(), h.store.Reads()
 			Expect(writes).To(BeNumerically("<=", 4))
@@ -229,7 +229,7 @@
 			h.hosts[0] = h.start(0, false)
 			time.Sleep(5 * time.Second)
 			Expect(h.store.Writes()).To(Equal(writes))
-			// The list of hosts in two pages; the table comes from another host.
+			// The list of hosts takes two pages; the table comes from another host.
 			Expect(h.store.Reads() - reads).To(BeNumerically("<=", 3))
 		})
 	})
