--- a/internal/spread/advisers.go
+++ b/internal/spread/advisers.go
@@ -9,8 +9,9 @@
 )
 
 // adviserGroups divides hosts into groups that choose endpoints together, each advised by one of
-// its hosts. A group is a region while the region has few hosts, and a data hall otherwise. It
-// never spans regions, since a request to another region takes longer than its answer is worth.
+// its hosts. A group is a region while the region has few hosts, and a data hall otherwise. It does
+// not span regions, since a request to another region takes longer than its answer is worth. Halls
+// without a known region count as one region.
 type adviserGroups struct {
 	regions map[string]string // by data hall; empty if unknown
 	hosts   map[string]int    // number of hosts by region
--- a/internal/spread/cache.go
+++ b/internal/spread/cache.go
@@ -12,7 +12,7 @@
 // tableUpdate is the answer of a source to a read of a table.
 type tableUpdate struct {
 	changes    []store.Change // all rows if the whole table was requested
-	version    int64          // of the table at the source
+	update    int64          // of the table at the source
 	age        time.Duration  // since the store confirmed this version
 	keyHash    uint64         // hash over the keys of the whole table; set only if hasKeyHash
 	hasKeyHash bool
@@ -29,63 +29,63 @@
 
 func newCachedTable() *cachedTable { return &cachedTable{replica: newReplica()} }
 
-func (k *cachedTable) isLoaded() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.loaded
+func (t *cachedTable) isLoaded() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.loaded
 }
 
 // version returns the version of the cached state, 0 if there is none.
-func (k *cachedTable) version() int64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.replica.version
+func (t *cachedTable) version() int64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.replica.version
 }
 
 // replace replaces the cached state by a whole table.
-func (k *cachedTable) replace(n tableUpdate) store.State {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	state := store.State{Version: n.version}
-	for _, c := range n.changes {
+func (t *cachedTable) replace(update tableUpdate) store.State {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	state := store.State{Version: update.update}
+	for _, c := range update.changes {
 		state.Rows = append(state.Rows, c.Row)
 	}
-	k.replica, k.loaded = replicaOf(state), true
-	k.confirmedAt = clock.Now().Add(-n.age)
+	t.replica, t.loaded = replicaOf(state), true
+	t.confirmedAt = clock.Now().Add(-update.age)
 	return state
 }
 
 // apply applies an update and returns false if the key hash shows that a removal was missed.
 // Updates older than the cached version are ignored.
-func (k *cachedTable) apply(n tableUpdate) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.loaded || n.version < k.replica.version {
+func (t *cachedTable) apply(update tableUpdate) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.loaded || update.update < t.replica.version {
 		return true
 	}
-	k.replica.apply(n.changes, n.version)
-	k.confirmedAt = clock.Now().Add(-n.age)
-	return !n.hasKeyHash || n.keyHash == k.replica.keyHash
+	t.replica.apply(update.changes, update.update)
+	t.confirmedAt = clock.Now().Add(-update.age)
+	return !update.hasKeyHash || update.keyHash == t.replica.keyHash
 }
 
 // updateSince returns the changes after a version, or all rows if after is -1; false if there is no
 // cached state.
-func (k *cachedTable) updateSince(after int64) (tableUpdate, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (t *cachedTable) updateSince(after int64) (tableUpdate, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	return tableUpdate{
-		changes: k.replica.changesSince(after), version: k.replica.version, age: clock.Since(k.confirmedAt),
-		keyHash: k.replica.keyHash, hasKeyHash: true,
-	}, k.loaded
+		changes: t.replica.changesSince(after), update: t.replica.version, age: clock.Since(t.confirmedAt),
+		keyHash: t.replica.keyHash, hasKeyHash: true,
+	}, t.loaded
 }
 
 // copy returns a copy of the cached state for a new mirror; false if there is none.
-func (k *cachedTable) copy() (replica, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	p := replicaOf(k.replica.state())
-	p.removed = slices.Clone(k.replica.removed)
-	p.latestVersion = k.replica.latestVersion
+func (t *cachedTable) copy() (replica, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	p := replicaOf(t.replica.state())
+	p.removed = slices.Clone(t.replica.removed)
+	p.latestVersion = t.replica.latestVersion
 	p.writesCompleteAfter = p.latestVersion
-	return p, k.loaded
+	return p, t.loaded
 }
--- a/internal/spread/cluster_test.go
+++ b/internal/spread/cluster_test.go
@@ -83,38 +83,38 @@
 }
 
 // reader returns the index of the host that the others ask first.
-func (h *cluster) reader() int {
+func (c *cluster) reader() int {
 	first, least := 0, uint64(math.MaxUint64)
-	for i, n := range h.hosts {
-		if rank := xxhash.Sum64String("0/" + n.name); rank < least {
+	for i, h := range c.hosts {
+		if rank := xxhash.Sum64String("0/" + h.name); rank < least {
 			first, least = i, rank
 		}
 	}
 	return first
 }
 
-func (h *cluster) start(i int, first bool) *host {
-	n := &host{name: fmt.Sprint("host-", i), address: fmt.Sprintf("10.0.0.%d:7340", i)}
+func (c *cluster) start(i int, first bool) *host {
+	h := &host{name: fmt.Sprint("host-", i), address: fmt.Sprintf("10.0.0.%d:7340", i)}
 	client := platform.NewStore(storeAddress, func(ctx context.Context, network, address string) (net.Conn, error) {
-		c, err := h.net.Dial(ctx, network, address)
+		c, err := c.net.Dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &rejectingConn{Conn: c, rejected: &n.rejected}, nil
+		return &rejectingConn{Conn: c, rejected: &h.rejected}, nil
 	})
-	n.watcher = spread.NewWatcher(spread.Options{
-		Host: n.name, Address: n.address, Cores: 1, FirstStart: first, Wait: testWait, Seeds: []string{"10.0.0.1:7340", "10.0.0.77:7340"}, Tables: client, Store: client,
+	h.watcher = spread.NewWatcher(spread.Options{
+		Host: h.name, Address: h.address, Cores: 1, FirstStart: first, Wait: testWait, Seeds: []string{"10.0.0.1:7340", "10.0.0.77:7340"}, Tables: client, Store: client,
 		Logger: log.New(io.Discard), Credentials: insecure.NewCredentials(),
-		Dial: func(ctx context.Context, address string) (net.Conn, error) { return h.net.Dial(ctx, "tcp", address) },
+		Dial: func(ctx context.Context, address string) (net.Conn, error) { return c.net.Dial(ctx, "tcp", address) },
 	})
-	n.server = n.watcher.Server(insecure.NewCredentials())
-	l := h.net.Listen(n.address)
-	go func() { _ = n.server.Serve(l) }()
+	h.server = h.watcher.Server(insecure.NewCredentials())
+	l := c.net.Listen(h.address)
+	go func() { _ = h.server.Serve(l) }()
 	ctx, cancel := context.WithCancel(context.Background())
-	n.cancel = cancel
-	go n.watcher.Run(ctx)
-	go follow.Run(ctx, follow.Options{Watch: n.watcher, Table: "t", Logger: log.New(io.Discard)}, n)
-	return n
+	h.cancel = cancel
+	go h.watcher.Run(ctx)
+	go follow.Run(ctx, follow.Options{Watch: h.watcher, Table: "t", Logger: log.New(io.Discard)}, h)
+	return h
 }
 
 func (h *host) stop() {
@@ -150,23 +150,23 @@
 }
 
 // withCluster runs body with several hosts under the paused clock.
-func withCluster(count int, body func(h *cluster)) {
+func withCluster(count int, body func(c *cluster)) {
 	suite.Paused(func() {
-		h := &cluster{net: memnet.New(), store: standin.NewStore()}
-		h.server = &http.Server{Handler: h.store}
-		l := h.net.Listen(storeAddress)
-		go func() { _ = h.server.Serve(l) }()
-		h.store.Put("t", "k", []byte("0"))
+		c := &cluster{net: memnet.New(), store: standin.NewStore()}
+		c.server = &http.Server{Handler: c.store}
+		l := c.net.Listen(storeAddress)
+		go func() { _ = c.server.Serve(l) }()
+		c.store.Put("t", "k", []byte("0"))
 		for i := range count {
-			h.hosts = append(h.hosts, h.start(i, true))
+			c.hosts = append(c.hosts, c.start(i, true))
 		}
 		time.Sleep(10 * time.Second)
-		body(h)
-		h.store.Break(standin.Healthy)
-		for _, n := range append(h.hosts, h.cutOff...) {
-			n.stop()
+		body(c)
+		c.store.Break(standin.Healthy)
+		for _, h := range append(c.hosts, c.cutOff...) {
+			h.stop()
 		}
-		_ = h.server.Close()
+		_ = c.server.Close()
 		time.Sleep(5 * time.Minute)
 	})
 }
@@ -174,26 +174,26 @@
 // expectOnAll sleeps for within, then expects the value at all given hosts.
 func expectOnAll(hosts []*host, value string, within time.Duration) {
 	time.Sleep(within)
-	for i, n := range hosts {
-		ExpectWithOffset(1, n.value("k")).To(Equal(value), "host %d", i)
+	for i, h := range hosts {
+		ExpectWithOffset(1, h.value("k")).To(Equal(value), "host %d", i)
 	}
 }
 
 // rejectHosts lets the store reject the first count hosts while the table changes.
-func rejectHosts(h *cluster, count int) {
-	for _, n := range h.hosts[:count] {
-		n.rejected.Store(true)
+func rejectHosts(c *cluster, count int) {
+	for _, h := range c.hosts[:count] {
+		h.rejected.Store(true)
 	}
-	h.store.Forget()
+	c.store.Forget()
 	for i := range 4 {
-		h.store.Put("t", "k", fmt.Append(nil, i))
-		expectOnAll(h.hosts, fmt.Sprint(i), 2500*time.Millisecond)
+		c.store.Put("t", "k", fmt.Append(nil, i))
+		expectOnAll(c.hosts, fmt.Sprint(i), 2500*time.Millisecond)
 	}
-	h.store.Drop("t", "k")
-	expectOnAll(h.hosts, "", 2500*time.Millisecond)
-	for _, n := range h.hosts[:count] {
-		n.rejected.Store(false)
+	c.store.Drop("t", "k")
+	expectOnAll(c.hosts, "", 2500*time.Millisecond)
+	for _, h := range c.hosts[:count] {
+		h.rejected.Store(false)
 	}
-	h.store.Put("t", "k", []byte("after"))
-	expectOnAll(h.hosts, "after", 2500*time.Millisecond)
+	c.store.Put("t", "k", []byte("after"))
+	expectOnAll(c.hosts, "after", 2500*time.Millisecond)
 }
--- a/internal/spread/connpool.go
+++ b/internal/spread/connpool.go
@@ -37,9 +37,10 @@
 // Dialer opens a connection to an address.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// staleError returns the error for an update that is too old.
+// staleError returns the error for an update that is too old, or older than the state that this
+// host has.
 func staleError(p peer, age time.Duration) error {
-	return fmt.Errorf("read from %s: update of %s ago is stale: %w: %w", p.name, age, errStoreUnreachable, store.ErrUnavailable)
+	return fmt.Errorf("ask %s: update is %s old: %w: %w", p.name, age, errStoreUnreachable, store.ErrUnavailable)
 }
 
 // errStoreUnreachable means that the host that was asked cannot reach the store.
@@ -69,28 +70,28 @@
 }
 
 // close closes all connections.
-func (l *connPool) close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.closed = true
-	for address, c := range l.conns {
+func (pool *connPool) close() {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	pool.closed = true
+	for address, c := range pool.conns {
 		_ = c.Close()
-		delete(l.conns, address)
+		delete(pool.conns, address)
 	}
 }
 
 // conn returns the connection to an address, and creates it if there is none.
-func (l *connPool) conn(address string) (*grpc.ClientConn, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+func (pool *connPool) conn(address string) (*grpc.ClientConn, error) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	if pool.closed {
 		return nil, errClosed
 	}
-	if c, ok := l.conns[address]; ok {
+	if c, ok := pool.conns[address]; ok {
 		return c, nil
 	}
 	options := []grpc.DialOption{
-		grpc.WithTransportCredentials(l.credentials), grpc.WithUnaryInterceptor(l.trackAnswers(address)),
+		grpc.WithTransportCredentials(pool.credentials), grpc.WithUnaryInterceptor(pool.trackAnswers(address)),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithWriteBufferSize(writeBuffer), grpc.WithReadBufferSize(readBuffer),
 		grpc.WithConnectParams(grpc.ConnectParams{
@@ -98,23 +99,23 @@
 			MinConnectTimeout: connectTimeout,
 		}),
 	}
-	if l.dial != nil {
-		options = append(options, grpc.WithContextDialer(l.dial))
+	if pool.dial != nil {
+		options = append(options, grpc.WithContextDialer(pool.dial))
 	}
 	c, err := grpc.NewClient("passthrough:///"+address, options...)
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", address, err)
 	}
-	l.conns[address] = c
-	delete(l.timeoutsSince, address) // timeouts of an earlier connection do not count
+	pool.conns[address] = c
+	delete(pool.timeoutsSince, address) // timeouts of an earlier connection do not count
 	return c, nil
 }
 
 // connected reports whether there is a connection to an address.
-func (l *connPool) connected(address string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c, ok := l.conns[address]
+func (pool *connPool) connected(address string) bool {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	c, ok := pool.conns[address]
 	return ok && c.GetState() == connectivity.Ready
 }
 
@@ -122,8 +123,8 @@
 func (w *Watcher) Conn(address string) (grpc.ClientConnInterface, error) { return w.pool.conn(address) }
 
 // read requests changes of a table, or the whole table, from another host.
-func (l *connPool) read(ctx context.Context, p peer, request *spreadpb.ReadRequest, recordClock func(shown clock.Bounds, sent clock.Instant)) (tableUpdate, error) {
-	c, err := l.conn(p.address)
+func (pool *connPool) read(ctx context.Context, p peer, request *spreadpb.ReadRequest, recordClock func(shown clock.Bounds, sent clock.Instant)) (tableUpdate, error) {
+	c, err := pool.conn(p.address)
 	if err != nil {
 		return tableUpdate{}, err
 	}
@@ -133,31 +134,31 @@
 		return tableUpdate{}, storeError(p, err)
 	}
 	recordClock(clock.Bounds{Earliest: clock.Micros(reply.GetEarliestMicros()), Latest: clock.Micros(reply.GetLatestMicros())}, sent)
-	n := tableUpdate{
-		version: reply.GetVersion(), age: clock.Micros(reply.GetAgeMicros()),
+	update := tableUpdate{
+		update: reply.GetVersion(), age: clock.Micros(reply.GetAgeMicros()),
 		keyHash: reply.GetKeys(), hasKeyHash: true,
 	}
 	rows := reply.GetRows()
 	if len(reply.GetPacked()) > 0 {
 		if rows, err = unpack(reply.GetPacked()); err != nil {
-			return tableUpdate{}, fmt.Errorf("read from %s: %w", p.name, err)
+			return tableUpdate{}, fmt.Errorf("ask %s: %w", p.name, err)
 		}
 	}
 	for _, row := range rows {
-		n.changes = append(n.changes, store.Change{Row: rowFromWire(row), Deleted: row.GetDeleted()})
+		update.changes = append(update.changes, store.Change{Row: rowFromWire(row), Deleted: row.GetDeleted()})
 	}
-	return n, nil
+	return update, nil
 }
 
 // storeError converts a gRPC error to an error of this package or of store.
 func storeError(p peer, err error) error {
 	switch status.Code(err) {
 	case codes.OutOfRange:
-		return fmt.Errorf("read from %s: %w", p.name, errTableTooLong)
+		return fmt.Errorf("ask %s: %w", p.name, errTableTooLong)
 	case codes.FailedPrecondition:
-		return fmt.Errorf("read from %s: %w: %w", p.name, errStoreUnreachable, store.ErrUnavailable)
+		return fmt.Errorf("ask %s: %w: %w", p.name, errStoreUnreachable, store.ErrUnavailable)
 	default:
-		return fmt.Errorf("read from %s: %w", p.name, err)
+		return fmt.Errorf("ask %s: %w", p.name, err)
 	}
 }
 
--- a/internal/spread/mirror.go
+++ b/internal/spread/mirror.go
@@ -46,11 +46,11 @@
 }
 
 // newMirror returns a mirror that starts from the cached state of the table.
-func newMirror(table string, o Options, k *cachedTable) *mirror {
+func newMirror(table string, o Options, cached *cachedTable) *mirror {
 	m := &mirror{
 		table: table, watch: o.Store, wait: o.Wait, maxAge: o.maxAge(), logger: o.Logger, changed: make(chan struct{}),
 	}
-	m.replica, m.loaded = k.copy()
+	m.replica, m.loaded = cached.copy()
 	return m
 }
 
@@ -145,7 +145,7 @@
 func (m *mirror) unload() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.logger.Warn("history of the table is gone; reading the whole table", "table", m.table, "version", m.replica.version)
+	m.logger.Warn("history of the table is gone; reading it whole", "table", m.table, "version", m.replica.version)
 	m.loaded = false
 }
 
@@ -184,9 +184,9 @@
 		timer = time.After(wait)
 	}
 	for expired := wait <= 0; ; {
-		n, freshFor, changed, err := m.current(after)
-		if err != nil || (freshFor > 0 && (len(n.changes) > 0 || expired || after < 0)) {
-			return n, err
+		update, freshFor, changed, err := m.current(after)
+		if err != nil || (freshFor > 0 && (len(update.changes) > 0 || expired || after < 0)) {
+			return update, err
 		}
 		var stale <-chan time.Time
 		if freshFor > 0 {
@@ -205,7 +205,7 @@
 
 // current returns the changes after a version, how long they may still be served (0 if the store
 // has not answered yet), and a channel that is closed when there may be more.
-func (m *mirror) current(after int64) (n tableUpdate, freshFor time.Duration, changed <-chan struct{}, err error) {
+func (m *mirror) current(after int64) (update tableUpdate, freshFor time.Duration, changed <-chan struct{}, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	age := clock.Since(m.answeredAt)
@@ -216,6 +216,6 @@
 		return tableUpdate{}, 0, m.changed, nil
 	}
 	return tableUpdate{
-		changes: m.replica.changesSince(after), version: m.replica.version, age: age, keyHash: m.replica.keyHash, hasKeyHash: true,
+		changes: m.replica.changesSince(after), update: m.replica.version, age: age, keyHash: m.replica.keyHash, hasKeyHash: true,
 	}, m.maxAge - age, m.changed, nil
 }
--- a/internal/spread/pack.go
+++ b/internal/spread/pack.go
@@ -41,14 +41,14 @@
 func newPacker() *packer { return &packer{packed: map[packKey][]byte{}} }
 
 // fill puts the changes after a version into a reply, compressed where that is worthwhile.
-func (p *packer) fill(reply *spreadpb.ReadReply, table string, after int64, n tableUpdate) error {
-	if !worthPacking(n.changes) {
-		for _, c := range n.changes {
+func (p *packer) fill(reply *spreadpb.ReadReply, table string, after int64, update tableUpdate) error {
+	if !worthPacking(update.changes) {
+		for _, c := range update.changes {
 			reply.Rows = append(reply.Rows, rowToWire(c.Row, c.Deleted))
 		}
 		return nil
 	}
-	packed, err := p.pack(table, after, n)
+	packed, err := p.pack(table, after, update)
 	reply.Packed = packed
 	return err
 }
@@ -62,10 +62,10 @@
 }
 
 // pack returns the changes after a version as a gzipped spreadpb.Rows.
-func (p *packer) pack(table string, after int64, n tableUpdate) ([]byte, error) {
+func (p *packer) pack(table string, after int64, update tableUpdate) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	key := packKey{table: table, after: after, version: n.version}
+	key := packKey{table: table, after: after, version: update.update}
 	if packed, ok := p.packed[key]; ok {
 		return packed, nil
 	}
@@ -73,7 +73,7 @@
 		clear(p.packed)
 	}
 	rows := &spreadpb.Rows{}
-	for _, c := range n.changes {
+	for _, c := range update.changes {
 		rows.Rows = append(rows.Rows, rowToWire(c.Row, c.Deleted))
 	}
 	plain, err := proto.Marshal(rows)
--- a/internal/spread/pack_test.go
+++ b/internal/spread/pack_test.go
@@ -32,11 +32,11 @@
 		"many short rows":             {rows(200, 200), 8_000},
 		"a few rows of medium length": {rows(10, 4_000), 8_000},
 		"a short row":                 {rows(1, 100), 200},
-		"no rows":                     {nil, 50},
+		"nothing":                     {nil, 50},
 	}
 	for name, c := range cases {
 		p, reply := newPacker(), &spreadpb.ReadReply{}
-		if err := p.fill(reply, "t", 0, tableUpdate{changes: c.changes, version: 9}); err != nil {
+		if err := p.fill(reply, "t", 0, tableUpdate{changes: c.changes, update: 9}); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		if size := proto.Size(reply); size > c.maxBytes {
--- a/internal/spread/peers.go
+++ b/internal/spread/peers.go
@@ -29,8 +29,8 @@
 	// maxHallWithoutReader is the largest data hall, in hosts, that has no readers of its own.
 	maxHallWithoutReader = hostsPerReader / 2
 	// maxAdvisedRegion is the largest number of hosts in a region that share one adviser. A single
-	// adviser sees all waiting requests and all that are kept at an endpoint, where one adviser per
-	// data hall sees only a part.
+	// adviser sees everything that waits and is kept at an endpoint, where one adviser per data
+	// hall sees only a part.
 	maxAdvisedRegion = 128
 	// minPeerPause and maxPeerPause bound the time before a host that failed is asked again. The
 	// time doubles with each failure, since a host that is gone for good stays in the table.
@@ -178,7 +178,8 @@
 	return cmp.Or(cmp.Compare(b.cores, a.cores), cmp.Compare(a.rank, b.rank))
 }
 
-// randomPeers returns up to limit random hosts that are not in except and not backed off.
+// randomPeers returns up to limit random hosts that are not in except and not in a pause after a
+// failure.
 func (p *peers) randomPeers(limit int, except []peer) []peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -320,11 +321,11 @@
 
 // requestHostList reads the list of hosts from other hosts, or from the store if none has it.
 func (w *Watcher) requestHostList(ctx context.Context) error {
-	n, err := w.readWhole(ctx, HostsTable)
+	update, err := w.readWhole(ctx, HostsTable)
 	if err != nil {
 		return fmt.Errorf("request list of hosts: %w", err)
 	}
-	w.setHostList(w.cached(HostsTable).replace(n))
+	w.setHostList(w.cached(HostsTable).replace(update))
 	return nil
 }
 
@@ -334,11 +335,11 @@
 	for _, row := range state.Rows {
 		e, err := codec.Decode[entry](row.Value)
 		if err != nil {
-			w.options.Logger.Error("cannot decode the entry of a host", "row", row.Key, "error", err)
+			w.options.Logger.Error("entry of a host can't be read", "row", row.Key, "error", err)
 			continue
 		}
 		entries[row.Key] = e
 	}
 	w.peers.set(entries)
-	w.options.Logger.Info("list of hosts read", "count", len(entries))
+	w.options.Logger.Info("hosts read", "count", len(entries))
 }
--- a/internal/spread/race.go
+++ b/internal/spread/race.go
@@ -26,7 +26,7 @@
 const maxUnanswered = 3
 
 // errNoSource means that there is no source to read from.
-var errNoSource = errors.New("no source to read from")
+var errNoSource = errors.New("nobody to ask")
 
 // answer is the result of reading one source.
 type answer struct {
@@ -54,8 +54,8 @@
 		started, open, extended = started+1, open+1, false
 		timer.Reset(sources[i].hedgeDelay)
 		go func() {
-			n, err := sources[i].read(ctx)
-			answers <- answer{i, n, err}
+			update, err := sources[i].read(ctx)
+			answers <- answer{i, update, err}
 		}()
 	}
 	for {
--- a/internal/spread/race_test.go
+++ b/internal/spread/race_test.go
@@ -11,26 +11,26 @@
 // not answer, and calls onNoAnswer of each such source.
 func TestHedgedReadAsksNextAfterNoAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		silent := 0
+		unanswered := 0
 		unresponsive := source{
 			hedgeDelay: 200 * time.Millisecond,
 			read: func(ctx context.Context) (tableUpdate, error) {
 				<-ctx.Done()
 				return tableUpdate{}, ctx.Err()
 			},
-			onNoAnswer: func() { silent++ },
+			onNoAnswer: func() { unanswered++ },
 		}
-		sound := source{hedgeDelay: time.Second, read: func(context.Context) (tableUpdate, error) { return tableUpdate{version: 7}, nil }}
+		sound := source{hedgeDelay: time.Second, read: func(context.Context) (tableUpdate, error) { return tableUpdate{update: 7}, nil }}
 		began := time.Now()
-		n, place, err := hedgedRead(context.Background(), []source{unresponsive, unresponsive, sound})
-		if err != nil || n.version != 7 || place != 2 {
-			t.Fatalf("version %d of source %d: %v", n.version, place, err)
+		update, place, err := hedgedRead(context.Background(), []source{unresponsive, unresponsive, sound})
+		if err != nil || update.update != 7 || place != 2 {
+			t.Fatalf("version %d of source %d: %v", update.update, place, err)
 		}
 		if took := time.Since(began); took != 400*time.Millisecond {
 			t.Errorf("took %s", took)
 		}
-		if silent != 2 {
-			t.Errorf("onNoAnswer was called for %d sources, want 2", silent)
+		if unanswered != 2 {
+			t.Errorf("onNoAnswer was called for %d sources, want 2", unanswered)
 		}
 	})
 }
--- a/internal/spread/replica.go
+++ b/internal/spread/replica.go
@@ -39,78 +39,78 @@
 
 // replicaOf returns a replica of a whole table.
 func replicaOf(state store.State) replica {
-	p := newReplica()
+	r := newReplica()
 	for _, row := range state.Rows {
-		p.put(row)
+		r.put(row)
 	}
-	p.version = state.Version
-	p.writes, p.writesCompleteAfter = nil, p.latestVersion
-	return p
+	r.version = state.Version
+	r.writes, r.writesCompleteAfter = nil, r.latestVersion
+	return r
 }
 
-func (p *replica) put(row store.Row) {
-	p.recordWrite(row)
-	p.latestVersion = max(p.latestVersion, row.Version)
-	if _, ok := p.rows[row.Key]; !ok {
-		p.keyHash ^= xxhash.Sum64String(row.Key)
+func (r *replica) put(row store.Row) {
+	r.recordWrite(row)
+	r.latestVersion = max(r.latestVersion, row.Version)
+	if _, ok := r.rows[row.Key]; !ok {
+		r.keyHash ^= xxhash.Sum64String(row.Key)
 	}
-	p.rows[row.Key] = row
+	r.rows[row.Key] = row
 }
 
-func (p *replica) remove(c store.Change) {
-	p.latestVersion = max(p.latestVersion, c.Version)
-	if _, ok := p.rows[c.Key]; !ok {
+func (r *replica) remove(c store.Change) {
+	r.latestVersion = max(r.latestVersion, c.Version)
+	if _, ok := r.rows[c.Key]; !ok {
 		return
 	}
-	p.keyHash ^= xxhash.Sum64String(c.Key)
-	delete(p.rows, c.Key)
-	p.removed = append(p.removed, c)
-	if most := p.historyLimit(); len(p.removed) > 2*most {
-		p.removed = append([]store.Change(nil), p.removed[len(p.removed)-most:]...)
+	r.keyHash ^= xxhash.Sum64String(c.Key)
+	delete(r.rows, c.Key)
+	r.removed = append(r.removed, c)
+	if most := r.historyLimit(); len(r.removed) > 2*most {
+		r.removed = append([]store.Change(nil), r.removed[len(r.removed)-most:]...)
 	}
 }
 
 // historyLimit returns how many removals and how many writes are kept at least. Each list is cut
 // back to it when it exceeds twice that length.
-func (p *replica) historyLimit() int {
-	return max(minHistory, int(historyFraction*float64(len(p.rows))))
+func (r *replica) historyLimit() int {
+	return max(minHistory, int(historyFraction*float64(len(r.rows))))
 }
 
 // recordWrite records that a row was written.
-func (p *replica) recordWrite(row store.Row) {
-	if row.Version < p.latestVersion {
-		p.writes, p.writesCompleteAfter = nil, p.latestVersion // out of order: earlier writes may be missing
+func (r *replica) recordWrite(row store.Row) {
+	if row.Version < r.latestVersion {
+		r.writes, r.writesCompleteAfter = nil, r.latestVersion // out of order: earlier writes may be missing
 		return
 	}
-	p.writes = append(p.writes, rowWrite{row.Key, row.Version})
-	if most := p.historyLimit(); len(p.writes) > 2*most {
-		excess := len(p.writes) - most
-		p.writesCompleteAfter = p.writes[excess-1].version
-		p.writes = append([]rowWrite(nil), p.writes[excess:]...)
+	r.writes = append(r.writes, rowWrite{row.Key, row.Version})
+	if most := r.historyLimit(); len(r.writes) > 2*most {
+		excess := len(r.writes) - most
+		r.writesCompleteAfter = r.writes[excess-1].version
+		r.writes = append([]rowWrite(nil), r.writes[excess:]...)
 	}
 }
 
 // apply applies changes and advances the replica to a version.
-func (p *replica) apply(changes []store.Change, version int64) {
+func (r *replica) apply(changes []store.Change, version int64) {
 	for _, c := range changes {
 		if c.Deleted {
-			p.remove(c)
+			r.remove(c)
 		} else {
-			p.put(c.Row)
+			r.put(c.Row)
 		}
 	}
-	p.version = max(p.version, version)
+	r.version = max(r.version, version)
 }
 
 // changesSince returns the changes after a version in order, or all rows if after is -1. Removals
 // that are no longer kept are missing from it; a host that missed one detects that by the key hash.
-func (p *replica) changesSince(after int64) []store.Change {
-	if after >= p.latestVersion {
+func (r *replica) changesSince(after int64) []store.Change {
+	if after >= r.latestVersion {
 		return nil
 	}
-	changes := p.writtenSince(after)
-	for _, c := range p.removed {
-		if _, present := p.rows[c.Key]; after >= 0 && c.Version > after && !present {
+	changes := r.writtenSince(after)
+	for _, c := range r.removed {
+		if _, present := r.rows[c.Key]; after >= 0 && c.Version > after && !present {
 			changes = append(changes, c)
 		}
 	}
@@ -120,19 +120,19 @@
 
 // writtenSince returns the rows written after a version. It uses the recorded writes if they reach
 // back that far, since a reader gets requests for a few changes many times a second.
-func (p *replica) writtenSince(after int64) []store.Change {
+func (r *replica) writtenSince(after int64) []store.Change {
 	var changes []store.Change
-	if after < p.writesCompleteAfter {
-		for _, row := range p.rows {
+	if after < r.writesCompleteAfter {
+		for _, row := range r.rows {
 			if row.Version > after {
 				changes = append(changes, store.Change{Row: row})
 			}
 		}
 		return changes
 	}
-	from, _ := slices.BinarySearchFunc(p.writes, after+1, func(w rowWrite, version int64) int { return cmp.Compare(w.version, version) })
-	for _, w := range p.writes[from:] {
-		if row, ok := p.rows[w.key]; ok && row.Version == w.version {
+	from, _ := slices.BinarySearchFunc(r.writes, after+1, func(w rowWrite, version int64) int { return cmp.Compare(w.version, version) })
+	for _, w := range r.writes[from:] {
+		if row, ok := r.rows[w.key]; ok && row.Version == w.version {
 			changes = append(changes, store.Change{Row: row})
 		}
 	}
@@ -140,25 +140,25 @@
 }
 
 // state returns the whole table.
-func (p *replica) state() store.State {
-	state := store.State{Version: p.version, Rows: make([]store.Row, 0, len(p.rows))}
-	for _, row := range p.rows {
+func (r *replica) state() store.State {
+	state := store.State{Version: r.version, Rows: make([]store.Row, 0, len(r.rows))}
+	for _, row := range r.rows {
 		state.Rows = append(state.Rows, row)
 	}
 	return state
 }
 
 // diff returns the changes that lead from the replica to a newer state, in order.
-func (p *replica) diff(state store.State) []store.Change {
+func (r *replica) diff(state store.State) []store.Change {
 	var changes []store.Change
 	present := map[string]bool{}
 	for _, row := range state.Rows {
 		present[row.Key] = true
-		if p.rows[row.Key].Version != row.Version {
+		if r.rows[row.Key].Version != row.Version {
 			changes = append(changes, store.Change{Row: row})
 		}
 	}
-	for key := range p.rows {
+	for key := range r.rows {
 		if !present[key] {
 			changes = append(changes, store.Change{Row: store.Row{Key: key, Version: state.Version}, Deleted: true})
 		}
--- a/internal/spread/server.go
+++ b/internal/spread/server.go
@@ -37,20 +37,20 @@
 	if s.watcher.isStopping() {
 		return nil, status.Error(codes.Unavailable, "stopping")
 	}
-	n, err := s.readTable(ctx, r)
+	update, err := s.readTable(ctx, r)
 	switch {
 	case errors.Is(err, store.ErrUnavailable):
 		return nil, status.Error(codes.FailedPrecondition, err.Error())
 	case err != nil:
 		return nil, status.Error(codes.Unavailable, err.Error())
-	case r.GetAfter() < 0 && len(n.changes) > maxWholeRows:
+	case r.GetAfter() < 0 && len(update.changes) > maxWholeRows:
 		return nil, status.Error(codes.OutOfRange, errTableTooLong.Error())
 	}
-	reply := &spreadpb.ReadReply{Version: n.version, AgeMicros: n.age.Microseconds(), Keys: n.keyHash}
+	reply := &spreadpb.ReadReply{Version: update.update, AgeMicros: update.age.Microseconds(), Keys: update.keyHash}
 	if now, ok := s.watcher.Now(); ok {
 		reply.EarliestMicros, reply.LatestMicros = now.Earliest.Microseconds(), now.Latest.Microseconds()+1 // rounded down and up to whole microseconds
 	}
-	if err := s.packer.fill(reply, r.GetTable(), r.GetAfter(), n); err != nil {
+	if err := s.packer.fill(reply, r.GetTable(), r.GetAfter(), update); err != nil {
 		return nil, status.Error(codes.Internal, err.Error())
 	}
 	return reply, nil
@@ -63,27 +63,27 @@
 		return w.recentUpdate(r.GetTable(), r.GetAfter())
 	}
 	wait := min(time.Duration(r.GetWaitMicros())*time.Microsecond, w.options.peerWait())
-	n, err := w.mirror(r.GetTable()).read(ctx, r.GetAfter(), wait)
+	update, err := w.mirror(r.GetTable()).read(ctx, r.GetAfter(), wait)
 	if err == nil || r.GetAfter() >= 0 {
-		return n, err
+		return update, err
 	}
 	// A host that has just started accepts the state from before the store became unreachable.
 	stale, ok := w.cached(r.GetTable()).updateSince(r.GetAfter())
 	if !ok {
 		return tableUpdate{}, err
 	}
-	w.options.Logger.Info("store is unreachable; serving the cached table", "table", r.GetTable(), "version", stale.version, "age_ms", stale.age.Milliseconds())
+	w.options.Logger.Info("store is unreachable; serving the cached table", "table", r.GetTable(), "version", stale.update, "age_ms", stale.age.Milliseconds())
 	return stale, nil
 }
 
 // recentUpdate returns the cached changes after a version, if the cached state is recent enough to
 // be served.
 func (w *Watcher) recentUpdate(table string, after int64) (tableUpdate, error) {
-	n, ok := w.cached(table).updateSince(after)
-	if !ok || n.age > w.options.maxAge() {
+	update, ok := w.cached(table).updateSince(after)
+	if !ok || update.age > w.options.maxAge() {
 		return tableUpdate{}, errors.WithMessage(store.ErrUnavailable, "no recent update of the table")
 	}
-	return n, nil
+	return update, nil
 }
 
 func (w *Watcher) isStopping() bool {
--- a/internal/spread/silence.go
+++ b/internal/spread/silence.go
@@ -19,39 +19,39 @@
 
 // trackAnswers returns an interceptor that records answers and timeouts of the connection to an
 // address.
-func (l *connPool) trackAnswers(address string) grpc.UnaryClientInterceptor {
+func (pool *connPool) trackAnswers(address string) grpc.UnaryClientInterceptor {
 	return func(ctx context.Context, method string, request, reply any, c *grpc.ClientConn, invoke grpc.UnaryInvoker, options ...grpc.CallOption) error {
 		err := invoke(ctx, method, request, reply, c, options...)
 		switch status.Code(err) {
 		case codes.DeadlineExceeded:
-			l.recordTimeout(address)
+			pool.recordTimeout(address)
 		case codes.Canceled: // no evidence: another source was faster, or the connection was closed
 		default:
-			l.recordAnswer(address)
+			pool.recordAnswer(address)
 		}
 		return err
 	}
 }
 
 // recordAnswer records an answer on the connection to an address.
-func (l *connPool) recordAnswer(address string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.timeoutsSince, address)
+func (pool *connPool) recordAnswer(address string) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	delete(pool.timeoutsSince, address)
 }
 
 // recordTimeout records a call that timed out, and closes the connection if it has given no answer
 // for unansweredTimeout.
-func (l *connPool) recordTimeout(address string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	since, known := l.timeoutsSince[address]
+func (pool *connPool) recordTimeout(address string) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	since, found := pool.timeoutsSince[address]
 	switch {
-	case !known:
-		l.timeoutsSince[address] = clock.Now()
-	case clock.Since(since) >= unansweredTimeout && l.conns[address] != nil:
-		_ = l.conns[address].Close()
-		delete(l.timeoutsSince, address)
-		delete(l.conns, address)
+	case !found:
+		pool.timeoutsSince[address] = clock.Now()
+	case clock.Since(since) >= unansweredTimeout && pool.conns[address] != nil:
+		_ = pool.conns[address].Close()
+		delete(pool.timeoutsSince, address)
+		delete(pool.conns, address)
 	}
 }
--- a/internal/spread/silence_test.go
+++ b/internal/spread/silence_test.go
@@ -23,11 +23,11 @@
 	}
 
 	It("between hosts are detected under traffic and replaced", func() {
-		withCluster(5, func(h *cluster) {
-			reader := h.hosts[h.reader()]
-			other := h.hosts[(h.reader()+1)%5]
+		withCluster(5, func(c *cluster) {
+			reader := c.hosts[c.reader()]
+			other := c.hosts[(c.reader()+1)%5]
 			Expect(answers(other, reader)).To(BeTrue())
-			h.net.Silence(reader.address)
+			c.net.Silence(reader.address)
 			Expect(answers(other, reader)).To(BeFalse())
 			time.Sleep(600 * time.Millisecond)
 			Expect(answers(other, reader)).To(BeFalse())
@@ -36,14 +36,14 @@
 	})
 
 	It("keep no change from any host for longer than its time limit", func() {
-		withCluster(5, func(h *cluster) {
+		withCluster(5, func(c *cluster) {
 			for i := range 3 {
-				for _, n := range h.hosts {
-					h.net.Silence(n.address)
+				for _, h := range c.hosts {
+					c.net.Silence(h.address)
 				}
-				h.net.Silence(storeAddress)
-				h.store.Put("t", "k", fmt.Append(nil, "silent", i))
-				expectOnAll(h.hosts, fmt.Sprint("silent", i), 4*time.Second)
+				c.net.Silence(storeAddress)
+				c.store.Put("t", "k", fmt.Append(nil, "silent", i))
+				expectOnAll(c.hosts, fmt.Sprint("silent", i), 4*time.Second)
 			}
 		})
 	})
--- a/internal/spread/sources.go
+++ b/internal/spread/sources.go
@@ -39,16 +39,17 @@
 	return sources
 }
 
-// peerSource returns a source that asks another host. Its updates are rejected if they are too old.
+// peerSource returns a source that asks another host. Its updates are rejected if they are too old,
+// and whole tables also if this host already has a later version.
 func (w *Watcher) peerSource(p peer, request *spreadpb.ReadRequest) source {
 	wait := time.Duration(request.GetWaitMicros()) * time.Microsecond
 	read := func(ctx context.Context) (tableUpdate, error) {
 		limited, cancel := context.WithTimeout(ctx, wait+peerTimeout)
 		defer cancel()
-		n, err := w.pool.read(limited, p, request, w.recordClock)
-		behind := request.GetAfter() < 0 && n.version < w.cached(request.GetTable()).version()
-		if err == nil && (n.age > w.options.maxAge() || behind) {
-			err = staleError(p, n.age)
+		update, err := w.pool.read(limited, p, request, w.recordClock)
+		behind := request.GetAfter() < 0 && update.update < w.cached(request.GetTable()).version()
+		if err == nil && (update.age > w.options.maxAge() || behind) {
+			err = staleError(p, update.age)
 		}
 		switch {
 		case err == nil:
@@ -57,7 +58,7 @@
 			w.peers.recordFailure(p, err)
 			w.options.Logger.Info("host does not pass on the store", "peer", p.name, "address", p.address, "error", err)
 		}
-		return n, err
+		return update, err
 	}
 	onNoAnswer := func() {
 		w.pool.recordTimeout(p.address)
@@ -84,10 +85,10 @@
 	if tooEarly {
 		return tableUpdate{}, errors.WithMessage(store.ErrUnavailable, "direct reads are paused after a failure")
 	}
-	n, err := w.readStore(ctx, table, after, wait)
+	update, err := w.readStore(ctx, table, after, wait)
 	if errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil {
 		// The connection may have stopped working without an error; a new one may work.
-		n, err = w.readStore(ctx, table, after, wait)
+		update, err = w.readStore(ctx, table, after, wait)
 	}
 	if err != nil && !errors.Is(err, store.ErrCompacted) && ctx.Err() == nil {
 		pause := min(directReadPause*time.Duration(max(1, w.Hosts()/directReadPauseHosts)), maxDirectReadPause)
@@ -95,19 +96,19 @@
 		w.nextDirectRead = clock.Now().Add(clock.Around(pause))
 		w.mu.Unlock()
 	}
-	return n, err
+	return update, err
 }
 
 // readStore reads changes of a table, or the whole table, from the store.
 func (w *Watcher) readStore(ctx context.Context, table string, after int64, wait time.Duration) (tableUpdate, error) {
 	if after >= 0 {
 		changes, version, err := w.options.Store.Changes(ctx, table, after, wait)
-		return tableUpdate{changes: changes, version: version}, err
+		return tableUpdate{changes: changes, update: version}, err
 	}
 	state, err := w.options.Store.State(ctx, table)
-	n := tableUpdate{version: state.Version}
+	update := tableUpdate{update: state.Version}
 	for _, row := range state.Rows {
-		n.changes = append(n.changes, store.Change{Row: row})
+		update.changes = append(update.changes, store.Change{Row: row})
 	}
-	return n, err
+	return update, err
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -92,7 +92,7 @@
 	Dial Dialer
 }
 
-// maxAge returns the maximum age of an update from another host.
+// maxAge returns the maximum age of an update that hosts serve to each other or accept.
 func (o Options) maxAge() time.Duration { return o.Wait + slowStoreMargin }
 
 // peerWait returns how long one request to another host waits for changes.
@@ -141,7 +141,7 @@
 	ctx            context.Context // of the mirrors; ends when the watcher is closed
 	cancel         context.CancelFunc
 	mirrorsRunning sync.WaitGroup
-	hostsKnown     chan struct{} // closed once the list of hosts has been read
+	hostsKnown     chan struct{} // closed once the list of hosts has been read and contains this host
 	// enlistBatcher collects the hosts that ask this one to enlist them.
 	enlistBatcher *batch.Batcher[namedEntry]
 
@@ -173,18 +173,18 @@
 	read := w.readHostList
 	if w.options.FirstStart {
 		began := clock.Now()
-		w.retryUntilDone(ctx, w.enlistThroughSeeds, "cannot enlist this host; retrying")
+		w.retryUntilDone(ctx, w.enlistThroughSeeds, "this host can't be enlisted; trying again")
 		clock.Sleep(ctx, clock.Around(firstListDelay)-clock.Since(began))
 		read = w.requestHostList // there is time, and the seeds have just started too
 	}
-	w.retryUntilDone(ctx, read, "cannot read the list of hosts; retrying")
+	w.retryUntilDone(ctx, read, "list of hosts can't be read")
 	// The list that other hosts serve may be older than the entry of this host.
 	if !w.options.FirstStart && !w.peers.has(w.options.Host, w.ownEntry()) {
-		w.retryUntilDone(ctx, w.enlistSelf, "cannot enlist this host; retrying")
+		w.retryUntilDone(ctx, w.enlistSelf, "this host can't be enlisted; trying again")
 	}
 	close(w.hostsKnown)
 	for clock.Sleep(ctx, clock.Around(listInterval)) {
-		w.retryUntilDone(ctx, w.readHostList, "cannot read the list of hosts; retrying")
+		w.retryUntilDone(ctx, w.readHostList, "list of hosts can't be read")
 	}
 }
 
@@ -276,33 +276,33 @@
 // State implements store.Watcher.
 func (w *Watcher) State(ctx context.Context, table string) (store.State, error) {
 	w.awaitHostList(ctx)
-	n, err := w.readWhole(ctx, table)
+	update, err := w.readWhole(ctx, table)
 	if err != nil {
 		return store.State{}, err
 	}
-	return w.cached(table).replace(n), nil
+	return w.cached(table).replace(update), nil
 }
 
 // readWhole reads a whole table from other hosts or from the store. A host that has no state of the
 // table yet accepts a stale one if there is no other.
 func (w *Watcher) readWhole(ctx context.Context, table string) (tableUpdate, error) {
-	old := make(chan tableUpdate, peersTried+othersTried)
+	stale := make(chan tableUpdate, peersTried+othersTried)
 	sources := w.withWholeTableDelays(w.peerSources(table, -1, 0))
 	sources = append(sources, source{hedgeDelay: directReadHedgeDelay, read: func(ctx context.Context) (tableUpdate, error) {
 		return w.readDirectly(ctx, table, -1, 0)
 	}})
 	sources = append(sources, w.otherSources(table, -1)...)
 	if !w.cached(table).isLoaded() {
-		sources = keepStale(sources, old)
+		sources = keepStale(sources, stale)
 	}
-	n, _, err := hedgedRead(ctx, sources)
+	update, _, err := hedgedRead(ctx, sources)
 	if err == nil {
-		return n, nil
+		return update, nil
 	}
 	select {
-	case n := <-old:
-		w.options.Logger.Warn("only old state of a table is to be had", "table", table, "version", n.version, "age_ms", n.age.Milliseconds())
-		return n, nil
+	case update := <-stale:
+		w.options.Logger.Warn("only old state of a table is to be had", "table", table, "version", update.update, "age_ms", update.age.Milliseconds())
+		return update, nil
 	default:
 		return tableUpdate{}, err
 	}
@@ -319,11 +319,11 @@
 	for i, s := range sources {
 		kept[i] = s
 		kept[i].read = func(ctx context.Context) (tableUpdate, error) {
-			n, err := s.read(ctx)
-			if err != nil && n.version > 0 {
-				old <- n
+			update, err := s.read(ctx)
+			if err != nil && update.update > 0 {
+				old <- update
 			}
-			return n, err
+			return update, err
 		}
 	}
 	return kept
@@ -354,19 +354,19 @@
 	sources = append(sources, source{hedgeDelay: directReadHedgeDelay, read: func(ctx context.Context) (tableUpdate, error) {
 		return w.readDirectly(ctx, table, after, 0)
 	}})
-	n, index, err := hedgedRead(ctx, sources)
+	update, index, err := hedgedRead(ctx, sources)
 	if err != nil {
 		return nil, 0, err
 	}
-	if !w.cached(table).apply(n) {
+	if !w.cached(table).apply(update) {
 		w.options.Logger.Warn("a removal was missed; reading the whole table", "table", table, "version", after)
 		clock.Sleep(ctx, clock.Jitter(wholeReadPause))
 		return nil, 0, errors.WithMessagef(store.ErrCompacted, "changes of %s", table)
 	}
-	if index > 0 && len(n.changes) == 0 {
+	if index > 0 && len(update.changes) == 0 {
 		clock.Sleep(ctx, min(wait, pollInterval)) // only the first source was asked to wait for changes
 	}
-	return n.changes, max(after, n.version), nil
+	return update.changes, max(after, update.update), nil
 }
 
 // wholeReadPause limits how often a whole table is read if its key hash keeps differing.
