--- a/internal/spread/cache.go
+++ b/internal/spread/cache.go
@@ -12,7 +12,7 @@
 // tableUpdate is the answer of a source to a read of a table.
 type tableUpdate struct {
 	changes    []store.Change // all rows if the whole table was requested
-	update    int64          // of the table at the source
+	version    int64          // of the table at the source
 	age        time.Duration  // since the store confirmed this version
 	keyHash    uint64         // hash over the keys of the whole table; set only if hasKeyHash
 	hasKeyHash bool
@@ -46,7 +46,7 @@
 func (t *cachedTable) replace(update tableUpdate) store.State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	state := store.State{Version: update.update}
+	state := store.State{Version: update.version}
 	for _, c := range update.changes {
 		state.Rows = append(state.Rows, c.Row)
 	}
@@ -60,10 +60,10 @@
 func (t *cachedTable) apply(update tableUpdate) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.loaded || update.update < t.replica.version {
+	if !t.loaded || update.version < t.replica.version {
 		return true
 	}
-	t.replica.apply(update.changes, update.update)
+	t.replica.apply(update.changes, update.version)
 	t.confirmedAt = clock.Now().Add(-update.age)
 	return !update.hasKeyHash || update.keyHash == t.replica.keyHash
 }
@@ -74,7 +74,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return tableUpdate{
-		changes: t.replica.changesSince(after), update: t.replica.version, age: clock.Since(t.confirmedAt),
+		changes: t.replica.changesSince(after), version: t.replica.version, age: clock.Since(t.confirmedAt),
 		keyHash: t.replica.keyHash, hasKeyHash: true,
 	}, t.loaded
 }
--- a/internal/spread/changes_test.go
+++ b/internal/spread/changes_test.go
@@ -18,7 +18,7 @@
 			source.apply([]store.Change{{Row: store.Row{Key: fmt.Sprint("e", i), Version: int64(i + 1)}}}, int64(i+1))
 		}
 		host := newCachedTable()
-		host.replace(tableUpdate{changes: source.changesSince(-1), update: source.version})
+		host.replace(tableUpdate{changes: source.changesSince(-1), version: source.version})
 		version := source.version
 		for i := range count / 7 {
 			version++
@@ -28,7 +28,7 @@
 		if len(changes) != count/7 {
 			t.Errorf("%d rows: %d removals reported, want %d", count, len(changes), count/7)
 		}
-		if !host.apply(tableUpdate{changes: changes, update: version, keyHash: source.keyHash, hasKeyHash: true}) {
+		if !host.apply(tableUpdate{changes: changes, version: version, keyHash: source.keyHash, hasKeyHash: true}) {
 			t.Errorf("%d rows: a removal was missed", count)
 		}
 	}
--- a/internal/spread/cluster_test.go
+++ b/internal/spread/cluster_test.go
@@ -96,11 +96,11 @@
 func (c *cluster) start(i int, first bool) *host {
 	h := &host{name: fmt.Sprint("host-", i), address: fmt.Sprintf("10.0.0.%d:7340", i)}
 	client := platform.NewStore(storeAddress, func(ctx context.Context, network, address string) (net.Conn, error) {
-		c, err := c.net.Dial(ctx, network, address)
+		conn, err := c.net.Dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &rejectingConn{Conn: c, rejected: &h.rejected}, nil
+		return &rejectingConn{Conn: conn, rejected: &h.rejected}, nil
 	})
 	h.watcher = spread.NewWatcher(spread.Options{
 		Host: h.name, Address: h.address, Cores: 1, FirstStart: first, Wait: testWait, Seeds: []string{"10.0.0.1:7340", "10.0.0.77:7340"}, Tables: client, Store: client,
--- a/internal/spread/connpool.go
+++ b/internal/spread/connpool.go
@@ -135,7 +135,7 @@
 	}
 	recordClock(clock.Bounds{Earliest: clock.Micros(reply.GetEarliestMicros()), Latest: clock.Micros(reply.GetLatestMicros())}, sent)
 	update := tableUpdate{
-		update: reply.GetVersion(), age: clock.Micros(reply.GetAgeMicros()),
+		version: reply.GetVersion(), age: clock.Micros(reply.GetAgeMicros()),
 		keyHash: reply.GetKeys(), hasKeyHash: true,
 	}
 	rows := reply.GetRows()
--- a/internal/spread/mirror.go
+++ b/internal/spread/mirror.go
@@ -216,6 +216,6 @@
 		return tableUpdate{}, 0, m.changed, nil
 	}
 	return tableUpdate{
-		changes: m.replica.changesSince(after), update: m.replica.version, age: age, keyHash: m.replica.keyHash, hasKeyHash: true,
+		changes: m.replica.changesSince(after), version: m.replica.version, age: age, keyHash: m.replica.keyHash, hasKeyHash: true,
 	}, m.maxAge - age, m.changed, nil
 }
--- a/internal/spread/pack.go
+++ b/internal/spread/pack.go
@@ -65,7 +65,7 @@
 func (p *packer) pack(table string, after int64, update tableUpdate) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	key := packKey{table: table, after: after, version: update.update}
+	key := packKey{table: table, after: after, version: update.version}
 	if packed, ok := p.packed[key]; ok {
 		return packed, nil
 	}
--- a/internal/spread/pack_test.go
+++ b/internal/spread/pack_test.go
@@ -36,7 +36,7 @@
 	}
 	for name, c := range cases {
 		p, reply := newPacker(), &spreadpb.ReadReply{}
-		if err := p.fill(reply, "t", 0, tableUpdate{changes: c.changes, update: 9}); err != nil {
+		if err := p.fill(reply, "t", 0, tableUpdate{changes: c.changes, version: 9}); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		if size := proto.Size(reply); size > c.maxBytes {
--- a/internal/spread/race_test.go
+++ b/internal/spread/race_test.go
@@ -20,11 +20,11 @@
 			},
 			onNoAnswer: func() { unanswered++ },
 		}
-		sound := source{hedgeDelay: time.Second, read: func(context.Context) (tableUpdate, error) { return tableUpdate{update: 7}, nil }}
+		sound := source{hedgeDelay: time.Second, read: func(context.Context) (tableUpdate, error) { return tableUpdate{version: 7}, nil }}
 		began := time.Now()
-		update, place, err := hedgedRead(context.Background(), []source{unresponsive, unresponsive, sound})
-		if err != nil || update.update != 7 || place != 2 {
-			t.Fatalf("version %d of source %d: %v", update.update, place, err)
+		update, index, err := hedgedRead(context.Background(), []source{unresponsive, unresponsive, sound})
+		if err != nil || update.version != 7 || index != 2 {
+			t.Fatalf("version %d of source %d: %v", update.version, index, err)
 		}
 		if took := time.Since(began); took != 400*time.Millisecond {
 			t.Errorf("took %s", took)
--- a/internal/spread/replica_test.go
+++ b/internal/spread/replica_test.go
@@ -12,7 +12,8 @@
 
 // TestPicturesAgreeOrShowIt lets a host follow another one from any version that it has, while rows
 // are written and removed and both drop old removals from their history. After each update the host
-// has the same rows, or the key hash shows that it has not.
+// has the same rows, or the key hash shows that it has not. The test is named after its stored
+// failure in testdata/rapid.
 func TestPicturesAgreeOrShowIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, version := newReplica(), int64(0)
@@ -26,14 +27,14 @@
 				source.removed = source.removed[rapid.IntRange(0, len(source.removed)).Draw(t, "forgotten"):]
 			default:
 				after := host.version()
-				update := tableUpdate{changes: source.changesSince(after), update: source.version, keyHash: source.keyHash, hasKeyHash: true}
+				update := tableUpdate{changes: source.changesSince(after), version: source.version, keyHash: source.keyHash, hasKeyHash: true}
 				same := host.apply(update)
 				equal := maps.EqualFunc(host.replica.rows, source.rows, sameRow)
 				if same && !equal {
 					t.Fatalf("rows differ, and the key hash does not show it")
 				}
 				if !same {
-					host.replace(tableUpdate{changes: source.changesSince(-1), update: source.version})
+					host.replace(tableUpdate{changes: source.changesSince(-1), version: source.version})
 				}
 				if !maps.EqualFunc(host.replica.rows, source.rows, sameRow) {
 					t.Fatalf("rows differ after the whole table was read")
@@ -59,9 +60,9 @@
 // TestOlderUpdateIsIgnored checks that a host does not return to an older version.
 func TestOlderUpdateIsIgnored(t *testing.T) {
 	host := newCachedTable()
-	host.replace(tableUpdate{update: 7, changes: []store.Change{{Row: store.Row{Key: "k", Version: 7}}}})
+	host.replace(tableUpdate{version: 7, changes: []store.Change{{Row: store.Row{Key: "k", Version: 7}}}})
 	old := store.Change{Row: store.Row{Key: "k", Version: 7}, Deleted: true}
-	if !host.apply(tableUpdate{update: 6, changes: []store.Change{old}, hasKeyHash: true}) {
+	if !host.apply(tableUpdate{version: 6, changes: []store.Change{old}, hasKeyHash: true}) {
 		t.Fatal("an older update counts as a missed removal")
 	}
 	if got := host.version(); got != 7 || len(host.replica.rows) != 1 {
@@ -76,7 +77,7 @@
 		versions := int64(rapid.IntRange(1, 20).Draw(t, "versions"))
 		for version := int64(1); version <= versions; version++ {
 			table.apply([]store.Change{drawChange(t, version)}, version)
-			data, err := p.pack("t", -1, tableUpdate{changes: table.changesSince(-1), update: version})
+			data, err := p.pack("t", -1, tableUpdate{changes: table.changesSince(-1), version: version})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/spread/server.go
+++ b/internal/spread/server.go
@@ -46,7 +46,7 @@
 	case r.GetAfter() < 0 && len(update.changes) > maxWholeRows:
 		return nil, status.Error(codes.OutOfRange, errTableTooLong.Error())
 	}
-	reply := &spreadpb.ReadReply{Version: update.update, AgeMicros: update.age.Microseconds(), Keys: update.keyHash}
+	reply := &spreadpb.ReadReply{Version: update.version, AgeMicros: update.age.Microseconds(), Keys: update.keyHash}
 	if now, ok := s.watcher.Now(); ok {
 		reply.EarliestMicros, reply.LatestMicros = now.Earliest.Microseconds(), now.Latest.Microseconds()+1 // rounded down and up to whole microseconds
 	}
@@ -72,7 +72,7 @@
 	if !ok {
 		return tableUpdate{}, err
 	}
-	w.options.Logger.Info("store is unreachable; serving the cached table", "table", r.GetTable(), "version", stale.update, "age_ms", stale.age.Milliseconds())
+	w.options.Logger.Info("store is unreachable; serving the cached table", "table", r.GetTable(), "version", stale.version, "age_ms", stale.age.Milliseconds())
 	return stale, nil
 }
 
--- a/internal/spread/sources.go
+++ b/internal/spread/sources.go
@@ -47,7 +47,7 @@
 		limited, cancel := context.WithTimeout(ctx, wait+peerTimeout)
 		defer cancel()
 		update, err := w.pool.read(limited, p, request, w.recordClock)
-		behind := request.GetAfter() < 0 && update.update < w.cached(request.GetTable()).version()
+		behind := request.GetAfter() < 0 && update.version < w.cached(request.GetTable()).version()
 		if err == nil && (update.age > w.options.maxAge() || behind) {
 			err = staleError(p, update.age)
 		}
@@ -103,10 +103,10 @@
 func (w *Watcher) readStore(ctx context.Context, table string, after int64, wait time.Duration) (tableUpdate, error) {
 	if after >= 0 {
 		changes, version, err := w.options.Store.Changes(ctx, table, after, wait)
-		return tableUpdate{changes: changes, update: version}, err
+		return tableUpdate{changes: changes, version: version}, err
 	}
 	state, err := w.options.Store.State(ctx, table)
-	update := tableUpdate{update: state.Version}
+	update := tableUpdate{version: state.Version}
 	for _, row := range state.Rows {
 		update.changes = append(update.changes, store.Change{Row: row})
 	}
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -117,6 +117,9 @@
 }
 
 const (
+	// wholeTableDelay is how long to wait for a connected reader that sends a whole table to a
+	// small group, and firstStartWholeTableDelay how long to wait for any source at the first start
+	// of all hosts.
 	wholeTableDelay           = 600 * time.Millisecond
 	firstStartWholeTableDelay = 2 * time.Second
 	// For a reader that serves more than a small group the delay grows by wholeTableDelayPerHost
@@ -173,14 +176,14 @@
 	read := w.readHostList
 	if w.options.FirstStart {
 		began := clock.Now()
-		w.retryUntilDone(ctx, w.enlistThroughSeeds, "this host can't be enlisted; trying again")
+		w.retryUntilDone(ctx, w.enlistThroughSeeds, "cannot enlist this host; retrying")
 		clock.Sleep(ctx, clock.Around(firstListDelay)-clock.Since(began))
 		read = w.requestHostList // there is time, and the seeds have just started too
 	}
 	w.retryUntilDone(ctx, read, "list of hosts can't be read")
 	// The list that other hosts serve may be older than the entry of this host.
 	if !w.options.FirstStart && !w.peers.has(w.options.Host, w.ownEntry()) {
-		w.retryUntilDone(ctx, w.enlistSelf, "this host can't be enlisted; trying again")
+		w.retryUntilDone(ctx, w.enlistSelf, "cannot enlist this host; retrying")
 	}
 	close(w.hostsKnown)
 	for clock.Sleep(ctx, clock.Around(listInterval)) {
@@ -301,7 +304,7 @@
 	}
 	select {
 	case update := <-stale:
-		w.options.Logger.Warn("only old state of a table is to be had", "table", table, "version", update.update, "age_ms", update.age.Milliseconds())
+		w.options.Logger.Warn("only old state of a table is to be had", "table", table, "version", update.version, "age_ms", update.age.Milliseconds())
 		return update, nil
 	default:
 		return tableUpdate{}, err
@@ -314,14 +317,14 @@
 
 // keepStale wraps sources so that updates that are rejected for their age are sent to stale, which
 // must have room for all of them.
-func keepStale(sources []source, old chan<- tableUpdate) []source {
+func keepStale(sources []source, stale chan<- tableUpdate) []source {
 	kept := make([]source, len(sources))
 	for i, s := range sources {
 		kept[i] = s
 		kept[i].read = func(ctx context.Context) (tableUpdate, error) {
 			update, err := s.read(ctx)
-			if err != nil && update.update > 0 {
-				old <- update
+			if err != nil && update.version > 0 {
+				stale <- update
 			}
 			return update, err
 		}
@@ -338,12 +341,12 @@
 
 // cachedLocked is cached for callers that hold w.mu.
 func (w *Watcher) cachedLocked(table string) *cachedTable {
-	k, ok := w.cachedTables[table]
+	cached, ok := w.cachedTables[table]
 	if !ok {
-		k = newCachedTable()
-		w.cachedTables[table] = k
+		cached = newCachedTable()
+		w.cachedTables[table] = cached
 	}
-	return k
+	return cached
 }
 
 // Changes implements store.Watcher. It returns no changes if another host ends the wait early.
@@ -366,7 +369,7 @@
 	if index > 0 && len(update.changes) == 0 {
 		clock.Sleep(ctx, min(wait, pollInterval)) // only the first source was asked to wait for changes
 	}
-	return update.changes, max(after, update.update), nil
+	return update.changes, max(after, update.version), nil
 }
 
 // wholeReadPause limits how often a whole table is read if its key hash keeps differing.
