--- a/internal/spread/changes_test.go
+++ b/internal/spread/changes_test.go
@@ -9,36 +9,36 @@
 	"quaybarrow/internal/store"
 )
 
-// TestMassRemovalIsTold has a seventh of a large table go at the same moment: who asks from before it
-// is told of each removal, and need not read the table whole.
-func TestMassRemovalIsTold(t *testing.T) {
+// TestMassRemovalIsReported removes a seventh of a large table at the same moment. A host that asks
+// from before the removals receives each of them, and does not need to read the whole table.
+func TestMassRemovalIsReported(t *testing.T) {
 	for _, count := range []int{300, 10_000, 20_000} {
-		source := newPicture()
+		source := newReplica()
 		for i := range count {
 			source.apply([]store.Change{{Row: store.Row{Key: fmt.Sprint("e", i), Version: int64(i + 1)}}}, int64(i+1))
 		}
-		host := newKnown()
-		host.replace(news{changes: source.since(-1), version: source.version})
+		host := newCachedTable()
+		host.replace(tableUpdate{changes: source.changesSince(-1), version: source.version})
 		version := source.version
 		for i := range count / 7 {
 			version++
 			source.apply([]store.Change{{Row: store.Row{Key: fmt.Sprint("e", 7*i), Version: version}, Deleted: true}}, version)
 		}
-		changes := source.since(host.version())
+		changes := source.changesSince(host.version())
 		if len(changes) != count/7 {
-			t.Errorf("%d rows: told of %d removals, %d were made", count, len(changes), count/7)
+			t.Errorf("%d rows: %d removals reported, want %d", count, len(changes), count/7)
 		}
-		if !host.apply(news{changes: changes, version: version, keys: source.keys, checked: true}) {
+		if !host.apply(tableUpdate{changes: changes, version: version, keyHash: source.keyHash, hasKeyHash: true}) {
 			t.Errorf("%d rows: a removal was missed", count)
 		}
 	}
 }
 
-// TestChangesOfLongTables compares what is told of changes with what rows say, while older ones are
-// forgotten.
+// TestChangesOfLongTables compares the reported changes with the rows of the table while older
+// changes are dropped from the history.
 func TestChangesOfLongTables(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	p, version := newPicture(), int64(0)
+	p, version := newReplica(), int64(0)
 	for range 6_000 {
 		version++
 		p.apply([]store.Change{{Row: store.Row{Key: fmt.Sprint("e", random.IntN(1_500)), Version: version}, Deleted: random.IntN(5) == 0}}, version)
@@ -46,38 +46,38 @@
 			continue
 		}
 		after := version - int64(random.IntN(3_000))
-		var told, truth []string
-		for _, c := range p.since(after) {
+		var reported, want []string
+		for _, c := range p.changesSince(after) {
 			if !c.Deleted {
-				told = append(told, c.Key)
+				reported = append(reported, c.Key)
 			}
 		}
 		for key, row := range p.rows {
 			if row.Version > after {
-				truth = append(truth, key)
+				want = append(want, key)
 			}
 		}
-		slices.Sort(told)
-		slices.Sort(truth)
-		if !slices.Equal(told, truth) {
-			t.Fatalf("after %d of %d: told of %d rows, %d were written", after, version, len(told), len(truth))
+		slices.Sort(reported)
+		slices.Sort(want)
+		if !slices.Equal(reported, want) {
+			t.Fatalf("after version %d of %d: %d rows reported, want %d", after, version, len(reported), len(want))
 		}
 	}
 }
 
 func benchmarkSince(b *testing.B, count int) {
-	p := newPicture()
+	p := newReplica()
 	for i := range count {
 		p.apply([]store.Change{{Row: store.Row{Key: fmt.Sprint("e", i), Version: int64(i + 1)}}}, int64(i+1))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(p.since(p.version-5)) != 5 {
+		if len(p.changesSince(p.version-5)) != 5 {
 			b.Fatal("wrong changes")
 		}
 	}
 }
 
-// What a reader tells of a few changes of 10,000 rows took 110 us where it looked at all of them.
+// A lookup of a few changes among 10,000 rows took 110 us when it scanned all rows.
 func BenchmarkSince1000(b *testing.B)  { benchmarkSince(b, 1_000) }
 func BenchmarkSince10000(b *testing.B) { benchmarkSince(b, 10_000) }
--- a/internal/spread/pack.go
+++ b/internal/spread/pack.go
@@ -13,41 +13,42 @@
 	"quaybarrow/internal/store"
 )
 
-// packer packs many rows for other hosts, once for all that ask for the same ones;
-// safe for use at once.
+// packer compresses updates with many or long rows. It compresses each update once for all hosts
+// that request it. It is safe for concurrent use.
 type packer struct {
 	mu     sync.Mutex // guards packed
 	packed map[packKey][]byte
 }
 
-// packKey names rows: those of a table from after a version to another.
+// packKey identifies the changes of a table from after one version up to another.
 type packKey struct {
 	table          string
 	after, version int64
 }
 
-// packedMost bounds what is kept; hosts of a group ask for the same few versions.
-const packedMost = 8
+// maxPacked limits how many compressed updates are kept; the hosts of a group request the same few
+// versions.
+const maxPacked = 8
 
-// What is worth packing: many rows, or long ones. A configuration of 1,800 routes is a
-// single row of 560 KB, which takes a host on 10 Mbit/s half a second, and packed a tenth
-// of that.
+// An update with at least minPackRows rows or minPackBytes bytes of values is compressed. A
+// configuration of 1,800 routes is a single row of 560 KB: a host on 10 Mbit/s takes half a second
+// to receive it, and a tenth of that if it is compressed.
 const (
-	packRows  = 16
-	packBytes = 2 << 10
+	minPackRows  = 16
+	minPackBytes = 2 << 10
 )
 
 func newPacker() *packer { return &packer{packed: map[packKey][]byte{}} }
 
-// fill puts what came after a version into a reply, packed where that is worth it.
-func (p *packer) fill(reply *spreadpb.ReadReply, table string, after int64, n news) error {
-	if !worthPacking(n.changes) {
-		for _, c := range n.changes {
+// fill puts the changes after a version into a reply, compressed where that is worthwhile.
+func (p *packer) fill(reply *spreadpb.ReadReply, table string, after int64, update tableUpdate) error {
+	if !worthPacking(update.changes) {
+		for _, c := range update.changes {
 			reply.Rows = append(reply.Rows, rowToWire(c.Row, c.Deleted))
 		}
 		return nil
 	}
-	packed, err := p.pack(table, after, n)
+	packed, err := p.pack(table, after, update)
 	reply.Packed = packed
 	return err
 }
@@ -57,22 +58,22 @@
 	for _, c := range changes {
 		size += len(c.Value)
 	}
-	return len(changes) >= packRows || size >= packBytes
+	return len(changes) >= minPackRows || size >= minPackBytes
 }
 
-// pack returns rows that came after a version, gzipped.
-func (p *packer) pack(table string, after int64, n news) ([]byte, error) {
+// pack returns the changes after a version as a gzipped spreadpb.Rows.
+func (p *packer) pack(table string, after int64, update tableUpdate) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	key := packKey{table: table, after: after, version: n.version}
-	if known, ok := p.packed[key]; ok {
-		return known, nil
+	key := packKey{table: table, after: after, version: update.version}
+	if packed, ok := p.packed[key]; ok {
+		return packed, nil
 	}
-	if len(p.packed) >= packedMost {
+	if len(p.packed) >= maxPacked {
 		clear(p.packed)
 	}
 	rows := &spreadpb.Rows{}
-	for _, c := range n.changes {
+	for _, c := range update.changes {
 		rows.Rows = append(rows.Rows, rowToWire(c.Row, c.Deleted))
 	}
 	plain, err := proto.Marshal(rows)
@@ -91,13 +92,13 @@
 	return b.Bytes(), nil
 }
 
-// unpack returns the rows that pack has packed.
+// unpack decodes the output of pack.
 func unpack(data []byte) ([]*spreadpb.Row, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, fmt.Errorf("unpack table: %w", err)
 	}
-	plain, err := io.ReadAll(io.LimitReader(r, tableBytes))
+	plain, err := io.ReadAll(io.LimitReader(r, maxTableBytes))
 	if err != nil {
 		return nil, fmt.Errorf("unpack table: %w", err)
 	}
@@ -108,5 +109,5 @@
 	return rows.GetRows(), nil
 }
 
-// tableBytes is the longest table that is taken from another host.
-const tableBytes = 64 << 20
+// maxTableBytes is the largest uncompressed table that is accepted from another host.
+const maxTableBytes = 64 << 20
--- a/internal/spread/race_test.go
+++ b/internal/spread/race_test.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// TestRaceAsksTheNextAfterSilence has a race pass by sources that say nothing, and
-// tell them so.
-func TestRaceAsksTheNextAfterSilence(t *testing.T) {
+// TestHedgedReadAsksNextAfterNoAnswer checks that a read goes on to the next source when one does
+// not answer, and calls onNoAnswer of each such source.
+func TestHedgedReadAsksNextAfterNoAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		silent := 0
-		mute := source{
-			patience: 200 * time.Millisecond,
-			read: func(ctx context.Context) (news, error) {
+		unanswered := 0
+		unresponsive := source{
+			hedgeDelay: 200 * time.Millisecond,
+			read: func(ctx context.Context) (tableUpdate, error) {
 				<-ctx.Done()
-				return news{}, ctx.Err()
+				return tableUpdate{}, ctx.Err()
 			},
-			silent: func() { silent++ },
+			onNoAnswer: func() { unanswered++ },
 		}
-		sound := source{patience: time.Second, read: func(context.Context) (news, error) { return news{version: 7}, nil }}
+		sound := source{hedgeDelay: time.Second, read: func(context.Context) (tableUpdate, error) { return tableUpdate{version: 7}, nil }}
 		began := time.Now()
-		n, place, err := race(context.Background(), []source{mute, mute, sound})
-		if err != nil || n.version != 7 || place != 2 {
-			t.Fatalf("version %d of source %d: %v", n.version, place, err)
+		update, index, err := hedgedRead(context.Background(), []source{unresponsive, unresponsive, sound})
+		if err != nil || update.version != 7 || index != 2 {
+			t.Fatalf("version %d of source %d: %v", update.version, index, err)
 		}
 		if took := time.Since(began); took != 400*time.Millisecond {
 			t.Errorf("took %s", took)
 		}
-		if silent != 2 {
-			t.Errorf("%d sources were told that they were silent", silent)
+		if unanswered != 2 {
+			t.Errorf("onNoAnswer was called for %d sources, want 2", unanswered)
 		}
 	})
 }
--- a/internal/spread/server.go
+++ b/internal/spread/server.go
@@ -14,18 +14,18 @@
 	"quaybarrow/internal/store"
 )
 
-// wholeRows is the longest table that is passed on whole; packed it is some 400 KB,
-// which takes a host on 10 Mbit/s a third of a second.
-const wholeRows = 20_000
+// maxWholeRows is the longest table that is sent whole. Compressed it takes some 400 KB, which a
+// host on 10 Mbit/s receives in a third of a second.
+const maxWholeRows = 20_000
 
-// Server returns a gRPC server that passes on what this host reads.
+// Server returns a gRPC server that serves to other hosts what this host reads.
 func (w *Watcher) Server(c credentials.TransportCredentials) *grpc.Server {
 	s := grpc.NewServer(grpc.Creds(c), grpc.WriteBufferSize(writeBuffer), grpc.ReadBufferSize(readBuffer))
 	spreadpb.RegisterSpreadServer(s, &server{watcher: w, packer: newPacker()})
 	return s
 }
 
-// server answers other hosts from this host's mirrors.
+// server implements the Spread service on top of this host's mirrors.
 type server struct {
 	spreadpb.UnimplementedSpreadServer
 	watcher *Watcher
@@ -37,52 +37,53 @@
 	if s.watcher.isStopping() {
 		return nil, status.Error(codes.Unavailable, "stopping")
 	}
-	n, err := s.news(ctx, r)
+	update, err := s.readTable(ctx, r)
 	switch {
 	case errors.Is(err, store.ErrUnavailable):
 		return nil, status.Error(codes.FailedPrecondition, err.Error())
 	case err != nil:
 		return nil, status.Error(codes.Unavailable, err.Error())
-	case r.GetAfter() < 0 && len(n.changes) > wholeRows:
-		return nil, status.Error(codes.OutOfRange, errTooLong.Error())
+	case r.GetAfter() < 0 && len(update.changes) > maxWholeRows:
+		return nil, status.Error(codes.OutOfRange, errTableTooLong.Error())
 	}
-	reply := &spreadpb.ReadReply{Version: n.version, AgeMicros: n.age.Microseconds(), Keys: n.keys}
+	reply := &spreadpb.ReadReply{Version: update.version, AgeMicros: update.age.Microseconds(), Keys: update.keyHash}
 	if now, ok := s.watcher.Now(); ok {
-		reply.EarliestMicros, reply.LatestMicros = now.Earliest.Microseconds(), now.Latest.Microseconds()+1 // cut to whole ones
+		reply.EarliestMicros, reply.LatestMicros = now.Earliest.Microseconds(), now.Latest.Microseconds()+1 // rounded down and up to whole microseconds
 	}
-	if err := s.packer.fill(reply, r.GetTable(), r.GetAfter(), n); err != nil {
+	if err := s.packer.fill(reply, r.GetTable(), r.GetAfter(), update); err != nil {
 		return nil, status.Error(codes.Internal, err.Error())
 	}
 	return reply, nil
 }
 
-// news is what this host has to tell.
-func (s *server) news(ctx context.Context, r *spreadpb.ReadRequest) (news, error) {
+// readTable returns the update that answers a request.
+func (s *server) readTable(ctx context.Context, r *spreadpb.ReadRequest) (tableUpdate, error) {
 	w := s.watcher
 	if r.GetLately() {
-		return w.lately(r.GetTable(), r.GetAfter())
+		return w.recentUpdate(r.GetTable(), r.GetAfter())
 	}
 	wait := min(time.Duration(r.GetWaitMicros())*time.Microsecond, w.options.peerWait())
-	n, err := w.mirror(r.GetTable()).news(ctx, r.GetAfter(), wait)
+	update, err := w.mirror(r.GetTable()).read(ctx, r.GetAfter(), wait)
 	if err == nil || r.GetAfter() >= 0 {
-		return n, err
+		return update, err
 	}
-	// A host that has just started takes what was known before the store was lost.
-	old, ok := w.remember(r.GetTable()).news(r.GetAfter())
+	// A host that has just started accepts the state from before the store became unreachable.
+	stale, ok := w.cached(r.GetTable()).updateSince(r.GetAfter())
 	if !ok {
-		return news{}, err
+		return tableUpdate{}, err
 	}
-	w.options.Logger.Info("passing on what was known before the store was lost", "table", r.GetTable(), "version", old.version, "age_ms", old.age.Milliseconds())
-	return old, nil
+	w.options.Logger.Info("store is unreachable; serving the cached table", "table", r.GetTable(), "version", stale.version, "age_ms", stale.age.Milliseconds())
+	return stale, nil
 }
 
-// lately is what this host was told a moment ago.
-func (w *Watcher) lately(table string, after int64) (news, error) {
-	n, ok := w.remember(table).news(after)
-	if !ok || n.age > w.options.fresh() {
-		return news{}, errors.WithMessage(store.ErrUnavailable, "nothing was told lately")
+// recentUpdate returns the cached changes after a version, if the cached state is recent enough to
+// be served.
+func (w *Watcher) recentUpdate(table string, after int64) (tableUpdate, error) {
+	update, ok := w.cached(table).updateSince(after)
+	if !ok || update.age > w.options.maxAge() {
+		return tableUpdate{}, errors.WithMessage(store.ErrUnavailable, "no recent update of the table")
 	}
-	return n, nil
+	return update, nil
 }
 
 func (w *Watcher) isStopping() bool {
--- a/internal/spread/silence.go
+++ b/internal/spread/silence.go
@@ -11,45 +11,47 @@
 	"quaybarrow/internal/clock"
 )
 
-// silentAfter is how long a connection has given no answer, while calls ran out of time,
-// until it is made anew. Connections may fall silent without an error, and the gRPC
-// library notices by its keep-alive after ten seconds at the earliest: an adviser was not
-// heard of again for as long as hosts lived.
-const silentAfter = 500 * time.Millisecond
+// unansweredTimeout is how long a connection may give no answer, while calls time out, before it is
+// replaced. Connections may stop delivering data without an error, and the keep-alive of the gRPC
+// library detects that after ten seconds at the earliest. Without this check an adviser remained
+// unreachable for the lifetime of the hosts.
+const unansweredTimeout = 500 * time.Millisecond
 
-// watch notices on a connection whether it has fallen silent.
-func (l *link) watch(address string) grpc.UnaryClientInterceptor {
+// trackAnswers returns an interceptor that records answers and timeouts of the connection to an
+// address.
+func (pool *connPool) trackAnswers(address string) grpc.UnaryClientInterceptor {
 	return func(ctx context.Context, method string, request, reply any, c *grpc.ClientConn, invoke grpc.UnaryInvoker, options ...grpc.CallOption) error {
 		err := invoke(ctx, method, request, reply, c, options...)
 		switch status.Code(err) {
 		case codes.DeadlineExceeded:
-			l.unanswered(address)
-		case codes.Canceled: // says nothing: another source was faster, or the connection was closed
+			pool.recordTimeout(address)
+		case codes.Canceled: // no evidence: another source was faster, or the connection was closed
 		default:
-			l.heard(address)
+			pool.recordAnswer(address)
 		}
 		return err
 	}
 }
 
-// heard notes an answer on the connection to an address.
-func (l *link) heard(address string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.silent, address)
+// recordAnswer records an answer on the connection to an address.
+func (pool *connPool) recordAnswer(address string) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	delete(pool.timeoutsSince, address)
 }
 
-// unanswered notes a call that ran out of time, and closes a connection that is silent.
-func (l *link) unanswered(address string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	since, known := l.silent[address]
+// recordTimeout records a call that timed out, and closes the connection if it has given no answer
+// for unansweredTimeout.
+func (pool *connPool) recordTimeout(address string) {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	since, found := pool.timeoutsSince[address]
 	switch {
-	case !known:
-		l.silent[address] = clock.Now()
-	case clock.Since(since) >= silentAfter && l.conns[address] != nil:
-		_ = l.conns[address].Close()
-		delete(l.silent, address)
-		delete(l.conns, address)
+	case !found:
+		pool.timeoutsSince[address] = clock.Now()
+	case clock.Since(since) >= unansweredTimeout && pool.conns[address] != nil:
+		_ = pool.conns[address].Close()
+		delete(pool.timeoutsSince, address)
+		delete(pool.conns, address)
 	}
 }
--- a/internal/spread/silence_test.go
+++ b/internal/spread/silence_test.go
@@ -11,9 +11,9 @@
 	"quaybarrow/internal/spread/spreadpb"
 )
 
-var _ = Describe("connections that fall silent for good", func() {
-	// talks reports whether a host gets answers of another on the connection that it has.
-	talks := func(from, to *host) bool {
+var _ = Describe("connections that stop delivering data for good", func() {
+	// answers reports whether one host gets an answer from another on their current connection.
+	answers := func(from, to *host) bool {
 		c, err := from.watcher.Conn(to.address)
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
@@ -22,28 +22,28 @@
 		return err == nil
 	}
 
-	It("between hosts are noticed under traffic, and made anew", func() {
-		withHall(5, func(h *hall) {
-			reader := h.hosts[h.reader()]
-			other := h.hosts[(h.reader()+1)%5]
-			Expect(talks(other, reader)).To(BeTrue())
-			h.net.Silence(reader.address)
-			Expect(talks(other, reader)).To(BeFalse())
+	It("between hosts are detected under traffic and replaced", func() {
+		withCluster(5, func(c *cluster) {
+			reader := c.hosts[c.reader()]
+			other := c.hosts[(c.reader()+1)%5]
+			Expect(answers(other, reader)).To(BeTrue())
+			c.net.Silence(reader.address)
+			Expect(answers(other, reader)).To(BeFalse())
 			time.Sleep(600 * time.Millisecond)
-			Expect(talks(other, reader)).To(BeFalse())
-			Expect(talks(other, reader)).To(BeTrue(), "it was silent for as long as hosts lived")
+			Expect(answers(other, reader)).To(BeFalse())
+			Expect(answers(other, reader)).To(BeTrue(), "the connection was not replaced")
 		})
 	})
 
-	It("keep no change from any host for longer than it may take", func() {
-		withHall(5, func(h *hall) {
+	It("keep no change from any host for longer than its time limit", func() {
+		withCluster(5, func(c *cluster) {
 			for i := range 3 {
-				for _, n := range h.hosts {
-					h.net.Silence(n.address)
+				for _, h := range c.hosts {
+					c.net.Silence(h.address)
 				}
-				h.net.Silence(storeAddress)
-				h.store.Put("t", "k", fmt.Append(nil, "silent", i))
-				expectEverywhere(h.hosts, fmt.Sprint("silent", i), 4*time.Second)
+				c.net.Silence(storeAddress)
+				c.store.Put("t", "k", fmt.Append(nil, "silent", i))
+				expectOnAll(c.hosts, fmt.Sprint("silent", i), 4*time.Second)
 			}
 		})
 	})
