--- a/internal/duty/ask.go
+++ b/internal/duty/ask.go
@@ -54,7 +54,7 @@
 }
 
 // answer is this host's own.
-func (k *Keeper) answer(q Question) Answer {
+func (k *Coordinator) answer(q Question) Answer {
 	a := Answer{Host: k.options.Host, Shown: time.Now(), Running: k.options.Running(), at: clock.Now()}
 	a.Account.Lifetime = k.options.Lifetime
 	if q.Known && q.Window > 0 {
@@ -64,7 +64,7 @@
 }
 
 // gather asks hosts; those that do not answer are left out.
-func (k *Keeper) gather(ctx context.Context, q Question, members []Member) []Answer {
+func (k *Coordinator) gather(ctx context.Context, q Question, members []Member) []Answer {
 	size := 1
 	if len(members) > directMost {
 		size = int(math.Ceil(math.Sqrt(float64(len(members)))))
@@ -93,7 +93,7 @@
 const relayTries = 2
 
 // askThrough asks the first of some hosts, which asks the others of them.
-func (k *Keeper) askThrough(ctx context.Context, q Question, part []Member) []Answer {
+func (k *Coordinator) askThrough(ctx context.Context, q Question, part []Member) []Answer {
 	for i := range min(relayTries, len(part)) {
 		asked := clock.Now()
 		limited, cancel := context.WithTimeout(ctx, askLimit)
@@ -116,7 +116,7 @@
 
 // Tell is this host's answer to the one that does the duties, with those of hosts that it asks for
 // it.
-func (k *Keeper) Tell(ctx context.Context, q Question) []Answer {
+func (k *Coordinator) Tell(ctx context.Context, q Question) []Answer {
 	answers := []Answer{k.answer(q)}
 	if q.Copy != nil {
 		k.keepCopy(*q.Copy)
@@ -165,7 +165,7 @@
 )
 
 // keepCopy keeps what a holder had counted.
-func (k *Keeper) keepCopy(a Answer) {
+func (k *Coordinator) keepCopy(a Answer) {
 	a.Copied = true
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -174,7 +174,7 @@
 	k.copies = k.copies[max(0, len(k.copies)-copiesMost):]
 }
 
-func (k *Keeper) heldCopies() []Answer {
+func (k *Coordinator) heldCopies() []Answer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.copies)
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -94,8 +94,8 @@
 	Logger *log.Logger
 }
 
-// Keeper does the duties of a host while it holds them, and answers the one that does.
-type Keeper struct {
+// Coordinator does the duties of a host while it holds them, and answers the one that does.
+type Coordinator struct {
 	options Options
 
 	leave   chan struct{} // closed once the duties are to be given up
@@ -118,15 +118,15 @@
 }
 
 // New returns a keeper that holds nothing.
-func New(options Options) *Keeper {
-	return &Keeper{options: options, leave: make(chan struct{}), left: make(chan struct{})}
+func New(options Options) *Coordinator {
+	return &Coordinator{options: options, leave: make(chan struct{}), left: make(chan struct{})}
 }
 
 // Register serves other hosts.
-func (k *Keeper) Register(s grpc.ServiceRegistrar) { dutypb.RegisterDutyServer(s, &server{keeper: k}) }
+func (k *Coordinator) Register(s grpc.ServiceRegistrar) { dutypb.RegisterDutyServer(s, &server{keeper: k}) }
 
 // Run competes for the duties until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Coordinator) Run(ctx context.Context) {
 	defer close(k.left)
 	if k.options.Platform == nil {
 		return
@@ -145,7 +145,7 @@
 
 // Leave gives the duties up for good, as the first thing that a stopping host does: its successor
 // can still ask it what it has counted.
-func (k *Keeper) Leave(ctx context.Context) {
+func (k *Coordinator) Leave(ctx context.Context) {
 	_, held := k.Orders()
 	k.leaving.Do(func() { close(k.leave) })
 	select {
@@ -172,14 +172,14 @@
 const nextTries = 3
 
 // Orders lists what this host has ordered, and whether it holds the duties.
-func (k *Keeper) Orders() ([]Standing, bool) {
+func (k *Coordinator) Orders() ([]Standing, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.orders), k.holds
 }
 
 // hold does the duties while the lease lasts.
-func (k *Keeper) hold(ctx context.Context, l *lease.Lease) {
+func (k *Coordinator) hold(ctx context.Context, l *lease.Lease) {
 	k.options.Logger.Info("duties taken", "token", l.Epoch(), "rest_ms", max(l.Rest(), 0).Milliseconds())
 	k.holding(true)
 	defer func() {
@@ -193,7 +193,7 @@
 	}
 }
 
-func (k *Keeper) holding(holds bool) {
+func (k *Coordinator) holding(holds bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.holds, k.orders = holds, nil
@@ -201,7 +201,7 @@
 
 // term is a time in which a host does the duties.
 type term struct {
-	keeper   *Keeper
+	keeper   *Coordinator
 	lease    *lease.Lease
 	timeIs   usage.TimeOfDay
 	ledger   *usage.Ledger
@@ -210,7 +210,7 @@
 	running  map[string]map[string]int // requests in hand, by host and service
 }
 
-func newTerm(k *Keeper, l *lease.Lease) *term {
+func newTerm(k *Coordinator, l *lease.Lease) *term {
 	return &term{
 		keeper: k, lease: l, ledger: usage.NewLedger(max(k.options.Window, time.Millisecond)),
 		planners: map[string]*capacity.Planner{}, running: map[string]map[string]int{},
--- a/internal/duty/grpc.go
+++ b/internal/duty/grpc.go
@@ -13,7 +13,7 @@
 // server answers the host that does the duties.
 type server struct {
 	dutypb.UnimplementedDutyServer
-	keeper *Keeper
+	keeper *Coordinator
 }
 
 // Account implements dutypb.DutyServer.
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -59,7 +59,7 @@
 	rows    *lateRows // what the duties keep goes there
 	beats   *beatRows // and their lease there
 	counter *usage.Counter
-	keeper  *duty.Keeper
+	keeper  *duty.Coordinator
 	cancel  context.CancelFunc
 	dead    bool
 	silent  bool // it answers nobody
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -40,7 +40,7 @@
 
 func newDuties(s settings.Settings, life lifetime, p Ports, tables store.Tables, w *spread.Watcher, a *advice.Advisor, f *fleet.Fleet, u *upgrade.Tracker,
 	h *route.Holder, g *gateway.Gateway, counter *usage.Counter, l *log.Logger,
-) *duty.Keeper {
+) *duty.Coordinator {
 	o := duty.Options{
 		Host: s.Host, Lifetime: string(life), Tables: tables, Counter: counter, Asker: duty.NewAsker(w.Conn),
 		Members: func() []duty.Member { return peersOf(w) }, Next: w.After, Running: g.Running, Stocks: stocksOf(f, u), Away: f.Evacuated,
--- a/internal/gatewayd/host.go
+++ b/internal/gatewayd/host.go
@@ -64,7 +64,7 @@
 	Advice     *advice.Advisor
 	Limits     *ratelimit.Desk
 	Quarantine *quarantine.Book
-	Duties     *duty.Keeper
+	Duties     *duty.Coordinator
 	Gateway    *gateway.Gateway
 	Deadlines  *clock.Deadlines
 }
