--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -103,13 +103,13 @@
 	left    chan struct{} // closed once they are
 
 	mu     sync.Mutex // guards all below
-	orders []Standing
+	orders []ActiveOrder
 	holds  bool
 	copies []Answer // of what holders had counted, oldest first
 }
 
-// Standing is an order in force, as operators see it.
-type Standing struct {
+// ActiveOrder is an order in force, as operators see it.
+type ActiveOrder struct {
 	Service string `json:"service"`
 	Hall    string `json:"hall"`
 	Spot    bool   `json:"spot"`
@@ -172,7 +172,7 @@
 const nextTries = 3
 
 // Orders lists what this host has ordered, and whether it holds the duties.
-func (k *Coordinator) Orders() ([]Standing, bool) {
+func (k *Coordinator) Orders() ([]ActiveOrder, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.orders), k.holds
@@ -261,7 +261,7 @@
 func (t *term) order(ctx context.Context) {
 	o := t.keeper.options
 	away := o.Away()
-	var standing []Standing
+	var standing []ActiveOrder
 	for _, s := range o.Services() {
 		p, ok := t.planners[s.Name]
 		if !ok {
@@ -280,7 +280,7 @@
 			t.send(ctx, s.Name, p, order, state)
 		}
 		for lot, count := range p.InForce() {
-			standing = append(standing, Standing{Service: s.Name, Hall: lot.Hall, Spot: lot.Spot, Count: count, Peak: int(p.Peak())})
+			standing = append(standing, ActiveOrder{Service: s.Name, Hall: lot.Hall, Spot: lot.Spot, Count: count, Peak: int(p.Peak())})
 		}
 	}
 	t.keeper.mu.Lock()
--- a/internal/gatewayd/dutiesview.go
+++ b/internal/gatewayd/dutiesview.go
@@ -17,7 +17,7 @@
 type DutiesView struct {
 	Host   string          `json:"host"`
 	Holds  bool            `json:"holds"`
-	Orders []duty.Standing `json:"orders"` // in force, by service, data hall and kind
+	Orders []duty.ActiveOrder `json:"orders"` // in force, by service, data hall and kind
 	// CostAMinute is what the ordered endpoints cost, in prices of a second as they are declared.
 	CostAMinute float64 `json:"cost_a_minute"`
 }
@@ -26,7 +26,7 @@
 func (h *Host) viewDuties(w http.ResponseWriter, _ *http.Request) {
 	view := DutiesView{Host: h.Settings.Host}
 	view.Orders, view.Holds = h.Duties.Orders()
-	slices.SortFunc(view.Orders, func(a, b duty.Standing) int {
+	slices.SortFunc(view.Orders, func(a, b duty.ActiveOrder) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Hall, b.Hall), cmp.Compare(kindOf(a), kindOf(b)))
 	})
 	if t := h.Holder.Table(); t != nil {
@@ -44,7 +44,7 @@
 const secondsAMinute = 60
 
 // kindOf sorts ordinary endpoints before spot ones.
-func kindOf(s duty.Standing) int {
+func kindOf(s duty.ActiveOrder) int {
 	if s.Spot {
 		return 1
 	}
