--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -47,8 +47,8 @@
 
 // Errors of the platform.
 var (
-	// ErrNone means that there are no more endpoints of the kind to be had there now.
-	ErrNone = errors.New("no more endpoints are to be had")
+	// ErrNoneAvailable means that there are no more endpoints of the kind to be had there now.
+	ErrNoneAvailable = errors.New("no more endpoints are to be had")
 	// ErrRefused means that the platform did not take a call.
 	ErrRefused = errors.New("the platform did not take the call")
 )
@@ -314,7 +314,7 @@
 	case err == nil:
 		p.Ordered(order)
 		t.keeper.options.Logger.Info("endpoints ordered", fields...)
-	case errors.Is(err, ErrNone):
+	case errors.Is(err, ErrNoneAvailable):
 		p.Refused(order, clock.Now())
 		t.keeper.options.Logger.Info("endpoints not to be had", fields...)
 	default:
