--- a/internal/duty/ask.go
+++ b/internal/duty/ask.go
@@ -47,8 +47,8 @@
 	at clock.Instant // about when it told
 }
 
-// Asker asks other hosts.
-type Asker interface {
+// Querier asks other hosts.
+type Querier interface {
 	// Ask returns the answers of a host and of those that it asks.
 	Ask(ctx context.Context, address string, q Question) ([]Answer, error)
 }
@@ -99,7 +99,7 @@
 		limited, cancel := context.WithTimeout(ctx, askLimit)
 		q := q
 		q.Relay = part[i+1:]
-		answers, err := k.options.Asker.Ask(limited, part[i].Address, q)
+		answers, err := k.options.Querier.Ask(limited, part[i].Address, q)
 		cancel()
 		if err == nil {
 			// It told at some moment between; the middle is wrong by half of that at most.
@@ -136,7 +136,7 @@
 		asking.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, relayLimit)
 			defer cancel()
-			told, err := k.options.Asker.Ask(limited, m.Address, q)
+			told, err := k.options.Querier.Ask(limited, m.Address, q)
 			if err != nil {
 				k.options.Logger.Debug("host tells nothing", "peer", m.Name, "address", m.Address, "error", err)
 				return
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -83,7 +83,7 @@
 	Tables   store.Tables
 	Members  func() []Member // the other hosts
 	Next     func() []string // addresses of hosts that should take the duties after this one
-	Asker    Asker
+	Querier    Querier
 	Platform Platform // nil where there are no duties
 	Counter  *usage.Counter
 	Running  func() map[string]int // requests in hand, by service
@@ -159,7 +159,7 @@
 	next := k.options.Next()
 	for _, address := range next[:min(nextTries, len(next))] {
 		limited, cancel := context.WithTimeout(ctx, askLimit)
-		_, err := k.options.Asker.Ask(limited, address, Question{Free: true})
+		_, err := k.options.Querier.Ask(limited, address, Question{Free: true})
 		cancel()
 		if err == nil {
 			return
--- a/internal/duty/grpc.go
+++ b/internal/duty/grpc.go
@@ -31,8 +31,8 @@
 // grpcAsker asks over gRPC.
 type grpcAsker struct{ connect Connect }
 
-// NewAsker returns an asker over connections that other services share.
-func NewAsker(connect Connect) Asker { return grpcAsker{connect} }
+// NewQuerier returns an asker over connections that other services share.
+func NewQuerier(connect Connect) Querier { return grpcAsker{connect} }
 
 // Ask implements Asker.
 func (a grpcAsker) Ask(ctx context.Context, address string, q Question) ([]Answer, error) {
