--- a/internal/duty/ask.go
+++ b/internal/duty/ask.go
@@ -56,7 +56,7 @@
 // answer is this host's own.
 func (k *Coordinator) answer(q Question) Answer {
 	a := Answer{Host: k.options.Host, Shown: time.Now(), Running: k.options.Running(), at: clock.Now()}
-	a.Account.Lifetime = k.options.Lifetime
+	a.Account.Lifetime = k.options.Incarnation
 	if q.Known && q.Window > 0 {
 		a.Account = k.options.Counter.Account(q.Now, q.Window, q.Since)
 	}
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -77,7 +77,7 @@
 // Options set up a Keeper.
 type Options struct {
 	Host     string
-	Lifetime string        // of the host, which no other life of any host has
+	Incarnation string        // of the host, which no other life of any host has
 	Window   time.Duration // of usage; 0 reports none
 	Leases   *lease.Manager
 	Tables   store.Tables
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -87,7 +87,7 @@
 	n := &node{rig: r, name: name, door: table.NewDoor(r.rows), counter: usage.NewCounter(lifetime)}
 	n.rows, n.beats = &lateRows{Tables: n.door}, &beatRows{Tables: n.door}
 	n.keeper = duty.New(duty.Options{
-		Host: name, Lifetime: lifetime, Window: window, Tables: n.rows, Counter: n.counter, Querier: n,
+		Host: name, Incarnation: lifetime, Window: window, Tables: n.rows, Counter: n.counter, Querier: n,
 		Leases: lease.NewManager(lease.Options{
 			Tables: n.beats, Host: name, Incarnation: lifetime, Length: leaseLength, Turns: turns, Place: func() (int, bool) { return r.place(name), true },
 		}),
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -42,7 +42,7 @@
 	h *route.Holder, g *gateway.Gateway, counter *usage.Counter, l *log.Logger,
 ) *duty.Coordinator {
 	o := duty.Options{
-		Host: s.Host, Lifetime: string(life), Tables: tables, Counter: counter, Querier: duty.NewQuerier(w.Conn),
+		Host: s.Host, Incarnation: string(life), Tables: tables, Counter: counter, Querier: duty.NewQuerier(w.Conn),
 		Members: func() []duty.Member { return peersOf(w) }, Next: w.After, Running: g.Running, Stocks: stocksOf(f, u), Away: f.Evacuated,
 		Services: func() []duty.Service { return scaled(h.Table()) }, Logger: l,
 	}
