--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -82,7 +82,7 @@
 	Leases   *lease.Manager
 	Tables   store.Tables
 	Members  func() []Member // the other hosts
-	Next     func() []string // addresses of hosts that should take the duties after this one
+	Successors     func() []string // addresses of hosts that should take the duties after this one
 	Querier    Querier
 	Platform Platform // nil where there are no duties
 	Counter  *usage.Counter
@@ -156,7 +156,7 @@
 	if !held {
 		return
 	}
-	next := k.options.Next()
+	next := k.options.Successors()
 	for _, address := range next[:min(nextTries, len(next))] {
 		limited, cancel := context.WithTimeout(ctx, askLimit)
 		_, err := k.options.Querier.Ask(limited, address, Question{Free: true})
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -91,7 +91,7 @@
 		Leases: lease.NewManager(lease.Options{
 			Tables: n.beats, Host: name, Incarnation: lifetime, Length: leaseLength, Turns: turns, Place: func() (int, bool) { return r.place(name), true },
 		}),
-		Members: func() []duty.Member { return r.members(name) }, Next: func() []string { return r.next(name) }, Platform: n, Running: func() map[string]int { return map[string]int{"model": 30} },
+		Members: func() []duty.Member { return r.members(name) }, Successors: func() []string { return r.next(name) }, Platform: n, Running: func() map[string]int { return map[string]int{"model": 30} },
 		Services: func() []duty.Service {
 			return []duty.Service{{Name: "model", Slots: 8, Scaling: capacity.Scaling{Least: 1, Most: 60, SpotPrice: 0.2, Prices: map[string]float64{"ikeja": 1, "lekki": 1, "yaba": 1}}}}
 		},
