--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -90,7 +90,7 @@
 	Services func() []Service
 	// Stocks counts what serves, by data hall, and tells whether an upgrade is under way.
 	Stocks func(service string) (stocks map[string]capacity.Stock, upgrading bool)
-	Away   func() []string // data halls that get nothing
+	EvacuatedHalls   func() []string // data halls that get nothing
 	Logger *log.Logger
 }
 
@@ -260,7 +260,7 @@
 // order orders endpoints where the work asks for more or fewer.
 func (t *term) order(ctx context.Context) {
 	o := t.keeper.options
-	away := o.Away()
+	away := o.EvacuatedHalls()
 	var standing []ActiveOrder
 	for _, s := range o.Services() {
 		p, ok := t.planners[s.Name]
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -100,7 +100,7 @@
 			defer r.mu.Unlock()
 			return maps.Clone(r.stocks), false
 		},
-		Away: func() []string { return nil }, Logger: log.New(io.Discard),
+		EvacuatedHalls: func() []string { return nil }, Logger: log.New(io.Discard),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
