--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -143,9 +143,9 @@
 	k.options.Leases.Run(ctx, leaseName, k.hold)
 }
 
-// Leave gives the duties up for good, as the first thing that a stopping host does: its successor
+// Resign gives the duties up for good, as the first thing that a stopping host does: its successor
 // can still ask it what it has counted.
-func (k *Coordinator) Leave(ctx context.Context) {
+func (k *Coordinator) Resign(ctx context.Context) {
 	_, held := k.Orders()
 	k.leaving.Do(func() { close(k.leave) })
 	select {
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -150,7 +150,7 @@
 
 // terminate ends a life as planned: it gives the duties up first, and lives on for a while.
 func (r *rig) terminate(name string) {
-	r.node(name).keeper.Leave(context.Background())
+	r.node(name).keeper.Resign(context.Background())
 	time.Sleep(leaves)
 	r.kill(name)
 }
--- a/internal/gatewayd/host.go
+++ b/internal/gatewayd/host.go
@@ -224,7 +224,7 @@
 	h.Gateway.Drain()
 	h.Logger.Info("draining", "in_flight", h.Gateway.InFlight())
 	h.Spread.Stop()
-	h.working.Go(func() { h.Duties.Leave(ctx) })
+	h.working.Go(func() { h.Duties.Resign(ctx) })
 	clock.Sleep(ctx, leaveTime-clock.Since(started))
 	h.finish(ctx, started.Add(h.now.Load().Gateway.Grace-stopMargin))
 	h.cancel()
