--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -111,8 +111,8 @@
 	// Place is how many hosts come before this one in taking a lease, if that is known; nil for
 	// none. Each looks less often than the one before it, since a look is a call to the store.
 	Place func() (place int, known bool)
-	// Turns is the time in which hosts must not act in turns where that is not fenced.
-	Turns time.Duration
+	// HandoverDelay is the time in which hosts must not act in turns where that is not fenced.
+	HandoverDelay time.Duration
 }
 
 // sighting is a lease row and how long it has been seen unchanged.
@@ -159,7 +159,7 @@
 	}
 	l := &Lease{name: name, epoch: next.Epoch, fence: fence, until: m.until(sent)}
 	if current.Released {
-		l.rests = sent.Add(m.options.Turns)
+		l.rests = sent.Add(m.options.HandoverDelay)
 	}
 	return l, nil
 }
--- a/internal/lease/walk_test.go
+++ b/internal/lease/walk_test.go
@@ -43,7 +43,7 @@
 func (c *contender) restart() {
 	c.life++
 	c.l = nil
-	c.m = lease.NewManager(lease.Options{Tables: c.rows, Host: c.name, Incarnation: fmt.Sprint(c.name, c.life), Length: c.rules.length, Turns: c.rules.turns})
+	c.m = lease.NewManager(lease.Options{Tables: c.rows, Host: c.name, Incarnation: fmt.Sprint(c.name, c.life), Length: c.rules.length, HandoverDelay: c.rules.turns})
 }
 
 // step renews the lease or tries to take it.
