--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -89,7 +89,7 @@
 	n.keeper = duty.New(duty.Options{
 		Host: name, Incarnation: lifetime, Window: window, Tables: n.rows, Counter: n.counter, Querier: n,
 		Leases: lease.NewManager(lease.Options{
-			Tables: n.beats, Host: name, Incarnation: lifetime, Length: leaseLength, HandoverDelay: turns, Place: func() (int, bool) { return r.place(name), true },
+			Tables: n.beats, Host: name, Incarnation: lifetime, Length: leaseLength, HandoverDelay: turns, Rank: func() (int, bool) { return r.place(name), true },
 		}),
 		Members: func() []duty.Member { return r.members(name) }, Successors: func() []string { return r.next(name) }, Platform: n, Running: func() map[string]int { return map[string]int{"model": 30} },
 		Services: func() []duty.Service {
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -51,7 +51,7 @@
 		o.Platform = platform.NewDuties(s.Gateway.Duties, p.Dial)
 		o.Leases = lease.NewManager(lease.Options{
 			Tables: tables, Host: s.Host, Incarnation: string(life), Length: time.Duration(leasePart * float64(s.Gateway.DutyTurns)),
-			Place: a.Place, HandoverDelay: s.Gateway.DutyTurns,
+			Rank: a.Place, HandoverDelay: s.Gateway.DutyTurns,
 		})
 	}
 	return duty.New(o)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -108,9 +108,9 @@
 	Length      time.Duration
 	// Owner tells which host a duty is meant for; nil means any.
 	Owner func(duty string) string
-	// Place is how many hosts come before this one in taking a lease, if that is known; nil for
+	// Rank is how many hosts come before this one in taking a lease, if that is known; nil for
 	// none. Each looks less often than the one before it, since a look is a call to the store.
-	Place func() (place int, known bool)
+	Rank func() (place int, known bool)
 	// HandoverDelay is the time in which hosts must not act in turns where that is not fenced.
 	HandoverDelay time.Duration
 }
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -45,10 +45,10 @@
 // that a lease is free, looks at once if it is one of the first. One that does not know its place
 // looks at nothing.
 func (m *Manager) due(looked clock.Instant, told bool, period time.Duration) bool {
-	if m.options.Place == nil {
+	if m.options.Rank == nil {
 		return true
 	}
-	place, known := m.options.Place()
+	place, known := m.options.Rank()
 	if !known {
 		return false
 	}
