--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -229,7 +229,7 @@
 func newLeases(s settings.Settings, id identity, tables store.Tables, m *membership.Membership) *lease.Manager {
 	return lease.NewManager(lease.Options{
 		Tables: tables, Host: id.host, Incarnation: id.incarnation, Length: s.Times.Lease,
-		Owner: func(duty string) string { return m.View().Owner(duty) },
+		AssignedHost: func(duty string) string { return m.View().Owner(duty) },
 	})
 }
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -106,8 +106,8 @@
 	Host        string
 	Incarnation string
 	Length      time.Duration
-	// Owner tells which host a duty is meant for; nil means any.
-	Owner func(duty string) string
+	// AssignedHost tells which host a duty is meant for; nil means any.
+	AssignedHost func(duty string) string
 	// Rank is how many hosts come before this one in taking a lease, if that is known; nil for
 	// none. Each looks less often than the one before it, since a look is a call to the store.
 	Rank func() (place int, known bool)
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -67,7 +67,7 @@
 
 // mine reports whether this host is meant to own the duty.
 func (m *Manager) mine(name string) bool {
-	return m.options.Owner == nil || m.options.Owner(name) == m.options.Host
+	return m.options.AssignedHost == nil || m.options.AssignedHost(name) == m.options.Host
 }
 
 // hold runs the duty and renews until the lease is lost, handed on, or the duty
