--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -48,7 +48,7 @@
 			}
 			running[listed.DataHall] = true
 			hall := listed.DataHall
-			h.working.Go(func() { h.Leases.Run(ctx, order.Duty(hall), h.Orders.Run(hall)) })
+			h.working.Go(func() { h.Leases.Run(ctx, order.LeaseName(hall), h.Orders.Run(hall)) })
 		}
 		clock.Sleep(ctx, housekeepEvery)
 	}
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -55,8 +55,8 @@
 	engine  store.Host
 }
 
-// Duty names the lease of a data hall's orders.
-func Duty(hall string) string { return "engine-orders/" + hall }
+// LeaseName names the lease of a data hall's orders.
+func LeaseName(hall string) string { return "engine-orders/" + hall }
 
 // Options set up a Reconciler.
 type Options struct {
