--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -239,7 +239,7 @@
 			continue
 		}
 		workspace := workspaces[r.draw(len(workspaces))]
-		n.counter.Began(workspace)
+		n.counter.CountRequest(workspace)
 		w := int64(usage.WindowOf(time.Now(), window))
 		if r.began[w] == nil {
 			r.began[w] = map[string]int64{}
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -36,5 +36,5 @@
 		return
 	}
 	x.counted = true
-	x.g.Usage.Began(x.workspace)
+	x.g.Usage.CountRequest(x.workspace)
 }
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -31,8 +31,8 @@
 	return &Counter{lifetime: lifetime, began: clock.Now(), slots: map[int64]Counts{}}
 }
 
-// Began counts a request that begins now.
-func (c *Counter) Began(workspace string) {
+// CountRequest counts a request that begins now.
+func (c *Counter) CountRequest(workspace string) {
 	slot := int64(clock.Since(c.began) / grain)
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -25,7 +25,7 @@
 			c := usage.NewCounter("a")
 			for range 12 { // one a second, the first in the middle of a second
 				time.Sleep(500 * time.Millisecond)
-				c.Began("weavers")
+				c.CountRequest("weavers")
 				time.Sleep(500 * time.Millisecond)
 			}
 			a := c.Account(day.Add(12*time.Second), window, 0)
@@ -40,9 +40,9 @@
 	It("is remembered for a while only", func() {
 		suite.Paused(func() {
 			c := usage.NewCounter("a")
-			c.Began("weavers")
+			c.CountRequest("weavers")
 			time.Sleep(time.Minute)
-			c.Began("weavers")
+			c.CountRequest("weavers")
 			a := c.Account(day, window, 0)
 			Expect(a.Windows).To(HaveLen(1))
 		})
