--- a/internal/duty/ask.go
+++ b/internal/duty/ask.go
@@ -40,7 +40,7 @@
 type Answer struct {
 	Host    string
 	Shown   time.Time // its own time of day
-	Account usage.Account
+	Account usage.HostUsage
 	Running map[string]int // requests in hand, by service
 	Copied  bool           // it was told before by a host that may be gone; only its account counts
 
@@ -56,9 +56,9 @@
 // answer is this host's own.
 func (k *Coordinator) answer(q Question) Answer {
 	a := Answer{Host: k.options.Host, Shown: time.Now(), Running: k.options.Running(), at: clock.Now()}
-	a.Account.Lifetime = k.options.Incarnation
+	a.Account.Incarnation = k.options.Incarnation
 	if q.Known && q.Window > 0 {
-		a.Account = k.options.Counter.Account(q.Now, q.Window, q.Since)
+		a.Account = k.options.Counter.Snapshot(q.Now, q.Window, q.Since)
 	}
 	return a
 }
@@ -169,7 +169,7 @@
 	a.Copied = true
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.copies = slices.DeleteFunc(k.copies, func(old Answer) bool { return old.Account.Lifetime == a.Account.Lifetime })
+	k.copies = slices.DeleteFunc(k.copies, func(old Answer) bool { return old.Account.Incarnation == a.Account.Incarnation })
 	k.copies = append(k.copies, a)
 	k.copies = k.copies[max(0, len(k.copies)-copiesMost):]
 }
--- a/internal/duty/grpc.go
+++ b/internal/duty/grpc.go
@@ -81,7 +81,7 @@
 }
 
 func answerToWire(a Answer) *dutypb.Host {
-	w := &dutypb.Host{Name: a.Host, Lifetime: a.Account.Lifetime, ShownMs: a.Shown.UnixMilli(), Copy: a.Copied, Running: map[string]int64{}}
+	w := &dutypb.Host{Name: a.Host, Lifetime: a.Account.Incarnation, ShownMs: a.Shown.UnixMilli(), Copy: a.Copied, Running: map[string]int64{}}
 	for service, n := range a.Running {
 		w.Running[service] = int64(n)
 	}
@@ -94,7 +94,7 @@
 func answerFromWire(w *dutypb.Host) Answer {
 	a := Answer{
 		Host: w.GetName(), Shown: time.UnixMilli(w.GetShownMs()), Copied: w.GetCopy(), Running: map[string]int{},
-		Account: usage.Account{Lifetime: w.GetLifetime(), Windows: map[usage.Window]usage.Counts{}},
+		Account: usage.HostUsage{Incarnation: w.GetLifetime(), Windows: map[usage.Window]usage.Counts{}},
 	}
 	for service, n := range w.GetRunning() {
 		a.Running[service] = int(n)
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -52,12 +52,12 @@
 	maps.DeleteFunc(c.slots, func(slot int64, _ Counts) bool { return slot < before })
 }
 
-// Account is what was counted in windows of a length from one on, if the time of day is now.
-func (c *Counter) Account(now time.Time, length time.Duration, since Window) Account {
+// Snapshot is what was counted in windows of a length from one on, if the time of day is now.
+func (c *Counter) Snapshot(now time.Time, length time.Duration, since Window) HostUsage {
 	passed := clock.Since(c.began)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := Account{Lifetime: c.lifetime, Windows: map[Window]Counts{}}
+	a := HostUsage{Incarnation: c.lifetime, Windows: map[Window]Counts{}}
 	for slot, counts := range c.slots {
 		middle := time.Duration(slot)*grain + grain/2
 		w := WindowOf(now.Add(middle-passed), length)
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -21,7 +21,7 @@
 // Ledger is what the host that reports usage knows. Its methods are not for use at once.
 type Ledger struct {
 	length   time.Duration
-	accounts map[string]Account   // by lifetime
+	accounts map[string]HostUsage   // by lifetime
 	direct   map[string]bool      // lifetimes that have told this ledger themselves
 	answered map[string]time.Time // by host, until when what it has told counts
 	reported Window               // the newest
@@ -30,7 +30,7 @@
 
 // NewLedger returns a ledger that knows nothing.
 func NewLedger(length time.Duration) *Ledger {
-	return &Ledger{length: length, accounts: map[string]Account{}, direct: map[string]bool{}, answered: map[string]time.Time{}}
+	return &Ledger{length: length, accounts: map[string]HostUsage{}, direct: map[string]bool{}, answered: map[string]time.Time{}}
 }
 
 // Reported takes in that a window was reported, by this host or one before it.
@@ -53,19 +53,19 @@
 }
 
 // Take takes in what a host has counted until a time of day.
-func (l *Ledger) Take(host string, a Account, until time.Time) {
+func (l *Ledger) Take(host string, a HostUsage, until time.Time) {
 	l.answered[host] = until
-	l.direct[a.Lifetime] = true
-	l.set(Account{Lifetime: a.Lifetime, Windows: l.open(a.Windows)})
+	l.direct[a.Incarnation] = true
+	l.set(HostUsage{Incarnation: a.Incarnation, Windows: l.open(a.Windows)})
 }
 
 // Add takes in what a life of a host had counted, as another one was told; its own word goes before
 // that. Counts only grow, so the larger ones stand.
-func (l *Ledger) Add(a Account) {
-	if l.direct[a.Lifetime] {
+func (l *Ledger) Add(a HostUsage) {
+	if l.direct[a.Incarnation] {
 		return
 	}
-	all := Account{Lifetime: a.Lifetime, Windows: maps.Clone(l.accounts[a.Lifetime].Windows)}
+	all := HostUsage{Incarnation: a.Incarnation, Windows: maps.Clone(l.accounts[a.Incarnation].Windows)}
 	if all.Windows == nil {
 		all.Windows = map[Window]Counts{}
 	}
@@ -82,10 +82,10 @@
 	return open
 }
 
-func (l *Ledger) set(a Account) {
-	delete(l.accounts, a.Lifetime)
+func (l *Ledger) set(a HostUsage) {
+	delete(l.accounts, a.Incarnation)
 	if len(a.Windows) > 0 {
-		l.accounts[a.Lifetime] = a
+		l.accounts[a.Incarnation] = a
 	}
 }
 
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -59,9 +59,9 @@
 	return larger
 }
 
-// Account is what one life of a host has counted.
-type Account struct {
-	Lifetime string // of the host, which no other life of any host has
+// HostUsage is what one life of a host has counted.
+type HostUsage struct {
+	Incarnation string // of the host, which no other life of any host has
 	Windows  map[Window]Counts
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -28,11 +28,11 @@
 				c.CountRequest("weavers")
 				time.Sleep(500 * time.Millisecond)
 			}
-			a := c.Account(day.Add(12*time.Second), window, 0)
+			a := c.Snapshot(day.Add(12*time.Second), window, 0)
 			Expect(a.Windows).To(Equal(map[usage.Window]usage.Counts{
 				first: {"weavers": 5}, first + 1: {"weavers": 5}, first + 2: {"weavers": 2},
 			}))
-			later := c.Account(day.Add(14*time.Second), window, first+1) // by another time of day
+			later := c.Snapshot(day.Add(14*time.Second), window, first+1) // by another time of day
 			Expect(later.Windows).To(Equal(map[usage.Window]usage.Counts{first + 1: {"weavers": 5}, first + 2: {"weavers": 4}}))
 		})
 	})
@@ -43,7 +43,7 @@
 			c.CountRequest("weavers")
 			time.Sleep(time.Minute)
 			c.CountRequest("weavers")
-			a := c.Account(day, window, 0)
+			a := c.Snapshot(day, window, 0)
 			Expect(a.Windows).To(HaveLen(1))
 		})
 	})
@@ -51,36 +51,36 @@
 	It("is reported once all hosts have answered after a window's end", func() {
 		l := usage.NewLedger(window)
 		l.Reported(first - 1)
-		l.Take("a", usage.Account{Lifetime: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(4*time.Second))
-		l.Take("b", usage.Account{Lifetime: "b1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 1, "dyers": 2}}}, day.Add(6*time.Second))
+		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(4*time.Second))
+		l.Take("b", usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 1, "dyers": 2}}}, day.Add(6*time.Second))
 		Expect(l.Due(day.Add(6 * time.Second))).To(BeEmpty())
-		l.Take("a", usage.Account{Lifetime: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 4}}}, day.Add(7*time.Second))
+		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 4}}}, day.Add(7*time.Second))
 		Expect(l.Due(day.Add(7 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5, "dyers": 2}}}))
 	})
 
 	It("has what a host counted before it died, and what its next life counts", func() {
 		l := usage.NewLedger(window)
 		l.Reported(first - 1)
-		l.Take("a", usage.Account{Lifetime: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(2*time.Second))
-		l.Take("a", usage.Account{Lifetime: "a2", Windows: map[usage.Window]usage.Counts{first: {"weavers": 2}}}, day.Add(6*time.Second))
+		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(2*time.Second))
+		l.Take("a", usage.HostUsage{Incarnation: "a2", Windows: map[usage.Window]usage.Counts{first: {"weavers": 2}}}, day.Add(6*time.Second))
 		Expect(l.Due(day.Add(6 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5}}}))
 	})
 
 	It("has what a host that died had told another", func() {
 		l := usage.NewLedger(window)
 		l.Reported(first - 1)
-		l.Take("a", usage.Account{Lifetime: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
-		l.Add(usage.Account{Lifetime: "b1", Windows: map[usage.Window]usage.Counts{first - 1: {"weavers": 9}, first: {"weavers": 2, "dyers": 1}}})
-		l.Add(usage.Account{Lifetime: "b1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 1, "dyers": 2}}})
+		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
+		l.Add(usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first - 1: {"weavers": 9}, first: {"weavers": 2, "dyers": 1}}})
+		l.Add(usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 1, "dyers": 2}}})
 		Expect(l.Due(day.Add(6 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5, "dyers": 2}}}))
 	})
 
 	It("is not counted twice where a host takes a request for another window's later", func() {
 		l := usage.NewLedger(window)
 		l.Reported(first - 1)
-		l.Take("a", usage.Account{Lifetime: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
-		l.Take("a", usage.Account{Lifetime: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 2}, first + 1: {"weavers": 1}}}, day.Add(11*time.Second))
-		l.Add(usage.Account{Lifetime: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}})
+		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
+		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 2}, first + 1: {"weavers": 1}}}, day.Add(11*time.Second))
+		l.Add(usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}})
 		Expect(l.Due(day.Add(11 * time.Second))).To(Equal([]usage.Report{
 			{Window: first, Counts: usage.Counts{"weavers": 2}}, {Window: first + 1, Counts: usage.Counts{"weavers": 1}},
 		}))
@@ -89,8 +89,8 @@
 	It("does not wait long for a host that is silent", func() {
 		l := usage.NewLedger(window)
 		l.Reported(first - 1)
-		l.Take("a", usage.Account{Lifetime: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(2*time.Second))
-		l.Take("b", usage.Account{Lifetime: "b1"}, day.Add(8*time.Second))
+		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(2*time.Second))
+		l.Take("b", usage.HostUsage{Incarnation: "b1"}, day.Add(8*time.Second))
 		Expect(l.Due(day.Add(9 * time.Second))).To(BeEmpty())
 		Expect(l.Due(day.Add(10 * time.Second))).To(HaveLen(1))
 	})
@@ -100,7 +100,7 @@
 		Expect(l.Due(day)).To(BeEmpty())
 		l.Reported(first)
 		Expect(l.Due(day.Add(20 * time.Second))).To(BeEmpty()) // nobody has told that there were none
-		l.Take("a", usage.Account{Lifetime: "a1"}, day.Add(16*time.Second))
+		l.Take("a", usage.HostUsage{Incarnation: "a1"}, day.Add(16*time.Second))
 		Expect(l.Due(day.Add(20 * time.Second))).To(Equal([]usage.Report{
 			{Window: first + 1, Counts: usage.Counts{}}, {Window: first + 2, Counts: usage.Counts{}},
 		}))
@@ -108,7 +108,7 @@
 
 	It("is not reported twice", func() {
 		l := usage.NewLedger(window)
-		l.Take("a", usage.Account{Lifetime: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
+		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
 		Expect(l.Due(day.Add(6 * time.Second))).To(HaveLen(1))
 		l.Reported(first)
 		Expect(l.Due(day.Add(6 * time.Second))).To(BeEmpty())
