--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -203,7 +203,7 @@
 type term struct {
 	keeper   *Coordinator
 	lease    *lease.Lease
-	timeIs   usage.TimeOfDay
+	timeIs   usage.MedianClock
 	ledger   *usage.Ledger
 	reports  reports
 	planners map[string]*capacity.Planner
@@ -237,21 +237,21 @@
 	now, known := t.timeIs.Now()
 	q := Question{Window: o.Window, Known: known, Now: now}
 	if known {
-		q.Since = t.ledger.Since(now)
+		q.Since = t.ledger.FirstUnreported(now)
 	}
 	members := o.Members()
 	answers := append(t.keeper.gather(ctx, q, members), t.keeper.Tell(ctx, q)...)
-	var shown []usage.Shown
+	var shown []usage.ClockReading
 	clear(t.running)
 	for _, a := range answers {
 		if a.Copied {
-			t.ledger.Add(a.Account)
+			t.ledger.MergeBackup(a.Account)
 			continue
 		}
-		shown = append(shown, usage.Shown{At: a.at, Time: a.Shown})
+		shown = append(shown, usage.ClockReading{At: a.at, Time: a.Shown})
 		t.running[a.Host] = a.Running
 		if known {
-			t.ledger.Take(a.Host, a.Account, now)
+			t.ledger.SetHostUsage(a.Host, a.Account, now)
 		}
 	}
 	t.timeIs = t.timeIs.With(shown, len(members)+1)
--- a/internal/duty/reports.go
+++ b/internal/duty/reports.go
@@ -68,7 +68,7 @@
 			return fmt.Errorf("read usage: %w", err)
 		}
 		t.reports.kept = append(t.reports.kept, r.Window)
-		t.ledger.Reported(r.Window)
+		t.ledger.MarkReported(r.Window)
 		if i >= len(rows)-againWindows {
 			t.reports.unsent = append(t.reports.unsent, r)
 		}
@@ -98,7 +98,7 @@
 	}
 	t.reports.kept = append(t.reports.kept[old:], r.Window)
 	t.reports.unsent = append(t.reports.unsent, r)
-	t.ledger.Reported(r.Window)
+	t.ledger.MarkReported(r.Window)
 	t.keeper.options.Logger.Info("usage kept", "window", r.Window, "workspaces", len(r.Counts), "token", t.lease.Epoch())
 	return nil
 }
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -40,20 +40,20 @@
 type Counts map[string]int64
 
 // plus returns the sum.
-func (c Counts) plus(o Counts) Counts {
+func (c Counts) plus(other Counts) Counts {
 	sum := Counts{}
 	maps.Copy(sum, c)
-	for workspace, n := range o {
+	for workspace, n := range other {
 		sum[workspace] += n
 	}
 	return sum
 }
 
-// most returns the larger count of each workspace.
-func (c Counts) most(o Counts) Counts {
+// larger returns the larger count of each workspace.
+func (c Counts) larger(other Counts) Counts {
 	larger := Counts{}
 	maps.Copy(larger, c)
-	for workspace, n := range o {
+	for workspace, n := range other {
 		larger[workspace] = max(larger[workspace], n)
 	}
 	return larger
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -50,37 +50,37 @@
 
 	It("is reported once all hosts have answered after a window's end", func() {
 		l := usage.NewLedger(window)
-		l.Reported(first - 1)
-		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(4*time.Second))
-		l.Take("b", usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 1, "dyers": 2}}}, day.Add(6*time.Second))
+		l.MarkReported(first - 1)
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(4*time.Second))
+		l.SetHostUsage("b", usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 1, "dyers": 2}}}, day.Add(6*time.Second))
 		Expect(l.Due(day.Add(6 * time.Second))).To(BeEmpty())
-		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 4}}}, day.Add(7*time.Second))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 4}}}, day.Add(7*time.Second))
 		Expect(l.Due(day.Add(7 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5, "dyers": 2}}}))
 	})
 
 	It("has what a host counted before it died, and what its next life counts", func() {
 		l := usage.NewLedger(window)
-		l.Reported(first - 1)
-		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(2*time.Second))
-		l.Take("a", usage.HostUsage{Incarnation: "a2", Windows: map[usage.Window]usage.Counts{first: {"weavers": 2}}}, day.Add(6*time.Second))
+		l.MarkReported(first - 1)
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(2*time.Second))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a2", Windows: map[usage.Window]usage.Counts{first: {"weavers": 2}}}, day.Add(6*time.Second))
 		Expect(l.Due(day.Add(6 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5}}}))
 	})
 
 	It("has what a host that died had told another", func() {
 		l := usage.NewLedger(window)
-		l.Reported(first - 1)
-		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
-		l.Add(usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first - 1: {"weavers": 9}, first: {"weavers": 2, "dyers": 1}}})
-		l.Add(usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 1, "dyers": 2}}})
+		l.MarkReported(first - 1)
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
+		l.MergeBackup(usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first - 1: {"weavers": 9}, first: {"weavers": 2, "dyers": 1}}})
+		l.MergeBackup(usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 1, "dyers": 2}}})
 		Expect(l.Due(day.Add(6 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5, "dyers": 2}}}))
 	})
 
 	It("is not counted twice where a host takes a request for another window's later", func() {
 		l := usage.NewLedger(window)
-		l.Reported(first - 1)
-		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
-		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 2}, first + 1: {"weavers": 1}}}, day.Add(11*time.Second))
-		l.Add(usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}})
+		l.MarkReported(first - 1)
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 2}, first + 1: {"weavers": 1}}}, day.Add(11*time.Second))
+		l.MergeBackup(usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}})
 		Expect(l.Due(day.Add(11 * time.Second))).To(Equal([]usage.Report{
 			{Window: first, Counts: usage.Counts{"weavers": 2}}, {Window: first + 1, Counts: usage.Counts{"weavers": 1}},
 		}))
@@ -88,9 +88,9 @@
 
 	It("does not wait long for a host that is silent", func() {
 		l := usage.NewLedger(window)
-		l.Reported(first - 1)
-		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(2*time.Second))
-		l.Take("b", usage.HostUsage{Incarnation: "b1"}, day.Add(8*time.Second))
+		l.MarkReported(first - 1)
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(2*time.Second))
+		l.SetHostUsage("b", usage.HostUsage{Incarnation: "b1"}, day.Add(8*time.Second))
 		Expect(l.Due(day.Add(9 * time.Second))).To(BeEmpty())
 		Expect(l.Due(day.Add(10 * time.Second))).To(HaveLen(1))
 	})
@@ -98,9 +98,9 @@
 	It("is reported of windows without requests too, once there were some", func() {
 		l := usage.NewLedger(window)
 		Expect(l.Due(day)).To(BeEmpty())
-		l.Reported(first)
+		l.MarkReported(first)
 		Expect(l.Due(day.Add(20 * time.Second))).To(BeEmpty()) // nobody has told that there were none
-		l.Take("a", usage.HostUsage{Incarnation: "a1"}, day.Add(16*time.Second))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1"}, day.Add(16*time.Second))
 		Expect(l.Due(day.Add(20 * time.Second))).To(Equal([]usage.Report{
 			{Window: first + 1, Counts: usage.Counts{}}, {Window: first + 2, Counts: usage.Counts{}},
 		}))
@@ -108,26 +108,26 @@
 
 	It("is not reported twice", func() {
 		l := usage.NewLedger(window)
-		l.Take("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
 		Expect(l.Due(day.Add(6 * time.Second))).To(HaveLen(1))
-		l.Reported(first)
+		l.MarkReported(first)
 		Expect(l.Due(day.Add(6 * time.Second))).To(BeEmpty())
-		Expect(l.Since(day.Add(6 * time.Second))).To(Equal(first + 1))
+		Expect(l.FirstUnreported(day.Add(6 * time.Second))).To(Equal(first + 1))
 	})
 })
 
 var _ = Describe("the time of day", func() {
-	shown := func(ahead ...time.Duration) []usage.Shown {
-		var all []usage.Shown
+	shown := func(ahead ...time.Duration) []usage.ClockReading {
+		var all []usage.ClockReading
 		for _, d := range ahead {
-			all = append(all, usage.Shown{At: clock.Now(), Time: day.Add(d)})
+			all = append(all, usage.ClockReading{At: clock.Now(), Time: day.Add(d)})
 		}
 		return all
 	}
 
 	It("is what most hosts take it to be, and goes on", func() {
 		suite.Paused(func() {
-			t := usage.TimeOfDay{}.With(shown(0, 2400*time.Millisecond, 10*time.Millisecond, 5*time.Millisecond, 2400*time.Millisecond), 5)
+			t := usage.MedianClock{}.With(shown(0, 2400*time.Millisecond, 10*time.Millisecond, 5*time.Millisecond, 2400*time.Millisecond), 5)
 			time.Sleep(time.Second)
 			now, known := t.Now()
 			Expect(known).To(BeTrue())
@@ -137,11 +137,11 @@
 
 	It("stays what it was where few hosts answer", func() {
 		suite.Paused(func() {
-			t := usage.TimeOfDay{}.With(shown(0, 0, 0), 5)
+			t := usage.MedianClock{}.With(shown(0, 0, 0), 5)
 			t = t.With(shown(2400*time.Millisecond, 2400*time.Millisecond), 5)
 			now, _ := t.Now()
 			Expect(now).To(Equal(day))
-			_, known := usage.TimeOfDay{}.With(shown(0), 5).Now()
+			_, known := usage.MedianClock{}.With(shown(0), 5).Now()
 			Expect(known).To(BeFalse())
 		})
 	})
