--- a/internal/duty/ask.go
+++ b/internal/duty/ask.go
@@ -123,7 +123,7 @@
 	}
 	answers = append(answers, k.heldCopies()...)
 	if q.Free && k.options.Leases != nil {
-		k.options.Leases.Look()
+		k.options.Leases.CheckNow()
 	}
 	if len(q.Relay) == 0 {
 		return answers
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -180,11 +180,11 @@
 
 // hold does the duties while the lease lasts.
 func (k *Coordinator) hold(ctx context.Context, l *lease.Lease) {
-	k.options.Logger.Info("duties taken", "token", l.Epoch(), "rest_ms", max(l.Rest(), 0).Milliseconds())
+	k.options.Logger.Info("duties taken", "token", l.Epoch(), "rest_ms", max(l.UnfencedWait(), 0).Milliseconds())
 	k.holding(true)
 	defer func() {
 		k.holding(false)
-		k.options.Logger.Info("duties left", "token", l.Epoch(), "left_ms", l.Left().Milliseconds())
+		k.options.Logger.Info("duties left", "token", l.Epoch(), "left_ms", l.Remaining().Milliseconds())
 	}()
 	t := newTerm(k, l)
 	for l.Valid() && ctx.Err() == nil {
@@ -226,7 +226,7 @@
 
 // may reports whether a call may be made: nobody else may act before it has ended.
 func (t *term) may(ctx context.Context) bool {
-	return ctx.Err() == nil && t.lease.Rest() <= 0 && t.lease.Left() > callLimit
+	return ctx.Err() == nil && t.lease.UnfencedWait() <= 0 && t.lease.Remaining() > callLimit
 }
 
 func (t *term) holder() Holder { return Holder{Host: t.keeper.options.Host, Token: t.lease.Epoch()} }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -50,12 +50,12 @@
 // ErrHeld means that another holds the lease, or may still hold it.
 var ErrHeld = errors.New("lease is held by another")
 
-// row is what the table says of a lease.
-type row struct {
+// record is what the table says of a lease.
+type record struct {
 	Holder      string `json:"holder"`
 	Incarnation string `json:"incarnation"`
 	Epoch       int64  `json:"epoch"`
-	Beat        int64  `json:"beat"` // counts renewals
+	Renewals        int64  `json:"beat"` // counts renewals
 	Released    bool   `json:"released,omitempty"`
 }
 
@@ -65,11 +65,11 @@
 	epoch int64
 	fence store.Row
 
-	rests clock.Instant // what is not fenced begins then
+	unfencedFrom clock.Instant // what is not fenced begins then
 
 	mu    sync.Mutex    // guards all below
-	until clock.Instant // holder's own clock
-	beat  int64
+	expires clock.Instant // holder's own clock
+	renewals  int64
 }
 
 // Epoch returns the fencing epoch; it grows with each holder.
@@ -79,18 +79,18 @@
 func (l *Lease) Valid() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return clock.Now().Before(l.until)
+	return clock.Now().Before(l.expires)
 }
 
-// Left returns how long the lease is still valid without renewal.
-func (l *Lease) Left() time.Duration {
+// Remaining returns how long the lease is still valid without renewal.
+func (l *Lease) Remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return clock.Until(l.until)
+	return clock.Until(l.expires)
 }
 
-// Rest is how long the holder still leaves undone what is not fenced; 0 or less for nothing.
-func (l *Lease) Rest() time.Duration { return clock.Until(l.rests) }
+// UnfencedWait is how long the holder still leaves undone what is not fenced; 0 or less for nothing.
+func (l *Lease) UnfencedWait() time.Duration { return clock.Until(l.unfencedFrom) }
 
 // Fenced adds the condition that nobody took the lease since.
 func (l *Lease) Fenced(txn store.Transaction) store.Transaction {
@@ -115,8 +115,8 @@
 	HandoverDelay time.Duration
 }
 
-// sighting is a lease row and how long it has been seen unchanged.
-type sighting struct {
+// observation is a lease row and how long it has been seen unchanged.
+type observation struct {
 	version int64
 	since   clock.Instant
 }
@@ -125,19 +125,19 @@
 type Manager struct {
 	options Options
 
-	look wake.Signal // a signal to look at leases at once
+	checkSignal wake.Signal // a signal to look at leases at once
 
 	mu   sync.Mutex // guards seen
-	seen map[string]sighting
+	observed map[string]observation
 }
 
 // NewManager returns a manager that holds nothing.
 func NewManager(options Options) *Manager {
-	return &Manager{options: options, look: wake.NewSignal(), seen: map[string]sighting{}}
+	return &Manager{options: options, checkSignal: wake.NewSignal(), observed: map[string]observation{}}
 }
 
-// Look has the host look at its leases at once: one was released.
-func (m *Manager) Look() { m.look.Poke() }
+// CheckNow has the host look at its leases at once: one was released.
+func (m *Manager) CheckNow() { m.checkSignal.Poke() }
 
 // Acquire takes a lease, or returns ErrHeld.
 func (m *Manager) Acquire(ctx context.Context, name string) (*Lease, error) {
@@ -145,28 +145,28 @@
 	if err != nil {
 		return nil, err
 	}
-	if !m.free(name, current, tableRow) {
+	if !m.available(name, current, tableRow) {
 		return nil, ErrHeld
 	}
-	next := row{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: current.Epoch + 1}
+	next := record{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: current.Epoch + 1}
 	sent := clock.Now()
-	if err := m.take(ctx, name, tableRow, next); err != nil {
+	if err := m.claim(ctx, name, tableRow, next); err != nil {
 		return nil, err
 	}
-	fence, err := m.fence(ctx, name, next.Epoch)
+	fence, err := m.readFence(ctx, name, next.Epoch)
 	if err != nil {
 		return nil, err
 	}
-	l := &Lease{name: name, epoch: next.Epoch, fence: fence, until: m.until(sent)}
+	l := &Lease{name: name, epoch: next.Epoch, fence: fence, expires: m.expiry(sent)}
 	if current.Released {
-		l.rests = sent.Add(m.options.HandoverDelay)
+		l.unfencedFrom = sent.Add(m.options.HandoverDelay)
 	}
 	return l, nil
 }
 
-// take writes that this host holds a lease, if its row is still as it was read: a renewal that
+// claim writes that this host holds a lease, if its row is still as it was read: a renewal that
 // came in between has changed it.
-func (m *Manager) take(ctx context.Context, name string, at store.Row, next row) error {
+func (m *Manager) claim(ctx context.Context, name string, at store.Row, next record) error {
 	data, err := codec.Encode(next)
 	if err != nil {
 		return fmt.Errorf("acquire %s: %w", name, err)
@@ -191,13 +191,13 @@
 	return nil
 }
 
-// fence reads the row that changes only as the lease changes hands.
-func (m *Manager) fence(ctx context.Context, name string, epoch int64) (store.Row, error) {
+// readFence reads the row that changes only as the lease changes hands.
+func (m *Manager) readFence(ctx context.Context, name string, epoch int64) (store.Row, error) {
 	fence, err := m.options.Tables.Get(ctx, tableFence, name)
 	if err != nil {
 		return store.Row{}, fmt.Errorf("acquire %s: %w", name, err)
 	}
-	holder, err := codec.Decode[row](fence.Value)
+	holder, err := codec.Decode[record](fence.Value)
 	if err != nil {
 		return store.Row{}, fmt.Errorf("acquire %s: %w", name, err)
 	}
@@ -207,44 +207,44 @@
 	return fence, nil
 }
 
-// until is when a holder stops that last wrote at a moment.
-func (m *Manager) until(sent clock.Instant) clock.Instant {
+// expiry is when a holder stops that last wrote at a moment.
+func (m *Manager) expiry(sent clock.Instant) clock.Instant {
 	return sent.Add(m.options.Length - m.options.Length/guardDivisor)
 }
 
 // read returns the lease's row; a zero one if there is none.
-func (m *Manager) read(ctx context.Context, name string) (row, store.Row, error) {
+func (m *Manager) read(ctx context.Context, name string) (record, store.Row, error) {
 	tableRow, err := m.options.Tables.Get(ctx, tableLease, name)
 	if errors.Is(err, store.ErrNotFound) {
-		return row{}, store.Row{Key: name}, nil
+		return record{}, store.Row{Key: name}, nil
 	}
 	if err != nil {
-		return row{}, store.Row{}, fmt.Errorf("read lease %s: %w", name, err)
+		return record{}, store.Row{}, fmt.Errorf("read lease %s: %w", name, err)
 	}
-	current, err := codec.Decode[row](tableRow.Value)
+	current, err := codec.Decode[record](tableRow.Value)
 	if err != nil {
-		return row{}, store.Row{}, fmt.Errorf("read lease %s: %w", name, err)
+		return record{}, store.Row{}, fmt.Errorf("read lease %s: %w", name, err)
 	}
 	return current, tableRow, nil
 }
 
-// free reports whether the lease may be taken.
-func (m *Manager) free(name string, current row, tableRow store.Row) bool {
+// available reports whether the lease may be taken.
+func (m *Manager) available(name string, current record, tableRow store.Row) bool {
 	if tableRow.Version == 0 || current.Released {
 		return true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s, ok := m.seen[name]
+	s, ok := m.observed[name]
 	if !ok || s.version != tableRow.Version {
-		m.seen[name] = sighting{version: tableRow.Version, since: clock.Now()}
+		m.observed[name] = observation{version: tableRow.Version, since: clock.Now()}
 		return false
 	}
 	return clock.Since(s.since) >= m.options.Length
 }
 
-// write puts the lease's row as long as nobody took the lease.
-func (m *Manager) write(ctx context.Context, l *Lease, next row) error {
+// writeRecord puts the lease's row as long as nobody took the lease.
+func (m *Manager) writeRecord(ctx context.Context, l *Lease, next record) error {
 	data, err := codec.Encode(next)
 	if err != nil {
 		return fmt.Errorf("encode lease: %w", err)
@@ -258,11 +258,11 @@
 // other error leaves it as it was, and renewing again is right.
 func (m *Manager) Renew(ctx context.Context, l *Lease) error {
 	l.mu.Lock()
-	l.beat++
-	next := row{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: l.epoch, Beat: l.beat}
+	l.renewals++
+	next := record{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: l.epoch, Renewals: l.renewals}
 	l.mu.Unlock()
 	sent := clock.Now()
-	err := m.write(ctx, l, next)
+	err := m.writeRecord(ctx, l, next)
 	if store.Uncertain(err) {
 		// It may be written: what the row says now tells.
 		now, _, readErr := m.read(ctx, l.name)
@@ -271,18 +271,18 @@
 			return fmt.Errorf("renew %s: %w", l.name, err)
 		case now.Epoch != l.epoch || now.Incarnation != m.options.Incarnation || now.Released:
 			err = store.ErrConflict
-		case now.Beat == next.Beat:
+		case now.Renewals == next.Renewals:
 			err = nil
 		}
 	}
 	switch {
 	case errors.Is(err, store.ErrConflict):
-		l.end()
+		l.invalidate()
 		return fmt.Errorf("renew %s: %w", l.name, ErrHeld)
 	case err != nil:
 		return fmt.Errorf("renew %s: %w", l.name, err)
 	}
-	l.extend(m.until(sent))
+	l.extend(m.expiry(sent))
 	return nil
 }
 
@@ -290,23 +290,23 @@
 func (l *Lease) extend(until clock.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if until.After(l.until) {
-		l.until = until
+	if until.After(l.expires) {
+		l.expires = until
 	}
 }
 
-// end makes the lease invalid.
-func (l *Lease) end() {
+// invalidate makes the lease invalid.
+func (l *Lease) invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.until = clock.Instant{}
+	l.expires = clock.Instant{}
 }
 
 // Release gives a lease up, so that another need not wait.
 func (m *Manager) Release(ctx context.Context, l *Lease) error {
-	l.end()
-	next := row{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: l.epoch, Released: true}
-	if err := m.write(ctx, l, next); err != nil {
+	l.invalidate()
+	next := record{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: l.epoch, Released: true}
+	if err := m.writeRecord(ctx, l, next); err != nil {
 		return fmt.Errorf("release %s: %w", l.name, err)
 	}
 	return nil
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -69,7 +69,7 @@
 			Expect(l.Valid()).To(BeTrue())
 			clock.Suspend(length)
 			Expect(l.Valid()).To(BeFalse())
-			Expect(l.Left()).To(BeNumerically("<", 0))
+			Expect(l.Remaining()).To(BeNumerically("<", 0))
 		})
 	})
 
@@ -102,7 +102,7 @@
 			sent := time.Now()
 			Expect(m.Renew(ctx, l)).To(Succeed())
 			Expect(time.Since(sent)).To(Equal(3 * time.Second))
-			Expect(l.Left()).To(BeNumerically("<=", length-3*time.Second))
+			Expect(l.Remaining()).To(BeNumerically("<=", length-3*time.Second))
 		})
 	})
 
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -21,10 +21,10 @@
 // this host is the owner, runs the duty while it holds it, and releases it.
 func (m *Manager) Run(ctx context.Context, name string, duty Duty) {
 	period := m.options.Length / renewDivisor
-	looked, told := clock.Now(), true
+	lastCheck, checkSoon := clock.Now(), true
 	for ctx.Err() == nil {
-		if m.mine(name) && m.due(looked, told, period) {
-			looked, told = clock.Now(), false
+		if m.assigned(name) && m.checkDue(lastCheck, checkSoon, period) {
+			lastCheck, checkSoon = clock.Now(), false
 			if l, err := m.Acquire(ctx, name); err == nil {
 				m.hold(ctx, l, duty)
 			}
@@ -32,41 +32,41 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.look:
-			told = true
+		case <-m.checkSignal:
+			checkSoon = true
 		case <-time.After(period):
 		}
 	}
 }
 
-// due reports whether a lease is looked at that another held at the last look. Hosts that
+// checkDue reports whether a lease is looked at that another held at the last look. Hosts that
 // come later look less often, most with the square of their place, so the looks of all stay few; a host
 // whose forerunners are lost comes first as soon as it knows. One that has just started, or was told
 // that a lease is free, looks at once if it is one of the first. One that does not know its place
 // looks at nothing.
-func (m *Manager) due(looked clock.Instant, told bool, period time.Duration) bool {
+func (m *Manager) checkDue(lastCheck clock.Instant, checkSoon bool, period time.Duration) bool {
 	if m.options.Rank == nil {
 		return true
 	}
-	place, known := m.options.Rank()
+	rank, known := m.options.Rank()
 	if !known {
 		return false
 	}
-	if told && place <= 1 {
+	if checkSoon && rank <= 1 {
 		return true
 	}
-	turns := 1 + place
-	if place > oftenPlaces {
-		turns *= turns
+	intervals := 1 + rank
+	if rank > frequentRanks {
+		intervals *= intervals
 	}
-	return clock.Since(looked) >= period*time.Duration(turns)-period/2
+	return clock.Since(lastCheck) >= period*time.Duration(intervals)-period/2
 }
 
-// oftenPlaces hosts after the first look often: the next one may not reach the store either.
-const oftenPlaces = 2
+// frequentRanks hosts after the first look often: the next one may not reach the store either.
+const frequentRanks = 2
 
-// mine reports whether this host is meant to own the duty.
-func (m *Manager) mine(name string) bool {
+// assigned reports whether this host is meant to own the duty.
+func (m *Manager) assigned(name string) bool {
 	return m.options.AssignedHost == nil || m.options.AssignedHost(name) == m.options.Host
 }
 
@@ -85,10 +85,10 @@
 	if !l.Valid() {
 		return
 	}
-	last, stop := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
+	releaseContext, stop := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer stop()
 	// A release that fails costs the next holder a wait, nothing else.
-	_ = m.Release(last, l)
+	_ = m.Release(releaseContext, l)
 }
 
 // renewUntilLost returns when the lease is no longer valid, no longer meant for
@@ -96,14 +96,14 @@
 func (m *Manager) renewUntilLost(ctx context.Context, l *Lease) {
 	period := m.options.Length / renewDivisor
 	for {
-		wait := min(period, l.Left())
-		if !clock.Sleep(ctx, wait) || !m.mine(l.name) {
+		wait := min(period, l.Remaining())
+		if !clock.Sleep(ctx, wait) || !m.assigned(l.name) {
 			return
 		}
 		if !l.Valid() {
 			return
 		}
-		renewContext, cancel := context.WithTimeout(ctx, l.Left())
+		renewContext, cancel := context.WithTimeout(ctx, l.Remaining())
 		err := m.Renew(renewContext, l)
 		cancel()
 		if errors.Is(err, ErrHeld) || !l.Valid() {
--- a/internal/lease/walk_test.go
+++ b/internal/lease/walk_test.go
@@ -73,7 +73,7 @@
 }
 
 func (c *contender) act() []action {
-	if c.l == nil || !c.l.Valid() || c.l.Rest() > 0 {
+	if c.l == nil || !c.l.Valid() || c.l.UnfencedWait() > 0 {
 		return nil
 	}
 	return []action{{time.Now(), c.name, c.l.Epoch()}}
