--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -33,9 +33,9 @@
 
 // Bounds of the reconciliation.
 const (
-	period       = 2 * time.Second
+	reconcileInterval       = 2 * time.Second
 	orderTimeout = 30 * time.Second
-	fewest       = 2 // engines in a data hall that should have a canary version
+	minCanaryEngines       = 2 // engines in a data hall that should have a canary version
 )
 
 // Action is what an order asks for.
@@ -76,36 +76,36 @@
 func (r *Reconciler) Run(hall string) lease.Duty {
 	return func(ctx context.Context, l *lease.Lease) {
 		for l.Valid() && ctx.Err() == nil {
-			r.Once(ctx, l, hall)
-			clock.Sleep(ctx, period)
+			r.Reconcile(ctx, l, hall)
+			clock.Sleep(ctx, reconcileInterval)
 		}
 	}
 }
 
-// reported is an engine with its report.
-type reported struct {
+// engineReport is an engine with its report.
+type engineReport struct {
 	host   store.Host
 	report endpoint.Report
 }
 
-// Once compares what engines have with what they should have, and gives the
+// Reconcile compares what engines have with what they should have, and gives the
 // orders that follow.
-func (r *Reconciler) Once(ctx context.Context, l *lease.Lease, hall string) {
+func (r *Reconciler) Reconcile(ctx context.Context, l *lease.Lease, hall string) {
 	snapshot := r.options.Config.Current()
 	if snapshot == nil {
 		return
 	}
-	var engines []reported
+	var engines []engineReport
 	for _, h := range r.options.List() {
 		if h.Kind != store.HostEngine || h.DataHall != hall || h.State != store.HostLive {
 			continue
 		}
 		report, err := r.options.Fetch(ctx, h.Address)
 		if err == nil {
-			engines = append(engines, reported{h, report})
+			engines = append(engines, engineReport{h, report})
 		}
 	}
-	for _, o := range orders(snapshot, engines) {
+	for _, o := range ordersFor(snapshot, engines) {
 		if !l.Valid() || ctx.Err() != nil {
 			return
 		}
@@ -115,13 +115,13 @@
 	}
 }
 
-// orders decides which orders follow from the configuration and the reports.
-func orders(snapshot *config.Snapshot, engines []reported) []Order {
+// ordersFor decides which ordersFor follow from the configuration and the reports.
+func ordersFor(snapshot *config.Snapshot, engines []engineReport) []Order {
 	var list []Order
-	have := map[string]int{}
+	enginesWith := map[string]int{}
 	for _, e := range engines {
 		for _, v := range e.report.Versions {
-			have[v]++
+			enginesWith[v]++
 			if snapshot.State(declare.ParseRef(v)) == declare.StateWithdrawn {
 				list = append(list, Order{Action: ActionUnload, Version: v, engine: e.host})
 			}
@@ -130,7 +130,7 @@
 	for _, m := range snapshot.Revision().Declarations.Models {
 		for _, v := range m.Versions {
 			name := declare.Ref{Model: m.Name, Version: v.Name}.String()
-			if v.State != declare.StateCanary || have[name] >= min(fewest, len(engines)) {
+			if v.State != declare.StateCanary || enginesWith[name] >= min(minCanaryEngines, len(engines)) {
 				continue
 			}
 			if e, ok := leastLoaded(engines, name); ok {
@@ -142,15 +142,15 @@
 }
 
 // leastLoaded finds the engine with the least work that lacks a version.
-func leastLoaded(engines []reported, version string) (reported, bool) {
+func leastLoaded(engines []engineReport, version string) (engineReport, bool) {
 	candidates := engines[:0:0]
 	for _, e := range engines {
-		if !has(e.report.Versions, version) && !e.report.Draining {
+		if !contains(e.report.Versions, version) && !e.report.Draining {
 			candidates = append(candidates, e)
 		}
 	}
 	if len(candidates) == 0 {
-		return reported{}, false
+		return engineReport{}, false
 	}
 	sort.Slice(candidates, func(i, j int) bool {
 		a, b := candidates[i], candidates[j]
@@ -162,7 +162,7 @@
 	return candidates[0], true
 }
 
-func has(versions []string, version string) bool {
+func contains(versions []string, version string) bool {
 	for _, v := range versions {
 		if v == version {
 			return true
