--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -38,11 +38,11 @@
 
 // Times of a host that does the duties.
 const (
-	// every is how often it asks the others.
-	every = time.Second
-	// callLimit is what one call to the platform takes at most. It is not begun unless the lease
+	// queryInterval is how often it asks the others.
+	queryInterval = time.Second
+	// callTimeout is what one call to the platform takes at most. It is not begun unless the lease
 	// is good for longer.
-	callLimit = 1200 * time.Millisecond
+	callTimeout = 1200 * time.Millisecond
 )
 
 // Errors of the platform.
@@ -98,14 +98,14 @@
 type Coordinator struct {
 	options Options
 
-	leave   chan struct{} // closed once the duties are to be given up
-	leaving sync.Once
-	left    chan struct{} // closed once they are
+	stopRequested   chan struct{} // closed once the duties are to be given up
+	stopOnce sync.Once
+	stopped    chan struct{} // closed once they are
 
 	mu     sync.Mutex // guards all below
 	orders []ActiveOrder
 	holds  bool
-	copies []Answer // of what holders had counted, oldest first
+	backups []HostStatus // of what holders had counted, oldest first
 }
 
 // ActiveOrder is an order in force, as operators see it.
@@ -119,149 +119,149 @@
 
 // New returns a keeper that holds nothing.
 func New(options Options) *Coordinator {
-	return &Coordinator{options: options, leave: make(chan struct{}), left: make(chan struct{})}
+	return &Coordinator{options: options, stopRequested: make(chan struct{}), stopped: make(chan struct{})}
 }
 
 // Register serves other hosts.
-func (k *Coordinator) Register(s grpc.ServiceRegistrar) { dutypb.RegisterDutyServer(s, &server{keeper: k}) }
+func (c *Coordinator) Register(s grpc.ServiceRegistrar) { dutypb.RegisterDutyServer(s, &server{coordinator: c}) }
 
 // Run competes for the duties until the context ends.
-func (k *Coordinator) Run(ctx context.Context) {
-	defer close(k.left)
-	if k.options.Platform == nil {
+func (c *Coordinator) Run(ctx context.Context) {
+	defer close(c.stopped)
+	if c.options.Platform == nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-k.leave:
+		case <-c.stopRequested:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	k.options.Leases.Run(ctx, leaseName, k.hold)
+	c.options.Leases.Run(ctx, leaseName, c.hold)
 }
 
 // Resign gives the duties up for good, as the first thing that a stopping host does: its successor
 // can still ask it what it has counted.
-func (k *Coordinator) Resign(ctx context.Context) {
-	_, held := k.Orders()
-	k.leaving.Do(func() { close(k.leave) })
+func (c *Coordinator) Resign(ctx context.Context) {
+	_, held := c.Orders()
+	c.stopOnce.Do(func() { close(c.stopRequested) })
 	select {
-	case <-k.left:
+	case <-c.stopped:
 	case <-ctx.Done():
 		return
 	}
 	if !held {
 		return
 	}
-	next := k.options.Successors()
-	for _, address := range next[:min(nextTries, len(next))] {
-		limited, cancel := context.WithTimeout(ctx, askLimit)
-		_, err := k.options.Querier.Ask(limited, address, Question{Free: true})
+	successors := c.options.Successors()
+	for _, address := range successors[:min(maxSuccessorTries, len(successors))] {
+		queryContext, cancel := context.WithTimeout(ctx, queryTimeout)
+		_, err := c.options.Querier.Query(queryContext, address, Query{Released: true})
 		cancel()
 		if err == nil {
 			return
 		}
-		k.options.Logger.Info("host not told that it may take the duties", "address", address, "error", err)
+		c.options.Logger.Info("host not told that it may take the duties", "address", address, "error", err)
 	}
 }
 
-// nextTries is how many hosts are told, until one answers, that the duties are free.
-const nextTries = 3
+// maxSuccessorTries is how many hosts are told, until one answers, that the duties are free.
+const maxSuccessorTries = 3
 
 // Orders lists what this host has ordered, and whether it holds the duties.
-func (k *Coordinator) Orders() ([]ActiveOrder, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.Clone(k.orders), k.holds
+func (c *Coordinator) Orders() ([]ActiveOrder, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.orders), c.holds
 }
 
 // hold does the duties while the lease lasts.
-func (k *Coordinator) hold(ctx context.Context, l *lease.Lease) {
-	k.options.Logger.Info("duties taken", "token", l.Epoch(), "rest_ms", max(l.UnfencedWait(), 0).Milliseconds())
-	k.holding(true)
+func (c *Coordinator) hold(ctx context.Context, l *lease.Lease) {
+	c.options.Logger.Info("duties taken", "token", l.Epoch(), "rest_ms", max(l.UnfencedWait(), 0).Milliseconds())
+	c.setHolding(true)
 	defer func() {
-		k.holding(false)
-		k.options.Logger.Info("duties left", "token", l.Epoch(), "left_ms", l.Remaining().Milliseconds())
+		c.setHolding(false)
+		c.options.Logger.Info("duties left", "token", l.Epoch(), "left_ms", l.Remaining().Milliseconds())
 	}()
-	t := newTerm(k, l)
+	t := newTerm(c, l)
 	for l.Valid() && ctx.Err() == nil {
 		t.round(ctx)
-		clock.Sleep(ctx, every)
+		clock.Sleep(ctx, queryInterval)
 	}
 }
 
-func (k *Coordinator) holding(holds bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.holds, k.orders = holds, nil
+func (c *Coordinator) setHolding(holding bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.holds, c.orders = holding, nil
 }
 
 // term is a time in which a host does the duties.
 type term struct {
-	keeper   *Coordinator
+	coordinator   *Coordinator
 	lease    *lease.Lease
-	timeIs   usage.MedianClock
+	wallClock   usage.MedianClock
 	ledger   *usage.Ledger
-	reports  reports
+	reports  reportState
 	planners map[string]*capacity.Planner
 	running  map[string]map[string]int // requests in hand, by host and service
 }
 
 func newTerm(k *Coordinator, l *lease.Lease) *term {
 	return &term{
-		keeper: k, lease: l, ledger: usage.NewLedger(max(k.options.Window, time.Millisecond)),
+		coordinator: k, lease: l, ledger: usage.NewLedger(max(k.options.Window, time.Millisecond)),
 		planners: map[string]*capacity.Planner{}, running: map[string]map[string]int{},
 	}
 }
 
 // round asks all hosts and does what is due.
 func (t *term) round(ctx context.Context) {
-	t.ask(ctx)
-	t.report(ctx)
-	t.order(ctx)
+	t.queryHosts(ctx)
+	t.reportUsage(ctx)
+	t.orderEndpoints(ctx)
 }
 
-// may reports whether a call may be made: nobody else may act before it has ended.
-func (t *term) may(ctx context.Context) bool {
-	return ctx.Err() == nil && t.lease.UnfencedWait() <= 0 && t.lease.Remaining() > callLimit
+// mayCall reports whether a call mayCall be made: nobody else mayCall act before it has ended.
+func (t *term) mayCall(ctx context.Context) bool {
+	return ctx.Err() == nil && t.lease.UnfencedWait() <= 0 && t.lease.Remaining() > callTimeout
 }
 
-func (t *term) holder() Holder { return Holder{Host: t.keeper.options.Host, Token: t.lease.Epoch()} }
+func (t *term) holder() Holder { return Holder{Host: t.coordinator.options.Host, Token: t.lease.Epoch()} }
 
-// ask takes in what all hosts tell.
-func (t *term) ask(ctx context.Context) {
-	o := t.keeper.options
-	now, known := t.timeIs.Now()
-	q := Question{Window: o.Window, Known: known, Now: now}
+// queryHosts takes in what all hosts tell.
+func (t *term) queryHosts(ctx context.Context) {
+	o := t.coordinator.options
+	now, known := t.wallClock.Now()
+	q := Query{Window: o.Window, NowKnown: known, Now: now}
 	if known {
 		q.Since = t.ledger.FirstUnreported(now)
 	}
 	members := o.Members()
-	answers := append(t.keeper.gather(ctx, q, members), t.keeper.Tell(ctx, q)...)
-	var shown []usage.ClockReading
+	statuses := append(t.coordinator.queryAll(ctx, q, members), t.coordinator.HandleQuery(ctx, q)...)
+	var readings []usage.ClockReading
 	clear(t.running)
-	for _, a := range answers {
-		if a.Copied {
-			t.ledger.MergeBackup(a.Account)
+	for _, a := range statuses {
+		if a.FromBackup {
+			t.ledger.MergeBackup(a.Usage)
 			continue
 		}
-		shown = append(shown, usage.ClockReading{At: a.at, Time: a.Shown})
+		readings = append(readings, usage.ClockReading{At: a.readAt, Time: a.WallTime})
 		t.running[a.Host] = a.Running
 		if known {
-			t.ledger.SetHostUsage(a.Host, a.Account, now)
+			t.ledger.SetHostUsage(a.Host, a.Usage, now)
 		}
 	}
-	t.timeIs = t.timeIs.With(shown, len(members)+1)
+	t.wallClock = t.wallClock.With(readings, len(members)+1)
 }
 
-// order orders endpoints where the work asks for more or fewer.
-func (t *term) order(ctx context.Context) {
-	o := t.keeper.options
-	away := o.EvacuatedHalls()
-	var standing []ActiveOrder
+// orderEndpoints orders endpoints where the work asks for more or fewer.
+func (t *term) orderEndpoints(ctx context.Context) {
+	o := t.coordinator.options
+	evacuated := o.EvacuatedHalls()
+	var active []ActiveOrder
 	for _, s := range o.Services() {
 		p, ok := t.planners[s.Name]
 		if !ok {
@@ -274,22 +274,22 @@
 		}
 		stocks, upgrading := o.Stocks(s.Name)
 		state := capacity.State{
-			Scaling: s.Scaling, Slots: s.Slots, Running: float64(running), Stocks: withHalls(stocks, s.Scaling), Upgrading: upgrading, Away: away,
+			Scaling: s.Scaling, Slots: s.Slots, Running: float64(running), Stocks: withEmptyHalls(stocks, s.Scaling), Upgrading: upgrading, Away: evacuated,
 		}
 		for _, order := range p.Orders(clock.Now(), state) {
-			t.send(ctx, s.Name, p, order, state)
+			t.sendOrder(ctx, s.Name, p, order, state)
 		}
 		for lot, count := range p.InForce() {
-			standing = append(standing, ActiveOrder{Service: s.Name, Hall: lot.Hall, Spot: lot.Spot, Count: count, Peak: int(p.Peak())})
+			active = append(active, ActiveOrder{Service: s.Name, Hall: lot.Hall, Spot: lot.Spot, Count: count, Peak: int(p.Peak())})
 		}
 	}
-	t.keeper.mu.Lock()
-	defer t.keeper.mu.Unlock()
-	t.keeper.orders = standing
+	t.coordinator.mu.Lock()
+	defer t.coordinator.mu.Unlock()
+	t.coordinator.orders = active
 }
 
-// withHalls adds the data halls in which a service may run and has nothing.
-func withHalls(stocks map[string]capacity.Stock, s capacity.Scaling) map[string]capacity.Stock {
+// withEmptyHalls adds the data halls in which a service may run and has nothing.
+func withEmptyHalls(stocks map[string]capacity.Stock, s capacity.Scaling) map[string]capacity.Stock {
 	all := map[string]capacity.Stock{}
 	for hall := range s.Prices {
 		all[hall] = capacity.Stock{}
@@ -298,14 +298,14 @@
 	return all
 }
 
-// send sends an order.
-func (t *term) send(ctx context.Context, service string, p *capacity.Planner, order capacity.Order, s capacity.State) {
-	if !t.may(ctx) {
+// sendOrder sends an order.
+func (t *term) sendOrder(ctx context.Context, service string, p *capacity.Planner, order capacity.Order, s capacity.State) {
+	if !t.mayCall(ctx) {
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, callLimit)
+	callContext, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := t.keeper.options.Platform.Scale(limited, t.holder(), service, order)
+	err := t.coordinator.options.Platform.Scale(callContext, t.holder(), service, order)
 	fields := []any{
 		"service", service, "hall", order.Hall, "spot", order.Spot, "count", order.Count, "serving", s.Stocks[order.Hall],
 		"running", s.Running, "peak", int(p.Peak()), "token", t.lease.Epoch(),
@@ -313,11 +313,11 @@
 	switch {
 	case err == nil:
 		p.Ordered(order)
-		t.keeper.options.Logger.Info("endpoints ordered", fields...)
+		t.coordinator.options.Logger.Info("endpoints ordered", fields...)
 	case errors.Is(err, ErrNoneAvailable):
 		p.Refused(order, clock.Now())
-		t.keeper.options.Logger.Info("endpoints not to be had", fields...)
+		t.coordinator.options.Logger.Info("endpoints not to be had", fields...)
 	default:
-		t.keeper.options.Logger.Warn("endpoints not ordered", append(fields, "error", err)...)
+		t.coordinator.options.Logger.Warn("endpoints not ordered", append(fields, "error", err)...)
 	}
 }
--- a/internal/duty/grpc.go
+++ b/internal/duty/grpc.go
@@ -13,14 +13,14 @@
 // server answers the host that does the duties.
 type server struct {
 	dutypb.UnimplementedDutyServer
-	keeper *Coordinator
+	coordinator *Coordinator
 }
 
 // Account implements dutypb.DutyServer.
 func (s *server) Account(ctx context.Context, r *dutypb.AccountRequest) (*dutypb.AccountReply, error) {
 	reply := &dutypb.AccountReply{}
-	for _, a := range s.keeper.Tell(ctx, questionFromWire(r)) {
-		reply.Hosts = append(reply.Hosts, answerToWire(a))
+	for _, a := range s.coordinator.HandleQuery(ctx, queryFromWire(r)) {
+		reply.Hosts = append(reply.Hosts, statusToWire(a))
 	}
 	return reply, nil
 }
@@ -28,36 +28,36 @@
 // Connect returns the connection to an address.
 type Connect func(address string) (grpc.ClientConnInterface, error)
 
-// grpcAsker asks over gRPC.
-type grpcAsker struct{ connect Connect }
+// grpcQuerier asks over gRPC.
+type grpcQuerier struct{ connect Connect }
 
 // NewQuerier returns an asker over connections that other services share.
-func NewQuerier(connect Connect) Querier { return grpcAsker{connect} }
+func NewQuerier(connect Connect) Querier { return grpcQuerier{connect} }
 
-// Ask implements Asker.
-func (a grpcAsker) Ask(ctx context.Context, address string, q Question) ([]Answer, error) {
+// Query implements Asker.
+func (a grpcQuerier) Query(ctx context.Context, address string, q Query) ([]HostStatus, error) {
 	connection, err := a.connect(address)
 	if err != nil {
-		return nil, errAsk(address, err)
+		return nil, queryError(address, err)
 	}
-	reply, err := dutypb.NewDutyClient(connection).Account(ctx, questionToWire(q))
+	reply, err := dutypb.NewDutyClient(connection).Account(ctx, queryToWire(q))
 	if err != nil {
-		return nil, errAsk(address, err)
+		return nil, queryError(address, err)
 	}
-	answers := make([]Answer, len(reply.GetHosts()))
+	statuses := make([]HostStatus, len(reply.GetHosts()))
 	for i, h := range reply.GetHosts() {
-		answers[i] = answerFromWire(h)
+		statuses[i] = statusFromWire(h)
 	}
-	return answers, nil
+	return statuses, nil
 }
 
-func questionToWire(q Question) *dutypb.AccountRequest {
-	w := &dutypb.AccountRequest{WindowMs: q.Window.Milliseconds(), Since: int64(q.Since), Free: q.Free}
-	if q.Known {
+func queryToWire(q Query) *dutypb.AccountRequest {
+	w := &dutypb.AccountRequest{WindowMs: q.Window.Milliseconds(), Since: int64(q.Since), Free: q.Released}
+	if q.NowKnown {
 		w.NowMs = q.Now.UnixMilli()
 	}
-	if q.Copy != nil {
-		w.Copy = answerToWire(*q.Copy)
+	if q.Backup != nil {
+		w.Copy = statusToWire(*q.Backup)
 	}
 	for _, m := range q.Relay {
 		w.Relay = append(w.Relay, &dutypb.Member{Name: m.Name, Address: m.Address})
@@ -65,14 +65,14 @@
 	return w
 }
 
-func questionFromWire(w *dutypb.AccountRequest) Question {
-	q := Question{
-		Known: w.GetNowMs() > 0, Now: time.UnixMilli(w.GetNowMs()), Window: time.Duration(w.GetWindowMs()) * time.Millisecond, Since: usage.Window(w.GetSince()),
-		Free: w.GetFree(),
+func queryFromWire(w *dutypb.AccountRequest) Query {
+	q := Query{
+		NowKnown: w.GetNowMs() > 0, Now: time.UnixMilli(w.GetNowMs()), Window: time.Duration(w.GetWindowMs()) * time.Millisecond, Since: usage.Window(w.GetSince()),
+		Released: w.GetFree(),
 	}
 	if w.GetCopy() != nil {
-		a := answerFromWire(w.GetCopy())
-		q.Copy = &a
+		a := statusFromWire(w.GetCopy())
+		q.Backup = &a
 	}
 	for _, m := range w.GetRelay() {
 		q.Relay = append(q.Relay, Member{Name: m.GetName(), Address: m.GetAddress()})
@@ -80,27 +80,27 @@
 	return q
 }
 
-func answerToWire(a Answer) *dutypb.Host {
-	w := &dutypb.Host{Name: a.Host, Lifetime: a.Account.Incarnation, ShownMs: a.Shown.UnixMilli(), Copy: a.Copied, Running: map[string]int64{}}
+func statusToWire(a HostStatus) *dutypb.Host {
+	w := &dutypb.Host{Name: a.Host, Lifetime: a.Usage.Incarnation, ShownMs: a.WallTime.UnixMilli(), Copy: a.FromBackup, Running: map[string]int64{}}
 	for service, n := range a.Running {
 		w.Running[service] = int64(n)
 	}
-	for number, counts := range a.Account.Windows {
+	for number, counts := range a.Usage.Windows {
 		w.Windows = append(w.Windows, &dutypb.Window{Number: int64(number), Counts: counts})
 	}
 	return w
 }
 
-func answerFromWire(w *dutypb.Host) Answer {
-	a := Answer{
-		Host: w.GetName(), Shown: time.UnixMilli(w.GetShownMs()), Copied: w.GetCopy(), Running: map[string]int{},
-		Account: usage.HostUsage{Incarnation: w.GetLifetime(), Windows: map[usage.Window]usage.Counts{}},
+func statusFromWire(w *dutypb.Host) HostStatus {
+	a := HostStatus{
+		Host: w.GetName(), WallTime: time.UnixMilli(w.GetShownMs()), FromBackup: w.GetCopy(), Running: map[string]int{},
+		Usage: usage.HostUsage{Incarnation: w.GetLifetime(), Windows: map[usage.Window]usage.Counts{}},
 	}
 	for service, n := range w.GetRunning() {
 		a.Running[service] = int(n)
 	}
 	for _, win := range w.GetWindows() {
-		a.Account.Windows[usage.Window(win.GetNumber())] = win.GetCounts()
+		a.Usage.Windows[usage.Window(win.GetNumber())] = win.GetCounts()
 	}
 	return a
 }
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -201,14 +201,14 @@
 	return members
 }
 
-// Ask implements duty.Asker: it asks a host of the rig by way of what goes over the wire.
-func (n *node) Ask(ctx context.Context, address string, q duty.Question) ([]duty.Answer, error) {
+// Query implements duty.Asker: it asks a host of the rig by way of what goes over the wire.
+func (n *node) Query(ctx context.Context, address string, q duty.Query) ([]duty.HostStatus, error) {
 	other := n.rig.node(address)
 	if !n.rig.alive(n) || !n.rig.alive(other) {
 		<-ctx.Done()
 		return nil, errSilent
 	}
-	return other.keeper.Tell(ctx, q), nil
+	return other.keeper.HandleQuery(ctx, q), nil
 }
 
 // Usage implements duty.Platform.
