--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -18,33 +18,33 @@
 	"quaybarrow/platform/standin"
 )
 
-// called is a call to the platform.
-type called struct{ path, holder, token, body string }
+// platformCall is a call to the platform.
+type platformCall struct{ path, holder, token, body string }
 
-// brokenCalls break what one holder at a time means.
-var brokenCalls = map[string]struct {
-	calls []called
-	says  string
+// invalidCalls break what one holder at a time means.
+var invalidCalls = map[string]struct {
+	calls []platformCall
+	violation  string
 }{
-	"a window that is reported in two ways": {[]called{
+	"a window that is reported in two ways": {[]platformCall{
 		{"/usage", "a", "1", `{"window":7,"counts":{"w":1}}`}, {"/usage", "a", "1", `{"window":7,"counts":{"w":2}}`},
 	}, "window 7 was reported as"},
-	"a token of two hosts": {[]called{
+	"a token of two hosts": {[]platformCall{
 		{"/usage", "a", "1", `{"window":7,"counts":{}}`}, {"/usage", "b", "1", `{"window":8,"counts":{}}`},
 	}, "token 1 of a and of b"},
-	"a token that is lower than the one before": {[]called{
+	"a token that is lower than the one before": {[]platformCall{
 		{"/scale", "a", "2", `{"service":"s","zone":"z","desired":1}`}, {"/scale", "b", "1", `{"service":"s","zone":"z","desired":1}`},
 	}, "token 1 of b after 2 of a"},
-	"hosts that act in turns": {[]called{
+	"hosts that act in turns": {[]platformCall{
 		{"/usage", "a", "1", `{"window":7,"counts":{}}`}, {"/usage", "b", "2", `{"window":8,"counts":{}}`}, {"/usage", "a", "3", `{"window":9,"counts":{}}`},
 	}, "another in between"},
 }
 
-// dueAfter is how long after a window's end its report is due.
-const dueAfter = 10 * time.Second
+// reportDelay is how long after a window's end its report is due.
+const reportDelay = 10 * time.Second
 
-// troubles are what happens to the host that holds the duties, and around it.
-var troubles = map[string]func(r *rig){
+// faults are what happens to the host that holds the duties, and around it.
+var faults = map[string]func(r *rig){
 	"nothing": func(*rig) {},
 	"its kill": func(r *rig) {
 		name := r.holder()
@@ -73,19 +73,19 @@
 		r.start(name)
 	},
 	"a store that loses answers": func(r *rig) {
-		r.rows.Inject(table.Fault{Kind: table.FaultLoseReply, Writes: true})
+		r.store.Inject(table.Fault{Kind: table.FaultLoseReply, Writes: true})
 		time.Sleep(5 * time.Second)
-		r.rows.Heal()
+		r.store.Heal()
 	},
 	"a store that is away": func(r *rig) {
-		r.rows.Inject(table.Fault{Kind: table.FaultDown})
+		r.store.Inject(table.Fault{Kind: table.FaultDown})
 		time.Sleep(4 * time.Second)
-		r.rows.Heal()
+		r.store.Heal()
 	},
 	"a store that is slow": func(r *rig) {
-		r.rows.Inject(table.Fault{Kind: table.FaultSlow, Delay: 250 * time.Millisecond})
+		r.store.Inject(table.Fault{Kind: table.FaultSlow, Delay: 250 * time.Millisecond})
 		time.Sleep(5 * time.Second)
-		r.rows.Heal()
+		r.store.Heal()
 	},
 	"a store that turns only it away": func(r *rig) {
 		n := r.node(r.holder())
@@ -117,11 +117,11 @@
 	}
 }
 
-// day is how long a rig is played.
-const day = 60 * time.Second
+// runLength is how long a rig is played.
+const runLength = 60 * time.Second
 
-// playDay plays a day with what happens on it, beside requests.
-func playDay(seed uint64, happens func(r *rig), check func(r *rig)) {
+// runWithFault plays a day with what happens on it, beside requests.
+func runWithFault(seed uint64, fault func(r *rig), check func(r *rig)) {
 	suite.Paused(func() {
 		r := newRig(6, seed)
 		defer r.close()
@@ -129,62 +129,62 @@
 		go func() {
 			defer close(done)
 			time.Sleep(12 * time.Second)
-			happens(r)
+			fault(r)
 		}()
-		r.serve(day)
+		r.sendRequests(runLength)
 		<-done
-		time.Sleep(dueAfter)
+		time.Sleep(reportDelay)
 		check(r)
 	})
 }
 
 var _ = Describe("the duties of one host", func() {
-	for name, trouble := range troubles {
+	for name, fault := range faults {
 		It("are done by one at a time, and usage is right, beside "+name, func() {
-			playDay(1, trouble, func(r *rig) {
+			runWithFault(1, fault, func(r *rig) {
 				Expect(r.calls.Violations()).To(BeEmpty())
-				Expect(r.wrong(dueAfter)).To(BeEmpty())
+				Expect(r.wrongWindows(reportDelay)).To(BeEmpty())
 				Expect(len(r.calls.Reports())).To(BeNumerically(">", 10))
 			})
 		})
 	}
 
 	It("go on after all hosts were killed", func() {
-		playDay(1, killAll, func(r *rig) {
+		runWithFault(1, killAll, func(r *rig) {
 			Expect(r.calls.Violations()).To(BeEmpty())
 			// Nobody knows what began before in the windows that were not reported.
-			Expect(len(r.wrong(dueAfter))).To(BeNumerically("<=", 2))
+			Expect(len(r.wrongWindows(reportDelay))).To(BeNumerically("<=", 2))
 		})
 	})
 
 	It("break nothing in series of troubles, and 95 of 100 windows are right", func() {
-		names := slices.Sorted(maps.Keys(troubles))
+		names := slices.Sorted(maps.Keys(faults))
 		wrong, windows := 0, 0
 		for seed := range uint64(200) {
-			playDay(seed, func(r *rig) {
+			runWithFault(seed, func(r *rig) {
 				for range 3 {
-					troubles[names[r.draw(len(names))]](r)
-					time.Sleep(time.Duration(r.draw(8000)) * time.Millisecond)
+					faults[names[r.randomInt(len(names))]](r)
+					time.Sleep(time.Duration(r.randomInt(8000)) * time.Millisecond)
 				}
 			}, func(r *rig) {
 				Expect(r.calls.Violations()).To(BeEmpty(), "seed %d", seed)
-				wrong, windows = wrong+len(r.wrong(dueAfter)), windows+len(r.began)
+				wrong, windows = wrong+len(r.wrongWindows(reportDelay)), windows+len(r.started)
 			})
 		}
 		GinkgoWriter.Printf("%d of %d windows wrong\n", wrong, windows)
 		Expect(float64(wrong)).To(BeNumerically("<=", 0.05*float64(windows)))
 	})
 
-	for name, c := range brokenCalls {
+	for name, c := range invalidCalls {
 		It("are seen to be broken by "+name, func() {
-			d := standin.NewDuties(turns)
+			d := standin.NewDuties(handoverDelay)
 			for _, call := range c.calls {
 				r := httptest.NewRequest(http.MethodPost, call.path, strings.NewReader(call.body))
 				r.Header.Set("Duty-Holder", call.holder)
 				r.Header.Set("Fencing-Token", call.token)
 				d.ServeHTTP(httptest.NewRecorder(), r)
 			}
-			Expect(d.Violations()).To(ContainElement(ContainSubstring(c.says)))
+			Expect(d.Violations()).To(ContainElement(ContainSubstring(c.violation)))
 		})
 	}
 
@@ -192,7 +192,7 @@
 		suite.Paused(func() {
 			r := newRig(2, 1)
 			defer r.close()
-			r.serves(map[string]capacity.Stock{"ikeja": {Ordinary: 4}, "lekki": {Ordinary: 4}, "yaba": {Ordinary: 4}})
+			r.setStocks(map[string]capacity.Stock{"ikeja": {Ordinary: 4}, "lekki": {Ordinary: 4}, "yaba": {Ordinary: 4}})
 			r.calls.AnswerOrders(http.StatusConflict)
 			time.Sleep(4 * time.Second)
 			refused := len(r.calls.Calls())
--- a/internal/duty/fence_test.go
+++ b/internal/duty/fence_test.go
@@ -20,16 +20,16 @@
 // store does late must not change what was reported.
 
 const (
-	// callTakes is what a call takes at most.
-	callTakes = 1200 * time.Millisecond
-	// leaseGood is how long after a renewal a holder may act: it stops a fifth early, as clocks
+	// callTimeout is what a call takes at most.
+	callTimeout = 1200 * time.Millisecond
+	// leaseValidity is how long after a renewal a holder may act: it stops a fifth early, as clocks
 	// of hosts run apart.
-	leaseGood = leaseLength * 4 / 5
+	leaseValidity = leaseLength * 4 / 5
 )
 
-// phases plays something from moments on that fall elsewhere between the rounds of a holder, which
+// atPhases plays something from moments on that fall elsewhere between the rounds of a holder, which
 // come every second.
-func phases(each func(r *rig, after time.Duration)) {
+func atPhases(each func(r *rig, after time.Duration)) {
 	for phase := range 10 {
 		suite.Paused(func() {
 			r := newRig(3, uint64(phase))
@@ -39,7 +39,7 @@
 			served := make(chan struct{})
 			go func() {
 				defer close(served)
-				r.serve(30 * time.Second)
+				r.sendRequests(30 * time.Second)
 			}()
 			each(r, 10*time.Second+time.Duration(phase)*131*time.Millisecond)
 			<-served
@@ -49,7 +49,7 @@
 
 var _ = Describe("the holder of the duties", func() {
 	It("begins no call that may outlast its lease", func() {
-		phases(func(r *rig, after time.Duration) {
+		atPhases(func(r *rig, after time.Duration) {
 			time.Sleep(after)
 			name := r.attempted()[len(r.attempted())-1].host
 			cut := time.Now()
@@ -62,12 +62,12 @@
 				}
 			}
 			Expect(last.Sub(cut)).To(BeNumerically(">", 0), "it goes on while its lease lasts")
-			Expect(last.Sub(r.lastBeat(name))).To(BeNumerically("<=", leaseGood-callTakes))
+			Expect(last.Sub(r.lastRenewal(name))).To(BeNumerically("<=", leaseValidity-callTimeout))
 		})
 	})
 
 	It("waits until no call of the one before can have an effect", func() {
-		phases(func(r *rig, after time.Duration) {
+		atPhases(func(r *rig, after time.Duration) {
 			time.Sleep(after)
 			name := r.attempted()[len(r.attempted())-1].host
 			r.terminate(name)
@@ -82,7 +82,7 @@
 				}
 			}
 			Expect(first.IsZero()).To(BeFalse(), "another goes on")
-			Expect(first.Sub(last)).To(BeNumerically(">=", callTakes))
+			Expect(first.Sub(last)).To(BeNumerically(">=", callTimeout))
 		})
 	})
 
@@ -93,22 +93,22 @@
 			served := make(chan struct{})
 			go func() {
 				defer close(served)
-				r.serve(30 * time.Second)
+				r.sendRequests(30 * time.Second)
 			}()
 			time.Sleep(11 * time.Second)
 			holder := r.holder()
-			other := r.next(holder)[0]
+			other := r.successors(holder)[0]
 			// A host can't be asked, the report without it is given up and kept late; meanwhile
 			// the host answers, and the report with it is kept and sent.
-			r.silence(other, true)
+			r.setSilent(other, true)
 			time.Sleep(2 * window)
-			late := r.node(holder).rows.withhold(3*time.Second, func() { r.silence(other, false) })
+			late := r.node(holder).tables.delayNextCommit(3*time.Second, func() { r.setSilent(other, false) })
 			<-late
 			time.Sleep(500 * time.Millisecond)
 			r.kill(holder)
 			<-served
-			time.Sleep(dueAfter)
-			Expect(r.node(holder).rows.refused).To(MatchError(store.ErrConflict))
+			time.Sleep(reportDelay)
+			Expect(r.node(holder).tables.lateErr).To(MatchError(store.ErrConflict))
 			Expect(r.calls.Violations()).To(BeEmpty())
 		})
 	})
@@ -117,29 +117,29 @@
 // errGivenUp is what a caller sees of a write that it waits for no longer.
 var errGivenUp = errors.New("given up")
 
-// lateRows are tables of which one commit can be given up by its caller and have its effect later.
-type lateRows struct {
+// delayedTables are tables of which one commit can be given up by its caller and have its effect later.
+type delayedTables struct {
 	store.Tables
 
 	mu      sync.Mutex // guards all below
 	delay   time.Duration
-	given   func()
+	onGiveUp   func()
 	done    chan struct{}
-	refused error // what became of the late commit
+	lateErr error // what became of the late commit
 }
 
-// withhold delays the next commit; the channel is closed once it has had its effect.
-func (l *lateRows) withhold(delay time.Duration, given func()) <-chan struct{} {
+// delayNextCommit delays the next commit; the channel is closed once it has had its effect.
+func (l *delayedTables) delayNextCommit(delay time.Duration, onGiveUp func()) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.delay, l.given, l.done = delay, given, make(chan struct{})
+	l.delay, l.onGiveUp, l.done = delay, onGiveUp, make(chan struct{})
 	return l.done
 }
 
 // Commit implements store.Tables.
-func (l *lateRows) Commit(ctx context.Context, txn store.Transaction) error {
+func (l *delayedTables) Commit(ctx context.Context, txn store.Transaction) error {
 	l.mu.Lock()
-	delay, given, done := l.delay, l.given, l.done
+	delay, onGiveUp, done := l.delay, l.onGiveUp, l.done
 	l.delay = 0
 	l.mu.Unlock()
 	if delay == 0 {
@@ -148,12 +148,12 @@
 		}
 		return nil
 	}
-	given()
+	onGiveUp()
 	go func() {
 		time.Sleep(delay)
 		err := l.Tables.Commit(context.Background(), txn)
 		l.mu.Lock()
-		l.refused = err
+		l.lateErr = err
 		l.mu.Unlock()
 		close(done)
 	}()
@@ -172,7 +172,7 @@
 	all []attempt
 }
 
-func (a *attempts) note(host string) {
+func (a *attempts) add(host string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.all = append(a.all, attempt{host: host, at: time.Now()})
@@ -185,15 +185,15 @@
 	return append([]attempt(nil), r.attempts.all...)
 }
 
-// silence sets whether a host reaches nobody.
-func (r *rig) silence(name string, on bool) {
+// setSilent sets whether a host reaches nobody.
+func (r *rig) setSilent(name string, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hosts[name].silent = on
 }
 
-// beatRows are tables that note when the last commit began that succeeded.
-type beatRows struct {
+// renewalTables are tables that note when the last commit began that succeeded.
+type renewalTables struct {
 	store.Tables
 
 	mu   sync.Mutex // guards last
@@ -201,7 +201,7 @@
 }
 
 // Commit implements store.Tables.
-func (b *beatRows) Commit(ctx context.Context, txn store.Transaction) error {
+func (b *renewalTables) Commit(ctx context.Context, txn store.Transaction) error {
 	began := time.Now()
 	if err := b.Tables.Commit(ctx, txn); err != nil {
 		return fmt.Errorf("commit: %w", err)
@@ -212,9 +212,9 @@
 	return nil
 }
 
-// lastBeat is when the last renewal of a host's lease began that succeeded.
-func (r *rig) lastBeat(name string) time.Time {
-	b := r.node(name).beats
+// lastRenewal is when the last renewal of a host's lease began that succeeded.
+func (r *rig) lastRenewal(name string) time.Time {
+	b := r.node(name).renewals
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.last
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -28,16 +28,16 @@
 // Times of a rig.
 const (
 	window = 5 * time.Second
-	turns  = 3 * time.Second
+	handoverDelay  = 3 * time.Second
 	// leaseLength is that of the lease on the duties.
-	leaseLength = turns * 4 / 3
+	leaseLength = handoverDelay * 4 / 3
 	// callsAddress is where the platform takes what is one host's duty.
 	callsAddress = "10.9.0.2:80"
 )
 
 // rig is hosts that keep duties, before a store and the platform.
 type rig struct {
-	rows     *table.Store
+	store     *table.Store
 	calls    *standin.Duties
 	net      *memnet.Network
 	server   *http.Server
@@ -47,7 +47,7 @@
 
 	mu     sync.Mutex // guards all below, and random
 	hosts  map[string]*node
-	began  map[int64]map[string]int64 // what truly began, by window and workspace
+	started  map[int64]map[string]int64 // what truly began, by window and workspace
 	stocks map[string]capacity.Stock
 }
 
@@ -56,8 +56,8 @@
 	rig     *rig
 	name    string
 	door    *table.Door
-	rows    *lateRows // what the duties keep goes there
-	beats   *beatRows // and their lease there
+	tables    *delayedTables // what the duties keep goes there
+	renewals   *renewalTables // and their lease there
 	counter *usage.Counter
 	keeper  *duty.Coordinator
 	cancel  context.CancelFunc
@@ -69,8 +69,8 @@
 
 func newRig(hosts int, seed uint64) *rig {
 	r := &rig{
-		rows: table.New(table.Options{}), calls: standin.NewDuties(turns), net: memnet.New(), random: rand.New(rand.NewPCG(seed, 7)),
-		hosts: map[string]*node{}, began: map[int64]map[string]int64{}, stocks: map[string]capacity.Stock{},
+		store: table.New(table.Options{}), calls: standin.NewDuties(handoverDelay), net: memnet.New(), random: rand.New(rand.NewPCG(seed, 7)),
+		hosts: map[string]*node{}, started: map[int64]map[string]int64{}, stocks: map[string]capacity.Stock{},
 	}
 	r.server = &http.Server{Handler: r.calls}
 	l := r.net.Listen(callsAddress)
@@ -83,15 +83,15 @@
 
 // start starts a life of a host.
 func (r *rig) start(name string) {
-	lifetime := fmt.Sprint(name, "-", r.draw(math.MaxInt))
-	n := &node{rig: r, name: name, door: table.NewDoor(r.rows), counter: usage.NewCounter(lifetime)}
-	n.rows, n.beats = &lateRows{Tables: n.door}, &beatRows{Tables: n.door}
+	lifetime := fmt.Sprint(name, "-", r.randomInt(math.MaxInt))
+	n := &node{rig: r, name: name, door: table.NewDoor(r.store), counter: usage.NewCounter(lifetime)}
+	n.tables, n.renewals = &delayedTables{Tables: n.door}, &renewalTables{Tables: n.door}
 	n.keeper = duty.New(duty.Options{
-		Host: name, Incarnation: lifetime, Window: window, Tables: n.rows, Counter: n.counter, Querier: n,
+		Host: name, Incarnation: lifetime, Window: window, Tables: n.tables, Counter: n.counter, Querier: n,
 		Leases: lease.NewManager(lease.Options{
-			Tables: n.beats, Host: name, Incarnation: lifetime, Length: leaseLength, HandoverDelay: turns, Rank: func() (int, bool) { return r.place(name), true },
+			Tables: n.renewals, Host: name, Incarnation: lifetime, Length: leaseLength, HandoverDelay: handoverDelay, Rank: func() (int, bool) { return r.rank(name), true },
 		}),
-		Members: func() []duty.Member { return r.members(name) }, Successors: func() []string { return r.next(name) }, Platform: n, Running: func() map[string]int { return map[string]int{"model": 30} },
+		Members: func() []duty.Member { return r.members(name) }, Successors: func() []string { return r.successors(name) }, Platform: n, Running: func() map[string]int { return map[string]int{"model": 30} },
 		Services: func() []duty.Service {
 			return []duty.Service{{Name: "model", Slots: 8, Scaling: capacity.Scaling{Least: 1, Most: 60, SpotPrice: 0.2, Prices: map[string]float64{"ikeja": 1, "lekki": 1, "yaba": 1}}}}
 		},
@@ -110,8 +110,8 @@
 	r.running.Go(func() { n.keeper.Run(ctx) })
 }
 
-// draw is a number below n.
-func (r *rig) draw(n int) int {
+// randomInt is a number below n.
+func (r *rig) randomInt(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.random.IntN(n)
@@ -131,8 +131,8 @@
 	return slices.Sorted(maps.Keys(r.hosts))
 }
 
-// serves sets what serves in the data halls.
-func (r *rig) serves(stocks map[string]capacity.Stock) {
+// setStocks sets what setStocks in the data halls.
+func (r *rig) setStocks(stocks map[string]capacity.Stock) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stocks = stocks
@@ -151,15 +151,15 @@
 // terminate ends a life as planned: it gives the duties up first, and lives on for a while.
 func (r *rig) terminate(name string) {
 	r.node(name).keeper.Resign(context.Background())
-	time.Sleep(leaves)
+	time.Sleep(stopDuration)
 	r.kill(name)
 }
 
-// leaves is how long a host that stops still answers.
-const leaves = 2500 * time.Millisecond
+// stopDuration is how long a host that stops still answers.
+const stopDuration = 2500 * time.Millisecond
 
-// next are the hosts after one.
-func (r *rig) next(name string) []string {
+// successors are the hosts after one.
+func (r *rig) successors(name string) []string {
 	return slices.DeleteFunc(r.names(), func(other string) bool { return other <= name })
 }
 
@@ -178,23 +178,23 @@
 	return !n.dead && !n.silent
 }
 
-// place is how many hosts that live come before one.
-func (r *rig) place(name string) int {
-	place := 0
+// rank is how many hosts that live come before one.
+func (r *rig) rank(name string) int {
+	rank := 0
 	for _, other := range r.names() {
 		if other < name && r.alive(r.node(other)) {
-			place++
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
-func (r *rig) members(but string) []duty.Member {
+func (r *rig) members(except string) []duty.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var members []duty.Member
 	for name := range r.hosts {
-		if name != but {
+		if name != except {
 			members = append(members, duty.Member{Name: name, Address: name})
 		}
 	}
@@ -216,7 +216,7 @@
 	if !n.rig.alive(n) {
 		return errSilent
 	}
-	n.rig.attempts.note(n.name)
+	n.rig.attempts.add(n.name)
 	return platform.NewDuties(callsAddress, n.rig.net.Dial).Usage(ctx, h, report)
 }
 
@@ -225,26 +225,26 @@
 	if !n.rig.alive(n) {
 		return errSilent
 	}
-	n.rig.attempts.note(n.name)
+	n.rig.attempts.add(n.name)
 	return platform.NewDuties(callsAddress, n.rig.net.Dial).Scale(ctx, h, service, o)
 }
 
-// serve has requests begin at hosts that live, for a while.
-func (r *rig) serve(lasts time.Duration) {
+// sendRequests has requests begin at hosts that live, for a while.
+func (r *rig) sendRequests(duration time.Duration) {
 	workspaces := []string{"weavers", "dyers", "carvers"}
-	for began := time.Now(); time.Since(began) < lasts; time.Sleep(20 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < duration; time.Sleep(20 * time.Millisecond) {
 		names := r.names()
-		n := r.node(names[r.draw(len(names))])
+		n := r.node(names[r.randomInt(len(names))])
 		if !r.alive(n) {
 			continue
 		}
-		workspace := workspaces[r.draw(len(workspaces))]
+		workspace := workspaces[r.randomInt(len(workspaces))]
 		n.counter.CountRequest(workspace)
 		w := int64(usage.WindowOf(time.Now(), window))
-		if r.began[w] == nil {
-			r.began[w] = map[string]int64{}
+		if r.started[w] == nil {
+			r.started[w] = map[string]int64{}
 		}
-		r.began[w][workspace]++
+		r.started[w][workspace]++
 	}
 }
 
@@ -258,20 +258,20 @@
 	time.Sleep(time.Minute)
 }
 
-// usageOff is how far a window's count may be from the truth.
-const usageOff = 0.05
+// maxUsageError is how far a window's count may be from the truth.
+const maxUsageError = 0.05
 
-// wrong lists the windows, of those that ended a time ago, whose report is missing or off.
-func (r *rig) wrong(ago time.Duration) []string {
+// wrongWindows lists the windows, of those that ended a time ago, whose report is missing or off.
+func (r *rig) wrongWindows(minAge time.Duration) []string {
 	reports := r.calls.Reports()
 	var found []string
-	for w, truth := range r.began {
-		if time.Since(usage.Window(w).End(window)) < ago {
+	for w, truth := range r.started {
+		if time.Since(usage.Window(w).End(window)) < minAge {
 			continue
 		}
 		for workspace, n := range truth {
-			off := float64(reports[w][workspace]-n) / float64(n)
-			if off > usageOff || off < -usageOff {
+			deviation := float64(reports[w][workspace]-n) / float64(n)
+			if deviation > maxUsageError || deviation < -maxUsageError {
 				found = append(found, fmt.Sprintf("window %d of %s: %d of %d", w, workspace, reports[w][workspace], n))
 				break
 			}
