--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -22,21 +22,21 @@
 	return lease.NewManager(lease.Options{Tables: tables, Host: host, Incarnation: host + "-1", Length: length})
 }
 
-// span is a time for which a host believed that it held the lease.
-type span struct {
+// holdSpan is a time for which a host believed that it held the lease.
+type holdSpan struct {
 	host       string
 	epoch      int64
 	start, end time.Time
 }
 
-// holding is a model of a lock: a holder may enter only when nobody is in.
-type holding struct{ epoch int64 }
+// lockState is a model of a lock: a holder may enter only when nobody is in.
+type lockState struct{ epoch int64 }
 
 var lockModel = porcupine.Model{
-	Init: func() any { return holding{} },
+	Init: func() any { return lockState{} },
 	Step: func(state, input, _ any) (bool, any) {
-		held, epoch := state.(holding), input.(int64)
-		return epoch > held.epoch, holding{epoch}
+		held, epoch := state.(lockState), input.(int64)
+		return epoch > held.epoch, lockState{epoch}
 	},
 }
 
@@ -142,7 +142,7 @@
 			rows := table.New(table.Options{})
 			running, cancel := context.WithCancel(ctx)
 			var mu sync.Mutex
-			var spans []span
+			var spans []holdSpan
 			var wait sync.WaitGroup
 			doors := map[string]*table.Door{}
 			for _, host := range []string{"a", "b", "c"} {
@@ -150,14 +150,14 @@
 				doors[host] = door
 				wait.Go(func() {
 					manager(door, host).Run(running, "duty", func(ctx context.Context, l *lease.Lease) {
-						start, last := time.Now(), time.Now()
+						spanStart, last := time.Now(), time.Now()
 						for l.Valid() && ctx.Err() == nil {
 							last = time.Now()
 							time.Sleep(50 * time.Millisecond)
 						}
 						mu.Lock()
 						defer mu.Unlock()
-						spans = append(spans, span{host, l.Epoch(), start, last})
+						spans = append(spans, holdSpan{host, l.Epoch(), spanStart, last})
 					})
 				})
 			}
--- a/internal/lease/walk_test.go
+++ b/internal/lease/walk_test.go
@@ -14,36 +14,36 @@
 	"quaybarrow/internal/standin/table"
 )
 
-// turns is the time in which hosts must not act in turns where that is not fenced.
-const turns = 3 * length / 4
+// handoverDelay is the time in which hosts must not act in handoverDelay where that is not fenced.
+const handoverDelay = 3 * length / 4
 
 // contender is a host that takes a lease and acts outside of the store.
 type contender struct {
 	name  string
-	life  int
-	rules rules
+	incarnation  int
+	timing timing
 	rows  *table.Store
 	m     *lease.Manager
 	l     *lease.Lease
 }
 
-// rules are the times that a contender keeps to.
-type rules struct{ length, turns time.Duration }
+// timing are the times that a contender keeps to.
+type timing struct{ length, handoverDelay time.Duration }
 
-// sound are the right ones.
-var sound = rules{length, turns}
+// correctTiming are the right ones.
+var correctTiming = timing{length, handoverDelay}
 
-func newContender(name string, rows *table.Store, r rules) *contender {
-	c := &contender{name: name, rows: rows, rules: r}
+func newContender(name string, rows *table.Store, r timing) *contender {
+	c := &contender{name: name, rows: rows, timing: r}
 	c.restart()
 	return c
 }
 
 // restart is a kill and a start: what the host knew is gone.
 func (c *contender) restart() {
-	c.life++
+	c.incarnation++
 	c.l = nil
-	c.m = lease.NewManager(lease.Options{Tables: c.rows, Host: c.name, Incarnation: fmt.Sprint(c.name, c.life), Length: c.rules.length, HandoverDelay: c.rules.turns})
+	c.m = lease.NewManager(lease.Options{Tables: c.rows, Host: c.name, Incarnation: fmt.Sprint(c.name, c.incarnation), Length: c.timing.length, HandoverDelay: c.timing.handoverDelay})
 }
 
 // step renews the lease or tries to take it.
@@ -65,24 +65,24 @@
 	}
 }
 
-// action is what a host did outside of the store.
-type action struct {
+// unfencedAction is what a host did outside of the store.
+type unfencedAction struct {
 	at    time.Time
 	host  string
 	token int64
 }
 
-func (c *contender) act() []action {
+func (c *contender) act() []unfencedAction {
 	if c.l == nil || !c.l.Valid() || c.l.UnfencedWait() > 0 {
 		return nil
 	}
-	return []action{{time.Now(), c.name, c.l.Epoch()}}
+	return []unfencedAction{{time.Now(), c.name, c.l.Epoch()}}
 }
 
 // walk is a series of what two hosts do, and what it broke.
 type walk struct {
 	hosts   [2]*contender
-	actions []action
+	actions []unfencedAction
 }
 
 // Moves of a walk.
@@ -99,8 +99,8 @@
 	9: func(w *walk) { w.hosts[1].release() },
 }
 
-// broken tells what the actions break; empty if nothing.
-func broken(actions []action) string {
+// violation tells what the actions break; empty if nothing.
+func violation(actions []unfencedAction) string {
 	holders := map[int64]string{}
 	for i, a := range actions {
 		if other, ok := holders[a.token]; ok && other != a.host {
@@ -115,7 +115,7 @@
 				return fmt.Sprintf("token %d after %d", a.token, b.token)
 			case b.host != a.host:
 				between = true
-			case between && a.at.Sub(b.at) < turns:
+			case between && a.at.Sub(b.at) < handoverDelay:
 				return fmt.Sprintf("%s acts %s after it did, and another in between", a.host, a.at.Sub(b.at))
 			}
 		}
@@ -123,18 +123,18 @@
 	return ""
 }
 
-// play plays a series of moves; the hosts keep to rules.
-func play(series []int, first, second rules) string {
+// run plays a series of moves; the hosts keep to rules.
+func run(series []int, first, second timing) string {
 	rows := table.New(table.Options{})
 	w := &walk{hosts: [2]*contender{newContender("a", rows, first), newContender("b", rows, second)}}
 	for _, move := range series {
 		moves[move](w)
 	}
-	return broken(w.actions)
+	return violation(w.actions)
 }
 
-// seriesOf are all series of moves of a length, in turn.
-func seriesOf(length int, each func(series []int) bool) {
+// eachSeries are all series of moves of a length, in turn.
+func eachSeries(length int, each func(series []int) bool) {
 	series := make([]int, length)
 	for {
 		if !each(series) {
@@ -159,12 +159,12 @@
 	shortWalk   = 4
 	longWalk    = 60
 	walkSeeds   = 2000
-	walkSources = 7
+	randomStream = 7
 )
 
-// random is a long series of moves.
-func random(seed uint64) []int {
-	r := rand.New(rand.NewPCG(seed, walkSources))
+// randomSeries is a long series of moves.
+func randomSeries(seed uint64) []int {
+	r := rand.New(rand.NewPCG(seed, randomStream))
 	series := make([]int, longWalk)
 	for i := range series {
 		series[i] = r.IntN(len(moves))
@@ -177,9 +177,9 @@
 		suite.Paused(func() {
 			// Both have acted under the lease before, or one holds it.
 			for _, before := range [][]int{{0, 4}, {0, 4, 8, 1, 6, 6, 5}} {
-				seriesOf(shortWalk, func(series []int) bool {
+				eachSeries(shortWalk, func(series []int) bool {
 					all := append(append([]int{}, before...), series...)
-					Expect(play(all, sound, sound)).To(BeEmpty(), "%v", all)
+					Expect(run(all, correctTiming, correctTiming)).To(BeEmpty(), "%v", all)
 					return true
 				})
 			}
@@ -189,20 +189,20 @@
 	It("break nothing in long series by chance", func() {
 		suite.Paused(func() {
 			for seed := range uint64(walkSeeds) {
-				Expect(play(random(seed), sound, sound)).To(BeEmpty(), "seed %d", seed)
+				Expect(run(randomSeries(seed), correctTiming, correctTiming)).To(BeEmpty(), "seed %d", seed)
 			}
 		})
 	})
 
-	for name, broken := range map[string][2]rules{
-		"takes leases that are still held":          {sound, {length / 4, turns}},
+	for name, timings := range map[string][2]timing{
+		"takes leases that are still held":          {correctTiming, {length / 4, handoverDelay}},
 		"acts at once under a lease that is handed": {{length, 0}, {length, 0}},
 	} {
 		It("are seen to break something where one "+name, func() {
 			suite.Paused(func() {
 				found := 0
 				for seed := range uint64(walkSeeds) {
-					if play(random(seed), broken[0], broken[1]) != "" {
+					if run(randomSeries(seed), timings[0], timings[1]) != "" {
 						found++
 					}
 				}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -13,11 +13,11 @@
 
 const window = 5 * time.Second
 
-// day is a time of day at the start of a window.
-var day = time.UnixMilli(353_445_120 * window.Milliseconds())
+// windowStart is a time of windowStart at the start of a window.
+var windowStart = time.UnixMilli(353_445_120 * window.Milliseconds())
 
 // first is the window that begins then.
-var first = usage.WindowOf(day, window)
+var first = usage.WindowOf(windowStart, window)
 
 var _ = Describe("usage", func() {
 	It("is counted in the window in which a request begins, whatever the host's time of day", func() {
@@ -28,11 +28,11 @@
 				c.CountRequest("weavers")
 				time.Sleep(500 * time.Millisecond)
 			}
-			a := c.Snapshot(day.Add(12*time.Second), window, 0)
+			a := c.Snapshot(windowStart.Add(12*time.Second), window, 0)
 			Expect(a.Windows).To(Equal(map[usage.Window]usage.Counts{
 				first: {"weavers": 5}, first + 1: {"weavers": 5}, first + 2: {"weavers": 2},
 			}))
-			later := c.Snapshot(day.Add(14*time.Second), window, first+1) // by another time of day
+			later := c.Snapshot(windowStart.Add(14*time.Second), window, first+1) // by another time of day
 			Expect(later.Windows).To(Equal(map[usage.Window]usage.Counts{first + 1: {"weavers": 5}, first + 2: {"weavers": 4}}))
 		})
 	})
@@ -43,7 +43,7 @@
 			c.CountRequest("weavers")
 			time.Sleep(time.Minute)
 			c.CountRequest("weavers")
-			a := c.Snapshot(day, window, 0)
+			a := c.Snapshot(windowStart, window, 0)
 			Expect(a.Windows).To(HaveLen(1))
 		})
 	})
@@ -51,37 +51,37 @@
 	It("is reported once all hosts have answered after a window's end", func() {
 		l := usage.NewLedger(window)
 		l.MarkReported(first - 1)
-		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(4*time.Second))
-		l.SetHostUsage("b", usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 1, "dyers": 2}}}, day.Add(6*time.Second))
-		Expect(l.Due(day.Add(6 * time.Second))).To(BeEmpty())
-		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 4}}}, day.Add(7*time.Second))
-		Expect(l.Due(day.Add(7 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5, "dyers": 2}}}))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, windowStart.Add(4*time.Second))
+		l.SetHostUsage("b", usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 1, "dyers": 2}}}, windowStart.Add(6*time.Second))
+		Expect(l.Due(windowStart.Add(6 * time.Second))).To(BeEmpty())
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 4}}}, windowStart.Add(7*time.Second))
+		Expect(l.Due(windowStart.Add(7 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5, "dyers": 2}}}))
 	})
 
 	It("has what a host counted before it died, and what its next life counts", func() {
 		l := usage.NewLedger(window)
 		l.MarkReported(first - 1)
-		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(2*time.Second))
-		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a2", Windows: map[usage.Window]usage.Counts{first: {"weavers": 2}}}, day.Add(6*time.Second))
-		Expect(l.Due(day.Add(6 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5}}}))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, windowStart.Add(2*time.Second))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a2", Windows: map[usage.Window]usage.Counts{first: {"weavers": 2}}}, windowStart.Add(6*time.Second))
+		Expect(l.Due(windowStart.Add(6 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5}}}))
 	})
 
 	It("has what a host that died had told another", func() {
 		l := usage.NewLedger(window)
 		l.MarkReported(first - 1)
-		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, windowStart.Add(6*time.Second))
 		l.MergeBackup(usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first - 1: {"weavers": 9}, first: {"weavers": 2, "dyers": 1}}})
 		l.MergeBackup(usage.HostUsage{Incarnation: "b1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 1, "dyers": 2}}})
-		Expect(l.Due(day.Add(6 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5, "dyers": 2}}}))
+		Expect(l.Due(windowStart.Add(6 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5, "dyers": 2}}}))
 	})
 
 	It("is not counted twice where a host takes a request for another window's later", func() {
 		l := usage.NewLedger(window)
 		l.MarkReported(first - 1)
-		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
-		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 2}, first + 1: {"weavers": 1}}}, day.Add(11*time.Second))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, windowStart.Add(6*time.Second))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 2}, first + 1: {"weavers": 1}}}, windowStart.Add(11*time.Second))
 		l.MergeBackup(usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}})
-		Expect(l.Due(day.Add(11 * time.Second))).To(Equal([]usage.Report{
+		Expect(l.Due(windowStart.Add(11 * time.Second))).To(Equal([]usage.Report{
 			{Window: first, Counts: usage.Counts{"weavers": 2}}, {Window: first + 1, Counts: usage.Counts{"weavers": 1}},
 		}))
 	})
@@ -89,59 +89,59 @@
 	It("does not wait long for a host that is silent", func() {
 		l := usage.NewLedger(window)
 		l.MarkReported(first - 1)
-		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(2*time.Second))
-		l.SetHostUsage("b", usage.HostUsage{Incarnation: "b1"}, day.Add(8*time.Second))
-		Expect(l.Due(day.Add(9 * time.Second))).To(BeEmpty())
-		Expect(l.Due(day.Add(10 * time.Second))).To(HaveLen(1))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, windowStart.Add(2*time.Second))
+		l.SetHostUsage("b", usage.HostUsage{Incarnation: "b1"}, windowStart.Add(8*time.Second))
+		Expect(l.Due(windowStart.Add(9 * time.Second))).To(BeEmpty())
+		Expect(l.Due(windowStart.Add(10 * time.Second))).To(HaveLen(1))
 	})
 
 	It("is reported of windows without requests too, once there were some", func() {
 		l := usage.NewLedger(window)
-		Expect(l.Due(day)).To(BeEmpty())
+		Expect(l.Due(windowStart)).To(BeEmpty())
 		l.MarkReported(first)
-		Expect(l.Due(day.Add(20 * time.Second))).To(BeEmpty()) // nobody has told that there were none
-		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1"}, day.Add(16*time.Second))
-		Expect(l.Due(day.Add(20 * time.Second))).To(Equal([]usage.Report{
+		Expect(l.Due(windowStart.Add(20 * time.Second))).To(BeEmpty()) // nobody has told that there were none
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1"}, windowStart.Add(16*time.Second))
+		Expect(l.Due(windowStart.Add(20 * time.Second))).To(Equal([]usage.Report{
 			{Window: first + 1, Counts: usage.Counts{}}, {Window: first + 2, Counts: usage.Counts{}},
 		}))
 	})
 
 	It("is not reported twice", func() {
 		l := usage.NewLedger(window)
-		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, day.Add(6*time.Second))
-		Expect(l.Due(day.Add(6 * time.Second))).To(HaveLen(1))
+		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, windowStart.Add(6*time.Second))
+		Expect(l.Due(windowStart.Add(6 * time.Second))).To(HaveLen(1))
 		l.MarkReported(first)
-		Expect(l.Due(day.Add(6 * time.Second))).To(BeEmpty())
-		Expect(l.FirstUnreported(day.Add(6 * time.Second))).To(Equal(first + 1))
+		Expect(l.Due(windowStart.Add(6 * time.Second))).To(BeEmpty())
+		Expect(l.FirstUnreported(windowStart.Add(6 * time.Second))).To(Equal(first + 1))
 	})
 })
 
 var _ = Describe("the time of day", func() {
-	shown := func(ahead ...time.Duration) []usage.ClockReading {
+	readings := func(ahead ...time.Duration) []usage.ClockReading {
 		var all []usage.ClockReading
 		for _, d := range ahead {
-			all = append(all, usage.ClockReading{At: clock.Now(), Time: day.Add(d)})
+			all = append(all, usage.ClockReading{At: clock.Now(), Time: windowStart.Add(d)})
 		}
 		return all
 	}
 
 	It("is what most hosts take it to be, and goes on", func() {
 		suite.Paused(func() {
-			t := usage.MedianClock{}.With(shown(0, 2400*time.Millisecond, 10*time.Millisecond, 5*time.Millisecond, 2400*time.Millisecond), 5)
+			t := usage.MedianClock{}.With(readings(0, 2400*time.Millisecond, 10*time.Millisecond, 5*time.Millisecond, 2400*time.Millisecond), 5)
 			time.Sleep(time.Second)
 			now, known := t.Now()
 			Expect(known).To(BeTrue())
-			Expect(now).To(Equal(day.Add(1010 * time.Millisecond)))
+			Expect(now).To(Equal(windowStart.Add(1010 * time.Millisecond)))
 		})
 	})
 
 	It("stays what it was where few hosts answer", func() {
 		suite.Paused(func() {
-			t := usage.MedianClock{}.With(shown(0, 0, 0), 5)
-			t = t.With(shown(2400*time.Millisecond, 2400*time.Millisecond), 5)
+			t := usage.MedianClock{}.With(readings(0, 0, 0), 5)
+			t = t.With(readings(2400*time.Millisecond, 2400*time.Millisecond), 5)
 			now, _ := t.Now()
-			Expect(now).To(Equal(day))
-			_, known := usage.MedianClock{}.With(shown(0), 5).Now()
+			Expect(now).To(Equal(windowStart))
+			_, known := usage.MedianClock{}.With(readings(0), 5).Now()
 			Expect(known).To(BeFalse())
 		})
 	})
