--- a/internal/duty/ask.go
+++ b/internal/duty/ask.go
@@ -27,22 +27,22 @@
 
 // Query is what the holder asks.
 type Query struct {
-	NowKnown  bool      // the holder knows the time of day
-	Now    time.Time // it
-	Window time.Duration
-	Since  usage.Window // the first to be told of
-	Relay  []Member     // to be asked the same
-	Released   bool         // the sender has given the duties up
-	Backup   *HostStatus      // what the sender has counted itself, to be kept for its successor
+	NowKnown bool      // the holder knows the time of day
+	Now      time.Time // it
+	Window   time.Duration
+	Since    usage.Window // the first to be told of
+	Relay    []Member     // to be asked the same
+	Released bool         // the sender has given the duties up
+	Backup   *HostStatus  // what the sender has counted itself, to be kept for its successor
 }
 
 // HostStatus is what a host tells.
 type HostStatus struct {
-	Host    string
+	Host       string
 	WallTime   time.Time // its own time of day
-	Usage usage.HostUsage
-	Running map[string]int // requests in hand, by service
-	FromBackup  bool           // it was told before by a host that may be gone; only its account counts
+	Usage      usage.HostUsage
+	Running    map[string]int // requests in hand, by service
+	FromBackup bool           // it was told before by a host that may be gone; only its account counts
 
 	readAt clock.Instant // about when it told
 }
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -76,35 +76,35 @@
 
 // Options set up a Keeper.
 type Options struct {
-	Host     string
+	Host        string
 	Incarnation string        // of the host, which no other life of any host has
-	Window   time.Duration // of usage; 0 reports none
-	Leases   *lease.Manager
-	Tables   store.Tables
-	Members  func() []Member // the other hosts
-	Successors     func() []string // addresses of hosts that should take the duties after this one
-	Querier    Querier
-	Platform Platform // nil where there are no duties
-	Counter  *usage.Counter
-	Running  func() map[string]int // requests in hand, by service
-	Services func() []Service
+	Window      time.Duration // of usage; 0 reports none
+	Leases      *lease.Manager
+	Tables      store.Tables
+	Members     func() []Member // the other hosts
+	Successors  func() []string // addresses of hosts that should take the duties after this one
+	Querier     Querier
+	Platform    Platform // nil where there are no duties
+	Counter     *usage.Counter
+	Running     func() map[string]int // requests in hand, by service
+	Services    func() []Service
 	// Stocks counts what serves, by data hall, and tells whether an upgrade is under way.
-	Stocks func(service string) (stocks map[string]capacity.Stock, upgrading bool)
-	EvacuatedHalls   func() []string // data halls that get nothing
-	Logger *log.Logger
+	Stocks         func(service string) (stocks map[string]capacity.Stock, upgrading bool)
+	EvacuatedHalls func() []string // data halls that get nothing
+	Logger         *log.Logger
 }
 
 // Coordinator does the duties of a host while it holds them, and answers the one that does.
 type Coordinator struct {
 	options Options
 
-	stopRequested   chan struct{} // closed once the duties are to be given up
-	stopOnce sync.Once
-	stopped    chan struct{} // closed once they are
+	stopRequested chan struct{} // closed once the duties are to be given up
+	stopOnce      sync.Once
+	stopped       chan struct{} // closed once they are
 
-	mu     sync.Mutex // guards all below
-	orders []ActiveOrder
-	holds  bool
+	mu      sync.Mutex // guards all below
+	orders  []ActiveOrder
+	holds   bool
 	backups []HostStatus // of what holders had counted, oldest first
 }
 
@@ -123,7 +123,9 @@
 }
 
 // Register serves other hosts.
-func (c *Coordinator) Register(s grpc.ServiceRegistrar) { dutypb.RegisterDutyServer(s, &server{coordinator: c}) }
+func (c *Coordinator) Register(s grpc.ServiceRegistrar) {
+	dutypb.RegisterDutyServer(s, &server{coordinator: c})
+}
 
 // Run competes for the duties until the context ends.
 func (c *Coordinator) Run(ctx context.Context) {
@@ -201,13 +203,13 @@
 
 // term is a time in which a host does the duties.
 type term struct {
-	coordinator   *Coordinator
-	lease    *lease.Lease
+	coordinator *Coordinator
+	lease       *lease.Lease
 	wallClock   usage.MedianClock
-	ledger   *usage.Ledger
-	reports  reportState
-	planners map[string]*capacity.Planner
-	running  map[string]map[string]int // requests in hand, by host and service
+	ledger      *usage.Ledger
+	reports     reportState
+	planners    map[string]*capacity.Planner
+	running     map[string]map[string]int // requests in hand, by host and service
 }
 
 func newTerm(k *Coordinator, l *lease.Lease) *term {
@@ -229,7 +231,9 @@
 	return ctx.Err() == nil && t.lease.UnfencedWait() <= 0 && t.lease.Remaining() > callTimeout
 }
 
-func (t *term) holder() Holder { return Holder{Host: t.coordinator.options.Host, Token: t.lease.Epoch()} }
+func (t *term) holder() Holder {
+	return Holder{Host: t.coordinator.options.Host, Token: t.lease.Epoch()}
+}
 
 // queryHosts takes in what all hosts tell.
 func (t *term) queryHosts(ctx context.Context) {
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -23,8 +23,8 @@
 
 // invalidCalls break what one holder at a time means.
 var invalidCalls = map[string]struct {
-	calls []platformCall
-	violation  string
+	calls     []platformCall
+	violation string
 }{
 	"a window that is reported in two ways": {[]platformCall{
 		{"/usage", "a", "1", `{"window":7,"counts":{"w":1}}`}, {"/usage", "a", "1", `{"window":7,"counts":{"w":2}}`},
--- a/internal/duty/fence_test.go
+++ b/internal/duty/fence_test.go
@@ -121,11 +121,11 @@
 type delayedTables struct {
 	store.Tables
 
-	mu      sync.Mutex // guards all below
-	delay   time.Duration
-	onGiveUp   func()
-	done    chan struct{}
-	lateErr error // what became of the late commit
+	mu       sync.Mutex // guards all below
+	delay    time.Duration
+	onGiveUp func()
+	done     chan struct{}
+	lateErr  error // what became of the late commit
 }
 
 // delayNextCommit delays the next commit; the channel is closed once it has had its effect.
--- a/internal/duty/reports.go
+++ b/internal/duty/reports.go
@@ -30,7 +30,7 @@
 type reportState struct {
 	loaded bool
 	unsent []usage.Report // oldest first
-	saved   []usage.Window // whose rows are there, oldest first
+	saved  []usage.Window // whose rows are there, oldest first
 }
 
 // reportUsage keeps and sends what is due.
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -27,8 +27,8 @@
 
 // Times of a rig.
 const (
-	window = 5 * time.Second
-	handoverDelay  = 3 * time.Second
+	window        = 5 * time.Second
+	handoverDelay = 3 * time.Second
 	// leaseLength is that of the lease on the duties.
 	leaseLength = handoverDelay * 4 / 3
 	// callsAddress is where the platform takes what is one host's duty.
@@ -37,7 +37,7 @@
 
 // rig is hosts that keep duties, before a store and the platform.
 type rig struct {
-	store     *table.Store
+	store    *table.Store
 	calls    *standin.Duties
 	net      *memnet.Network
 	server   *http.Server
@@ -45,24 +45,24 @@
 	running  sync.WaitGroup
 	attempts attempts
 
-	mu     sync.Mutex // guards all below, and random
-	hosts  map[string]*node
-	started  map[int64]map[string]int64 // what truly began, by window and workspace
-	stocks map[string]capacity.Stock
+	mu      sync.Mutex // guards all below, and random
+	hosts   map[string]*node
+	started map[int64]map[string]int64 // what truly began, by window and workspace
+	stocks  map[string]capacity.Stock
 }
 
 // node is a life of a host.
 type node struct {
-	rig     *rig
-	name    string
-	door    *table.Door
-	tables    *delayedTables // what the duties keep goes there
-	renewals   *renewalTables // and their lease there
-	counter *usage.Counter
-	keeper  *duty.Coordinator
-	cancel  context.CancelFunc
-	dead    bool
-	silent  bool // it answers nobody
+	rig      *rig
+	name     string
+	door     *table.Door
+	tables   *delayedTables // what the duties keep goes there
+	renewals *renewalTables // and their lease there
+	counter  *usage.Counter
+	keeper   *duty.Coordinator
+	cancel   context.CancelFunc
+	dead     bool
+	silent   bool // it answers nobody
 }
 
 var errSilent = errors.New("no answer")
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease guards duties that need one owner, with leases kept in rows of
-// the table service and fenced by epochs.
+// Package lease ensures that a duty is done by one host at a time, with leases that are stored in
+// rows of the table service and fenced by epochs.
 //
 // # Usage
 //
@@ -8,16 +8,15 @@
 //		for l.Valid() { ... tables.Commit(ctx, l.Fenced(txn)) ... }
 //	})
 //
-// No host's wall clock is trusted. A lease may be taken once its row was seen
-// unchanged for its whole length by the taker's own running clock. The holder
-// counts from before it sent the renewal and stops a guard time earlier, so it
-// has stopped before another can start. A holder that was paused may still act
-// late; its writes carry a condition on the fence row, and its orders carry the
-// epoch, so both are refused once another holds the lease.
+// No host's wall clock is trusted. A host may acquire a lease once it has seen the lease's row
+// unchanged for the lease's whole length, by its own monotonic clock. The holder counts from before
+// it sent the renewal and stops a guard time earlier, so it has stopped before another host can
+// start. A holder that was paused may still act late; its writes carry a condition on the fence row,
+// and its orders carry the epoch, so both are rejected once another host holds the lease.
 //
-// Who takes a lease that was released does so at once. What can't be fenced, as calls to
-// a service that ignores the epoch, has to wait for Rest: else a lease that is handed to and
-// fro has two hosts act in turns.
+// A released lease can be acquired at once. Actions that can't be fenced, such as calls to a
+// service that ignores the epoch, must wait for UnfencedWait: otherwise two hosts that hand a lease
+// back and forth act alternately.
 package lease
 
 import (
@@ -35,7 +34,7 @@
 	"quaybarrow/internal/wake"
 )
 
-// Tables of the leases.
+// Tables in which leases are stored.
 const (
 	tableLease = "lease" // renewed often
 	tableFence = "fence" // written only when the lease changes hands
@@ -43,36 +42,36 @@
 
 // Divisors of a lease's length.
 const (
-	renewDivisor = 3 // renewals per length
-	guardDivisor = 5 // the holder stops this part of the length early
+	renewDivisor = 3 // a lease is renewed every third of its length
+	guardDivisor = 5 // the holder stops a fifth of the length early
 )
 
-// ErrHeld means that another holds the lease, or may still hold it.
-var ErrHeld = errors.New("lease is held by another")
+// ErrHeld means that another host holds the lease, or may still hold it.
+var ErrHeld = errors.New("lease is held by another host")
 
-// record is what the table says of a lease.
+// record is the stored state of a lease.
 type record struct {
 	Holder      string `json:"holder"`
 	Incarnation string `json:"incarnation"`
 	Epoch       int64  `json:"epoch"`
-	Renewals        int64  `json:"beat"` // counts renewals
+	Renewals    int64  `json:"beat"` // number of renewals in this epoch
 	Released    bool   `json:"released,omitempty"`
 }
 
-// Lease is one holding of a lease.
+// Lease is a lease held by this host, from its acquisition until it expires or is released.
 type Lease struct {
 	name  string
 	epoch int64
 	fence store.Row
 
-	unfencedFrom clock.Instant // what is not fenced begins then
+	unfencedFrom clock.Instant // when actions that are not fenced may start
 
-	mu    sync.Mutex    // guards all below
-	expires clock.Instant // holder's own clock
-	renewals  int64
+	mu       sync.Mutex    // guards the fields below
+	expires  clock.Instant // by the holder's own monotonic clock
+	renewals int64
 }
 
-// Epoch returns the fencing epoch; it grows with each holder.
+// Epoch returns the fencing epoch, which increases with each acquisition.
 func (l *Lease) Epoch() int64 { return l.epoch }
 
 // Valid reports whether the holder may still act.
@@ -82,17 +81,18 @@
 	return clock.Now().Before(l.expires)
 }
 
-// Remaining returns how long the lease is still valid without renewal.
+// Remaining returns how long the lease stays valid without renewal.
 func (l *Lease) Remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return clock.Until(l.expires)
 }
 
-// UnfencedWait is how long the holder still leaves undone what is not fenced; 0 or less for nothing.
+// UnfencedWait returns how long the holder must still wait before actions that are not fenced; 0 or
+// less if it need not wait.
 func (l *Lease) UnfencedWait() time.Duration { return clock.Until(l.unfencedFrom) }
 
-// Fenced adds the condition that nobody took the lease since.
+// Fenced adds the condition that no other host has acquired the lease since.
 func (l *Lease) Fenced(txn store.Transaction) store.Transaction {
 	conditions := slices.Clone(txn.Conditions)
 	conditions = append(conditions, store.AtVersion(tableFence, l.fence))
@@ -106,16 +106,18 @@
 	Host        string
 	Incarnation string
 	Length      time.Duration
-	// AssignedHost tells which host a duty is meant for; nil means any.
+	// AssignedHost returns the host that should do a duty; nil means any host.
 	AssignedHost func(duty string) string
-	// Rank is how many hosts come before this one in taking a lease, if that is known; nil for
-	// none. Each looks less often than the one before it, since a look is a call to the store.
+	// Rank returns how many hosts come before this one in the order of acquiring a lease, if that
+	// is known; nil if hosts have no order. Hosts of higher rank check a lease less often, since
+	// each check is a call to the store.
 	Rank func() (place int, known bool)
-	// HandoverDelay is the time in which hosts must not act in turns where that is not fenced.
+	// HandoverDelay is the time for which the holder of a lease that another host released must
+	// not do anything that is not fenced, so that hosts do not act alternately within that time.
 	HandoverDelay time.Duration
 }
 
-// observation is a lease row and how long it has been seen unchanged.
+// observation is the version of a lease row and since when it has been seen unchanged.
 type observation struct {
 	version int64
 	since   clock.Instant
@@ -125,21 +127,21 @@
 type Manager struct {
 	options Options
 
-	checkSignal wake.Signal // a signal to look at leases at once
+	checkSignal wake.Signal // wakes Run to check its lease at once
 
-	mu   sync.Mutex // guards seen
+	mu       sync.Mutex // guards observed
 	observed map[string]observation
 }
 
-// NewManager returns a manager that holds nothing.
+// NewManager returns a manager that holds no leases.
 func NewManager(options Options) *Manager {
 	return &Manager{options: options, checkSignal: wake.NewSignal(), observed: map[string]observation{}}
 }
 
-// CheckNow has the host look at its leases at once: one was released.
+// CheckNow makes the host check its leases at once, because one was released.
 func (m *Manager) CheckNow() { m.checkSignal.Poke() }
 
-// Acquire takes a lease, or returns ErrHeld.
+// Acquire acquires a lease, or returns ErrHeld.
 func (m *Manager) Acquire(ctx context.Context, name string) (*Lease, error) {
 	current, tableRow, err := m.read(ctx, name)
 	if err != nil {
@@ -164,8 +166,8 @@
 	return l, nil
 }
 
-// claim writes that this host holds a lease, if its row is still as it was read: a renewal that
-// came in between has changed it.
+// claim stores that this host holds a lease, unless its row has changed since it was read, for
+// instance by a renewal.
 func (m *Manager) claim(ctx context.Context, name string, at store.Row, next record) error {
 	data, err := codec.Encode(next)
 	if err != nil {
@@ -191,7 +193,7 @@
 	return nil
 }
 
-// readFence reads the row that changes only as the lease changes hands.
+// readFence reads the row that is written only when the lease changes hands.
 func (m *Manager) readFence(ctx context.Context, name string, epoch int64) (store.Row, error) {
 	fence, err := m.options.Tables.Get(ctx, tableFence, name)
 	if err != nil {
@@ -207,12 +209,12 @@
 	return fence, nil
 }
 
-// expiry is when a holder stops that last wrote at a moment.
+// expiry returns when a holder must stop whose last successful write was sent at the given instant.
 func (m *Manager) expiry(sent clock.Instant) clock.Instant {
 	return sent.Add(m.options.Length - m.options.Length/guardDivisor)
 }
 
-// read returns the lease's row; a zero one if there is none.
+// read returns the lease's record and row; the record is zero if there is none.
 func (m *Manager) read(ctx context.Context, name string) (record, store.Row, error) {
 	tableRow, err := m.options.Tables.Get(ctx, tableLease, name)
 	if errors.Is(err, store.ErrNotFound) {
@@ -228,7 +230,7 @@
 	return current, tableRow, nil
 }
 
-// available reports whether the lease may be taken.
+// available reports whether the lease may be acquired.
 func (m *Manager) available(name string, current record, tableRow store.Row) bool {
 	if tableRow.Version == 0 || current.Released {
 		return true
@@ -243,7 +245,7 @@
 	return clock.Since(s.since) >= m.options.Length
 }
 
-// writeRecord puts the lease's row as long as nobody took the lease.
+// writeRecord writes the lease's row unless another host has acquired the lease.
 func (m *Manager) writeRecord(ctx context.Context, l *Lease, next record) error {
 	data, err := codec.Encode(next)
 	if err != nil {
@@ -254,8 +256,8 @@
 	}))
 }
 
-// Renew extends a lease; ErrHeld if it was lost. Any
-// other error leaves it as it was, and renewing again is right.
+// Renew extends a lease. It returns ErrHeld if the lease was lost. Any other error leaves the lease
+// as it was, and the caller may retry.
 func (m *Manager) Renew(ctx context.Context, l *Lease) error {
 	l.mu.Lock()
 	l.renewals++
@@ -264,7 +266,7 @@
 	sent := clock.Now()
 	err := m.writeRecord(ctx, l, next)
 	if store.Uncertain(err) {
-		// It may be written: what the row says now tells.
+		// The write may have succeeded, so the current row is checked.
 		now, _, readErr := m.read(ctx, l.name)
 		switch {
 		case readErr != nil:
@@ -286,7 +288,7 @@
 	return nil
 }
 
-// extend has the lease last until a moment at least.
+// extend moves the expiry to the given instant unless it is later already.
 func (l *Lease) extend(until clock.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -295,14 +297,14 @@
 	}
 }
 
-// invalidate makes the lease invalid.
+// invalidate ends the lease on this host at once.
 func (l *Lease) invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expires = clock.Instant{}
 }
 
-// Release gives a lease up, so that another need not wait.
+// Release gives up a lease, so that another host need not wait for it to expire.
 func (m *Manager) Release(ctx context.Context, l *Lease) error {
 	l.invalidate()
 	next := record{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: l.epoch, Released: true}
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -10,15 +10,15 @@
 	"quaybarrow/internal/clock"
 )
 
-// releaseTimeout bounds the last write of a duty.
+// releaseTimeout limits the write that releases a lease.
 const releaseTimeout = 2 * time.Second
 
-// Duty is work that needs one owner. It returns when its context ends, which
-// happens before the lease can be taken by another.
+// Duty is work that one host at a time may do. It must return when its context ends, which happens
+// before another host can acquire the lease.
 type Duty func(ctx context.Context, l *Lease)
 
-// Run competes for a duty until the context ends: it acquires the lease while
-// this host is the owner, runs the duty while it holds it, and releases it.
+// Run competes for a duty until the context ends: it acquires the lease if this host is the
+// assigned one, runs the duty while it holds the lease, and then releases it.
 func (m *Manager) Run(ctx context.Context, name string, duty Duty) {
 	period := m.options.Length / renewDivisor
 	lastCheck, checkSoon := clock.Now(), true
@@ -39,11 +39,11 @@
 	}
 }
 
-// checkDue reports whether a lease is looked at that another held at the last look. Hosts that
-// come later look less often, most with the square of their place, so the looks of all stay few; a host
-// whose forerunners are lost comes first as soon as it knows. One that has just started, or was told
-// that a lease is free, looks at once if it is one of the first. One that does not know its place
-// looks at nothing.
+// checkDue reports whether to check a lease that another host held at the last check. Hosts of
+// higher rank check less often, those above frequentRanks at an interval that grows with the square
+// of their rank, so the total number of checks stays small; a host whose predecessors have failed
+// gets rank 0 as soon as it detects that. A host that has just started, or was told that a lease was
+// released, checks at once if its rank is 0 or 1. A host that does not know its rank checks nothing.
 func (m *Manager) checkDue(lastCheck clock.Instant, checkSoon bool, period time.Duration) bool {
 	if m.options.Rank == nil {
 		return true
@@ -62,16 +62,17 @@
 	return clock.Since(lastCheck) >= period*time.Duration(intervals)-period/2
 }
 
-// frequentRanks hosts after the first look often: the next one may not reach the store either.
+// frequentRanks is the number of hosts after the first that check often: the second one may be
+// unable to reach the store, too.
 const frequentRanks = 2
 
-// assigned reports whether this host is meant to own the duty.
+// assigned reports whether this host should do the duty.
 func (m *Manager) assigned(name string) bool {
 	return m.options.AssignedHost == nil || m.options.AssignedHost(name) == m.options.Host
 }
 
-// hold runs the duty and renews until the lease is lost, handed on, or the duty
-// returns: a lease held without its duty would keep the duty from everyone.
+// hold runs the duty and renews the lease until the lease is lost, another host is assigned, or the
+// duty returns: a lease held without running its duty would keep all hosts from doing it.
 func (m *Manager) hold(ctx context.Context, l *Lease, duty Duty) {
 	dutyContext, cancel := context.WithCancel(ctx)
 	var wait sync.WaitGroup
@@ -87,12 +88,12 @@
 	}
 	releaseContext, stop := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer stop()
-	// A release that fails costs the next holder a wait, nothing else.
+	// If the release fails, the next holder has to wait for the expiry; nothing else is affected.
 	_ = m.Release(releaseContext, l)
 }
 
-// renewUntilLost returns when the lease is no longer valid, no longer meant for
-// this host, or the context ends.
+// renewUntilLost renews the lease and returns when it is no longer valid, this host is no longer the
+// assigned one, or the context ends.
 func (m *Manager) renewUntilLost(ctx context.Context, l *Lease) {
 	period := m.options.Length / renewDivisor
 	for {
--- a/internal/lease/walk_test.go
+++ b/internal/lease/walk_test.go
@@ -19,12 +19,12 @@
 
 // contender is a host that takes a lease and acts outside of the store.
 type contender struct {
-	name  string
-	incarnation  int
-	timing timing
-	rows  *table.Store
-	m     *lease.Manager
-	l     *lease.Lease
+	name        string
+	incarnation int
+	timing      timing
+	rows        *table.Store
+	m           *lease.Manager
+	l           *lease.Lease
 }
 
 // timing are the times that a contender keeps to.
@@ -156,9 +156,9 @@
 
 // Sizes of walks.
 const (
-	shortWalk   = 4
-	longWalk    = 60
-	walkSeeds   = 2000
+	shortWalk    = 4
+	longWalk     = 60
+	walkSeeds    = 2000
 	randomStream = 7
 )
 
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,15 +1,15 @@
-// Package order has engines load and unload versions, with orders that are
-// fenced by the epoch of the lease under which they are given.
+// Package order makes engines load and unload model versions, by orders that are fenced by the epoch
+// of the lease under which they are sent.
 //
 // # Usage
 //
 //	reconciler := order.New(options)
-//	leases.Run(ctx, order.Duty(hall), reconciler.Run(hall))
+//	leases.Run(ctx, order.LeaseName(hall), reconciler.Run(hall))
 //
-// Orders follow from the configuration and the engines' reports, so nothing has
-// to be remembered: a withdrawn version that an engine still has is unloaded,
-// as a second line behind the hosts' own refusal, and a version in roll-out that
-// too few engines have is loaded, one engine at a time.
+// Orders are derived from the configuration and the engines' reports, so no state is stored. A
+// withdrawn version that an engine still has loaded is unloaded; this is a second safeguard, as
+// hosts themselves refuse requests for it. A canary version that too few engines have loaded is
+// loaded, one engine at a time.
 package order
 
 import (
@@ -31,23 +31,22 @@
 	"quaybarrow/internal/store"
 )
 
-// Bounds of the reconciliation.
 const (
-	reconcileInterval       = 2 * time.Second
-	orderTimeout = 30 * time.Second
-	minCanaryEngines       = 2 // engines in a data hall that should have a canary version
+	reconcileInterval = 2 * time.Second
+	orderTimeout      = 30 * time.Second
+	minCanaryEngines  = 2 // minimum number of engines in a data hall with a canary version
 )
 
-// Action is what an order asks for.
+// Action is the kind of an order.
 type Action string
 
-// Actions.
+// Kinds of orders.
 const (
 	ActionLoad   Action = "load"
 	ActionUnload Action = "unload"
 )
 
-// Order is an order to one engine.
+// Order tells one engine to load or unload a version.
 type Order struct {
 	Epoch   int64  `json:"epoch"`
 	Action  Action `json:"action"`
@@ -55,10 +54,10 @@
 	engine  store.Host
 }
 
-// LeaseName names the lease of a data hall's orders.
+// LeaseName returns the name of the lease for a data hall's orders.
 func LeaseName(hall string) string { return "engine-orders/" + hall }
 
-// Options set up a Reconciler.
+// Options configure a Reconciler.
 type Options struct {
 	Config    *config.Holder
 	List      func() []store.Host
@@ -66,13 +65,13 @@
 	Transport http.RoundTripper
 }
 
-// Reconciler gives the orders of the data halls that this host owns.
+// Reconciler sends orders to the engines of the data halls whose leases this host holds.
 type Reconciler struct{ options Options }
 
-// New returns a reconciler.
+// New returns a Reconciler with the given options.
 func New(options Options) *Reconciler { return &Reconciler{options: options} }
 
-// Run gives the orders of a data hall while the lease is held.
+// Run returns the duty that sends the orders of a data hall while the lease is held.
 func (r *Reconciler) Run(hall string) lease.Duty {
 	return func(ctx context.Context, l *lease.Lease) {
 		for l.Valid() && ctx.Err() == nil {
@@ -82,14 +81,14 @@
 	}
 }
 
-// engineReport is an engine with its report.
+// engineReport is an engine and its latest report.
 type engineReport struct {
 	host   store.Host
 	report endpoint.Report
 }
 
-// Reconcile compares what engines have with what they should have, and gives the
-// orders that follow.
+// Reconcile compares the versions that engines have loaded with those that they should have, and
+// sends orders for the differences.
 func (r *Reconciler) Reconcile(ctx context.Context, l *lease.Lease, hall string) {
 	snapshot := r.options.Config.Current()
 	if snapshot == nil {
@@ -110,12 +109,12 @@
 			return
 		}
 		o.Epoch = l.Epoch()
-		// A refused or lost order is given again at the next comparison.
+		// A refused or lost order is sent again by the next reconciliation.
 		_ = r.send(ctx, o)
 	}
 }
 
-// ordersFor decides which ordersFor follow from the configuration and the reports.
+// ordersFor derives the orders from the configuration and the reports.
 func ordersFor(snapshot *config.Snapshot, engines []engineReport) []Order {
 	var list []Order
 	enginesWith := map[string]int{}
@@ -141,7 +140,7 @@
 	return list
 }
 
-// leastLoaded finds the engine with the least work that lacks a version.
+// leastLoaded returns the engine with the fewest running requests among those that lack a version.
 func leastLoaded(engines []engineReport, version string) (engineReport, bool) {
 	candidates := engines[:0:0]
 	for _, e := range engines {
@@ -171,7 +170,7 @@
 	return false
 }
 
-// send gives one order.
+// send sends one order to its engine.
 func (r *Reconciler) send(ctx context.Context, o Order) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// slotLength is how exactly it is known when a request began.
+	// slotLength is the resolution at which the start of a request is recorded.
 	slotLength = 100 * time.Millisecond
-	// retention is how long a host can be asked for what it counted: a window is to be
-	// reported 10 s after its end, and the host that does so may have died meanwhile.
+	// retention is how long a host keeps its counts for queries. A window is due to be reported
+	// 10 s after its end, and the reporting host may have failed in the meantime.
 	retention = 40 * time.Second
 )
 
-// Counter counts the requests that begin on a host; safe for use at once.
+// Counter counts the requests that start on a host. It is safe for concurrent use.
 type Counter struct {
 	incarnation string
-	start    clock.Instant
+	start       clock.Instant
 
-	mu    sync.Mutex // guards all below
-	slots map[int64]Counts
+	mu          sync.Mutex // guards the fields below
+	slots       map[int64]Counts
 	sweptBefore int64
 }
 
-// NewCounter returns a counter of a life of a host.
+// NewCounter returns a counter for one incarnation of a host.
 func NewCounter(incarnation string) *Counter {
 	return &Counter{incarnation: incarnation, start: clock.Now(), slots: map[int64]Counts{}}
 }
 
-// CountRequest counts a request that begins now.
+// CountRequest counts a request that starts now.
 func (c *Counter) CountRequest(workspace string) {
 	slot := int64(clock.Since(c.start) / slotLength)
 	c.mu.Lock()
@@ -43,7 +43,7 @@
 	c.sweep(slot - int64(retention/slotLength))
 }
 
-// sweep drops slots before one, at most once in each.
+// sweep drops the slots before the given one. It scans the slots at most once per slot length.
 func (c *Counter) sweep(before int64) {
 	if before <= c.sweptBefore {
 		return
@@ -52,7 +52,8 @@
 	maps.DeleteFunc(c.slots, func(slot int64, _ Counts) bool { return slot < before })
 }
 
-// Snapshot is what was counted in windows of a length from one on, if the time of day is now.
+// Snapshot returns the counts per window of the given length, from window since on. The slots are
+// assigned to windows on the assumption that the current time of day is now.
 func (c *Counter) Snapshot(now time.Time, length time.Duration, since Window) HostUsage {
 	elapsed := clock.Since(c.start)
 	c.mu.Lock()
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -6,34 +6,37 @@
 )
 
 const (
-	// settleTime is how long after its end a window waits at least: requests that began at its
-	// end may be noted late.
+	// settleTime is the minimum time after a window's end before its counts are complete:
+	// requests that started just before the end may be recorded late.
 	settleTime = 500 * time.Millisecond
-	// maxWait is how long it maxWait at most for hosts that do not answer; they may be frozen or
-	// cut off for seconds.
+	// maxWait is the maximum time after a window's end to wait for hosts that do not answer;
+	// they may be frozen or unreachable for seconds.
 	maxWait = 5 * time.Second
-	// goneAfterWindows is after how many windows without an answer a host is not waited for.
+	// goneAfterWindows is the number of windows without an answer after which a host is no longer
+	// waited for.
 	goneAfterWindows = 3
-	// lookbackWindows is how many windows back a ledger that knows of no report begins.
+	// lookbackWindows is how many windows before the current one a ledger starts at if no window
+	// was reported before.
 	lookbackWindows = 4
 )
 
-// Ledger is what the host that reports usage knows. Its methods are not for use at once.
+// Ledger collects the counts of all hosts on the host that reports usage. It is not safe for
+// concurrent use.
 type Ledger struct {
-	length   time.Duration
-	usageByIncarnation map[string]HostUsage   // by lifetime
-	fromHost   map[string]bool      // lifetimes that have told this ledger themselves
-	answeredUntil map[string]time.Time // by host, until when what it has told counts
-	lastReported Window               // the newest
-	anyReported    bool                 // some window was reported
+	length             time.Duration
+	usageByIncarnation map[string]HostUsage // by incarnation of a host
+	fromHost           map[string]bool      // incarnations whose own answer was received
+	answeredUntil      map[string]time.Time // by host, the time up to which its counts were received
+	lastReported       Window               // the newest reported window
+	anyReported        bool                 // whether any window was reported
 }
 
-// NewLedger returns a ledger that knows nothing.
+// NewLedger returns an empty ledger.
 func NewLedger(length time.Duration) *Ledger {
 	return &Ledger{length: length, usageByIncarnation: map[string]HostUsage{}, fromHost: map[string]bool{}, answeredUntil: map[string]time.Time{}}
 }
 
-// MarkReported takes in that a window was reported, by this host or one before it.
+// MarkReported records that a window was reported, by this host or a previous lease holder.
 func (l *Ledger) MarkReported(w Window) {
 	l.lastReported, l.anyReported = max(l.lastReported, w), true
 	for incarnation, a := range l.usageByIncarnation {
@@ -44,7 +47,7 @@
 	}
 }
 
-// FirstUnreported is the first window that is still to be reported at a time of day.
+// FirstUnreported returns the first window that is still to be reported at time now.
 func (l *Ledger) FirstUnreported(now time.Time) Window {
 	if l.anyReported {
 		return l.lastReported + 1
@@ -52,15 +55,16 @@
 	return WindowOf(now, l.length) - lookbackWindows
 }
 
-// SetHostUsage takes in what a host has counted until a time of day.
+// SetHostUsage records the counts that a host itself sent, complete up to the given time of day.
 func (l *Ledger) SetHostUsage(host string, a HostUsage, until time.Time) {
 	l.answeredUntil[host] = until
 	l.fromHost[a.Incarnation] = true
 	l.set(HostUsage{Incarnation: a.Incarnation, Windows: l.unreported(a.Windows)})
 }
 
-// MergeBackup takes in what a life of a host had counted, as another one was told; its own word goes before
-// that. Counts only grow, so the larger ones stand.
+// MergeBackup adds the counts of one incarnation of a host from a backup that another host keeps.
+// The backup is ignored if that incarnation has answered itself. Counts only grow, so the larger
+// of two values is kept.
 func (l *Ledger) MergeBackup(a HostUsage) {
 	if l.fromHost[a.Incarnation] {
 		return
@@ -75,7 +79,7 @@
 	l.set(merged)
 }
 
-// unreported returns the windows that are not reported yet.
+// unreported returns the windows that were not reported yet.
 func (l *Ledger) unreported(windows map[Window]Counts) map[Window]Counts {
 	unreported := maps.Clone(windows)
 	maps.DeleteFunc(unreported, func(w Window, _ Counts) bool { return l.anyReported && w <= l.lastReported })
@@ -89,8 +93,8 @@
 	}
 }
 
-// Due lists the windows to be reported at a time of day, oldest first. A window is complete
-// once all hosts have answered after its end; those that do not are waited for.
+// Due lists the reports that are due at time now, oldest first. A window is complete once all hosts
+// have answered after its end; hosts that have not are waited for up to maxWait.
 func (l *Ledger) Due(now time.Time) []Report {
 	var due []Report
 	for w := l.FirstUnreported(now); ; w++ {
@@ -101,15 +105,15 @@
 		}
 		r := Report{Window: w, Counts: l.sum(w)}
 		if len(r.Counts) == 0 && !l.anyReported && len(due) == 0 {
-			continue // there were no requests yet
+			continue // no requests were ever reported, so there is nothing to report yet
 		}
 		due = append(due, r)
 	}
 }
 
-// answeredAfter reports whether some hosts, and whether all that answer, have answeredAfter of a window after its
-// end; one that has answeredAfter nothing since long before it is gone. A ledger that nobody has answeredAfter
-// anything knows of no requests, which is not to know that there were none.
+// answeredAfter reports whether some host, and whether every host that is not gone, has answered
+// after a window's end. A host counts as gone if its last answer is goneAfterWindows older than the
+// end. Without any answer the ledger has no counts, which does not mean that there were no requests.
 func (l *Ledger) answeredAfter(end time.Time) (some, all bool) {
 	all = true
 	for _, until := range l.answeredUntil {
--- a/internal/usage/timeofday.go
+++ b/internal/usage/medianclock.go
@@ -7,26 +7,26 @@
 	"quaybarrow/internal/clock"
 )
 
-// MedianClock is what most hosts take the time of day to be, carried on by this host's running
-// clock. The time of day of single hosts jumps by seconds, and back; the median of all is right
-// as long as fewer than half have jumped. An immutable value; the zero one knows no time.
+// MedianClock is the median of all hosts' wall clocks, advanced by this host's monotonic clock.
+// The wall clocks of single hosts jump by seconds, and back; the median is right as long as fewer
+// than half have jumped. It is an immutable value; the zero value has no time.
 type MedianClock struct {
-	at    clock.Instant
+	at       clock.Instant
 	wallTime time.Time
-	known bool
+	known    bool
 }
 
-// ClockReading is a host's time of day at a moment.
+// ClockReading is the wall time of a host, read at instant At of the local monotonic clock.
 type ClockReading struct {
 	At   clock.Instant
 	Time time.Time
 }
 
-// minReadingShare is the part of the hosts that must have told their time of day.
+// minReadingShare is the minimum share of hosts whose wall time is needed for an update.
 const minReadingShare = 0.5
 
-// With returns the time of day by what hosts have shown, of so many that there are; the one
-// before if too few have.
+// With returns a clock set to the median of the readings, or t itself if too few of the hosts have
+// a reading; hosts is the number of all hosts.
 func (t MedianClock) With(readings []ClockReading, hosts int) MedianClock {
 	if len(readings) == 0 || float64(len(readings)) < minReadingShare*float64(hosts) {
 		return t
@@ -40,5 +40,5 @@
 	return MedianClock{at: now, wallTime: times[len(times)/2], known: true}
 }
 
-// Now is the time of day; false if it is not known.
+// Now returns the time of day; false if it is not known.
 func (t MedianClock) Now() (time.Time, bool) { return t.wallTime.Add(clock.Since(t.at)), t.known }
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,20 +1,20 @@
-// Package usage counts the requests of each workspace that began to run in each window of
-// the time of day, over all hosts, and decides when a window is reported.
+// Package usage counts, over all hosts, the requests of each workspace that started in each window
+// of the time of day, and decides when a window is reported.
 //
 // # Usage
 //
-//	c := usage.NewCounter(lifetime)
-//	c.Began("weavers") // on each host, as requests begin
-//	account := c.Account(now, window, since)
+//	c := usage.NewCounter(incarnation)
+//	c.CountRequest("weavers") // on each host, as requests start
+//	counted := c.Snapshot(now, window, since)
 //
 //	l := usage.NewLedger(window) // on the host that reports
-//	l.Take("front-1", account, asked)
-//	for _, r := range l.Due(now) { ... keep r, then send it ... }
+//	l.SetHostUsage("front-1", counted, queriedAt)
+//	for _, r := range l.Due(now) { ... store r, then send it ... }
 //
-// Hosts' times of day differ, and jump. So a host notes when requests began by its own running
-// clock, and is told what time it is by the one that asks, which goes by the median of what all
-// hosts take the time of day to be. The account of a host that has died since counts on as it
-// last was. Nothing here sends messages or reads a clock.
+// The wall clocks of hosts differ, and jump. So a host records the start of requests by its own
+// monotonic clock, and the host that queries it supplies the current time of day, which is the
+// median of the wall clocks of all hosts. The last counts received from a host that has failed
+// since are still included. Nothing here sends messages or reads a wall clock.
 package usage
 
 import (
@@ -22,24 +22,23 @@
 	"time"
 )
 
-// Window is the number of a window: it starts so many times its length after the start of
-// 1970.
+// Window is the number of a window: window n starts n window lengths after the Unix epoch.
 type Window int64
 
-// WindowOf is the window that a time of day lies in.
+// WindowOf returns the window that contains a time of day.
 func WindowOf(at time.Time, length time.Duration) Window {
 	return Window(at.UnixMilli() / length.Milliseconds())
 }
 
-// End is the time of day at which a window ends.
+// End returns the time of day at which a window ends.
 func (w Window) End(length time.Duration) time.Time {
 	return time.UnixMilli((int64(w) + 1) * length.Milliseconds())
 }
 
-// Counts are requests by workspace; not to be changed once it is passed on.
+// Counts holds the number of requests by workspace. It must not be modified once it is shared.
 type Counts map[string]int64
 
-// plus returns the sum.
+// plus returns the sum of both counts for each workspace.
 func (c Counts) plus(other Counts) Counts {
 	sum := Counts{}
 	maps.Copy(sum, c)
@@ -49,7 +48,7 @@
 	return sum
 }
 
-// larger returns the larger count of each workspace.
+// larger returns the larger of both counts for each workspace.
 func (c Counts) larger(other Counts) Counts {
 	larger := Counts{}
 	maps.Copy(larger, c)
@@ -59,13 +58,13 @@
 	return larger
 }
 
-// HostUsage is what one life of a host has counted.
+// HostUsage holds the counts of one incarnation of a host.
 type HostUsage struct {
-	Incarnation string // of the host, which no other life of any host has
-	Windows  map[Window]Counts
+	Incarnation string // identifies one run of a host's process; unique among all hosts and runs
+	Windows     map[Window]Counts
 }
 
-// Report is a window's counts over all hosts, as they are sent and kept.
+// Report holds a window's counts over all hosts, as sent to the platform and stored.
 type Report struct {
 	Window Window `json:"window"`
 	Counts Counts `json:"counts"`
