--- a/internal/duty/ask.go
+++ b/internal/duty/ask.go
@@ -55,34 +55,34 @@
 
 // ownStatus is this host's own.
 func (c *Coordinator) ownStatus(q Query) HostStatus {
-	a := HostStatus{Host: c.options.Host, WallTime: time.Now(), Running: c.options.Running(), readAt: clock.Now()}
-	a.Usage.Incarnation = c.options.Incarnation
+	s := HostStatus{Host: c.options.Host, WallTime: time.Now(), Running: c.options.Running(), readAt: clock.Now()}
+	s.Usage.Incarnation = c.options.Incarnation
 	if q.NowKnown && q.Window > 0 {
-		a.Usage = c.options.Counter.Snapshot(q.Now, q.Window, q.Since)
+		s.Usage = c.options.Counter.Snapshot(q.Now, q.Window, q.Since)
 	}
-	return a
+	return s
 }
 
 // queryAll asks hosts; those that do not answer are left out.
 func (c *Coordinator) queryAll(ctx context.Context, q Query, members []Member) []HostStatus {
-	size := 1
+	groupSize := 1
 	if len(members) > maxDirectQueries {
-		size = int(math.Ceil(math.Sqrt(float64(len(members)))))
+		groupSize = int(math.Ceil(math.Sqrt(float64(len(members)))))
 	}
 	var mu sync.Mutex
 	var statuses []HostStatus
 	var queries sync.WaitGroup
 	own, queried := c.ownStatus(q), 0
-	for part := range slices.Chunk(members, size) {
+	for group := range slices.Chunk(members, groupSize) {
 		q := q
 		if queried++; queried <= backupHosts {
 			q.Backup = &own
 		}
 		queries.Go(func() {
-			answers := c.queryViaRelay(ctx, q, part)
+			groupStatuses := c.queryViaRelay(ctx, q, group)
 			mu.Lock()
 			defer mu.Unlock()
-			statuses = append(statuses, answers...)
+			statuses = append(statuses, groupStatuses...)
 		})
 	}
 	queries.Wait()
@@ -93,13 +93,13 @@
 const maxRelayTries = 2
 
 // queryViaRelay asks the first of some hosts, which asks the others of them.
-func (c *Coordinator) queryViaRelay(ctx context.Context, q Query, part []Member) []HostStatus {
-	for i := range min(maxRelayTries, len(part)) {
+func (c *Coordinator) queryViaRelay(ctx context.Context, q Query, group []Member) []HostStatus {
+	for i := range min(maxRelayTries, len(group)) {
 		sent := clock.Now()
 		queryContext, cancel := context.WithTimeout(ctx, queryTimeout)
 		q := q
-		q.Relay = part[i+1:]
-		statuses, err := c.options.Querier.Query(queryContext, part[i].Address, q)
+		q.Relay = group[i+1:]
+		statuses, err := c.options.Querier.Query(queryContext, group[i].Address, q)
 		cancel()
 		if err == nil {
 			// It told at some moment between; the middle is wrong by half of that at most.
@@ -109,7 +109,7 @@
 			}
 			return statuses
 		}
-		c.options.Logger.Debug("host tells nothing", "peer", part[i].Name, "address", part[i].Address, "error", err)
+		c.options.Logger.Debug("host tells nothing", "peer", group[i].Name, "address", group[i].Address, "error", err)
 	}
 	return nil
 }
@@ -165,12 +165,12 @@
 )
 
 // storeBackup keeps what a holder had counted.
-func (c *Coordinator) storeBackup(a HostStatus) {
-	a.FromBackup = true
+func (c *Coordinator) storeBackup(s HostStatus) {
+	s.FromBackup = true
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.backups = slices.DeleteFunc(c.backups, func(old HostStatus) bool { return old.Usage.Incarnation == a.Usage.Incarnation })
-	c.backups = append(c.backups, a)
+	c.backups = slices.DeleteFunc(c.backups, func(old HostStatus) bool { return old.Usage.Incarnation == s.Usage.Incarnation })
+	c.backups = append(c.backups, s)
 	c.backups = c.backups[max(0, len(c.backups)-maxBackups):]
 }
 
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -104,7 +104,7 @@
 
 	mu      sync.Mutex // guards all below
 	orders  []ActiveOrder
-	holds   bool
+	isHolder   bool
 	backups []HostStatus // of what holders had counted, oldest first
 }
 
@@ -177,7 +177,7 @@
 func (c *Coordinator) Orders() ([]ActiveOrder, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.orders), c.holds
+	return slices.Clone(c.orders), c.isHolder
 }
 
 // hold does the duties while the lease lasts.
@@ -195,10 +195,10 @@
 	}
 }
 
-func (c *Coordinator) setHolding(holding bool) {
+func (c *Coordinator) setHolding(isHolder bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.holds, c.orders = holding, nil
+	c.isHolder, c.orders = isHolder, nil
 }
 
 // term is a time in which a host does the duties.
@@ -212,9 +212,9 @@
 	running     map[string]map[string]int // requests in hand, by host and service
 }
 
-func newTerm(k *Coordinator, l *lease.Lease) *term {
+func newTerm(c *Coordinator, l *lease.Lease) *term {
 	return &term{
-		coordinator: k, lease: l, ledger: usage.NewLedger(max(k.options.Window, time.Millisecond)),
+		coordinator: c, lease: l, ledger: usage.NewLedger(max(c.options.Window, time.Millisecond)),
 		planners: map[string]*capacity.Planner{}, running: map[string]map[string]int{},
 	}
 }
@@ -247,15 +247,15 @@
 	statuses := append(t.coordinator.queryAll(ctx, q, members), t.coordinator.HandleQuery(ctx, q)...)
 	var readings []usage.ClockReading
 	clear(t.running)
-	for _, a := range statuses {
-		if a.FromBackup {
-			t.ledger.MergeBackup(a.Usage)
+	for _, host := range statuses {
+		if host.FromBackup {
+			t.ledger.MergeBackup(host.Usage)
 			continue
 		}
-		readings = append(readings, usage.ClockReading{At: a.readAt, Time: a.WallTime})
-		t.running[a.Host] = a.Running
+		readings = append(readings, usage.ClockReading{At: host.readAt, Time: host.WallTime})
+		t.running[host.Host] = host.Running
 		if known {
-			t.ledger.SetHostUsage(a.Host, a.Usage, now)
+			t.ledger.SetHostUsage(host.Host, host.Usage, now)
 		}
 	}
 	t.wallClock = t.wallClock.With(readings, len(members)+1)
--- a/internal/duty/grpc.go
+++ b/internal/duty/grpc.go
@@ -19,8 +19,8 @@
 // Account implements dutypb.DutyServer.
 func (s *server) Account(ctx context.Context, r *dutypb.AccountRequest) (*dutypb.AccountReply, error) {
 	reply := &dutypb.AccountReply{}
-	for _, a := range s.coordinator.HandleQuery(ctx, queryFromWire(r)) {
-		reply.Hosts = append(reply.Hosts, statusToWire(a))
+	for _, s := range s.coordinator.HandleQuery(ctx, queryFromWire(r)) {
+		reply.Hosts = append(reply.Hosts, statusToWire(s))
 	}
 	return reply, nil
 }
@@ -92,15 +92,15 @@
 }
 
 func statusFromWire(w *dutypb.Host) HostStatus {
-	a := HostStatus{
+	s := HostStatus{
 		Host: w.GetName(), WallTime: time.UnixMilli(w.GetShownMs()), FromBackup: w.GetCopy(), Running: map[string]int{},
 		Usage: usage.HostUsage{Incarnation: w.GetLifetime(), Windows: map[usage.Window]usage.Counts{}},
 	}
 	for service, n := range w.GetRunning() {
-		a.Running[service] = int(n)
+		s.Running[service] = int(n)
 	}
 	for _, win := range w.GetWindows() {
-		a.Usage.Windows[usage.Window(win.GetNumber())] = win.GetCounts()
+		s.Usage.Windows[usage.Window(win.GetNumber())] = win.GetCounts()
 	}
-	return a
+	return s
 }
