--- a/internal/duty/ask.go
+++ b/internal/duty/ask.go
@@ -12,48 +12,49 @@
 	"quaybarrow/internal/usage"
 )
 
-// Times of questions to other hosts.
+// Limits of queries to other hosts.
 const (
-	// queryTimeout is ample for a small message between data halls, on a host that is busy.
+	// queryTimeout is ample for a small message between data halls to a busy host.
 	queryTimeout = 600 * time.Millisecond
-	// relayTimeout is the same for hosts that another one asks.
+	// relayTimeout is the timeout of a query that a host relays to another one.
 	relayTimeout = 400 * time.Millisecond
-	// maxDirectQueries hosts are asked one by one; beyond, some ask others.
+	// maxDirectQueries is the maximum number of hosts to query directly. If there are more, some
+	// of them relay the query to the others.
 	maxDirectQueries = 64
 )
 
 // Member is another host.
 type Member struct{ Name, Address string }
 
-// Query is what the holder asks.
+// Query is a request by the holder of the duties for the status of other hosts.
 type Query struct {
-	NowKnown bool      // the holder knows the time of day
-	Now      time.Time // it
+	NowKnown bool      // whether the holder knows the time of day
+	Now      time.Time // the time of day, if known
 	Window   time.Duration
-	Since    usage.Window // the first to be told of
-	Relay    []Member     // to be asked the same
-	Released bool         // the sender has given the duties up
-	Backup   *HostStatus  // what the sender has counted itself, to be kept for its successor
+	Since    usage.Window // the first window to return
+	Relay    []Member     // hosts to which the receiver relays the query
+	Released bool         // the sender has released the lease on the duties
+	Backup   *HostStatus  // the sender's own counts, which the receiver stores for the sender's successor
 }
 
-// HostStatus is what a host tells.
+// HostStatus is the answer of a host to a Query.
 type HostStatus struct {
 	Host       string
-	WallTime   time.Time // its own time of day
+	WallTime   time.Time // by its own wall clock
 	Usage      usage.HostUsage
-	Running    map[string]int // requests in hand, by service
-	FromBackup bool           // it was told before by a host that may be gone; only its account counts
+	Running    map[string]int // requests in progress, by service
+	FromBackup bool           // a stored backup of a host that may be gone; only Usage is to be used
 
-	readAt clock.Instant // about when it told
+	readAt clock.Instant // estimated instant at which WallTime was read
 }
 
-// Querier asks other hosts.
+// Querier queries other hosts.
 type Querier interface {
-	// Query returns the answers of a host and of those that it asks.
+	// Query returns the status of a host and of the hosts to which it relays the query.
 	Query(ctx context.Context, address string, q Query) ([]HostStatus, error)
 }
 
-// ownStatus is this host's own.
+// ownStatus returns the status of this host.
 func (c *Coordinator) ownStatus(q Query) HostStatus {
 	s := HostStatus{Host: c.options.Host, WallTime: time.Now(), Running: c.options.Running(), readAt: clock.Now()}
 	s.Usage.Incarnation = c.options.Incarnation
@@ -63,7 +64,7 @@
 	return s
 }
 
-// queryAll asks hosts; those that do not answer are left out.
+// queryAll queries hosts and omits those that do not answer.
 func (c *Coordinator) queryAll(ctx context.Context, q Query, members []Member) []HostStatus {
 	groupSize := 1
 	if len(members) > maxDirectQueries {
@@ -89,10 +90,11 @@
 	return statuses
 }
 
-// maxRelayTries is how many of some hosts are tried for asking the others of them.
+// maxRelayTries is the number of hosts of a group that are tried as the relay.
 const maxRelayTries = 2
 
-// queryViaRelay asks the first of some hosts, which asks the others of them.
+// queryViaRelay queries the first host of a group, which relays the query to the rest. If it fails,
+// the next host of the group is the relay.
 func (c *Coordinator) queryViaRelay(ctx context.Context, q Query, group []Member) []HostStatus {
 	for i := range min(maxRelayTries, len(group)) {
 		sent := clock.Now()
@@ -102,20 +104,21 @@
 		statuses, err := c.options.Querier.Query(queryContext, group[i].Address, q)
 		cancel()
 		if err == nil {
-			// It told at some moment between; the middle is wrong by half of that at most.
+			// The wall clocks were read at some instant between sending the query and now; the
+			// error of the midpoint is at most half of that time.
 			middle := sent.Add(clock.Since(sent) / 2)
 			for j := range statuses {
 				statuses[j].readAt = middle
 			}
 			return statuses
 		}
-		c.options.Logger.Debug("host tells nothing", "peer", group[i].Name, "address", group[i].Address, "error", err)
+		c.options.Logger.Debug("host did not answer a query", "peer", group[i].Name, "address", group[i].Address, "error", err)
 	}
 	return nil
 }
 
-// HandleQuery is this host's answer to the one that does the duties, with those of hosts that it asks for
-// it.
+// HandleQuery answers a query by the host that does the duties. It returns the status of this host,
+// the backups that it stores, and the statuses of the hosts to which it relays the query.
 func (c *Coordinator) HandleQuery(ctx context.Context, q Query) []HostStatus {
 	statuses := []HostStatus{c.ownStatus(q)}
 	if q.Backup != nil {
@@ -138,7 +141,7 @@
 			defer cancel()
 			relayed, err := c.options.Querier.Query(queryContext, m.Address, q)
 			if err != nil {
-				c.options.Logger.Debug("host tells nothing", "peer", m.Name, "address", m.Address, "error", err)
+				c.options.Logger.Debug("host did not answer a query", "peer", m.Name, "address", m.Address, "error", err)
 				return
 			}
 			mu.Lock()
@@ -147,24 +150,25 @@
 		})
 	}
 	asking.Wait()
-	c.options.Logger.Debug("hosts asked for another", "hosts", len(members), "answers", len(statuses)-1, "took_ms", clock.Since(start).Milliseconds())
+	c.options.Logger.Debug("query relayed to hosts", "hosts", len(members), "answers", len(statuses)-1, "took_ms", clock.Since(start).Milliseconds())
 	return statuses
 }
 
-// queryError wraps what kept a host from answering.
+// queryError wraps the error of a query to an address.
 func queryError(address string, err error) error {
-	return fmt.Errorf("ask %s for its account: %w", address, err)
+	return fmt.Errorf("query status of host %s: %w", address, err)
 }
 
 const (
-	// backupHosts of what the holder has counted itself are with other hosts, so that not both it and
-	// all of them are likely to be lost.
+	// backupHosts is the number of other hosts that store a backup of the holder's own counts, so
+	// that the holder and all of its backups are unlikely to be lost together.
 	backupHosts = 3
-	// maxBackups bounds the lives of which a host keeps copies.
+	// maxBackups is the maximum number of incarnations of which a host stores a backup.
 	maxBackups = 8
 )
 
-// storeBackup keeps what a holder had counted.
+// storeBackup stores the counts of a holder in memory, in place of an older backup of the same
+// incarnation.
 func (c *Coordinator) storeBackup(s HostStatus) {
 	s.FromBackup = true
 	c.mu.Lock()
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,17 +1,17 @@
-// Package duty does what one host does for all: it reports usage to the platform and orders
-// endpoints.
+// Package duty does the work that one host does on behalf of all hosts, called the duties: it reports
+// usage to the platform and orders endpoints.
 //
 // # Usage
 //
-//	k := duty.New(duty.Options{Leases: leases, Platform: client, Asker: duty.NewAsker(connect), ...})
-//	k.Register(server) // so that another host can ask this one
-//	go k.Run(ctx)
+//	c := duty.New(duty.Options{Leases: leases, Platform: client, Querier: duty.NewQuerier(connect), ...})
+//	c.Register(server) // so that another host can query this one
+//	go c.Run(ctx)
 //
-// One host holds the lease, whose epoch goes with each call as the fencing token. The platform
-// may ignore it, so a host calls only while its lease is good for longer than the call takes, and
-// who takes a released lease waits first. What is reported of a window is kept in the store
-// before it is sent, and sent again as it was kept: two reports of a window that differ would
-// bill somebody twice.
+// One host holds the lease, whose epoch is sent with each call as the fencing token. The platform
+// may ignore the token, so a host calls it only while the lease stays valid for longer than the
+// call takes, and waits first if it acquired a released lease. The report of a window is stored
+// before it is sent, and resent as stored: two different reports of a window would bill somebody
+// twice.
 package duty
 
 import (
@@ -33,96 +33,97 @@
 	"quaybarrow/internal/usage"
 )
 
-// leaseName is that of the lease on all duties.
+// leaseName is the name of the lease that covers all duties.
 const leaseName = "duties"
 
-// Times of a host that does the duties.
 const (
-	// queryInterval is how often it asks the others.
+	// queryInterval is the time between the holder's queries of the other hosts.
 	queryInterval = time.Second
-	// callTimeout is what one call to the platform takes at most. It is not begun unless the lease
-	// is good for longer.
+	// callTimeout limits one call to the platform. A call is not started unless the lease stays
+	// valid for longer than that.
 	callTimeout = 1200 * time.Millisecond
 )
 
-// Errors of the platform.
+// Errors returned by a Platform.
 var (
-	// ErrNoneAvailable means that there are no more endpoints of the kind to be had there now.
-	ErrNoneAvailable = errors.New("no more endpoints are to be had")
-	// ErrRefused means that the platform did not take a call.
-	ErrRefused = errors.New("the platform did not take the call")
+	// ErrNoneAvailable means that no more endpoints of the ordered kind are available in the data
+	// hall at present.
+	ErrNoneAvailable = errors.New("no more endpoints are available")
+	// ErrRefused means that the platform rejected a call.
+	ErrRefused = errors.New("the platform rejected the call")
 )
 
-// Holder is who holds the duties.
+// Holder identifies the host that holds the lease on the duties.
 type Holder struct {
 	Host  string
-	Token int64 // rises with each holder
+	Token int64 // fencing token; increases with each acquisition of the lease
 }
 
-// Platform takes what the holder does.
+// Platform receives the holder's calls.
 type Platform interface {
-	// Usage reports a window.
+	// Usage reports the usage of a window.
 	Usage(ctx context.Context, h Holder, r usage.Report) error
-	// Scale orders endpoints of a service; ErrNone if there are none to be had.
+	// Scale orders endpoints of a service. It returns ErrNoneAvailable if no more are available.
 	Scale(ctx context.Context, h Holder, service string, o capacity.Order) error
 }
 
-// Service is one whose endpoints are ordered.
+// Service is a service whose endpoints are ordered from the platform.
 type Service struct {
 	Name    string
 	Scaling capacity.Scaling
-	Slots   int // requests that an endpoint runs at once
+	Slots   int // requests that an endpoint runs concurrently
 }
 
-// Options set up a Keeper.
+// Options configure a Coordinator.
 type Options struct {
 	Host        string
-	Incarnation string        // of the host, which no other life of any host has
-	Window      time.Duration // of usage; 0 reports none
+	Incarnation string        // identifies this run of the host's process; unique among all hosts and runs
+	Window      time.Duration // length of a usage window; 0 disables usage reports
 	Leases      *lease.Manager
 	Tables      store.Tables
 	Members     func() []Member // the other hosts
-	Successors  func() []string // addresses of hosts that should take the duties after this one
+	Successors  func() []string // addresses of the hosts that should take over the duties, first choice first
 	Querier     Querier
-	Platform    Platform // nil where there are no duties
+	Platform    Platform // nil if this host never does duties
 	Counter     *usage.Counter
-	Running     func() map[string]int // requests in hand, by service
+	Running     func() map[string]int // requests in progress, by service
 	Services    func() []Service
-	// Stocks counts what serves, by data hall, and tells whether an upgrade is under way.
+	// Stocks returns the serving endpoints by data hall, and whether an upgrade is in progress.
 	Stocks         func(service string) (stocks map[string]capacity.Stock, upgrading bool)
-	EvacuatedHalls func() []string // data halls that get nothing
+	EvacuatedHalls func() []string // data halls that receive no requests
 	Logger         *log.Logger
 }
 
-// Coordinator does the duties of a host while it holds them, and answers the one that does.
+// Coordinator does the duties while this host holds the lease on them, and answers the queries of
+// the host that holds it.
 type Coordinator struct {
 	options Options
 
-	stopRequested chan struct{} // closed once the duties are to be given up
+	stopRequested chan struct{} // closed when the host should give up the duties
 	stopOnce      sync.Once
-	stopped       chan struct{} // closed once they are
+	stopped       chan struct{} // closed when Run has returned
 
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	orders  []ActiveOrder
 	isHolder   bool
-	backups []HostStatus // of what holders had counted, oldest first
+	backups []HostStatus // counts of holders, oldest first
 }
 
-// ActiveOrder is an order in force, as operators see it.
+// ActiveOrder is an order in force, as shown to operators.
 type ActiveOrder struct {
 	Service string `json:"service"`
 	Hall    string `json:"hall"`
 	Spot    bool   `json:"spot"`
 	Count   int    `json:"count"`
-	Peak    int    `json:"peak_requests"` // for which it was made
+	Peak    int    `json:"peak_requests"` // peak of concurrent requests for which it was placed
 }
 
-// New returns a keeper that holds nothing.
+// New returns a coordinator that does not hold the lease.
 func New(options Options) *Coordinator {
 	return &Coordinator{options: options, stopRequested: make(chan struct{}), stopped: make(chan struct{})}
 }
 
-// Register serves other hosts.
+// Register registers the gRPC service that answers other hosts.
 func (c *Coordinator) Register(s grpc.ServiceRegistrar) {
 	dutypb.RegisterDutyServer(s, &server{coordinator: c})
 }
@@ -145,8 +146,8 @@
 	c.options.Leases.Run(ctx, leaseName, c.hold)
 }
 
-// Resign gives the duties up for good, as the first thing that a stopping host does: its successor
-// can still ask it what it has counted.
+// Resign gives up the duties for good and tells the successors that the lease is released. A stopping
+// host calls it first, so that its successor can still query its counts.
 func (c *Coordinator) Resign(ctx context.Context) {
 	_, held := c.Orders()
 	c.stopOnce.Do(func() { close(c.stopRequested) })
@@ -166,21 +167,22 @@
 		if err == nil {
 			return
 		}
-		c.options.Logger.Info("host not told that it may take the duties", "address", address, "error", err)
+		c.options.Logger.Info("could not tell host that the duties were released", "address", address, "error", err)
 	}
 }
 
-// maxSuccessorTries is how many hosts are told, until one answers, that the duties are free.
+// maxSuccessorTries is the maximum number of hosts to tell, until one answers, that the duties were
+// released.
 const maxSuccessorTries = 3
 
-// Orders lists what this host has ordered, and whether it holds the duties.
+// Orders returns this host's orders in force, and whether it holds the duties.
 func (c *Coordinator) Orders() ([]ActiveOrder, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.orders), c.isHolder
 }
 
-// hold does the duties while the lease lasts.
+// hold does the duties while the lease is valid.
 func (c *Coordinator) hold(ctx context.Context, l *lease.Lease) {
 	c.options.Logger.Info("duties taken", "token", l.Epoch(), "rest_ms", max(l.UnfencedWait(), 0).Milliseconds())
 	c.setHolding(true)
@@ -201,7 +203,7 @@
 	c.isHolder, c.orders = isHolder, nil
 }
 
-// term is a time in which a host does the duties.
+// term is the state of one tenure of the duties, from acquiring the lease to losing it.
 type term struct {
 	coordinator *Coordinator
 	lease       *lease.Lease
@@ -209,7 +211,7 @@
 	ledger      *usage.Ledger
 	reports     reportState
 	planners    map[string]*capacity.Planner
-	running     map[string]map[string]int // requests in hand, by host and service
+	running     map[string]map[string]int // requests in progress, by host and service
 }
 
 func newTerm(c *Coordinator, l *lease.Lease) *term {
@@ -219,14 +221,15 @@
 	}
 }
 
-// round asks all hosts and does what is due.
+// round queries all hosts, reports the usage that is due and orders endpoints.
 func (t *term) round(ctx context.Context) {
 	t.queryHosts(ctx)
 	t.reportUsage(ctx)
 	t.orderEndpoints(ctx)
 }
 
-// mayCall reports whether a call mayCall be made: nobody else mayCall act before it has ended.
+// mayCall reports whether a call to the platform may be started: no other host may act before it has
+// ended.
 func (t *term) mayCall(ctx context.Context) bool {
 	return ctx.Err() == nil && t.lease.UnfencedWait() <= 0 && t.lease.Remaining() > callTimeout
 }
@@ -235,7 +238,7 @@
 	return Holder{Host: t.coordinator.options.Host, Token: t.lease.Epoch()}
 }
 
-// queryHosts takes in what all hosts tell.
+// queryHosts queries all hosts and records their answers.
 func (t *term) queryHosts(ctx context.Context) {
 	o := t.coordinator.options
 	now, known := t.wallClock.Now()
@@ -261,7 +264,7 @@
 	t.wallClock = t.wallClock.With(readings, len(members)+1)
 }
 
-// orderEndpoints orders endpoints where the work asks for more or fewer.
+// orderEndpoints orders endpoints for the services whose load requires more or fewer.
 func (t *term) orderEndpoints(ctx context.Context) {
 	o := t.coordinator.options
 	evacuated := o.EvacuatedHalls()
@@ -292,7 +295,7 @@
 	t.coordinator.orders = active
 }
 
-// withEmptyHalls adds the data halls in which a service may run and has nothing.
+// withEmptyHalls adds empty stocks for data halls in which a service may run but has no endpoints.
 func withEmptyHalls(stocks map[string]capacity.Stock, s capacity.Scaling) map[string]capacity.Stock {
 	all := map[string]capacity.Stock{}
 	for hall := range s.Prices {
@@ -302,7 +305,7 @@
 	return all
 }
 
-// sendOrder sends an order.
+// sendOrder sends an order to the platform and records the result in the planner.
 func (t *term) sendOrder(ctx context.Context, service string, p *capacity.Planner, order capacity.Order, s capacity.State) {
 	if !t.mayCall(ctx) {
 		return
--- a/internal/duty/grpc.go
+++ b/internal/duty/grpc.go
@@ -10,7 +10,7 @@
 	"quaybarrow/internal/usage"
 )
 
-// server answers the host that does the duties.
+// server is the gRPC service that answers the host that does the duties.
 type server struct {
 	dutypb.UnimplementedDutyServer
 	coordinator *Coordinator
@@ -28,13 +28,13 @@
 // Connect returns the connection to an address.
 type Connect func(address string) (grpc.ClientConnInterface, error)
 
-// grpcQuerier asks over gRPC.
+// grpcQuerier queries hosts over gRPC.
 type grpcQuerier struct{ connect Connect }
 
-// NewQuerier returns an asker over connections that other services share.
+// NewQuerier returns a querier that uses connections shared with other services.
 func NewQuerier(connect Connect) Querier { return grpcQuerier{connect} }
 
-// Query implements Asker.
+// Query implements Querier.
 func (a grpcQuerier) Query(ctx context.Context, address string, q Query) ([]HostStatus, error) {
 	connection, err := a.connect(address)
 	if err != nil {
--- a/internal/duty/reports.go
+++ b/internal/duty/reports.go
@@ -12,34 +12,35 @@
 	"quaybarrow/internal/usage"
 )
 
-// tableUsage keeps what was reported of the latest windows.
+// tableUsage is the table that stores the reports of the latest windows.
 const tableUsage = "usage"
 
 const (
-	// maxSavedReports are kept; a holder may need those of some failed ones before it.
+	// maxSavedReports is the number of reports to keep in the store; a holder may need the reports
+	// of several failed holders before it.
 	maxSavedReports = 24
-	// resentReports of the kept ones are sent again by a new holder: whether they were sent is
-	// not kept, and the platform passes over repeats.
+	// resentReports is the number of stored reports that a new holder sends again: whether they
+	// were sent is not stored, and the platform ignores repeats.
 	resentReports = 2
 )
 
-// errLeaseLost means that the duties are lost.
-var errLeaseLost = errors.New("another host has the duties")
+// errLeaseLost means that another host has acquired the lease on the duties.
+var errLeaseLost = errors.New("another host holds the duties")
 
-// reportState are those of a term.
+// reportState is the state of the usage reports in a term.
 type reportState struct {
 	loaded bool
 	unsent []usage.Report // oldest first
-	saved  []usage.Window // whose rows are there, oldest first
+	saved  []usage.Window // windows with a row in the store, oldest first
 }
 
-// reportUsage keeps and sends what is due.
+// reportUsage stores and sends the reports that are due.
 func (t *term) reportUsage(ctx context.Context) {
 	if t.coordinator.options.Window <= 0 {
 		return
 	}
 	if err := t.loadReports(ctx); err != nil {
-		t.coordinator.options.Logger.Warn("reports of before can't be read", "error", err)
+		t.coordinator.options.Logger.Warn("stored usage reports can't be read", "error", err)
 		return
 	}
 	if now, known := t.wallClock.Now(); known {
@@ -53,7 +54,7 @@
 	t.sendReports(ctx)
 }
 
-// loadReports reads what was reported before this term.
+// loadReports reads the reports that were stored before this term.
 func (t *term) loadReports(ctx context.Context) error {
 	if t.reports.loaded {
 		return nil
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// saveReport writes a report unless one of its window is there, which then stands.
+// saveReport stores a report. If the store already has one for its window, that one is used instead.
 func (t *term) saveReport(ctx context.Context, r usage.Report) error {
 	data, err := codec.Encode(r)
 	if err != nil {
@@ -103,7 +104,8 @@
 	return nil
 }
 
-// savedReport returns the report that stands after one could not be written, or an error.
+// savedReport returns the report in the store after writing one has failed with cause, or an error
+// if there is none.
 func (t *term) savedReport(ctx context.Context, key string, cause error) (usage.Report, error) {
 	row, err := t.coordinator.options.Tables.Get(ctx, tableUsage, key)
 	switch {
@@ -119,10 +121,10 @@
 	return saved, nil
 }
 
-// rowKey is the key of a window's row; keys are in the order of windows.
+// rowKey returns the key of a window's row; keys sort in the order of windows.
 func rowKey(w usage.Window) string { return fmt.Sprintf("%016d", w) }
 
-// sendReports sends the reports that the platform has not taken, oldest first.
+// sendReports sends the reports that the platform has not accepted yet, oldest first.
 func (t *term) sendReports(ctx context.Context) {
 	for len(t.reports.unsent) > 0 && t.mayCall(ctx) {
 		r := t.reports.unsent[0]
