--- a/internal/duty/ask.go
+++ b/internal/duty/ask.go
@@ -34,7 +34,7 @@
 	Since    usage.Window // the first window to return
 	Relay    []Member     // hosts to which the receiver relays the query
 	Released bool         // the sender has released the lease on the duties
-	Backup   *HostStatus  // the sender's own counts, which the receiver stores for the sender's successor
+	Backup   *HostStatus  // the sender's own counts, to be stored for its successor
 }
 
 // HostStatus is the answer of a host to a Query.
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -77,12 +77,12 @@
 // Options configure a Coordinator.
 type Options struct {
 	Host        string
-	Incarnation string        // identifies this run of the host's process; unique among all hosts and runs
+	Incarnation string        // identifies one run of a host's process; unique
 	Window      time.Duration // length of a usage window; 0 disables usage reports
 	Leases      *lease.Manager
 	Tables      store.Tables
 	Members     func() []Member // the other hosts
-	Successors  func() []string // addresses of the hosts that should take over the duties, first choice first
+	Successors  func() []string // addresses of the hosts to take over the duties, in order
 	Querier     Querier
 	Platform    Platform // nil if this host never does duties
 	Counter     *usage.Counter
@@ -103,10 +103,10 @@
 	stopOnce      sync.Once
 	stopped       chan struct{} // closed when Run has returned
 
-	mu      sync.Mutex // guards the fields below
-	orders  []ActiveOrder
-	isHolder   bool
-	backups []HostStatus // counts of holders, oldest first
+	mu       sync.Mutex // guards the fields below
+	orders   []ActiveOrder
+	isHolder bool
+	backups  []HostStatus // counts of holders, oldest first
 }
 
 // ActiveOrder is an order in force, as shown to operators.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -22,14 +22,15 @@
 	return lease.NewManager(lease.Options{Tables: tables, Host: host, Incarnation: host + "-1", Length: length})
 }
 
-// holdSpan is a time for which a host believed that it held the lease.
+// holdSpan is an interval in which a host considered itself the holder of the lease.
 type holdSpan struct {
 	host       string
 	epoch      int64
 	start, end time.Time
 }
 
-// lockState is a model of a lock: a holder may enter only when nobody is in.
+// lockState is the state of a lock in lockModel: each acquisition must have a higher epoch than the
+// one before.
 type lockState struct{ epoch int64 }
 
 var lockModel = porcupine.Model{
@@ -44,7 +45,7 @@
 	ctx := context.Background()
 	fenced := store.Transaction{Writes: []store.Write{store.Put("work", "row", []byte("x"))}}
 
-	It("is taken only after it was seen unchanged for its whole length", func() {
+	It("is acquired only after it was seen unchanged for its whole length", func() {
 		suite.Paused(func() {
 			rows := table.New(table.Options{})
 			first, second := manager(rows, "a"), manager(rows, "b")
@@ -62,7 +63,7 @@
 		})
 	})
 
-	It("has a holder stop whose machine was suspended", func() {
+	It("expires for a holder whose machine was suspended", func() {
 		suite.Paused(func() {
 			l, err := manager(table.New(table.Options{}), "a").Acquire(ctx, "duty")
 			Expect(err).NotTo(HaveOccurred())
@@ -73,14 +74,14 @@
 		})
 	})
 
-	It("has its holder stop before another may start, and refuses its late writes", func() {
+	It("expires for its holder before another host can acquire it, and fences the old holder's late writes", func() {
 		suite.Paused(func() {
 			rows := table.New(table.Options{})
 			first, second := manager(rows, "a"), manager(rows, "b")
 			old, err := first.Acquire(ctx, "duty")
 			Expect(err).NotTo(HaveOccurred())
 			_, _ = second.Acquire(ctx, "duty")
-			// The holder checks, and is paused between the check and the write.
+			// The holder is paused between its check of the lease and its write.
 			Expect(old.Valid()).To(BeTrue())
 			time.Sleep(length)
 			Expect(old.Valid()).To(BeFalse())
@@ -92,7 +93,7 @@
 		})
 	})
 
-	It("counts a renewal from before it was sent", func() {
+	It("is extended from the time before a renewal was sent", func() {
 		suite.Paused(func() {
 			rows := table.New(table.Options{})
 			m := manager(rows, "a")
@@ -106,7 +107,7 @@
 		})
 	})
 
-	It("goes on when the reply of a renewal is lost", func() {
+	It("stays valid when the reply to a renewal is lost", func() {
 		suite.Paused(func() {
 			rows := table.New(table.Options{})
 			m := manager(rows, "a")
@@ -121,7 +122,7 @@
 		})
 	})
 
-	It("is released when its duty returns, so that another need not wait", func() {
+	It("is released when its duty returns, so that it can be acquired again at once", func() {
 		suite.Paused(func() {
 			rows := table.New(table.Options{})
 			running, cancel := context.WithCancel(ctx)
@@ -137,7 +138,7 @@
 		})
 	})
 
-	It("has one holder at a time under faults, by the history of its holders", func() {
+	It("has at most one holder at a time under faults", func() {
 		suite.Paused(func() {
 			rows := table.New(table.Options{})
 			running, cancel := context.WithCancel(ctx)
--- a/internal/lease/walk_test.go
+++ b/internal/lease/walk_test.go
@@ -14,10 +14,10 @@
 	"quaybarrow/internal/standin/table"
 )
 
-// handoverDelay is the time in which hosts must not act in handoverDelay where that is not fenced.
+// handoverDelay is the time within which hosts must not alternate in actions that are not fenced.
 const handoverDelay = 3 * length / 4
 
-// contender is a host that takes a lease and acts outside of the store.
+// contender is a host that acquires a lease and performs actions that the store can't fence.
 type contender struct {
 	name        string
 	incarnation int
@@ -27,10 +27,10 @@
 	l           *lease.Lease
 }
 
-// timing are the times that a contender keeps to.
+// timing holds the lease options of a contender.
 type timing struct{ length, handoverDelay time.Duration }
 
-// correctTiming are the right ones.
+// correctTiming holds the options under which no violation may occur.
 var correctTiming = timing{length, handoverDelay}
 
 func newContender(name string, rows *table.Store, r timing) *contender {
@@ -39,14 +39,14 @@
 	return c
 }
 
-// restart is a kill and a start: what the host knew is gone.
+// restart simulates a kill and a start: the host loses its state.
 func (c *contender) restart() {
 	c.incarnation++
 	c.l = nil
 	c.m = lease.NewManager(lease.Options{Tables: c.rows, Host: c.name, Incarnation: fmt.Sprint(c.name, c.incarnation), Length: c.timing.length, HandoverDelay: c.timing.handoverDelay})
 }
 
-// step renews the lease or tries to take it.
+// step renews the lease or tries to acquire it; if lost, the reply of the store's next write is lost.
 func (c *contender) step(lost bool) {
 	if lost {
 		c.rows.Inject(table.Fault{Kind: table.FaultLoseReply, Writes: true, Count: 1})
@@ -65,7 +65,7 @@
 	}
 }
 
-// unfencedAction is what a host did outside of the store.
+// unfencedAction is an action that the store can't fence.
 type unfencedAction struct {
 	at    time.Time
 	host  string
@@ -79,13 +79,13 @@
 	return []unfencedAction{{time.Now(), c.name, c.l.Epoch()}}
 }
 
-// walk is a series of what two hosts do, and what it broke.
+// walk is the state of a random or exhaustive walk: two hosts and the actions they have performed.
 type walk struct {
 	hosts   [2]*contender
 	actions []unfencedAction
 }
 
-// Moves of a walk.
+// moves are the possible steps of a walk.
 var moves = map[int]func(w *walk){
 	0: func(w *walk) { w.hosts[0].step(false) },
 	1: func(w *walk) { w.hosts[1].step(false) },
@@ -99,7 +99,7 @@
 	9: func(w *walk) { w.hosts[1].release() },
 }
 
-// violation tells what the actions break; empty if nothing.
+// violation describes the first rule that the actions violate; it is empty if there is none.
 func violation(actions []unfencedAction) string {
 	holders := map[int64]string{}
 	for i, a := range actions {
@@ -123,7 +123,7 @@
 	return ""
 }
 
-// run plays a series of moves; the hosts keep to rules.
+// run executes a series of moves by two hosts with the given timings and returns the violation.
 func run(series []int, first, second timing) string {
 	rows := table.New(table.Options{})
 	w := &walk{hosts: [2]*contender{newContender("a", rows, first), newContender("b", rows, second)}}
@@ -133,7 +133,7 @@
 	return violation(w.actions)
 }
 
-// eachSeries are all series of moves of a length, in turn.
+// eachSeries calls each with every series of moves of a length, until it returns false.
 func eachSeries(length int, each func(series []int) bool) {
 	series := make([]int, length)
 	for {
@@ -154,7 +154,7 @@
 	}
 }
 
-// Sizes of walks.
+// Lengths, number and random stream of walks.
 const (
 	shortWalk    = 4
 	longWalk     = 60
@@ -162,7 +162,7 @@
 	randomStream = 7
 )
 
-// randomSeries is a long series of moves.
+// randomSeries returns a long random series of moves.
 func randomSeries(seed uint64) []int {
 	r := rand.New(rand.NewPCG(seed, randomStream))
 	series := make([]int, longWalk)
@@ -172,10 +172,10 @@
 	return series
 }
 
-var _ = Describe("two hosts that act under a lease, outside of the store", func() {
-	It("break nothing in any short series of what may happen", func() {
+var _ = Describe("two hosts with unfenced actions under a lease", func() {
+	It("violate no rule in any short series of moves", func() {
 		suite.Paused(func() {
-			// Both have acted under the lease before, or one holds it.
+			// Initially one host holds the lease, or both have acted under it.
 			for _, before := range [][]int{{0, 4}, {0, 4, 8, 1, 6, 6, 5}} {
 				eachSeries(shortWalk, func(series []int) bool {
 					all := append(append([]int{}, before...), series...)
@@ -186,7 +186,7 @@
 		})
 	})
 
-	It("break nothing in long series by chance", func() {
+	It("violate no rule in long random series of moves", func() {
 		suite.Paused(func() {
 			for seed := range uint64(walkSeeds) {
 				Expect(run(randomSeries(seed), correctTiming, correctTiming)).To(BeEmpty(), "seed %d", seed)
@@ -195,10 +195,10 @@
 	})
 
 	for name, timings := range map[string][2]timing{
-		"takes leases that are still held":          {correctTiming, {length / 4, handoverDelay}},
-		"acts at once under a lease that is handed": {{length, 0}, {length, 0}},
+		"acquires leases that are still held":          {correctTiming, {length / 4, handoverDelay}},
+		"acts at once under a lease that was released": {{length, 0}, {length, 0}},
 	} {
-		It("are seen to break something where one "+name, func() {
+		It("are found to violate a rule where one host "+name, func() {
 			suite.Paused(func() {
 				found := 0
 				for seed := range uint64(walkSeeds) {
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -60,7 +60,7 @@
 
 // HostUsage holds the counts of one incarnation of a host.
 type HostUsage struct {
-	Incarnation string // identifies one run of a host's process; unique among all hosts and runs
+	Incarnation string // identifies one run of a host's process; unique
 	Windows     map[Window]Counts
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -16,11 +16,11 @@
 // windowStart is a time of windowStart at the start of a window.
 var windowStart = time.UnixMilli(353_445_120 * window.Milliseconds())
 
-// first is the window that begins then.
+// first is the window that starts at windowStart.
 var first = usage.WindowOf(windowStart, window)
 
 var _ = Describe("usage", func() {
-	It("is counted in the window in which a request begins, whatever the host's time of day", func() {
+	It("is counted in the window in which a request starts, independent of the host's wall clock", func() {
 		suite.Paused(func() {
 			c := usage.NewCounter("a")
 			for range 12 { // one a second, the first in the middle of a second
@@ -37,7 +37,7 @@
 		})
 	})
 
-	It("is remembered for a while only", func() {
+	It("is kept by a counter for a limited time", func() {
 		suite.Paused(func() {
 			c := usage.NewCounter("a")
 			c.CountRequest("weavers")
@@ -58,7 +58,7 @@
 		Expect(l.Due(windowStart.Add(7 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5, "dyers": 2}}}))
 	})
 
-	It("has what a host counted before it died, and what its next life counts", func() {
+	It("includes the counts of a failed host's previous incarnation and of its next one", func() {
 		l := usage.NewLedger(window)
 		l.MarkReported(first - 1)
 		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, windowStart.Add(2*time.Second))
@@ -66,7 +66,7 @@
 		Expect(l.Due(windowStart.Add(6 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5}}}))
 	})
 
-	It("has what a host that died had told another", func() {
+	It("includes the backups of a failed host's counts", func() {
 		l := usage.NewLedger(window)
 		l.MarkReported(first - 1)
 		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, windowStart.Add(6*time.Second))
@@ -75,7 +75,7 @@
 		Expect(l.Due(windowStart.Add(6 * time.Second))).To(Equal([]usage.Report{{Window: first, Counts: usage.Counts{"weavers": 5, "dyers": 2}}}))
 	})
 
-	It("is not counted twice where a host takes a request for another window's later", func() {
+	It("is not counted twice if a host later assigns a request to another window", func() {
 		l := usage.NewLedger(window)
 		l.MarkReported(first - 1)
 		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, windowStart.Add(6*time.Second))
@@ -86,7 +86,7 @@
 		}))
 	})
 
-	It("does not wait long for a host that is silent", func() {
+	It("is reported after a bounded wait for a host that does not answer", func() {
 		l := usage.NewLedger(window)
 		l.MarkReported(first - 1)
 		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1", Windows: map[usage.Window]usage.Counts{first: {"weavers": 3}}}, windowStart.Add(2*time.Second))
@@ -95,11 +95,11 @@
 		Expect(l.Due(windowStart.Add(10 * time.Second))).To(HaveLen(1))
 	})
 
-	It("is reported of windows without requests too, once there were some", func() {
+	It("is reported for windows without requests, too, once a window was reported", func() {
 		l := usage.NewLedger(window)
 		Expect(l.Due(windowStart)).To(BeEmpty())
 		l.MarkReported(first)
-		Expect(l.Due(windowStart.Add(20 * time.Second))).To(BeEmpty()) // nobody has told that there were none
+		Expect(l.Due(windowStart.Add(20 * time.Second))).To(BeEmpty()) // no host has answered yet
 		l.SetHostUsage("a", usage.HostUsage{Incarnation: "a1"}, windowStart.Add(16*time.Second))
 		Expect(l.Due(windowStart.Add(20 * time.Second))).To(Equal([]usage.Report{
 			{Window: first + 1, Counts: usage.Counts{}}, {Window: first + 2, Counts: usage.Counts{}},
@@ -116,7 +116,7 @@
 	})
 })
 
-var _ = Describe("the time of day", func() {
+var _ = Describe("the median clock", func() {
 	readings := func(ahead ...time.Duration) []usage.ClockReading {
 		var all []usage.ClockReading
 		for _, d := range ahead {
@@ -125,7 +125,7 @@
 		return all
 	}
 
-	It("is what most hosts take it to be, and goes on", func() {
+	It("shows the median of the hosts' wall clocks, and advances", func() {
 		suite.Paused(func() {
 			t := usage.MedianClock{}.With(readings(0, 2400*time.Millisecond, 10*time.Millisecond, 5*time.Millisecond, 2400*time.Millisecond), 5)
 			time.Sleep(time.Second)
@@ -135,7 +135,7 @@
 		})
 	})
 
-	It("stays what it was where few hosts answer", func() {
+	It("is not updated if too few hosts answer", func() {
 		suite.Paused(func() {
 			t := usage.MedianClock{}.With(readings(0, 0, 0), 5)
 			t = t.With(readings(2400*time.Millisecond, 2400*time.Millisecond), 5)
