--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -94,14 +94,14 @@
 		n.door.Cut(false)
 	},
 	"a platform that loses answers": func(r *rig) {
-		r.calls.Break(standin.LoseTx)
+		r.platform.Break(standin.LoseTx)
 		time.Sleep(4 * time.Second)
-		r.calls.Break(standin.Healthy)
+		r.platform.Break(standin.Healthy)
 	},
 	"a platform that is busy": func(r *rig) {
-		r.calls.Break(standin.Busy)
+		r.platform.Break(standin.Busy)
 		time.Sleep(4 * time.Second)
-		r.calls.Break(standin.Healthy)
+		r.platform.Break(standin.Healthy)
 	},
 }
 
@@ -142,16 +142,16 @@
 	for name, fault := range faults {
 		It("are done by one at a time, and usage is right, beside "+name, func() {
 			runWithFault(1, fault, func(r *rig) {
-				Expect(r.calls.Violations()).To(BeEmpty())
+				Expect(r.platform.Violations()).To(BeEmpty())
 				Expect(r.wrongWindows(reportDelay)).To(BeEmpty())
-				Expect(len(r.calls.Reports())).To(BeNumerically(">", 10))
+				Expect(len(r.platform.Reports())).To(BeNumerically(">", 10))
 			})
 		})
 	}
 
 	It("go on after all hosts were killed", func() {
 		runWithFault(1, killAll, func(r *rig) {
-			Expect(r.calls.Violations()).To(BeEmpty())
+			Expect(r.platform.Violations()).To(BeEmpty())
 			// Nobody knows what began before in the windows that were not reported.
 			Expect(len(r.wrongWindows(reportDelay))).To(BeNumerically("<=", 2))
 		})
@@ -167,7 +167,7 @@
 					time.Sleep(time.Duration(r.randomInt(8000)) * time.Millisecond)
 				}
 			}, func(r *rig) {
-				Expect(r.calls.Violations()).To(BeEmpty(), "seed %d", seed)
+				Expect(r.platform.Violations()).To(BeEmpty(), "seed %d", seed)
 				wrong, windows = wrong+len(r.wrongWindows(reportDelay)), windows+len(r.started)
 			})
 		}
@@ -193,15 +193,15 @@
 			r := newRig(2, 1)
 			defer r.close()
 			r.setStocks(map[string]capacity.Stock{"ikeja": {Ordinary: 4}, "lekki": {Ordinary: 4}, "yaba": {Ordinary: 4}})
-			r.calls.AnswerOrders(http.StatusConflict)
+			r.platform.AnswerOrders(http.StatusConflict)
 			time.Sleep(4 * time.Second)
-			refused := len(r.calls.Calls())
+			refused := len(r.platform.Calls())
 			Expect(refused).To(BeNumerically(">", 0))
 			Expect(refused).To(BeNumerically("<", 20))
-			r.calls.AnswerOrders(0)
+			r.platform.AnswerOrders(0)
 			time.Sleep(10 * time.Second)
 			ordered := map[string]int{}
-			for _, c := range r.calls.Calls() {
+			for _, c := range r.platform.Calls() {
 				ordered[fmt.Sprint(c.Scale.Hall, c.Scale.Spot)] = c.Scale.Desired
 			}
 			Expect(ordered).To(HaveKey("ikejatrue"))
--- a/internal/duty/fence_test.go
+++ b/internal/duty/fence_test.go
@@ -35,7 +35,7 @@
 			r := newRig(3, uint64(phase))
 			defer r.close()
 			// Each round tries what is due again, so there is a call in each.
-			r.calls.Break(standin.Busy)
+			r.platform.Break(standin.Busy)
 			served := make(chan struct{})
 			go func() {
 				defer close(served)
@@ -109,7 +109,7 @@
 			<-served
 			time.Sleep(reportDelay)
 			Expect(r.node(holder).tables.lateErr).To(MatchError(store.ErrConflict))
-			Expect(r.calls.Violations()).To(BeEmpty())
+			Expect(r.platform.Violations()).To(BeEmpty())
 		})
 	})
 })
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -31,14 +31,14 @@
 	handoverDelay = 3 * time.Second
 	// leaseLength is that of the lease on the duties.
 	leaseLength = handoverDelay * 4 / 3
-	// callsAddress is where the platform takes what is one host's duty.
-	callsAddress = "10.9.0.2:80"
+	// platformAddress is where the platform takes what is one host's duty.
+	platformAddress = "10.9.0.2:80"
 )
 
 // rig is hosts that keep duties, before a store and the platform.
 type rig struct {
 	store    *table.Store
-	calls    *standin.Duties
+	platform    *standin.Duties
 	net      *memnet.Network
 	server   *http.Server
 	random   *rand.Rand
@@ -59,7 +59,7 @@
 	tables   *delayedTables // what the duties keep goes there
 	renewals *renewalTables // and their lease there
 	counter  *usage.Counter
-	keeper   *duty.Coordinator
+	coordinator   *duty.Coordinator
 	cancel   context.CancelFunc
 	dead     bool
 	silent   bool // it answers nobody
@@ -69,11 +69,11 @@
 
 func newRig(hosts int, seed uint64) *rig {
 	r := &rig{
-		store: table.New(table.Options{}), calls: standin.NewDuties(handoverDelay), net: memnet.New(), random: rand.New(rand.NewPCG(seed, 7)),
+		store: table.New(table.Options{}), platform: standin.NewDuties(handoverDelay), net: memnet.New(), random: rand.New(rand.NewPCG(seed, 7)),
 		hosts: map[string]*node{}, started: map[int64]map[string]int64{}, stocks: map[string]capacity.Stock{},
 	}
-	r.server = &http.Server{Handler: r.calls}
-	l := r.net.Listen(callsAddress)
+	r.server = &http.Server{Handler: r.platform}
+	l := r.net.Listen(platformAddress)
 	go func() { _ = r.server.Serve(l) }()
 	for i := range hosts {
 		r.start(fmt.Sprintf("front-%d", i))
@@ -86,7 +86,7 @@
 	lifetime := fmt.Sprint(name, "-", r.randomInt(math.MaxInt))
 	n := &node{rig: r, name: name, door: table.NewDoor(r.store), counter: usage.NewCounter(lifetime)}
 	n.tables, n.renewals = &delayedTables{Tables: n.door}, &renewalTables{Tables: n.door}
-	n.keeper = duty.New(duty.Options{
+	n.coordinator = duty.New(duty.Options{
 		Host: name, Incarnation: lifetime, Window: window, Tables: n.tables, Counter: n.counter, Querier: n,
 		Leases: lease.NewManager(lease.Options{
 			Tables: n.renewals, Host: name, Incarnation: lifetime, Length: leaseLength, HandoverDelay: handoverDelay, Rank: func() (int, bool) { return r.rank(name), true },
@@ -107,7 +107,7 @@
 	r.mu.Lock()
 	r.hosts[name] = n
 	r.mu.Unlock()
-	r.running.Go(func() { n.keeper.Run(ctx) })
+	r.running.Go(func() { n.coordinator.Run(ctx) })
 }
 
 // randomInt is a number below n.
@@ -150,7 +150,7 @@
 
 // terminate ends a life as planned: it gives the duties up first, and lives on for a while.
 func (r *rig) terminate(name string) {
-	r.node(name).keeper.Resign(context.Background())
+	r.node(name).coordinator.Resign(context.Background())
 	time.Sleep(stopDuration)
 	r.kill(name)
 }
@@ -165,7 +165,7 @@
 
 // holder is the name of the host that made the newest call; the first host before there is one.
 func (r *rig) holder() string {
-	calls := r.calls.Calls()
+	calls := r.platform.Calls()
 	if len(calls) == 0 {
 		return "front-0"
 	}
@@ -208,7 +208,7 @@
 		<-ctx.Done()
 		return nil, errSilent
 	}
-	return other.keeper.HandleQuery(ctx, q), nil
+	return other.coordinator.HandleQuery(ctx, q), nil
 }
 
 // Usage implements duty.Platform.
@@ -217,7 +217,7 @@
 		return errSilent
 	}
 	n.rig.attempts.add(n.name)
-	return platform.NewDuties(callsAddress, n.rig.net.Dial).Usage(ctx, h, report)
+	return platform.NewDuties(platformAddress, n.rig.net.Dial).Usage(ctx, h, report)
 }
 
 // Scale implements duty.Platform.
@@ -226,7 +226,7 @@
 		return errSilent
 	}
 	n.rig.attempts.add(n.name)
-	return platform.NewDuties(callsAddress, n.rig.net.Dial).Scale(ctx, h, service, o)
+	return platform.NewDuties(platformAddress, n.rig.net.Dial).Scale(ctx, h, service, o)
 }
 
 // sendRequests has requests begin at hosts that live, for a while.
@@ -263,7 +263,7 @@
 
 // wrongWindows lists the windows, of those that ended a time ago, whose report is missing or off.
 func (r *rig) wrongWindows(minAge time.Duration) []string {
-	reports := r.calls.Reports()
+	reports := r.platform.Reports()
 	var found []string
 	for w, truth := range r.started {
 		if time.Since(usage.Window(w).End(window)) < minAge {
--- a/internal/lease/walk_test.go
+++ b/internal/lease/walk_test.go
@@ -33,8 +33,8 @@
 // correctTiming holds the options under which no violation may occur.
 var correctTiming = timing{length, handoverDelay}
 
-func newContender(name string, rows *table.Store, r timing) *contender {
-	c := &contender{name: name, rows: rows, timing: r}
+func newContender(name string, rows *table.Store, t timing) *contender {
+	c := &contender{name: name, rows: rows, timing: t}
 	c.restart()
 	return c
 }
