--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -21,21 +21,21 @@
 // platformCall is a call to the platform.
 type platformCall struct{ path, holder, token, body string }
 
-// invalidCalls break what one holder at a time means.
+// invalidCalls are series of calls that violate the rule of one holder at a time.
 var invalidCalls = map[string]struct {
 	calls     []platformCall
 	violation string
 }{
-	"a window that is reported in two ways": {[]platformCall{
+	"two different reports of a window": {[]platformCall{
 		{"/usage", "a", "1", `{"window":7,"counts":{"w":1}}`}, {"/usage", "a", "1", `{"window":7,"counts":{"w":2}}`},
 	}, "window 7 was reported as"},
-	"a token of two hosts": {[]platformCall{
+	"a token used by two hosts": {[]platformCall{
 		{"/usage", "a", "1", `{"window":7,"counts":{}}`}, {"/usage", "b", "1", `{"window":8,"counts":{}}`},
 	}, "token 1 of a and of b"},
 	"a token that is lower than the one before": {[]platformCall{
 		{"/scale", "a", "2", `{"service":"s","zone":"z","desired":1}`}, {"/scale", "b", "1", `{"service":"s","zone":"z","desired":1}`},
 	}, "token 1 of b after 2 of a"},
-	"hosts that act in turns": {[]platformCall{
+	"hosts that act alternately": {[]platformCall{
 		{"/usage", "a", "1", `{"window":7,"counts":{}}`}, {"/usage", "b", "2", `{"window":8,"counts":{}}`}, {"/usage", "a", "3", `{"window":9,"counts":{}}`},
 	}, "another in between"},
 }
@@ -43,17 +43,18 @@
 // reportDelay is how long after a window's end its report is due.
 const reportDelay = 10 * time.Second
 
-// faults are what happens to the host that holds the duties, and around it.
+// faults are injected into the host that holds the duties, the store or the platform. A seed picks
+// from their names in sorted order, so a new name that sorts elsewhere changes what a seed runs.
 var faults = map[string]func(r *rig){
-	"nothing": func(*rig) {},
-	"its kill": func(r *rig) {
+	"no fault": func(*rig) {},
+	"its kill and restart": func(r *rig) {
 		name := r.holder()
 		r.kill(name)
 		time.Sleep(2 * time.Second)
 		r.start(name)
 	},
-	// It is gone for good, and the next host reaches everybody but the store.
-	"its loss, while the store turns the next host away": func(r *rig) {
+	// The holder stays down for 9 s, and the next host reaches all hosts but not the store.
+	"its loss while the store rejects the next host": func(r *rig) {
 		name := r.holder()
 		r.kill(name)
 		for _, next := range r.names() {
@@ -72,12 +73,12 @@
 		time.Sleep(2 * time.Second)
 		r.start(name)
 	},
-	"a store that loses answers": func(r *rig) {
+	"a store that loses replies": func(r *rig) {
 		r.store.Inject(table.Fault{Kind: table.FaultLoseReply, Writes: true})
 		time.Sleep(5 * time.Second)
 		r.store.Heal()
 	},
-	"a store that is away": func(r *rig) {
+	"a store that is down": func(r *rig) {
 		r.store.Inject(table.Fault{Kind: table.FaultDown})
 		time.Sleep(4 * time.Second)
 		r.store.Heal()
@@ -87,13 +88,13 @@
 		time.Sleep(5 * time.Second)
 		r.store.Heal()
 	},
-	"a store that turns only it away": func(r *rig) {
+	"a store that rejects only the holder": func(r *rig) {
 		n := r.node(r.holder())
 		n.door.Cut(true)
 		time.Sleep(5 * time.Second)
 		n.door.Cut(false)
 	},
-	"a platform that loses answers": func(r *rig) {
+	"a platform that loses replies": func(r *rig) {
 		r.platform.Break(standin.LoseTx)
 		time.Sleep(4 * time.Second)
 		r.platform.Break(standin.Healthy)
@@ -105,7 +106,7 @@
 	},
 }
 
-// killAll kills all hosts and starts them again.
+// killAll kills all hosts and restarts them.
 func killAll(r *rig) {
 	names := r.names()
 	for _, name := range names {
@@ -117,10 +118,11 @@
 	}
 }
 
-// runLength is how long a rig is played.
+// runLength is the time for which a run sends requests.
 const runLength = 60 * time.Second
 
-// runWithFault plays a day with what happens on it, beside requests.
+// runWithFault sends requests to six hosts, injects a fault 12 s after the start, and calls check once
+// all reports are due.
 func runWithFault(seed uint64, fault func(r *rig), check func(r *rig)) {
 	suite.Paused(func() {
 		r := newRig(6, seed)
@@ -140,7 +142,7 @@
 
 var _ = Describe("the duties of one host", func() {
 	for name, fault := range faults {
-		It("are done by one at a time, and usage is right, beside "+name, func() {
+		It("are done by one host at a time, and usage is correct, with "+name, func() {
 			runWithFault(1, fault, func(r *rig) {
 				Expect(r.platform.Violations()).To(BeEmpty())
 				Expect(r.wrongWindows(reportDelay)).To(BeEmpty())
@@ -149,15 +151,15 @@
 		})
 	}
 
-	It("go on after all hosts were killed", func() {
+	It("continue after all hosts were killed", func() {
 		runWithFault(1, killAll, func(r *rig) {
 			Expect(r.platform.Violations()).To(BeEmpty())
-			// Nobody knows what began before in the windows that were not reported.
+			// The counts of windows that were not reported before the kill are lost.
 			Expect(len(r.wrongWindows(reportDelay))).To(BeNumerically("<=", 2))
 		})
 	})
 
-	It("break nothing in series of troubles, and 95 of 100 windows are right", func() {
+	It("violate no rule in series of faults, and at least 95 % of windows are correct", func() {
 		names := slices.Sorted(maps.Keys(faults))
 		wrong, windows := 0, 0
 		for seed := range uint64(200) {
@@ -176,7 +178,7 @@
 	})
 
 	for name, c := range invalidCalls {
-		It("are seen to be broken by "+name, func() {
+		It("are found to be violated by "+name, func() {
 			d := standin.NewDuties(handoverDelay)
 			for _, call := range c.calls {
 				r := httptest.NewRequest(http.MethodPost, call.path, strings.NewReader(call.body))
@@ -188,7 +190,7 @@
 		})
 	}
 
-	It("order endpoints, and ask again where none were to be had", func() {
+	It("order endpoints, and repeat an order after none were available", func() {
 		suite.Paused(func() {
 			r := newRig(2, 1)
 			defer r.close()
--- a/internal/duty/fence_test.go
+++ b/internal/duty/fence_test.go
@@ -15,26 +15,26 @@
 	"quaybarrow/platform/standin"
 )
 
-// The platform may ignore the token of a call, and a call may have its effect as late as when it is
-// given up. So only what hosts leave undone keeps two of them from acting at once, and what the
-// store does late must not change what was reported.
+// The platform may ignore the fencing token of a call, and a call may take effect as late as its
+// timeout. So two hosts are kept from acting at once only by refraining from calls, and a late
+// write to the store must not change what was reported.
 
 const (
-	// callTimeout is what a call takes at most.
+	// callTimeout is the maximum duration of a call to the platform.
 	callTimeout = 1200 * time.Millisecond
-	// leaseValidity is how long after a renewal a holder may act: it stops a fifth early, as clocks
-	// of hosts run apart.
+	// leaseValidity is how long after a renewal a holder may act: it stops a fifth of the length
+	// early, as the clocks of hosts run at different rates.
 	leaseValidity = leaseLength * 4 / 5
 )
 
-// atPhases plays something from moments on that fall elsewhere between the rounds of a holder, which
-// come every second.
+// atPhases runs a scenario ten times, each starting at another phase of the holder's rounds, which
+// take place every second.
 func atPhases(each func(r *rig, after time.Duration)) {
 	for phase := range 10 {
 		suite.Paused(func() {
 			r := newRig(3, uint64(phase))
 			defer r.close()
-			// Each round tries what is due again, so there is a call in each.
+			// The platform is busy, so each round retries what is due and makes a call.
 			r.platform.Break(standin.Busy)
 			served := make(chan struct{})
 			go func() {
@@ -48,7 +48,7 @@
 }
 
 var _ = Describe("the holder of the duties", func() {
-	It("begins no call that may outlast its lease", func() {
+	It("starts no call that may outlast its lease", func() {
 		atPhases(func(r *rig, after time.Duration) {
 			time.Sleep(after)
 			name := r.attempted()[len(r.attempted())-1].host
@@ -61,12 +61,12 @@
 					last = a.at
 				}
 			}
-			Expect(last.Sub(cut)).To(BeNumerically(">", 0), "it goes on while its lease lasts")
+			Expect(last.Sub(cut)).To(BeNumerically(">", 0), "the holder makes calls while its lease is valid")
 			Expect(last.Sub(r.lastRenewal(name))).To(BeNumerically("<=", leaseValidity-callTimeout))
 		})
 	})
 
-	It("waits until no call of the one before can have an effect", func() {
+	It("waits until no call of the previous holder can take effect", func() {
 		atPhases(func(r *rig, after time.Duration) {
 			time.Sleep(after)
 			name := r.attempted()[len(r.attempted())-1].host
@@ -81,12 +81,12 @@
 					first = a.at
 				}
 			}
-			Expect(first.IsZero()).To(BeFalse(), "another goes on")
+			Expect(first.IsZero()).To(BeFalse(), "another host takes over")
 			Expect(first.Sub(last)).To(BeNumerically(">=", callTimeout))
 		})
 	})
 
-	It("lets no late write change what was reported", func() {
+	It("does not let a late write change what was reported", func() {
 		suite.Paused(func() {
 			r := newRig(3, 1)
 			defer r.close()
@@ -98,8 +98,9 @@
 			time.Sleep(11 * time.Second)
 			holder := r.holder()
 			other := r.successors(holder)[0]
-			// A host can't be asked, the report without it is given up and kept late; meanwhile
-			// the host answers, and the report with it is kept and sent.
+			// A host does not answer, and the write of the report without its counts is abandoned
+			// but takes effect late. In the meantime the host answers, and the report with its counts
+			// is stored and sent.
 			r.setSilent(other, true)
 			time.Sleep(2 * window)
 			late := r.node(holder).tables.delayNextCommit(3*time.Second, func() { r.setSilent(other, false) })
@@ -114,21 +115,22 @@
 	})
 })
 
-// errGivenUp is what a caller sees of a write that it waits for no longer.
+// errGivenUp is the error of a write that its caller no longer waits for.
 var errGivenUp = errors.New("given up")
 
-// delayedTables are tables of which one commit can be given up by its caller and have its effect later.
+// delayedTables are tables in which one commit can fail for its caller and take effect later.
 type delayedTables struct {
 	store.Tables
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	delay    time.Duration
 	onGiveUp func()
 	done     chan struct{}
-	lateErr  error // what became of the late commit
+	lateErr  error // result of the late commit
 }
 
-// delayNextCommit delays the next commit; the channel is closed once it has had its effect.
+// delayNextCommit delays the next commit and calls onGiveUp as it starts; the returned channel is
+// closed once the commit has been carried out.
 func (l *delayedTables) delayNextCommit(delay time.Duration, onGiveUp func()) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,15 +162,15 @@
 	return errGivenUp
 }
 
-// attempt is a call that a host begins.
+// attempt is the start of a call by a host.
 type attempt struct {
 	host string
 	at   time.Time
 }
 
-// attempts notes calls that hosts begin.
+// attempts records the calls that hosts start.
 type attempts struct {
-	mu  sync.Mutex // guards all
+	mu  sync.Mutex // guards the field all
 	all []attempt
 }
 
@@ -178,21 +180,21 @@
 	a.all = append(a.all, attempt{host: host, at: time.Now()})
 }
 
-// attempted lists the calls that began, in order.
+// attempted lists the calls that were started, in order.
 func (r *rig) attempted() []attempt {
 	r.attempts.mu.Lock()
 	defer r.attempts.mu.Unlock()
 	return append([]attempt(nil), r.attempts.all...)
 }
 
-// setSilent sets whether a host reaches nobody.
+// setSilent sets whether a host is cut off from all other hosts and the platform.
 func (r *rig) setSilent(name string, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hosts[name].silent = on
 }
 
-// renewalTables are tables that note when the last commit began that succeeded.
+// renewalTables are tables that record when the last successful commit started.
 type renewalTables struct {
 	store.Tables
 
@@ -212,7 +214,7 @@
 	return nil
 }
 
-// lastRenewal is when the last renewal of a host's lease began that succeeded.
+// lastRenewal returns when the last successful renewal of a host's lease started.
 func (r *rig) lastRenewal(name string) time.Time {
 	b := r.node(name).renewals
 	b.mu.Lock()
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -25,17 +25,17 @@
 	"quaybarrow/platform/standin"
 )
 
-// Times of a rig.
+// Times and addresses of a rig.
 const (
 	window        = 5 * time.Second
 	handoverDelay = 3 * time.Second
-	// leaseLength is that of the lease on the duties.
+	// leaseLength is the length of the lease on the duties.
 	leaseLength = handoverDelay * 4 / 3
-	// platformAddress is where the platform takes what is one host's duty.
+	// platformAddress is where the platform receives the holder's calls.
 	platformAddress = "10.9.0.2:80"
 )
 
-// rig is hosts that keep duties, before a store and the platform.
+// rig is a test rig of hosts that compete for the duties, a store and the platform.
 type rig struct {
 	store    *table.Store
 	platform    *standin.Duties
@@ -45,24 +45,24 @@
 	running  sync.WaitGroup
 	attempts attempts
 
-	mu      sync.Mutex // guards all below, and random
+	mu      sync.Mutex // guards the fields below, and random
 	hosts   map[string]*node
-	started map[int64]map[string]int64 // what truly began, by window and workspace
+	started map[int64]map[string]int64 // requests that were started, by window and workspace
 	stocks  map[string]capacity.Stock
 }
 
-// node is a life of a host.
+// node is one incarnation of a host.
 type node struct {
 	rig      *rig
 	name     string
 	door     *table.Door
-	tables   *delayedTables // what the duties keep goes there
-	renewals *renewalTables // and their lease there
+	tables   *delayedTables // store the usage reports
+	renewals *renewalTables // store the lease
 	counter  *usage.Counter
 	coordinator   *duty.Coordinator
 	cancel   context.CancelFunc
 	dead     bool
-	silent   bool // it answers nobody
+	silent   bool // cut off from all other hosts and the platform
 }
 
 var errSilent = errors.New("no answer")
@@ -81,7 +81,7 @@
 	return r
 }
 
-// start starts a life of a host.
+// start starts a new incarnation of a host.
 func (r *rig) start(name string) {
 	lifetime := fmt.Sprint(name, "-", r.randomInt(math.MaxInt))
 	n := &node{rig: r, name: name, door: table.NewDoor(r.store), counter: usage.NewCounter(lifetime)}
@@ -110,35 +110,35 @@
 	r.running.Go(func() { n.coordinator.Run(ctx) })
 }
 
-// randomInt is a number below n.
+// randomInt returns a random number below n.
 func (r *rig) randomInt(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.random.IntN(n)
 }
 
-// node is a host's newest life; nil if it has had none.
+// node returns a host's latest incarnation; nil if it has had none.
 func (r *rig) node(name string) *node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.hosts[name]
 }
 
-// names are those of all hosts, in order.
+// names returns the names of all hosts, sorted.
 func (r *rig) names() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Sorted(maps.Keys(r.hosts))
 }
 
-// setStocks sets what setStocks in the data halls.
+// setStocks sets the serving endpoints by data hall.
 func (r *rig) setStocks(stocks map[string]capacity.Stock) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stocks = stocks
 }
 
-// kill ends a life at once: from this moment on it reaches nobody, and nobody it.
+// kill ends a host's incarnation at once: from now on it neither sends nor receives anything.
 func (r *rig) kill(name string) {
 	r.mu.Lock()
 	n := r.hosts[name]
@@ -148,22 +148,23 @@
 	n.cancel()
 }
 
-// terminate ends a life as planned: it gives the duties up first, and lives on for a while.
+// terminate stops a host as planned: it resigns from the duties first and runs on for stopDuration.
 func (r *rig) terminate(name string) {
 	r.node(name).coordinator.Resign(context.Background())
 	time.Sleep(stopDuration)
 	r.kill(name)
 }
 
-// stopDuration is how long a host that stops still answers.
+// stopDuration is how long a stopping host still answers queries.
 const stopDuration = 2500 * time.Millisecond
 
-// successors are the hosts after one.
+// successors returns the hosts after the given one.
 func (r *rig) successors(name string) []string {
 	return slices.DeleteFunc(r.names(), func(other string) bool { return other <= name })
 }
 
-// holder is the name of the host that made the newest call; the first host before there is one.
+// holder returns the name of the host that made the latest call, or of the first host if there was
+// none.
 func (r *rig) holder() string {
 	calls := r.platform.Calls()
 	if len(calls) == 0 {
@@ -178,7 +179,7 @@
 	return !n.dead && !n.silent
 }
 
-// rank is how many hosts that live come before one.
+// rank returns how many live hosts come before the given one.
 func (r *rig) rank(name string) int {
 	rank := 0
 	for _, other := range r.names() {
@@ -201,7 +202,7 @@
 	return members
 }
 
-// Query implements duty.Asker: it asks a host of the rig by way of what goes over the wire.
+// Query implements duty.Querier by a direct call to a host of the rig.
 func (n *node) Query(ctx context.Context, address string, q duty.Query) ([]duty.HostStatus, error) {
 	other := n.rig.node(address)
 	if !n.rig.alive(n) || !n.rig.alive(other) {
@@ -229,7 +230,7 @@
 	return platform.NewDuties(platformAddress, n.rig.net.Dial).Scale(ctx, h, service, o)
 }
 
-// sendRequests has requests begin at hosts that live, for a while.
+// sendRequests starts requests at random live hosts for the given duration.
 func (r *rig) sendRequests(duration time.Duration) {
 	workspaces := []string{"weavers", "dyers", "carvers"}
 	for began := time.Now(); time.Since(began) < duration; time.Sleep(20 * time.Millisecond) {
@@ -248,7 +249,7 @@
 	}
 }
 
-// close ends all hosts.
+// close stops all hosts.
 func (r *rig) close() {
 	for _, name := range r.names() {
 		r.node(name).cancel()
@@ -258,10 +259,11 @@
 	time.Sleep(time.Minute)
 }
 
-// maxUsageError is how far a window's count may be from the truth.
+// maxUsageError is the maximum relative error of a reported count.
 const maxUsageError = 0.05
 
-// wrongWindows lists the windows, of those that ended a time ago, whose report is missing or off.
+// wrongWindows lists the windows whose report is missing or wrong, of those that ended at least
+// minAge ago.
 func (r *rig) wrongWindows(minAge time.Duration) []string {
 	reports := r.platform.Reports()
 	var found []string
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -13,7 +13,7 @@
 
 const window = 5 * time.Second
 
-// windowStart is a time of windowStart at the start of a window.
+// windowStart is a time of day at which a window starts.
 var windowStart = time.UnixMilli(353_445_120 * window.Milliseconds())
 
 // first is the window that starts at windowStart.
