--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -46,15 +46,15 @@
 // faults are injected into the host that holds the duties, the store or the platform. A seed picks
 // from their names in sorted order, so a new name that sorts elsewhere changes what a seed runs.
 var faults = map[string]func(r *rig){
-	"no fault": func(*rig) {},
-	"its kill and restart": func(r *rig) {
+	"nothing": func(*rig) {},
+	"holder killed and restarted": func(r *rig) {
 		name := r.holder()
 		r.kill(name)
 		time.Sleep(2 * time.Second)
 		r.start(name)
 	},
 	// The holder stays down for 9 s, and the next host reaches all hosts but not the store.
-	"its loss while the store rejects the next host": func(r *rig) {
+	"holder lost while the store rejects the next host": func(r *rig) {
 		name := r.holder()
 		r.kill(name)
 		for _, next := range r.names() {
@@ -67,7 +67,7 @@
 		time.Sleep(9 * time.Second)
 		r.start(name)
 	},
-	"its planned stop": func(r *rig) {
+	"holder stopped as planned": func(r *rig) {
 		name := r.holder()
 		r.terminate(name)
 		time.Sleep(2 * time.Second)
@@ -142,7 +142,7 @@
 
 var _ = Describe("the duties of one host", func() {
 	for name, fault := range faults {
-		It("are done by one host at a time, and usage is correct, with "+name, func() {
+		It("are done by one host at a time, and usage is correct, under fault: "+name, func() {
 			runWithFault(1, fault, func(r *rig) {
 				Expect(r.platform.Violations()).To(BeEmpty())
 				Expect(r.wrongWindows(reportDelay)).To(BeEmpty())
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -38,7 +38,7 @@
 // rig is a test rig of hosts that compete for the duties, a store and the platform.
 type rig struct {
 	store    *table.Store
-	platform    *standin.Duties
+	platform *standin.Duties
 	net      *memnet.Network
 	server   *http.Server
 	random   *rand.Rand
@@ -53,16 +53,16 @@
 
 // node is one incarnation of a host.
 type node struct {
-	rig      *rig
-	name     string
-	door     *table.Door
-	tables   *delayedTables // store the usage reports
-	renewals *renewalTables // store the lease
-	counter  *usage.Counter
-	coordinator   *duty.Coordinator
-	cancel   context.CancelFunc
-	dead     bool
-	silent   bool // cut off from all other hosts and the platform
+	rig         *rig
+	name        string
+	door        *table.Door
+	tables      *delayedTables // store the usage reports
+	renewals    *renewalTables // store the lease
+	counter     *usage.Counter
+	coordinator *duty.Coordinator
+	cancel      context.CancelFunc
+	dead        bool
+	silent      bool // cut off from all other hosts and the platform
 }
 
 var errSilent = errors.New("no answer")
@@ -83,13 +83,13 @@
 
 // start starts a new incarnation of a host.
 func (r *rig) start(name string) {
-	lifetime := fmt.Sprint(name, "-", r.randomInt(math.MaxInt))
-	n := &node{rig: r, name: name, door: table.NewDoor(r.store), counter: usage.NewCounter(lifetime)}
+	incarnation := fmt.Sprint(name, "-", r.randomInt(math.MaxInt))
+	n := &node{rig: r, name: name, door: table.NewDoor(r.store), counter: usage.NewCounter(incarnation)}
 	n.tables, n.renewals = &delayedTables{Tables: n.door}, &renewalTables{Tables: n.door}
 	n.coordinator = duty.New(duty.Options{
-		Host: name, Incarnation: lifetime, Window: window, Tables: n.tables, Counter: n.counter, Querier: n,
+		Host: name, Incarnation: incarnation, Window: window, Tables: n.tables, Counter: n.counter, Querier: n,
 		Leases: lease.NewManager(lease.Options{
-			Tables: n.renewals, Host: name, Incarnation: lifetime, Length: leaseLength, HandoverDelay: handoverDelay, Rank: func() (int, bool) { return r.rank(name), true },
+			Tables: n.renewals, Host: name, Incarnation: incarnation, Length: leaseLength, HandoverDelay: handoverDelay, Rank: func() (int, bool) { return r.rank(name), true },
 		}),
 		Members: func() []duty.Member { return r.members(name) }, Successors: func() []string { return r.successors(name) }, Platform: n, Running: func() map[string]int { return map[string]int{"model": 30} },
 		Services: func() []duty.Service {
