--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -90,7 +90,7 @@
 	Services    func() []Service
 	// Stocks returns the serving endpoints by data hall, and whether an upgrade is in progress.
 	Stocks         func(service string) (stocks map[string]capacity.Stock, upgrading bool)
-	EvacuatedHalls func() []string // data halls that receive no requests
+	EvacuatedHalls func() []string // data halls that get no requests and no orders for now
 	Logger         *log.Logger
 }
 
--- a/internal/gatewayd/dutiesview.go
+++ b/internal/gatewayd/dutiesview.go
@@ -15,8 +15,8 @@
 
 // DutiesView is what a host knows of the duties, for operators.
 type DutiesView struct {
-	Host   string          `json:"host"`
-	Holds  bool            `json:"holds"`
+	Host   string             `json:"host"`
+	Holds  bool               `json:"holds"`
 	Orders []duty.ActiveOrder `json:"orders"` // in force, by service, data hall and kind
 	// CostAMinute is what the ordered endpoints cost, in prices of a second as they are declared.
 	CostAMinute float64 `json:"cost_a_minute"`
