--- a/internal/duty/ask.go
+++ b/internal/duty/ask.go
@@ -134,9 +134,9 @@
 	start, members := clock.Now(), q.Relay
 	q.Relay, q.Backup = nil, nil
 	var mu sync.Mutex
-	var asking sync.WaitGroup
+	var queries sync.WaitGroup
 	for _, m := range members {
-		asking.Go(func() {
+		queries.Go(func() {
 			queryContext, cancel := context.WithTimeout(ctx, relayTimeout)
 			defer cancel()
 			relayed, err := c.options.Querier.Query(queryContext, m.Address, q)
@@ -149,7 +149,7 @@
 			statuses = append(statuses, relayed...)
 		})
 	}
-	asking.Wait()
+	queries.Wait()
 	c.options.Logger.Debug("query relayed to hosts", "hosts", len(members), "answers", len(statuses)-1, "took_ms", clock.Since(start).Milliseconds())
 	return statuses
 }
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -207,7 +207,7 @@
 type term struct {
 	coordinator *Coordinator
 	lease       *lease.Lease
-	wallClock   usage.MedianClock
+	medianClock   usage.MedianClock
 	ledger      *usage.Ledger
 	reports     reportState
 	planners    map[string]*capacity.Planner
@@ -241,7 +241,7 @@
 // queryHosts queries all hosts and records their answers.
 func (t *term) queryHosts(ctx context.Context) {
 	o := t.coordinator.options
-	now, known := t.wallClock.Now()
+	now, known := t.medianClock.Now()
 	q := Query{Window: o.Window, NowKnown: known, Now: now}
 	if known {
 		q.Since = t.ledger.FirstUnreported(now)
@@ -261,7 +261,7 @@
 			t.ledger.SetHostUsage(host.Host, host.Usage, now)
 		}
 	}
-	t.wallClock = t.wallClock.With(readings, len(members)+1)
+	t.medianClock = t.medianClock.With(readings, len(members)+1)
 }
 
 // orderEndpoints orders endpoints for the services whose load requires more or fewer.
--- a/internal/duty/reports.go
+++ b/internal/duty/reports.go
@@ -43,7 +43,7 @@
 		t.coordinator.options.Logger.Warn("stored usage reports can't be read", "error", err)
 		return
 	}
-	if now, known := t.wallClock.Now(); known {
+	if now, known := t.medianClock.Now(); known {
 		for _, r := range t.ledger.Due(now) {
 			if err := t.saveReport(ctx, r); err != nil {
 				t.coordinator.options.Logger.Warn("usage not kept", "window", r.Window, "error", err)
