--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -146,7 +146,7 @@
 	c.options.Leases.Run(ctx, leaseName, c.hold)
 }
 
-// Resign gives up the duties for good and tells the successors that the lease is released. A stopping
+// Resign gives up the duties for good and tells a successor that the lease was released. A stopping
 // host calls it first, so that its successor can still query its counts.
 func (c *Coordinator) Resign(ctx context.Context) {
 	_, held := c.Orders()
@@ -207,7 +207,7 @@
 type term struct {
 	coordinator *Coordinator
 	lease       *lease.Lease
-	medianClock   usage.MedianClock
+	medianClock usage.MedianClock
 	ledger      *usage.Ledger
 	reports     reportState
 	planners    map[string]*capacity.Planner
