--- a/internal/duty/reports.go
+++ b/internal/duty/reports.go
@@ -61,12 +61,12 @@
 	}
 	rows, err := t.coordinator.options.Tables.Scan(ctx, store.Range{Table: tableUsage})
 	if err != nil {
-		return fmt.Errorf("read usage: %w", err)
+		return fmt.Errorf("read usage reports: %w", err)
 	}
 	for i, row := range rows {
 		r, err := codec.Decode[usage.Report](row.Value)
 		if err != nil {
-			return fmt.Errorf("read usage: %w", err)
+			return fmt.Errorf("read usage reports: %w", err)
 		}
 		t.reports.saved = append(t.reports.saved, r.Window)
 		t.ledger.MarkReported(r.Window)
@@ -82,7 +82,7 @@
 func (t *term) saveReport(ctx context.Context, r usage.Report) error {
 	data, err := codec.Encode(r)
 	if err != nil {
-		return fmt.Errorf("keep usage: %w", err)
+		return fmt.Errorf("store usage report: %w", err)
 	}
 	key := rowKey(r.Window)
 	txn := store.Transaction{
@@ -112,11 +112,11 @@
 	case errors.Is(err, store.ErrNotFound) && errors.Is(cause, store.ErrConflict):
 		return usage.Report{}, errLeaseLost
 	case err != nil:
-		return usage.Report{}, fmt.Errorf("keep usage: %w", cause)
+		return usage.Report{}, fmt.Errorf("store usage report: %w", cause)
 	}
 	saved, err := codec.Decode[usage.Report](row.Value)
 	if err != nil {
-		return usage.Report{}, fmt.Errorf("read kept usage: %w", err)
+		return usage.Report{}, fmt.Errorf("read stored usage report: %w", err)
 	}
 	return saved, nil
 }
