--- a/internal/duty/ask.go
+++ b/internal/duty/ask.go
@@ -12,170 +12,174 @@
 	"quaybarrow/internal/usage"
 )
 
-// Times of questions to other hosts.
+// Limits of queries to other hosts.
 const (
-	// askLimit is ample for a small message between data halls, on a host that is busy.
-	askLimit = 600 * time.Millisecond
-	// relayLimit is the same for hosts that another one asks.
-	relayLimit = 400 * time.Millisecond
-	// directMost hosts are asked one by one; beyond, some ask others.
-	directMost = 64
+	// queryTimeout is ample for a small message between data halls to a busy host.
+	queryTimeout = 600 * time.Millisecond
+	// relayTimeout is the timeout of a query that a host relays to another one.
+	relayTimeout = 400 * time.Millisecond
+	// maxDirectQueries is the maximum number of hosts to query directly. If there are more, some
+	// of them relay the query to the others.
+	maxDirectQueries = 64
 )
 
 // Member is another host.
 type Member struct{ Name, Address string }
 
-// Question is what the holder asks.
-type Question struct {
-	Known  bool      // the holder knows the time of day
-	Now    time.Time // it
-	Window time.Duration
-	Since  usage.Window // the first to be told of
-	Relay  []Member     // to be asked the same
-	Free   bool         // the sender has given the duties up
-	Copy   *Answer      // what the sender has counted itself, to be kept for its successor
+// Query is a request by the holder of the duties for the status of other hosts.
+type Query struct {
+	NowKnown bool      // whether the holder knows the time of day
+	Now      time.Time // the time of day, if known
+	Window   time.Duration
+	Since    usage.Window // the first window to return
+	Relay    []Member     // hosts to which the receiver relays the query
+	Released bool         // the sender has released the lease on the duties
+	Backup   *HostStatus  // the sender's own counts, to be stored for its successor
 }
 
-// Answer is what a host tells.
-type Answer struct {
-	Host    string
-	Shown   time.Time // its own time of day
-	Account usage.Account
-	Running map[string]int // requests in hand, by service
-	Copied  bool           // it was told before by a host that may be gone; only its account counts
+// HostStatus is the answer of a host to a Query.
+type HostStatus struct {
+	Host       string
+	WallTime   time.Time // by its own wall clock
+	Usage      usage.HostUsage
+	Running    map[string]int // requests in progress, by service
+	FromBackup bool           // a stored backup of a host that may be gone; only Usage is to be used
 
-	at clock.Instant // about when it told
+	readAt clock.Instant // estimated instant at which WallTime was read
 }
 
-// Asker asks other hosts.
-type Asker interface {
-	// Ask returns the answers of a host and of those that it asks.
-	Ask(ctx context.Context, address string, q Question) ([]Answer, error)
+// Querier queries other hosts.
+type Querier interface {
+	// Query returns the status of a host and of the hosts to which it relays the query.
+	Query(ctx context.Context, address string, q Query) ([]HostStatus, error)
 }
 
-// answer is this host's own.
-func (k *Keeper) answer(q Question) Answer {
-	a := Answer{Host: k.options.Host, Shown: time.Now(), Running: k.options.Running(), at: clock.Now()}
-	a.Account.Lifetime = k.options.Lifetime
-	if q.Known && q.Window > 0 {
-		a.Account = k.options.Counter.Account(q.Now, q.Window, q.Since)
+// ownStatus returns the status of this host.
+func (c *Coordinator) ownStatus(q Query) HostStatus {
+	s := HostStatus{Host: c.options.Host, WallTime: time.Now(), Running: c.options.Running(), readAt: clock.Now()}
+	s.Usage.Incarnation = c.options.Incarnation
+	if q.NowKnown && q.Window > 0 {
+		s.Usage = c.options.Counter.Snapshot(q.Now, q.Window, q.Since)
 	}
-	return a
+	return s
 }
 
-// gather asks hosts; those that do not answer are left out.
-func (k *Keeper) gather(ctx context.Context, q Question, members []Member) []Answer {
-	size := 1
-	if len(members) > directMost {
-		size = int(math.Ceil(math.Sqrt(float64(len(members)))))
+// queryAll queries hosts and omits those that do not answer.
+func (c *Coordinator) queryAll(ctx context.Context, q Query, members []Member) []HostStatus {
+	groupSize := 1
+	if len(members) > maxDirectQueries {
+		groupSize = int(math.Ceil(math.Sqrt(float64(len(members)))))
 	}
 	var mu sync.Mutex
-	var all []Answer
-	var asking sync.WaitGroup
-	own, told := k.answer(q), 0
-	for part := range slices.Chunk(members, size) {
+	var statuses []HostStatus
+	var queries sync.WaitGroup
+	own, queried := c.ownStatus(q), 0
+	for group := range slices.Chunk(members, groupSize) {
 		q := q
-		if told++; told <= copies {
-			q.Copy = &own
+		if queried++; queried <= backupHosts {
+			q.Backup = &own
 		}
-		asking.Go(func() {
-			answers := k.askThrough(ctx, q, part)
+		queries.Go(func() {
+			groupStatuses := c.queryViaRelay(ctx, q, group)
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, answers...)
+			statuses = append(statuses, groupStatuses...)
 		})
 	}
-	asking.Wait()
-	return all
+	queries.Wait()
+	return statuses
 }
 
-// relayTries is how many of some hosts are tried for asking the others of them.
-const relayTries = 2
+// maxRelayTries is the number of hosts of a group that are tried as the relay.
+const maxRelayTries = 2
 
-// askThrough asks the first of some hosts, which asks the others of them.
-func (k *Keeper) askThrough(ctx context.Context, q Question, part []Member) []Answer {
-	for i := range min(relayTries, len(part)) {
-		asked := clock.Now()
-		limited, cancel := context.WithTimeout(ctx, askLimit)
+// queryViaRelay queries the first host of a group, which relays the query to the rest. If it fails,
+// the next host of the group is the relay.
+func (c *Coordinator) queryViaRelay(ctx context.Context, q Query, group []Member) []HostStatus {
+	for i := range min(maxRelayTries, len(group)) {
+		sent := clock.Now()
+		queryContext, cancel := context.WithTimeout(ctx, queryTimeout)
 		q := q
-		q.Relay = part[i+1:]
-		answers, err := k.options.Asker.Ask(limited, part[i].Address, q)
+		q.Relay = group[i+1:]
+		statuses, err := c.options.Querier.Query(queryContext, group[i].Address, q)
 		cancel()
 		if err == nil {
-			// It told at some moment between; the middle is wrong by half of that at most.
-			middle := asked.Add(clock.Since(asked) / 2)
-			for j := range answers {
-				answers[j].at = middle
+			// The wall clocks were read at some instant between sending the query and now; the
+			// error of the midpoint is at most half of that time.
+			middle := sent.Add(clock.Since(sent) / 2)
+			for j := range statuses {
+				statuses[j].readAt = middle
 			}
-			return answers
+			return statuses
 		}
-		k.options.Logger.Debug("host tells nothing", "peer", part[i].Name, "address", part[i].Address, "error", err)
+		c.options.Logger.Debug("host did not answer a query", "peer", group[i].Name, "address", group[i].Address, "error", err)
 	}
 	return nil
 }
 
-// Tell is this host's answer to the one that does the duties, with those of hosts that it asks for
-// it.
-func (k *Keeper) Tell(ctx context.Context, q Question) []Answer {
-	answers := []Answer{k.answer(q)}
-	if q.Copy != nil {
-		k.keepCopy(*q.Copy)
+// HandleQuery answers a query by the host that does the duties. It returns the status of this host,
+// the backups that it stores, and the statuses of the hosts to which it relays the query.
+func (c *Coordinator) HandleQuery(ctx context.Context, q Query) []HostStatus {
+	statuses := []HostStatus{c.ownStatus(q)}
+	if q.Backup != nil {
+		c.storeBackup(*q.Backup)
 	}
-	answers = append(answers, k.heldCopies()...)
-	if q.Free && k.options.Leases != nil {
-		k.options.Leases.Look()
+	statuses = append(statuses, c.storedBackups()...)
+	if q.Released && c.options.Leases != nil {
+		c.options.Leases.CheckNow()
 	}
 	if len(q.Relay) == 0 {
-		return answers
+		return statuses
 	}
-	began, members := clock.Now(), q.Relay
-	q.Relay, q.Copy = nil, nil
+	start, members := clock.Now(), q.Relay
+	q.Relay, q.Backup = nil, nil
 	var mu sync.Mutex
-	var asking sync.WaitGroup
+	var queries sync.WaitGroup
 	for _, m := range members {
-		asking.Go(func() {
-			limited, cancel := context.WithTimeout(ctx, relayLimit)
+		queries.Go(func() {
+			queryContext, cancel := context.WithTimeout(ctx, relayTimeout)
 			defer cancel()
-			told, err := k.options.Asker.Ask(limited, m.Address, q)
+			relayed, err := c.options.Querier.Query(queryContext, m.Address, q)
 			if err != nil {
-				k.options.Logger.Debug("host tells nothing", "peer", m.Name, "address", m.Address, "error", err)
+				c.options.Logger.Debug("host did not answer a query", "peer", m.Name, "address", m.Address, "error", err)
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			answers = append(answers, told...)
+			statuses = append(statuses, relayed...)
 		})
 	}
-	asking.Wait()
-	k.options.Logger.Debug("hosts asked for another", "hosts", len(members), "answers", len(answers)-1, "took_ms", clock.Since(began).Milliseconds())
-	return answers
+	queries.Wait()
+	c.options.Logger.Debug("query relayed to hosts", "hosts", len(members), "answers", len(statuses)-1, "took_ms", clock.Since(start).Milliseconds())
+	return statuses
 }
 
-// errAsk wraps what kept a host from answering.
-func errAsk(address string, err error) error {
-	return fmt.Errorf("ask %s for its account: %w", address, err)
+// queryError wraps the error of a query to an address.
+func queryError(address string, err error) error {
+	return fmt.Errorf("query status of host %s: %w", address, err)
 }
 
 const (
-	// copies of what the holder has counted itself are with other hosts, so that not both it and
-	// all of them are likely to be lost.
-	copies = 3
-	// copiesMost bounds the lives of which a host keeps copies.
-	copiesMost = 8
+	// backupHosts is the number of other hosts that store a backup of the holder's own counts, so
+	// that the holder and all of its backups are unlikely to be lost together.
+	backupHosts = 3
+	// maxBackups is the maximum number of incarnations of which a host stores a backup.
+	maxBackups = 8
 )
 
-// keepCopy keeps what a holder had counted.
-func (k *Keeper) keepCopy(a Answer) {
-	a.Copied = true
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.copies = slices.DeleteFunc(k.copies, func(old Answer) bool { return old.Account.Lifetime == a.Account.Lifetime })
-	k.copies = append(k.copies, a)
-	k.copies = k.copies[max(0, len(k.copies)-copiesMost):]
+// storeBackup stores the counts of a holder in memory, in place of an older backup of the same
+// incarnation.
+func (c *Coordinator) storeBackup(s HostStatus) {
+	s.FromBackup = true
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.backups = slices.DeleteFunc(c.backups, func(old HostStatus) bool { return old.Usage.Incarnation == s.Usage.Incarnation })
+	c.backups = append(c.backups, s)
+	c.backups = c.backups[max(0, len(c.backups)-maxBackups):]
 }
 
-func (k *Keeper) heldCopies() []Answer {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.Clone(k.copies)
+func (c *Coordinator) storedBackups() []HostStatus {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.backups)
 }
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,17 +1,17 @@
-// Package duty does what one host does for all: it reports usage to the platform and orders
-// endpoints.
+// Package duty does the work that one host does on behalf of all hosts, called the duties: it reports
+// usage to the platform and orders endpoints.
 //
 // # Usage
 //
-//	k := duty.New(duty.Options{Leases: leases, Platform: client, Asker: duty.NewAsker(connect), ...})
-//	k.Register(server) // so that another host can ask this one
-//	go k.Run(ctx)
+//	c := duty.New(duty.Options{Leases: leases, Platform: client, Querier: duty.NewQuerier(connect), ...})
+//	c.Register(server) // so that another host can query this one
+//	go c.Run(ctx)
 //
-// One host holds the lease, whose epoch goes with each call as the fencing token. The platform
-// may ignore it, so a host calls only while its lease is good for longer than the call takes, and
-// who takes a released lease waits first. What is reported of a window is kept in the store
-// before it is sent, and sent again as it was kept: two reports of a window that differ would
-// bill somebody twice.
+// One host holds the lease, whose epoch is sent with each call as the fencing token. The platform
+// may ignore the token, so a host calls it only while the lease stays valid for longer than the
+// call takes, and waits first if it acquired a released lease. The report of a window is stored
+// before it is sent, and resent as stored: two different reports of a window would bill somebody
+// twice.
 package duty
 
 import (
@@ -33,235 +33,242 @@
 	"quaybarrow/internal/usage"
 )
 
-// leaseName is that of the lease on all duties.
+// leaseName is the name of the lease that covers all duties.
 const leaseName = "duties"
 
-// Times of a host that does the duties.
 const (
-	// every is how often it asks the others.
-	every = time.Second
-	// callLimit is what one call to the platform takes at most. It is not begun unless the lease
-	// is good for longer.
-	callLimit = 1200 * time.Millisecond
+	// queryInterval is the time between the holder's queries of the other hosts.
+	queryInterval = time.Second
+	// callTimeout limits one call to the platform. A call is not started unless the lease stays
+	// valid for longer than that.
+	callTimeout = 1200 * time.Millisecond
 )
 
-// Errors of the platform.
+// Errors returned by a Platform.
 var (
-	// ErrNone means that there are no more endpoints of the kind to be had there now.
-	ErrNone = errors.New("no more endpoints are to be had")
-	// ErrRefused means that the platform did not take a call.
-	ErrRefused = errors.New("the platform did not take the call")
+	// ErrNoneAvailable means that no more endpoints of the ordered kind are available in the data
+	// hall at present.
+	ErrNoneAvailable = errors.New("no more endpoints are available")
+	// ErrRefused means that the platform rejected a call.
+	ErrRefused = errors.New("the platform rejected the call")
 )
 
-// Holder is who holds the duties.
+// Holder identifies the host that holds the lease on the duties.
 type Holder struct {
 	Host  string
-	Token int64 // rises with each holder
+	Token int64 // fencing token; increases with each acquisition of the lease
 }
 
-// Platform takes what the holder does.
+// Platform receives the holder's calls.
 type Platform interface {
-	// Usage reports a window.
+	// Usage reports the usage of a window.
 	Usage(ctx context.Context, h Holder, r usage.Report) error
-	// Scale orders endpoints of a service; ErrNone if there are none to be had.
+	// Scale orders endpoints of a service. It returns ErrNoneAvailable if no more are available.
 	Scale(ctx context.Context, h Holder, service string, o capacity.Order) error
 }
 
-// Service is one whose endpoints are ordered.
+// Service is a service whose endpoints are ordered from the platform.
 type Service struct {
 	Name    string
 	Scaling capacity.Scaling
-	Slots   int // requests that an endpoint runs at once
+	Slots   int // requests that an endpoint runs concurrently
 }
 
-// Options set up a Keeper.
+// Options configure a Coordinator.
 type Options struct {
-	Host     string
-	Lifetime string        // of the host, which no other life of any host has
-	Window   time.Duration // of usage; 0 reports none
-	Leases   *lease.Manager
-	Tables   store.Tables
-	Members  func() []Member // the other hosts
-	Next     func() []string // addresses of hosts that should take the duties after this one
-	Asker    Asker
-	Platform Platform // nil where there are no duties
-	Counter  *usage.Counter
-	Running  func() map[string]int // requests in hand, by service
-	Services func() []Service
-	// Stocks counts what serves, by data hall, and tells whether an upgrade is under way.
-	Stocks func(service string) (stocks map[string]capacity.EndpointCounts, upgrading bool)
-	Away   func() []string // data halls that get nothing
-	Logger *log.Logger
+	Host        string
+	Incarnation string        // identifies one run of a host's process; unique
+	Window      time.Duration // length of a usage window; 0 disables usage reports
+	Leases      *lease.Manager
+	Tables      store.Tables
+	Members     func() []Member // the other hosts
+	Successors  func() []string // addresses of the hosts to take over the duties, in order
+	Querier     Querier
+	Platform    Platform // nil if this host never does duties
+	Counter     *usage.Counter
+	Running     func() map[string]int // requests in progress, by service
+	Services    func() []Service
+	// Stocks returns the serving endpoints by data hall, and whether an upgrade is in progress.
+	Stocks         func(service string) (stocks map[string]capacity.EndpointCounts, upgrading bool)
+	EvacuatedHalls func() []string // data halls that get no requests and no orders for now
+	Logger         *log.Logger
 }
 
-// Keeper does the duties of a host while it holds them, and answers the one that does.
-type Keeper struct {
+// Coordinator does the duties while this host holds the lease on them, and answers the queries of
+// the host that holds it.
+type Coordinator struct {
 	options Options
 
-	leave   chan struct{} // closed once the duties are to be given up
-	leaving sync.Once
-	left    chan struct{} // closed once they are
+	stopRequested chan struct{} // closed when the host should give up the duties
+	stopOnce      sync.Once
+	stopped       chan struct{} // closed when Run has returned
 
-	mu     sync.Mutex // guards all below
-	orders []Standing
-	holds  bool
-	copies []Answer // of what holders had counted, oldest first
+	mu       sync.Mutex // guards the fields below
+	orders   []ActiveOrder
+	isHolder bool
+	backups  []HostStatus // counts of holders, oldest first
 }
 
-// Standing is an order in force, as operators see it.
-type Standing struct {
+// ActiveOrder is an order in force, as shown to operators.
+type ActiveOrder struct {
 	Service string `json:"service"`
 	Hall    string `json:"hall"`
 	Spot    bool   `json:"spot"`
 	Count   int    `json:"count"`
-	Peak    int    `json:"peak_requests"` // for which it was made
+	Peak    int    `json:"peak_requests"` // peak of concurrent requests for which it was placed
 }
 
-// New returns a keeper that holds nothing.
-func New(options Options) *Keeper {
-	return &Keeper{options: options, leave: make(chan struct{}), left: make(chan struct{})}
+// New returns a coordinator that does not hold the lease.
+func New(options Options) *Coordinator {
+	return &Coordinator{options: options, stopRequested: make(chan struct{}), stopped: make(chan struct{})}
 }
 
-// Register serves other hosts.
-func (k *Keeper) Register(s grpc.ServiceRegistrar) { dutypb.RegisterDutyServer(s, &server{keeper: k}) }
+// Register registers the gRPC service that answers other hosts.
+func (c *Coordinator) Register(s grpc.ServiceRegistrar) {
+	dutypb.RegisterDutyServer(s, &server{coordinator: c})
+}
 
 // Run competes for the duties until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
-	defer close(k.left)
-	if k.options.Platform == nil {
+func (c *Coordinator) Run(ctx context.Context) {
+	defer close(c.stopped)
+	if c.options.Platform == nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-k.leave:
+		case <-c.stopRequested:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	k.options.Leases.Run(ctx, leaseName, k.hold)
+	c.options.Leases.Run(ctx, leaseName, c.hold)
 }
 
-// Leave gives the duties up for good, as the first thing that a stopping host does: its successor
-// can still ask it what it has counted.
-func (k *Keeper) Leave(ctx context.Context) {
-	_, held := k.Orders()
-	k.leaving.Do(func() { close(k.leave) })
+// Resign gives up the duties for good and tells a successor that the lease was released. A stopping
+// host calls it first, so that its successor can still query its counts.
+func (c *Coordinator) Resign(ctx context.Context) {
+	_, held := c.Orders()
+	c.stopOnce.Do(func() { close(c.stopRequested) })
 	select {
-	case <-k.left:
+	case <-c.stopped:
 	case <-ctx.Done():
 		return
 	}
 	if !held {
 		return
 	}
-	next := k.options.Next()
-	for _, address := range next[:min(nextTries, len(next))] {
-		limited, cancel := context.WithTimeout(ctx, askLimit)
-		_, err := k.options.Asker.Ask(limited, address, Question{Free: true})
+	successors := c.options.Successors()
+	for _, address := range successors[:min(maxSuccessorTries, len(successors))] {
+		queryContext, cancel := context.WithTimeout(ctx, queryTimeout)
+		_, err := c.options.Querier.Query(queryContext, address, Query{Released: true})
 		cancel()
 		if err == nil {
 			return
 		}
-		k.options.Logger.Info("host not told that it may take the duties", "address", address, "error", err)
+		c.options.Logger.Info("could not tell host that the duties were released", "address", address, "error", err)
 	}
 }
 
-// nextTries is how many hosts are told, until one answers, that the duties are free.
-const nextTries = 3
+// maxSuccessorTries is the maximum number of hosts to tell, until one answers, that the duties were
+// released.
+const maxSuccessorTries = 3
 
-// Orders lists what this host has ordered, and whether it holds the duties.
-func (k *Keeper) Orders() ([]Standing, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.Clone(k.orders), k.holds
+// Orders returns this host's orders in force, and whether it holds the duties.
+func (c *Coordinator) Orders() ([]ActiveOrder, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.orders), c.isHolder
 }
 
-// hold does the duties while the lease lasts.
-func (k *Keeper) hold(ctx context.Context, l *lease.Lease) {
-	k.options.Logger.Info("duties taken", "token", l.Epoch(), "rest_ms", max(l.Rest(), 0).Milliseconds())
-	k.holding(true)
+// hold does the duties while the lease is valid.
+func (c *Coordinator) hold(ctx context.Context, l *lease.Lease) {
+	c.options.Logger.Info("duties taken", "token", l.Epoch(), "rest_ms", max(l.UnfencedWait(), 0).Milliseconds())
+	c.setHolding(true)
 	defer func() {
-		k.holding(false)
-		k.options.Logger.Info("duties left", "token", l.Epoch(), "left_ms", l.Left().Milliseconds())
+		c.setHolding(false)
+		c.options.Logger.Info("duties left", "token", l.Epoch(), "left_ms", l.Remaining().Milliseconds())
 	}()
-	t := newTerm(k, l)
+	t := newTerm(c, l)
 	for l.Valid() && ctx.Err() == nil {
 		t.round(ctx)
-		clock.Sleep(ctx, every)
+		clock.Sleep(ctx, queryInterval)
 	}
 }
 
-func (k *Keeper) holding(holds bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.holds, k.orders = holds, nil
+func (c *Coordinator) setHolding(isHolder bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isHolder, c.orders = isHolder, nil
 }
 
-// term is a time in which a host does the duties.
+// term is the state of one tenure of the duties, from acquiring the lease to losing it.
 type term struct {
-	keeper   *Keeper
-	lease    *lease.Lease
-	timeIs   usage.TimeOfDay
-	ledger   *usage.Ledger
-	reports  reports
-	planners map[string]*capacity.Planner
-	running  map[string]map[string]int // requests in hand, by host and service
+	coordinator *Coordinator
+	lease       *lease.Lease
+	medianClock usage.MedianClock
+	ledger      *usage.Ledger
+	reports     reportState
+	planners    map[string]*capacity.Planner
+	running     map[string]map[string]int // requests in progress, by host and service
 }
 
-func newTerm(k *Keeper, l *lease.Lease) *term {
+func newTerm(c *Coordinator, l *lease.Lease) *term {
 	return &term{
-		keeper: k, lease: l, ledger: usage.NewLedger(max(k.options.Window, time.Millisecond)),
+		coordinator: c, lease: l, ledger: usage.NewLedger(max(c.options.Window, time.Millisecond)),
 		planners: map[string]*capacity.Planner{}, running: map[string]map[string]int{},
 	}
 }
 
-// round asks all hosts and does what is due.
+// round queries all hosts, reports the usage that is due and orders endpoints.
 func (t *term) round(ctx context.Context) {
-	t.ask(ctx)
-	t.report(ctx)
-	t.order(ctx)
+	t.queryHosts(ctx)
+	t.reportUsage(ctx)
+	t.orderEndpoints(ctx)
 }
 
-// may reports whether a call may be made: nobody else may act before it has ended.
-func (t *term) may(ctx context.Context) bool {
-	return ctx.Err() == nil && t.lease.Rest() <= 0 && t.lease.Left() > callLimit
+// mayCall reports whether a call to the platform may be started: no other host may act before it has
+// ended.
+func (t *term) mayCall(ctx context.Context) bool {
+	return ctx.Err() == nil && t.lease.UnfencedWait() <= 0 && t.lease.Remaining() > callTimeout
 }
 
-func (t *term) holder() Holder { return Holder{Host: t.keeper.options.Host, Token: t.lease.Epoch()} }
+func (t *term) holder() Holder {
+	return Holder{Host: t.coordinator.options.Host, Token: t.lease.Epoch()}
+}
 
-// ask takes in what all hosts tell.
-func (t *term) ask(ctx context.Context) {
-	o := t.keeper.options
-	now, known := t.timeIs.Now()
-	q := Question{Window: o.Window, Known: known, Now: now}
+// queryHosts queries all hosts and records their answers.
+func (t *term) queryHosts(ctx context.Context) {
+	o := t.coordinator.options
+	now, known := t.medianClock.Now()
+	q := Query{Window: o.Window, NowKnown: known, Now: now}
 	if known {
-		q.Since = t.ledger.Since(now)
+		q.Since = t.ledger.FirstUnreported(now)
 	}
 	members := o.Members()
-	answers := append(t.keeper.gather(ctx, q, members), t.keeper.Tell(ctx, q)...)
-	var shown []usage.Shown
+	statuses := append(t.coordinator.queryAll(ctx, q, members), t.coordinator.HandleQuery(ctx, q)...)
+	var readings []usage.ClockReading
 	clear(t.running)
-	for _, a := range answers {
-		if a.Copied {
-			t.ledger.Add(a.Account)
+	for _, host := range statuses {
+		if host.FromBackup {
+			t.ledger.MergeBackup(host.Usage)
 			continue
 		}
-		shown = append(shown, usage.Shown{At: a.at, Time: a.Shown})
-		t.running[a.Host] = a.Running
+		readings = append(readings, usage.ClockReading{At: host.readAt, Time: host.WallTime})
+		t.running[host.Host] = host.Running
 		if known {
-			t.ledger.Take(a.Host, a.Account, now)
+			t.ledger.SetHostUsage(host.Host, host.Usage, now)
 		}
 	}
-	t.timeIs = t.timeIs.With(shown, len(members)+1)
+	t.medianClock = t.medianClock.With(readings, len(members)+1)
 }
 
-// order orders endpoints where the work asks for more or fewer.
-func (t *term) order(ctx context.Context) {
-	o := t.keeper.options
-	away := o.Away()
-	var standing []Standing
+// orderEndpoints orders endpoints for the services whose load requires more or fewer.
+func (t *term) orderEndpoints(ctx context.Context) {
+	o := t.coordinator.options
+	evacuated := o.EvacuatedHalls()
+	var active []ActiveOrder
 	for _, s := range o.Services() {
 		p, ok := t.planners[s.Name]
 		if !ok {
@@ -274,22 +281,22 @@
 		}
 		stocks, upgrading := o.Stocks(s.Name)
 		state := capacity.State{
-			Scaling: s.Scaling, Slots: s.Slots, Running: float64(running), Stocks: withHalls(stocks, s.Scaling), Upgrading: upgrading, Away: away,
+			Scaling: s.Scaling, Slots: s.Slots, Running: float64(running), Stocks: withEmptyHalls(stocks, s.Scaling), Upgrading: upgrading, Away: evacuated,
 		}
 		for _, order := range p.Orders(clock.Now(), state) {
-			t.send(ctx, s.Name, p, order, state)
+			t.sendOrder(ctx, s.Name, p, order, state)
 		}
 		for lot, count := range p.AcceptedOrders() {
-			standing = append(standing, Standing{Service: s.Name, Hall: lot.Hall, Spot: lot.Spot, Count: count, Peak: int(p.Peak())})
+			active = append(active, ActiveOrder{Service: s.Name, Hall: lot.Hall, Spot: lot.Spot, Count: count, Peak: int(p.Peak())})
 		}
 	}
-	t.keeper.mu.Lock()
-	defer t.keeper.mu.Unlock()
-	t.keeper.orders = standing
+	t.coordinator.mu.Lock()
+	defer t.coordinator.mu.Unlock()
+	t.coordinator.orders = active
 }
 
-// withHalls adds the data halls in which a service may run and has nothing.
-func withHalls(stocks map[string]capacity.EndpointCounts, s capacity.Scaling) map[string]capacity.EndpointCounts {
+// withEmptyHalls adds empty stocks for data halls in which a service may run but has no endpoints.
+func withEmptyHalls(stocks map[string]capacity.EndpointCounts, s capacity.Scaling) map[string]capacity.EndpointCounts {
 	all := map[string]capacity.EndpointCounts{}
 	for hall := range s.Prices {
 		all[hall] = capacity.EndpointCounts{}
@@ -298,14 +305,14 @@
 	return all
 }
 
-// send sends an order.
-func (t *term) send(ctx context.Context, service string, p *capacity.Planner, order capacity.Order, s capacity.State) {
-	if !t.may(ctx) {
+// sendOrder sends an order to the platform and records the result in the planner.
+func (t *term) sendOrder(ctx context.Context, service string, p *capacity.Planner, order capacity.Order, s capacity.State) {
+	if !t.mayCall(ctx) {
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, callLimit)
+	callContext, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := t.keeper.options.Platform.Scale(limited, t.holder(), service, order)
+	err := t.coordinator.options.Platform.Scale(callContext, t.holder(), service, order)
 	fields := []any{
 		"service", service, "hall", order.Hall, "spot", order.Spot, "count", order.Count, "serving", s.Stocks[order.Hall],
 		"running", s.Running, "peak", int(p.Peak()), "token", t.lease.Epoch(),
@@ -313,11 +320,11 @@
 	switch {
 	case err == nil:
 		p.RecordAccepted(order)
-		t.keeper.options.Logger.Info("endpoints ordered", fields...)
-	case errors.Is(err, ErrNone):
+		t.coordinator.options.Logger.Info("endpoints ordered", fields...)
+	case errors.Is(err, ErrNoneAvailable):
 		p.RecordUnavailable(order, clock.Now())
-		t.keeper.options.Logger.Info("endpoints not to be had", fields...)
+		t.coordinator.options.Logger.Info("endpoints not to be had", fields...)
 	default:
-		t.keeper.options.Logger.Warn("endpoints not ordered", append(fields, "error", err)...)
+		t.coordinator.options.Logger.Warn("endpoints not ordered", append(fields, "error", err)...)
 	}
 }
--- a/internal/duty/fence_test.go
+++ b/internal/duty/fence_test.go
@@ -15,31 +15,31 @@
 	"quaybarrow/platform/standin"
 )
 
-// The platform may ignore the token of a call, and a call may have its effect as late as when it is
-// given up. So only what hosts leave undone keeps two of them from acting at once, and what the
-// store does late must not change what was reported.
+// The platform may ignore the fencing token of a call, and a call may take effect as late as its
+// timeout. So two hosts are kept from acting at once only by refraining from calls, and a late
+// write to the store must not change what was reported.
 
 const (
-	// callTakes is what a call takes at most.
-	callTakes = 1200 * time.Millisecond
-	// leaseGood is how long after a renewal a holder may act: it stops a fifth early, as clocks
-	// of hosts run apart.
-	leaseGood = leaseLength * 4 / 5
+	// callTimeout is the maximum duration of a call to the platform.
+	callTimeout = 1200 * time.Millisecond
+	// leaseValidity is how long after a renewal a holder may act: it stops a fifth of the length
+	// early, as the clocks of hosts run at different rates.
+	leaseValidity = leaseLength * 4 / 5
 )
 
-// phases plays something from moments on that fall elsewhere between the rounds of a holder, which
-// come every second.
-func phases(each func(r *rig, after time.Duration)) {
+// atPhases runs a scenario ten times, each starting at another phase of the holder's rounds, which
+// take place every second.
+func atPhases(each func(r *rig, after time.Duration)) {
 	for phase := range 10 {
 		suite.Paused(func() {
 			r := newRig(3, uint64(phase))
 			defer r.close()
-			// Each round tries what is due again, so there is a call in each.
-			r.calls.Break(standin.Busy)
+			// The platform is busy, so each round retries what is due and makes a call.
+			r.platform.Break(standin.Busy)
 			served := make(chan struct{})
 			go func() {
 				defer close(served)
-				r.serve(30 * time.Second)
+				r.sendRequests(30 * time.Second)
 			}()
 			each(r, 10*time.Second+time.Duration(phase)*131*time.Millisecond)
 			<-served
@@ -48,8 +48,8 @@
 }
 
 var _ = Describe("the holder of the duties", func() {
-	It("begins no call that may outlast its lease", func() {
-		phases(func(r *rig, after time.Duration) {
+	It("starts no call that may outlast its lease", func() {
+		atPhases(func(r *rig, after time.Duration) {
 			time.Sleep(after)
 			name := r.attempted()[len(r.attempted())-1].host
 			cut := time.Now()
@@ -61,13 +61,13 @@
 					last = a.at
 				}
 			}
-			Expect(last.Sub(cut)).To(BeNumerically(">", 0), "it goes on while its lease lasts")
-			Expect(last.Sub(r.lastBeat(name))).To(BeNumerically("<=", leaseGood-callTakes))
+			Expect(last.Sub(cut)).To(BeNumerically(">", 0), "the holder makes calls while its lease is valid")
+			Expect(last.Sub(r.lastRenewal(name))).To(BeNumerically("<=", leaseValidity-callTimeout))
 		})
 	})
 
-	It("waits until no call of the one before can have an effect", func() {
-		phases(func(r *rig, after time.Duration) {
+	It("waits until no call of the previous holder can take effect", func() {
+		atPhases(func(r *rig, after time.Duration) {
 			time.Sleep(after)
 			name := r.attempted()[len(r.attempted())-1].host
 			r.terminate(name)
@@ -81,65 +81,67 @@
 					first = a.at
 				}
 			}
-			Expect(first.IsZero()).To(BeFalse(), "another goes on")
-			Expect(first.Sub(last)).To(BeNumerically(">=", callTakes))
+			Expect(first.IsZero()).To(BeFalse(), "another host takes over")
+			Expect(first.Sub(last)).To(BeNumerically(">=", callTimeout))
 		})
 	})
 
-	It("lets no late write change what was reported", func() {
+	It("does not let a late write change what was reported", func() {
 		suite.Paused(func() {
 			r := newRig(3, 1)
 			defer r.close()
 			served := make(chan struct{})
 			go func() {
 				defer close(served)
-				r.serve(30 * time.Second)
+				r.sendRequests(30 * time.Second)
 			}()
 			time.Sleep(11 * time.Second)
 			holder := r.holder()
-			other := r.next(holder)[0]
-			// A host can't be asked, the report without it is given up and kept late; meanwhile
-			// the host answers, and the report with it is kept and sent.
-			r.silence(other, true)
+			other := r.successors(holder)[0]
+			// A host does not answer, and the write of the report without its counts is abandoned
+			// but takes effect late. In the meantime the host answers, and the report with its counts
+			// is stored and sent.
+			r.setSilent(other, true)
 			time.Sleep(2 * window)
-			late := r.node(holder).rows.withhold(3*time.Second, func() { r.silence(other, false) })
+			late := r.node(holder).tables.delayNextCommit(3*time.Second, func() { r.setSilent(other, false) })
 			<-late
 			time.Sleep(500 * time.Millisecond)
 			r.kill(holder)
 			<-served
-			time.Sleep(dueAfter)
-			Expect(r.node(holder).rows.refused).To(MatchError(store.ErrConflict))
-			Expect(r.calls.Violations()).To(BeEmpty())
+			time.Sleep(reportDelay)
+			Expect(r.node(holder).tables.lateErr).To(MatchError(store.ErrConflict))
+			Expect(r.platform.Violations()).To(BeEmpty())
 		})
 	})
 })
 
-// errGivenUp is what a caller sees of a write that it waits for no longer.
+// errGivenUp is the error of a write that its caller no longer waits for.
 var errGivenUp = errors.New("given up")
 
-// lateRows are tables of which one commit can be given up by its caller and have its effect later.
-type lateRows struct {
+// delayedTables are tables in which one commit can fail for its caller and take effect later.
+type delayedTables struct {
 	store.Tables
 
-	mu      sync.Mutex // guards all below
-	delay   time.Duration
-	given   func()
-	done    chan struct{}
-	refused error // what became of the late commit
+	mu       sync.Mutex // guards the fields below
+	delay    time.Duration
+	onGiveUp func()
+	done     chan struct{}
+	lateErr  error // result of the late commit
 }
 
-// withhold delays the next commit; the channel is closed once it has had its effect.
-func (l *lateRows) withhold(delay time.Duration, given func()) <-chan struct{} {
+// delayNextCommit delays the next commit and calls onGiveUp as it starts; the returned channel is
+// closed once the commit has been carried out.
+func (l *delayedTables) delayNextCommit(delay time.Duration, onGiveUp func()) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.delay, l.given, l.done = delay, given, make(chan struct{})
+	l.delay, l.onGiveUp, l.done = delay, onGiveUp, make(chan struct{})
 	return l.done
 }
 
 // Commit implements store.Tables.
-func (l *lateRows) Commit(ctx context.Context, txn store.Transaction) error {
+func (l *delayedTables) Commit(ctx context.Context, txn store.Transaction) error {
 	l.mu.Lock()
-	delay, given, done := l.delay, l.given, l.done
+	delay, onGiveUp, done := l.delay, l.onGiveUp, l.done
 	l.delay = 0
 	l.mu.Unlock()
 	if delay == 0 {
@@ -148,52 +150,52 @@
 		}
 		return nil
 	}
-	given()
+	onGiveUp()
 	go func() {
 		time.Sleep(delay)
 		err := l.Tables.Commit(context.Background(), txn)
 		l.mu.Lock()
-		l.refused = err
+		l.lateErr = err
 		l.mu.Unlock()
 		close(done)
 	}()
 	return errGivenUp
 }
 
-// attempt is a call that a host begins.
+// attempt is the start of a call by a host.
 type attempt struct {
 	host string
 	at   time.Time
 }
 
-// attempts notes calls that hosts begin.
+// attempts records the calls that hosts start.
 type attempts struct {
-	mu  sync.Mutex // guards all
+	mu  sync.Mutex // guards the field all
 	all []attempt
 }
 
-func (a *attempts) note(host string) {
+func (a *attempts) add(host string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.all = append(a.all, attempt{host: host, at: time.Now()})
 }
 
-// attempted lists the calls that began, in order.
+// attempted lists the calls that were started, in order.
 func (r *rig) attempted() []attempt {
 	r.attempts.mu.Lock()
 	defer r.attempts.mu.Unlock()
 	return append([]attempt(nil), r.attempts.all...)
 }
 
-// silence sets whether a host reaches nobody.
-func (r *rig) silence(name string, on bool) {
+// setSilent sets whether a host is cut off from all other hosts and the platform.
+func (r *rig) setSilent(name string, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hosts[name].silent = on
 }
 
-// beatRows are tables that note when the last commit began that succeeded.
-type beatRows struct {
+// renewalTables are tables that record when the last successful commit started.
+type renewalTables struct {
 	store.Tables
 
 	mu   sync.Mutex // guards last
@@ -201,7 +203,7 @@
 }
 
 // Commit implements store.Tables.
-func (b *beatRows) Commit(ctx context.Context, txn store.Transaction) error {
+func (b *renewalTables) Commit(ctx context.Context, txn store.Transaction) error {
 	began := time.Now()
 	if err := b.Tables.Commit(ctx, txn); err != nil {
 		return fmt.Errorf("commit: %w", err)
@@ -212,9 +214,9 @@
 	return nil
 }
 
-// lastBeat is when the last renewal of a host's lease began that succeeded.
-func (r *rig) lastBeat(name string) time.Time {
-	b := r.node(name).beats
+// lastRenewal returns when the last successful renewal of a host's lease started.
+func (r *rig) lastRenewal(name string) time.Time {
+	b := r.node(name).renewals
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.last
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -25,55 +25,55 @@
 	"quaybarrow/platform/standin"
 )
 
-// Times of a rig.
+// Times and addresses of a rig.
 const (
-	window = 5 * time.Second
-	turns  = 3 * time.Second
-	// leaseLength is that of the lease on the duties.
-	leaseLength = turns * 4 / 3
-	// callsAddress is where the platform takes what is one host's duty.
-	callsAddress = "10.9.0.2:80"
+	window        = 5 * time.Second
+	handoverDelay = 3 * time.Second
+	// leaseLength is the length of the lease on the duties.
+	leaseLength = handoverDelay * 4 / 3
+	// platformAddress is where the platform receives the holder's calls.
+	platformAddress = "10.9.0.2:80"
 )
 
-// rig is hosts that keep duties, before a store and the platform.
+// rig is a test rig of hosts that compete for the duties, a store and the platform.
 type rig struct {
-	rows     *table.Store
-	calls    *standin.Duties
+	store    *table.Store
+	platform *standin.Duties
 	net      *memnet.Network
 	server   *http.Server
 	random   *rand.Rand
 	running  sync.WaitGroup
 	attempts attempts
 
-	mu     sync.Mutex // guards all below, and random
-	hosts  map[string]*node
-	began  map[int64]map[string]int64 // what truly began, by window and workspace
-	stocks map[string]capacity.EndpointCounts
+	mu      sync.Mutex // guards the fields below, and random
+	hosts   map[string]*node
+	started map[int64]map[string]int64 // requests that were started, by window and workspace
+	stocks  map[string]capacity.EndpointCounts
 }
 
-// node is a life of a host.
+// node is one incarnation of a host.
 type node struct {
-	rig     *rig
-	name    string
-	door    *table.Door
-	rows    *lateRows // what the duties keep goes there
-	beats   *beatRows // and their lease there
-	counter *usage.Counter
-	keeper  *duty.Keeper
-	cancel  context.CancelFunc
-	dead    bool
-	silent  bool // it answers nobody
+	rig         *rig
+	name        string
+	door        *table.Door
+	tables      *delayedTables // store the usage reports
+	renewals    *renewalTables // store the lease
+	counter     *usage.Counter
+	coordinator *duty.Coordinator
+	cancel      context.CancelFunc
+	dead        bool
+	silent      bool // cut off from all other hosts and the platform
 }
 
 var errSilent = errors.New("no answer")
 
 func newRig(hosts int, seed uint64) *rig {
 	r := &rig{
-		rows: table.New(table.Options{}), calls: standin.NewDuties(turns), net: memnet.New(), random: rand.New(rand.NewPCG(seed, 7)),
-		hosts: map[string]*node{}, began: map[int64]map[string]int64{}, stocks: map[string]capacity.EndpointCounts{},
+		store: table.New(table.Options{}), platform: standin.NewDuties(handoverDelay), net: memnet.New(), random: rand.New(rand.NewPCG(seed, 7)),
+		hosts: map[string]*node{}, started: map[int64]map[string]int64{}, stocks: map[string]capacity.EndpointCounts{},
 	}
-	r.server = &http.Server{Handler: r.calls}
-	l := r.net.Listen(callsAddress)
+	r.server = &http.Server{Handler: r.platform}
+	l := r.net.Listen(platformAddress)
 	go func() { _ = r.server.Serve(l) }()
 	for i := range hosts {
 		r.start(fmt.Sprintf("front-%d", i))
@@ -81,17 +81,17 @@
 	return r
 }
 
-// start starts a life of a host.
+// start starts a new incarnation of a host.
 func (r *rig) start(name string) {
-	lifetime := fmt.Sprint(name, "-", r.draw(math.MaxInt))
-	n := &node{rig: r, name: name, door: table.NewDoor(r.rows), counter: usage.NewCounter(lifetime)}
-	n.rows, n.beats = &lateRows{Tables: n.door}, &beatRows{Tables: n.door}
-	n.keeper = duty.New(duty.Options{
-		Host: name, Lifetime: lifetime, Window: window, Tables: n.rows, Counter: n.counter, Asker: n,
+	incarnation := fmt.Sprint(name, "-", r.randomInt(math.MaxInt))
+	n := &node{rig: r, name: name, door: table.NewDoor(r.store), counter: usage.NewCounter(incarnation)}
+	n.tables, n.renewals = &delayedTables{Tables: n.door}, &renewalTables{Tables: n.door}
+	n.coordinator = duty.New(duty.Options{
+		Host: name, Incarnation: incarnation, Window: window, Tables: n.tables, Counter: n.counter, Querier: n,
 		Leases: lease.NewManager(lease.Options{
-			Tables: n.beats, Host: name, Incarnation: lifetime, Length: leaseLength, Turns: turns, Place: func() (int, bool) { return r.place(name), true },
+			Tables: n.renewals, Host: name, Incarnation: incarnation, Length: leaseLength, HandoverDelay: handoverDelay, Rank: func() (int, bool) { return r.rank(name), true },
 		}),
-		Members: func() []duty.Member { return r.members(name) }, Next: func() []string { return r.next(name) }, Platform: n, Running: func() map[string]int { return map[string]int{"model": 30} },
+		Members: func() []duty.Member { return r.members(name) }, Successors: func() []string { return r.successors(name) }, Platform: n, Running: func() map[string]int { return map[string]int{"model": 30} },
 		Services: func() []duty.Service {
 			return []duty.Service{{Name: "model", Slots: 8, Scaling: capacity.Scaling{Least: 1, Most: 60, SpotPrice: 0.2, Prices: map[string]float64{"ikeja": 1, "lekki": 1, "yaba": 1}}}}
 		},
@@ -100,45 +100,45 @@
 			defer r.mu.Unlock()
 			return maps.Clone(r.stocks), false
 		},
-		Away: func() []string { return nil }, Logger: log.New(io.Discard),
+		EvacuatedHalls: func() []string { return nil }, Logger: log.New(io.Discard),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	r.mu.Lock()
 	r.hosts[name] = n
 	r.mu.Unlock()
-	r.running.Go(func() { n.keeper.Run(ctx) })
+	r.running.Go(func() { n.coordinator.Run(ctx) })
 }
 
-// draw is a number below n.
-func (r *rig) draw(n int) int {
+// randomInt returns a random number below n.
+func (r *rig) randomInt(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.random.IntN(n)
 }
 
-// node is a host's newest life; nil if it has had none.
+// node returns a host's latest incarnation; nil if it has had none.
 func (r *rig) node(name string) *node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.hosts[name]
 }
 
-// names are those of all hosts, in order.
+// names returns the names of all hosts, sorted.
 func (r *rig) names() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Sorted(maps.Keys(r.hosts))
 }
 
-// serves sets what serves in the data halls.
-func (r *rig) serves(stocks map[string]capacity.EndpointCounts) {
+// setStocks sets the serving endpoints by data hall.
+func (r *rig) setStocks(stocks map[string]capacity.EndpointCounts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stocks = stocks
 }
 
-// kill ends a life at once: from this moment on it reaches nobody, and nobody it.
+// kill ends a host's incarnation at once: from now on it neither sends nor receives anything.
 func (r *rig) kill(name string) {
 	r.mu.Lock()
 	n := r.hosts[name]
@@ -148,24 +148,25 @@
 	n.cancel()
 }
 
-// terminate ends a life as planned: it gives the duties up first, and lives on for a while.
+// terminate stops a host as planned: it resigns from the duties first and runs on for stopDuration.
 func (r *rig) terminate(name string) {
-	r.node(name).keeper.Leave(context.Background())
-	time.Sleep(leaves)
+	r.node(name).coordinator.Resign(context.Background())
+	time.Sleep(stopDuration)
 	r.kill(name)
 }
 
-// leaves is how long a host that stops still answers.
-const leaves = 2500 * time.Millisecond
+// stopDuration is how long a stopping host still answers queries.
+const stopDuration = 2500 * time.Millisecond
 
-// next are the hosts after one.
-func (r *rig) next(name string) []string {
+// successors returns the hosts after the given one.
+func (r *rig) successors(name string) []string {
 	return slices.DeleteFunc(r.names(), func(other string) bool { return other <= name })
 }
 
-// holder is the name of the host that made the newest call; the first host before there is one.
+// holder returns the name of the host that made the latest call, or of the first host if there was
+// none.
 func (r *rig) holder() string {
-	calls := r.calls.Calls()
+	calls := r.platform.Calls()
 	if len(calls) == 0 {
 		return "front-0"
 	}
@@ -178,37 +179,37 @@
 	return !n.dead && !n.silent
 }
 
-// place is how many hosts that live come before one.
-func (r *rig) place(name string) int {
-	place := 0
+// rank returns how many live hosts come before the given one.
+func (r *rig) rank(name string) int {
+	rank := 0
 	for _, other := range r.names() {
 		if other < name && r.alive(r.node(other)) {
-			place++
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
-func (r *rig) members(but string) []duty.Member {
+func (r *rig) members(except string) []duty.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var members []duty.Member
 	for name := range r.hosts {
-		if name != but {
+		if name != except {
 			members = append(members, duty.Member{Name: name, Address: name})
 		}
 	}
 	return members
 }
 
-// Ask implements duty.Asker: it asks a host of the rig by way of what goes over the wire.
-func (n *node) Ask(ctx context.Context, address string, q duty.Question) ([]duty.Answer, error) {
+// Query implements duty.Querier by a direct call to a host of the rig.
+func (n *node) Query(ctx context.Context, address string, q duty.Query) ([]duty.HostStatus, error) {
 	other := n.rig.node(address)
 	if !n.rig.alive(n) || !n.rig.alive(other) {
 		<-ctx.Done()
 		return nil, errSilent
 	}
-	return other.keeper.Tell(ctx, q), nil
+	return other.coordinator.HandleQuery(ctx, q), nil
 }
 
 // Usage implements duty.Platform.
@@ -216,8 +217,8 @@
 	if !n.rig.alive(n) {
 		return errSilent
 	}
-	n.rig.attempts.note(n.name)
-	return platform.NewDuties(callsAddress, n.rig.net.Dial).Usage(ctx, h, report)
+	n.rig.attempts.add(n.name)
+	return platform.NewDuties(platformAddress, n.rig.net.Dial).Usage(ctx, h, report)
 }
 
 // Scale implements duty.Platform.
@@ -225,30 +226,30 @@
 	if !n.rig.alive(n) {
 		return errSilent
 	}
-	n.rig.attempts.note(n.name)
-	return platform.NewDuties(callsAddress, n.rig.net.Dial).Scale(ctx, h, service, o)
+	n.rig.attempts.add(n.name)
+	return platform.NewDuties(platformAddress, n.rig.net.Dial).Scale(ctx, h, service, o)
 }
 
-// serve has requests begin at hosts that live, for a while.
-func (r *rig) serve(lasts time.Duration) {
+// sendRequests starts requests at random live hosts for the given duration.
+func (r *rig) sendRequests(duration time.Duration) {
 	workspaces := []string{"weavers", "dyers", "carvers"}
-	for began := time.Now(); time.Since(began) < lasts; time.Sleep(20 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < duration; time.Sleep(20 * time.Millisecond) {
 		names := r.names()
-		n := r.node(names[r.draw(len(names))])
+		n := r.node(names[r.randomInt(len(names))])
 		if !r.alive(n) {
 			continue
 		}
-		workspace := workspaces[r.draw(len(workspaces))]
-		n.counter.Began(workspace)
+		workspace := workspaces[r.randomInt(len(workspaces))]
+		n.counter.CountRequest(workspace)
 		w := int64(usage.WindowOf(time.Now(), window))
-		if r.began[w] == nil {
-			r.began[w] = map[string]int64{}
+		if r.started[w] == nil {
+			r.started[w] = map[string]int64{}
 		}
-		r.began[w][workspace]++
+		r.started[w][workspace]++
 	}
 }
 
-// close ends all hosts.
+// close stops all hosts.
 func (r *rig) close() {
 	for _, name := range r.names() {
 		r.node(name).cancel()
@@ -258,20 +259,21 @@
 	time.Sleep(time.Minute)
 }
 
-// usageOff is how far a window's count may be from the truth.
-const usageOff = 0.05
+// maxUsageError is the maximum relative error of a reported count.
+const maxUsageError = 0.05
 
-// wrong lists the windows, of those that ended a time ago, whose report is missing or off.
-func (r *rig) wrong(ago time.Duration) []string {
-	reports := r.calls.Reports()
+// wrongWindows lists the windows whose report is missing or wrong, of those that ended at least
+// minAge ago.
+func (r *rig) wrongWindows(minAge time.Duration) []string {
+	reports := r.platform.Reports()
 	var found []string
-	for w, truth := range r.began {
-		if time.Since(usage.Window(w).End(window)) < ago {
+	for w, truth := range r.started {
+		if time.Since(usage.Window(w).End(window)) < minAge {
 			continue
 		}
 		for workspace, n := range truth {
-			off := float64(reports[w][workspace]-n) / float64(n)
-			if off > usageOff || off < -usageOff {
+			deviation := float64(reports[w][workspace]-n) / float64(n)
+			if deviation > maxUsageError || deviation < -maxUsageError {
 				found = append(found, fmt.Sprintf("window %d of %s: %d of %d", w, workspace, reports[w][workspace], n))
 				break
 			}
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -37,5 +37,5 @@
 		return
 	}
 	x.counted = true
-	x.g.Usage.Began(x.workspace)
+	x.g.Usage.CountRequest(x.workspace)
 }
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -40,10 +40,10 @@
 
 func newDuties(s settings.Settings, life lifetime, p Ports, tables store.Tables, w *spread.Watcher, a *advice.Advisor, f *fleet.Fleet, u *upgrade.Tracker,
 	h *route.Holder, g *gateway.Gateway, counter *usage.Counter, l *log.Logger,
-) *duty.Keeper {
+) *duty.Coordinator {
 	o := duty.Options{
-		Host: s.Host, Lifetime: string(life), Tables: tables, Counter: counter, Asker: duty.NewAsker(w.Conn),
-		Members: func() []duty.Member { return peersOf(w) }, Next: w.FollowingHosts, Running: g.Running, Stocks: stocksOf(f, u), Away: f.Evacuated,
+		Host: s.Host, Incarnation: string(life), Tables: tables, Counter: counter, Querier: duty.NewQuerier(w.Conn),
+		Members: func() []duty.Member { return peersOf(w) }, Successors: w.FollowingHosts, Running: g.Running, Stocks: stocksOf(f, u), EvacuatedHalls: f.Evacuated,
 		Services: func() []duty.Service { return scaled(h.Table()) }, Logger: l,
 	}
 	if s.Gateway.Duties != "" {
@@ -51,7 +51,7 @@
 		o.Platform = platform.NewDuties(s.Gateway.Duties, p.Dial)
 		o.Leases = lease.NewManager(lease.Options{
 			Tables: tables, Host: s.Host, Incarnation: string(life), Length: time.Duration(leasePart * float64(s.Gateway.DutyTurns)),
-			Place: a.Rank, Turns: s.Gateway.DutyTurns,
+			Rank: a.Rank, HandoverDelay: s.Gateway.DutyTurns,
 		})
 	}
 	return duty.New(o)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease guards duties that need one owner, with leases kept in rows of
-// the table service and fenced by epochs.
+// Package lease ensures that a duty is done by one host at a time, with leases that are stored in
+// rows of the table service and fenced by epochs.
 //
 // # Usage
 //
@@ -8,16 +8,15 @@
 //		for l.Valid() { ... tables.Commit(ctx, l.Fenced(txn)) ... }
 //	})
 //
-// No host's wall clock is trusted. A lease may be taken once its row was seen
-// unchanged for its whole length by the taker's own running clock. The holder
-// counts from before it sent the renewal and stops a guard time earlier, so it
-// has stopped before another can start. A holder that was paused may still act
-// late; its writes carry a condition on the fence row, and its orders carry the
-// epoch, so both are refused once another holds the lease.
+// No host's wall clock is trusted. A host may acquire a lease once it has seen the lease's row
+// unchanged for the lease's whole length, by its own monotonic clock. The holder counts from before
+// it sent the renewal and stops a guard time earlier, so it has stopped before another host can
+// start. A holder that was paused may still act late; its writes carry a condition on the fence row,
+// and its orders carry the epoch, so both are rejected once another host holds the lease.
 //
-// Who takes a lease that was released does so at once. What can't be fenced, as calls to
-// a service that ignores the epoch, has to wait for Rest: else a lease that is handed to and
-// fro has two hosts act in turns.
+// A released lease can be acquired at once. Actions that can't be fenced, such as calls to a
+// service that ignores the epoch, must wait for UnfencedWait: otherwise two hosts that hand a lease
+// back and forth act alternately.
 package lease
 
 import (
@@ -35,7 +34,7 @@
 	"quaybarrow/internal/wake"
 )
 
-// Tables of the leases.
+// Tables in which leases are stored.
 const (
 	tableLease = "lease" // renewed often
 	tableFence = "fence" // written only when the lease changes hands
@@ -43,56 +42,57 @@
 
 // Divisors of a lease's length.
 const (
-	renewDivisor = 3 // renewals per length
-	guardDivisor = 5 // the holder stops this part of the length early
+	renewDivisor = 3 // a lease is renewed every third of its length
+	guardDivisor = 5 // the holder stops a fifth of the length early
 )
 
-// ErrHeld means that another holds the lease, or may still hold it.
-var ErrHeld = errors.New("lease is held by another")
+// ErrHeld means that another host holds the lease, or may still hold it.
+var ErrHeld = errors.New("lease is held by another host")
 
-// row is what the table says of a lease.
-type row struct {
+// record is the stored state of a lease.
+type record struct {
 	Holder      string `json:"holder"`
 	Incarnation string `json:"incarnation"`
 	Epoch       int64  `json:"epoch"`
-	Beat        int64  `json:"beat"` // counts renewals
+	Renewals    int64  `json:"beat"` // number of renewals in this epoch
 	Released    bool   `json:"released,omitempty"`
 }
 
-// Lease is one holding of a lease.
+// Lease is a lease held by this host, from its acquisition until it expires or is released.
 type Lease struct {
 	name  string
 	epoch int64
 	fence store.Row
 
-	rests clock.Instant // what is not fenced begins then
+	unfencedFrom clock.Instant // when actions that are not fenced may start
 
-	mu    sync.Mutex    // guards all below
-	until clock.Instant // holder's own clock
-	beat  int64
+	mu       sync.Mutex    // guards the fields below
+	expires  clock.Instant // by the holder's own monotonic clock
+	renewals int64
 }
 
-// Epoch returns the fencing epoch; it grows with each holder.
+// Epoch returns the fencing epoch, which increases with each acquisition.
 func (l *Lease) Epoch() int64 { return l.epoch }
 
 // Valid reports whether the holder may still act.
 func (l *Lease) Valid() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return clock.Now().Before(l.until)
+	return clock.Now().Before(l.expires)
 }
 
-// Left returns how long the lease is still valid without renewal.
-func (l *Lease) Left() time.Duration {
+// Remaining returns how long the lease stays valid without renewal.
+func (l *Lease) Remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return clock.Until(l.until)
+	return clock.Until(l.expires)
 }
 
-// Rest is how long the holder still leaves undone what is not fenced; 0 or less for nothing.
-func (l *Lease) Rest() time.Duration { return clock.Until(l.rests) }
+// UnfencedWait returns how long the holder must still wait before actions that are not fenced; 0 or
+// less if it need not wait.
+func (l *Lease) UnfencedWait() time.Duration { return clock.Until(l.unfencedFrom) }
 
-// Fenced adds the condition that nobody took the lease since.
+// Fenced adds the condition that no other host has acquired the lease since.
 func (l *Lease) Fenced(txn store.Transaction) store.Transaction {
 	conditions := slices.Clone(txn.Conditions)
 	conditions = append(conditions, store.AtVersion(tableFence, l.fence))
@@ -106,17 +106,19 @@
 	Host        string
 	Incarnation string
 	Length      time.Duration
-	// Owner tells which host a duty is meant for; nil means any.
-	Owner func(duty string) string
-	// Place is how many hosts come before this one in taking a lease, if that is known; nil for
-	// none. Each looks less often than the one before it, since a look is a call to the store.
-	Place func() (place int, known bool)
-	// Turns is the time in which hosts must not act in turns where that is not fenced.
-	Turns time.Duration
+	// AssignedHost returns the host that should do a duty; nil means any host.
+	AssignedHost func(duty string) string
+	// Rank returns how many hosts come before this one in the order of acquiring a lease, if that
+	// is known; nil if hosts have no order. Hosts of higher rank check a lease less often, since
+	// each check is a call to the store.
+	Rank func() (place int, known bool)
+	// HandoverDelay is the time for which the holder of a lease that another host released must
+	// not do anything that is not fenced, so that hosts do not act alternately within that time.
+	HandoverDelay time.Duration
 }
 
-// sighting is a lease row and how long it has been seen unchanged.
-type sighting struct {
+// observation is the version of a lease row and since when it has been seen unchanged.
+type observation struct {
 	version int64
 	since   clock.Instant
 }
@@ -125,48 +127,48 @@
 type Manager struct {
 	options Options
 
-	look wake.Signal // a signal to look at leases at once
+	checkSignal wake.Signal // wakes Run to check its lease at once
 
-	mu   sync.Mutex // guards seen
-	seen map[string]sighting
+	mu       sync.Mutex // guards observed
+	observed map[string]observation
 }
 
-// NewManager returns a manager that holds nothing.
+// NewManager returns a manager that holds no leases.
 func NewManager(options Options) *Manager {
-	return &Manager{options: options, look: wake.NewSignal(), seen: map[string]sighting{}}
+	return &Manager{options: options, checkSignal: wake.NewSignal(), observed: map[string]observation{}}
 }
 
-// Look has the host look at its leases at once: one was released.
-func (m *Manager) Look() { m.look.Poke() }
+// CheckNow makes the host check its leases at once, because one was released.
+func (m *Manager) CheckNow() { m.checkSignal.Poke() }
 
-// Acquire takes a lease, or returns ErrHeld.
+// Acquire acquires a lease, or returns ErrHeld.
 func (m *Manager) Acquire(ctx context.Context, name string) (*Lease, error) {
 	current, tableRow, err := m.read(ctx, name)
 	if err != nil {
 		return nil, err
 	}
-	if !m.free(name, current, tableRow) {
+	if !m.available(name, current, tableRow) {
 		return nil, ErrHeld
 	}
-	next := row{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: current.Epoch + 1}
+	next := record{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: current.Epoch + 1}
 	sent := clock.Now()
-	if err := m.take(ctx, name, tableRow, next); err != nil {
+	if err := m.claim(ctx, name, tableRow, next); err != nil {
 		return nil, err
 	}
-	fence, err := m.fence(ctx, name, next.Epoch)
+	fence, err := m.readFence(ctx, name, next.Epoch)
 	if err != nil {
 		return nil, err
 	}
-	l := &Lease{name: name, epoch: next.Epoch, fence: fence, until: m.until(sent)}
+	l := &Lease{name: name, epoch: next.Epoch, fence: fence, expires: m.expiry(sent)}
 	if current.Released {
-		l.rests = sent.Add(m.options.Turns)
+		l.unfencedFrom = sent.Add(m.options.HandoverDelay)
 	}
 	return l, nil
 }
 
-// take writes that this host holds a lease, if its row is still as it was read: a renewal that
-// came in between has changed it.
-func (m *Manager) take(ctx context.Context, name string, at store.Row, next row) error {
+// claim stores that this host holds a lease, unless its row has changed since it was read, for
+// instance by a renewal.
+func (m *Manager) claim(ctx context.Context, name string, at store.Row, next record) error {
 	data, err := codec.Encode(next)
 	if err != nil {
 		return fmt.Errorf("acquire %s: %w", name, err)
@@ -191,13 +193,13 @@
 	return nil
 }
 
-// fence reads the row that changes only as the lease changes hands.
-func (m *Manager) fence(ctx context.Context, name string, epoch int64) (store.Row, error) {
+// readFence reads the row that is written only when the lease changes hands.
+func (m *Manager) readFence(ctx context.Context, name string, epoch int64) (store.Row, error) {
 	fence, err := m.options.Tables.Get(ctx, tableFence, name)
 	if err != nil {
 		return store.Row{}, fmt.Errorf("acquire %s: %w", name, err)
 	}
-	holder, err := codec.Decode[row](fence.Value)
+	holder, err := codec.Decode[record](fence.Value)
 	if err != nil {
 		return store.Row{}, fmt.Errorf("acquire %s: %w", name, err)
 	}
@@ -207,44 +209,44 @@
 	return fence, nil
 }
 
-// until is when a holder stops that last wrote at a moment.
-func (m *Manager) until(sent clock.Instant) clock.Instant {
+// expiry returns when a holder must stop whose last successful write was sent at the given instant.
+func (m *Manager) expiry(sent clock.Instant) clock.Instant {
 	return sent.Add(m.options.Length - m.options.Length/guardDivisor)
 }
 
-// read returns the lease's row; a zero one if there is none.
-func (m *Manager) read(ctx context.Context, name string) (row, store.Row, error) {
+// read returns the lease's record and row; the record is zero if there is none.
+func (m *Manager) read(ctx context.Context, name string) (record, store.Row, error) {
 	tableRow, err := m.options.Tables.Get(ctx, tableLease, name)
 	if errors.Is(err, store.ErrNotFound) {
-		return row{}, store.Row{Key: name}, nil
+		return record{}, store.Row{Key: name}, nil
 	}
 	if err != nil {
-		return row{}, store.Row{}, fmt.Errorf("read lease %s: %w", name, err)
+		return record{}, store.Row{}, fmt.Errorf("read lease %s: %w", name, err)
 	}
-	current, err := codec.Decode[row](tableRow.Value)
+	current, err := codec.Decode[record](tableRow.Value)
 	if err != nil {
-		return row{}, store.Row{}, fmt.Errorf("read lease %s: %w", name, err)
+		return record{}, store.Row{}, fmt.Errorf("read lease %s: %w", name, err)
 	}
 	return current, tableRow, nil
 }
 
-// free reports whether the lease may be taken.
-func (m *Manager) free(name string, current row, tableRow store.Row) bool {
+// available reports whether the lease may be acquired.
+func (m *Manager) available(name string, current record, tableRow store.Row) bool {
 	if tableRow.Version == 0 || current.Released {
 		return true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s, ok := m.seen[name]
+	s, ok := m.observed[name]
 	if !ok || s.version != tableRow.Version {
-		m.seen[name] = sighting{version: tableRow.Version, since: clock.Now()}
+		m.observed[name] = observation{version: tableRow.Version, since: clock.Now()}
 		return false
 	}
 	return clock.Since(s.since) >= m.options.Length
 }
 
-// write puts the lease's row as long as nobody took the lease.
-func (m *Manager) write(ctx context.Context, l *Lease, next row) error {
+// writeRecord writes the lease's row unless another host has acquired the lease.
+func (m *Manager) writeRecord(ctx context.Context, l *Lease, next record) error {
 	data, err := codec.Encode(next)
 	if err != nil {
 		return fmt.Errorf("encode lease: %w", err)
@@ -254,59 +256,59 @@
 	}))
 }
 
-// Renew extends a lease; ErrHeld if it was lost. Any
-// other error leaves it as it was, and renewing again is right.
+// Renew extends a lease. It returns ErrHeld if the lease was lost. Any other error leaves the lease
+// as it was, and the caller may retry.
 func (m *Manager) Renew(ctx context.Context, l *Lease) error {
 	l.mu.Lock()
-	l.beat++
-	next := row{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: l.epoch, Beat: l.beat}
+	l.renewals++
+	next := record{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: l.epoch, Renewals: l.renewals}
 	l.mu.Unlock()
 	sent := clock.Now()
-	err := m.write(ctx, l, next)
+	err := m.writeRecord(ctx, l, next)
 	if store.Uncertain(err) {
-		// It may be written: what the row says now tells.
+		// The write may have succeeded, so the current row is checked.
 		now, _, readErr := m.read(ctx, l.name)
 		switch {
 		case readErr != nil:
 			return fmt.Errorf("renew %s: %w", l.name, err)
 		case now.Epoch != l.epoch || now.Incarnation != m.options.Incarnation || now.Released:
 			err = store.ErrConflict
-		case now.Beat == next.Beat:
+		case now.Renewals == next.Renewals:
 			err = nil
 		}
 	}
 	switch {
 	case errors.Is(err, store.ErrConflict):
-		l.end()
+		l.invalidate()
 		return fmt.Errorf("renew %s: %w", l.name, ErrHeld)
 	case err != nil:
 		return fmt.Errorf("renew %s: %w", l.name, err)
 	}
-	l.extend(m.until(sent))
+	l.extend(m.expiry(sent))
 	return nil
 }
 
-// extend has the lease last until a moment at least.
+// extend moves the expiry to the given instant unless it is later already.
 func (l *Lease) extend(until clock.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if until.After(l.until) {
-		l.until = until
+	if until.After(l.expires) {
+		l.expires = until
 	}
 }
 
-// end makes the lease invalid.
-func (l *Lease) end() {
+// invalidate ends the lease on this host at once.
+func (l *Lease) invalidate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.until = clock.Instant{}
+	l.expires = clock.Instant{}
 }
 
-// Release gives a lease up, so that another need not wait.
+// Release gives up a lease, so that another host need not wait for it to expire.
 func (m *Manager) Release(ctx context.Context, l *Lease) error {
-	l.end()
-	next := row{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: l.epoch, Released: true}
-	if err := m.write(ctx, l, next); err != nil {
+	l.invalidate()
+	next := record{Holder: m.options.Host, Incarnation: m.options.Incarnation, Epoch: l.epoch, Released: true}
+	if err := m.writeRecord(ctx, l, next); err != nil {
 		return fmt.Errorf("release %s: %w", l.name, err)
 	}
 	return nil
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -10,21 +10,21 @@
 	"quaybarrow/internal/clock"
 )
 
-// releaseTimeout bounds the last write of a duty.
+// releaseTimeout limits the write that releases a lease.
 const releaseTimeout = 2 * time.Second
 
-// Duty is work that needs one owner. It returns when its context ends, which
-// happens before the lease can be taken by another.
+// Duty is work that one host at a time may do. It must return when its context ends, which happens
+// before another host can acquire the lease.
 type Duty func(ctx context.Context, l *Lease)
 
-// Run competes for a duty until the context ends: it acquires the lease while
-// this host is the owner, runs the duty while it holds it, and releases it.
+// Run competes for a duty until the context ends: it acquires the lease if this host is the
+// assigned one, runs the duty while it holds the lease, and then releases it.
 func (m *Manager) Run(ctx context.Context, name string, duty Duty) {
 	period := m.options.Length / renewDivisor
-	looked, told := clock.Now(), true
+	lastCheck, checkSoon := clock.Now(), true
 	for ctx.Err() == nil {
-		if m.mine(name) && m.due(looked, told, period) {
-			looked, told = clock.Now(), false
+		if m.assigned(name) && m.checkDue(lastCheck, checkSoon, period) {
+			lastCheck, checkSoon = clock.Now(), false
 			if l, err := m.Acquire(ctx, name); err == nil {
 				m.hold(ctx, l, duty)
 			}
@@ -32,46 +32,47 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.look:
-			told = true
+		case <-m.checkSignal:
+			checkSoon = true
 		case <-time.After(period):
 		}
 	}
 }
 
-// due reports whether a lease is looked at that another held at the last look. Hosts that
-// come later look less often, most with the square of their place, so the looks of all stay few; a host
-// whose forerunners are lost comes first as soon as it knows. One that has just started, or was told
-// that a lease is free, looks at once if it is one of the first. One that does not know its place
-// looks at nothing.
-func (m *Manager) due(looked clock.Instant, told bool, period time.Duration) bool {
-	if m.options.Place == nil {
+// checkDue reports whether to check a lease that another host held at the last check. Hosts of
+// higher rank check less often, those above frequentRanks at an interval that grows with the square
+// of their rank, so the total number of checks stays small; a host whose predecessors have failed
+// gets rank 0 as soon as it detects that. A host that has just started, or was told that a lease was
+// released, checks at once if its rank is 0 or 1. A host that does not know its rank checks nothing.
+func (m *Manager) checkDue(lastCheck clock.Instant, checkSoon bool, period time.Duration) bool {
+	if m.options.Rank == nil {
 		return true
 	}
-	place, known := m.options.Place()
+	rank, known := m.options.Rank()
 	if !known {
 		return false
 	}
-	if told && place <= 1 {
+	if checkSoon && rank <= 1 {
 		return true
 	}
-	turns := 1 + place
-	if place > oftenPlaces {
-		turns *= turns
+	intervals := 1 + rank
+	if rank > frequentRanks {
+		intervals *= intervals
 	}
-	return clock.Since(looked) >= period*time.Duration(turns)-period/2
+	return clock.Since(lastCheck) >= period*time.Duration(intervals)-period/2
 }
 
-// oftenPlaces hosts after the first look often: the next one may not reach the store either.
-const oftenPlaces = 2
+// frequentRanks is the number of hosts after the first that check often: the second one may be
+// unable to reach the store, too.
+const frequentRanks = 2
 
-// mine reports whether this host is meant to own the duty.
-func (m *Manager) mine(name string) bool {
-	return m.options.Owner == nil || m.options.Owner(name) == m.options.Host
+// assigned reports whether this host should do the duty.
+func (m *Manager) assigned(name string) bool {
+	return m.options.AssignedHost == nil || m.options.AssignedHost(name) == m.options.Host
 }
 
-// hold runs the duty and renews until the lease is lost, handed on, or the duty
-// returns: a lease held without its duty would keep the duty from everyone.
+// hold runs the duty and renews the lease until the lease is lost, another host is assigned, or the
+// duty returns: a lease held without running its duty would keep all hosts from doing it.
 func (m *Manager) hold(ctx context.Context, l *Lease, duty Duty) {
 	dutyContext, cancel := context.WithCancel(ctx)
 	var wait sync.WaitGroup
@@ -85,25 +86,25 @@
 	if !l.Valid() {
 		return
 	}
-	last, stop := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
+	releaseContext, stop := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer stop()
-	// A release that fails costs the next holder a wait, nothing else.
-	_ = m.Release(last, l)
+	// If the release fails, the next holder has to wait for the expiry; nothing else is affected.
+	_ = m.Release(releaseContext, l)
 }
 
-// renewUntilLost returns when the lease is no longer valid, no longer meant for
-// this host, or the context ends.
+// renewUntilLost renews the lease and returns when it is no longer valid, this host is no longer the
+// assigned one, or the context ends.
 func (m *Manager) renewUntilLost(ctx context.Context, l *Lease) {
 	period := m.options.Length / renewDivisor
 	for {
-		wait := min(period, l.Left())
-		if !clock.Sleep(ctx, wait) || !m.mine(l.name) {
+		wait := min(period, l.Remaining())
+		if !clock.Sleep(ctx, wait) || !m.assigned(l.name) {
 			return
 		}
 		if !l.Valid() {
 			return
 		}
-		renewContext, cancel := context.WithTimeout(ctx, l.Left())
+		renewContext, cancel := context.WithTimeout(ctx, l.Remaining())
 		err := m.Renew(renewContext, l)
 		cancel()
 		if errors.Is(err, ErrHeld) || !l.Valid() {
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -6,117 +6,121 @@
 )
 
 const (
-	// settles is how long after its end a window waits at least: requests that began at its
-	// end may be noted late.
-	settles = 500 * time.Millisecond
-	// waits is how long it waits at most for hosts that do not answer; they may be frozen or
-	// cut off for seconds.
-	waits = 5 * time.Second
-	// goneAfter is after how many windows without an answer a host is not waited for.
-	goneAfter = 3
-	// reportedAgo is how many windows back a ledger that knows of no report begins.
-	reportedAgo = 4
+	// settleTime is the minimum time after a window's end before its counts are complete:
+	// requests that started just before the end may be recorded late.
+	settleTime = 500 * time.Millisecond
+	// maxWait is the maximum time after a window's end to wait for hosts that do not answer;
+	// they may be frozen or unreachable for seconds.
+	maxWait = 5 * time.Second
+	// goneAfterWindows is the number of windows without an answer after which a host is no longer
+	// waited for.
+	goneAfterWindows = 3
+	// lookbackWindows is how many windows before the current one a ledger starts at if no window
+	// was reported before.
+	lookbackWindows = 4
 )
 
-// Ledger is what the host that reports usage knows. Its methods are not for use at once.
+// Ledger collects the counts of all hosts on the host that reports usage. It is not safe for
+// concurrent use.
 type Ledger struct {
-	length   time.Duration
-	accounts map[string]Account   // by lifetime
-	direct   map[string]bool      // lifetimes that have told this ledger themselves
-	answered map[string]time.Time // by host, until when what it has told counts
-	reported Window               // the newest
-	begun    bool                 // some window was reported
+	length             time.Duration
+	usageByIncarnation map[string]HostUsage // by incarnation of a host
+	fromHost           map[string]bool      // incarnations whose own answer was received
+	answeredUntil      map[string]time.Time // by host, the time up to which its counts were received
+	lastReported       Window               // the newest reported window
+	anyReported        bool                 // whether any window was reported
 }
 
-// NewLedger returns a ledger that knows nothing.
+// NewLedger returns an empty ledger.
 func NewLedger(length time.Duration) *Ledger {
-	return &Ledger{length: length, accounts: map[string]Account{}, direct: map[string]bool{}, answered: map[string]time.Time{}}
+	return &Ledger{length: length, usageByIncarnation: map[string]HostUsage{}, fromHost: map[string]bool{}, answeredUntil: map[string]time.Time{}}
 }
 
-// Reported takes in that a window was reported, by this host or one before it.
-func (l *Ledger) Reported(w Window) {
-	l.reported, l.begun = max(l.reported, w), true
-	for lifetime, a := range l.accounts {
-		maps.DeleteFunc(a.Windows, func(counted Window, _ Counts) bool { return counted <= l.reported })
+// MarkReported records that a window was reported, by this host or a previous lease holder.
+func (l *Ledger) MarkReported(w Window) {
+	l.lastReported, l.anyReported = max(l.lastReported, w), true
+	for incarnation, a := range l.usageByIncarnation {
+		maps.DeleteFunc(a.Windows, func(counted Window, _ Counts) bool { return counted <= l.lastReported })
 		if len(a.Windows) == 0 {
-			delete(l.accounts, lifetime)
+			delete(l.usageByIncarnation, incarnation)
 		}
 	}
 }
 
-// Since is the first window that is still to be reported at a time of day.
-func (l *Ledger) Since(now time.Time) Window {
-	if l.begun {
-		return l.reported + 1
+// FirstUnreported returns the first window that is still to be reported at time now.
+func (l *Ledger) FirstUnreported(now time.Time) Window {
+	if l.anyReported {
+		return l.lastReported + 1
 	}
-	return WindowOf(now, l.length) - reportedAgo
+	return WindowOf(now, l.length) - lookbackWindows
 }
 
-// Take takes in what a host has counted until a time of day.
-func (l *Ledger) Take(host string, a Account, until time.Time) {
-	l.answered[host] = until
-	l.direct[a.Lifetime] = true
-	l.set(Account{Lifetime: a.Lifetime, Windows: l.open(a.Windows)})
+// SetHostUsage records the counts that a host itself sent, complete up to the given time of day.
+func (l *Ledger) SetHostUsage(host string, a HostUsage, until time.Time) {
+	l.answeredUntil[host] = until
+	l.fromHost[a.Incarnation] = true
+	l.set(HostUsage{Incarnation: a.Incarnation, Windows: l.unreported(a.Windows)})
 }
 
-// Add takes in what a life of a host had counted, as another one was told; its own word goes before
-// that. Counts only grow, so the larger ones stand.
-func (l *Ledger) Add(a Account) {
-	if l.direct[a.Lifetime] {
+// MergeBackup adds the counts of one incarnation of a host from a backup that another host keeps.
+// The backup is ignored if that incarnation has answered itself. Counts only grow, so the larger
+// of two values is kept.
+func (l *Ledger) MergeBackup(a HostUsage) {
+	if l.fromHost[a.Incarnation] {
 		return
 	}
-	all := Account{Lifetime: a.Lifetime, Windows: maps.Clone(l.accounts[a.Lifetime].Windows)}
-	if all.Windows == nil {
-		all.Windows = map[Window]Counts{}
+	merged := HostUsage{Incarnation: a.Incarnation, Windows: maps.Clone(l.usageByIncarnation[a.Incarnation].Windows)}
+	if merged.Windows == nil {
+		merged.Windows = map[Window]Counts{}
 	}
-	for w, counts := range l.open(a.Windows) {
-		all.Windows[w] = all.Windows[w].most(counts)
+	for w, counts := range l.unreported(a.Windows) {
+		merged.Windows[w] = merged.Windows[w].larger(counts)
 	}
-	l.set(all)
+	l.set(merged)
 }
 
-// open returns the windows that are not reported yet.
-func (l *Ledger) open(windows map[Window]Counts) map[Window]Counts {
-	open := maps.Clone(windows)
-	maps.DeleteFunc(open, func(w Window, _ Counts) bool { return l.begun && w <= l.reported })
-	return open
+// unreported returns the windows that were not reported yet.
+func (l *Ledger) unreported(windows map[Window]Counts) map[Window]Counts {
+	unreported := maps.Clone(windows)
+	maps.DeleteFunc(unreported, func(w Window, _ Counts) bool { return l.anyReported && w <= l.lastReported })
+	return unreported
 }
 
-func (l *Ledger) set(a Account) {
-	delete(l.accounts, a.Lifetime)
+func (l *Ledger) set(a HostUsage) {
+	delete(l.usageByIncarnation, a.Incarnation)
 	if len(a.Windows) > 0 {
-		l.accounts[a.Lifetime] = a
+		l.usageByIncarnation[a.Incarnation] = a
 	}
 }
 
-// Due lists the windows to be reported at a time of day, oldest first. A window is complete
-// once all hosts have answered after its end; those that do not are waited for.
+// Due lists the reports that are due at time now, oldest first. A window is complete once all hosts
+// have answered after its end; hosts that have not are waited for up to maxWait.
 func (l *Ledger) Due(now time.Time) []Report {
 	var due []Report
-	for w := l.Since(now); ; w++ {
+	for w := l.FirstUnreported(now); ; w++ {
 		end := w.End(l.length)
-		some, all := l.told(end)
-		if !some || (!all && now.Before(end.Add(waits))) {
+		some, all := l.answeredAfter(end)
+		if !some || (!all && now.Before(end.Add(maxWait))) {
 			return due
 		}
 		r := Report{Window: w, Counts: l.sum(w)}
-		if len(r.Counts) == 0 && !l.begun && len(due) == 0 {
-			continue // there were no requests yet
+		if len(r.Counts) == 0 && !l.anyReported && len(due) == 0 {
+			continue // no requests were ever reported, so there is nothing to report yet
 		}
 		due = append(due, r)
 	}
 }
 
-// told reports whether some hosts, and whether all that answer, have told of a window after its
-// end; one that has told nothing since long before it is gone. A ledger that nobody has told
-// anything knows of no requests, which is not to know that there were none.
-func (l *Ledger) told(end time.Time) (some, all bool) {
+// answeredAfter reports whether some host, and whether every host that is not gone, has answered
+// after a window's end. A host counts as gone if its last answer is goneAfterWindows older than the
+// end. Without any answer the ledger has no counts, which does not mean that there were no requests.
+func (l *Ledger) answeredAfter(end time.Time) (some, all bool) {
 	all = true
-	for _, until := range l.answered {
+	for _, until := range l.answeredUntil {
 		switch {
-		case !until.Before(end.Add(settles)):
+		case !until.Before(end.Add(settleTime)):
 			some = true
-		case until.After(end.Add(-goneAfter * l.length)):
+		case until.After(end.Add(-goneAfterWindows * l.length)):
 			all = false
 		}
 	}
@@ -125,7 +129,7 @@
 
 func (l *Ledger) sum(w Window) Counts {
 	sum := Counts{}
-	for _, a := range l.accounts {
+	for _, a := range l.usageByIncarnation {
 		sum = sum.plus(a.Windows[w])
 	}
 	return sum
