--- a/internal/clock/deadlines.go
+++ b/internal/clock/deadlines.go
@@ -45,9 +45,9 @@
 // untilKey is under which a context knows its moment.
 type untilKey struct{}
 
-// Over reports whether a context has ended, or the moment has come at which one by With ends:
+// Expired reports whether a context has ended, or the moment has come at which one by With ends:
 // for the place right before what can't be undone. There a timer may still be to come.
-func Over(ctx context.Context) bool {
+func Expired(ctx context.Context) bool {
 	until, ok := ctx.Value(untilKey{}).(Instant)
 	return ctx.Err() != nil || ok && !Now().Before(until)
 }
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -67,7 +67,7 @@
 	var last error
 	crashes := 0
 	for attempt := range MaxAttempts {
-		if clock.Over(ctx) {
+		if clock.Expired(ctx) {
 			break
 		}
 		standing := d.standing(call.Fingerprint)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -112,7 +112,7 @@
 	var last error
 	crashes := 0
 	for attempt := range MaxAttempts {
-		if clock.Over(ctx) {
+		if clock.Expired(ctx) {
 			break
 		}
 		if err := request.Allowed(); err != nil {
@@ -163,7 +163,7 @@
 // failed is the problem of a request that got no answer.
 func (d *Dispatcher) failed(ctx context.Context, run problem.Run, last error) error {
 	switch {
-	case clock.Over(ctx):
+	case clock.Expired(ctx):
 		return problem.New(http.StatusGatewayTimeout, problem.CodeDeadline, run, "no answer came in time").WithCause(last)
 	case last == nil || run == problem.NotRun:
 		return problem.New(http.StatusServiceUnavailable, problem.CodeNoCapacity, run,
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -106,7 +106,7 @@
 // waits and connections take time, and a machine may have been suspended in between.
 func (x *exchange) stillWanted(ctx context.Context) error {
 	switch {
-	case clock.Over(ctx):
+	case clock.Expired(ctx):
 		return context.DeadlineExceeded
 	case x.standing().Quarantined:
 		return errQuarantined
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -110,7 +110,7 @@
 // mayRepeat decides whether the request is sent once more, and tells why.
 func (x *exchange) mayRepeat(err error) (may bool, reason string) {
 	switch {
-	case clock.Over(x.ctx):
+	case clock.Expired(x.ctx):
 		return false, "time is over"
 	case errors.Is(err, errRefused), errors.Is(err, errLimited):
 		return false, "refused"
@@ -225,7 +225,7 @@
 // verdict is what a caller is told after the last error. Only where no endpoint
 // can have run the request is it told that it did not run.
 func (x *exchange) verdict(err error) refusal {
-	late := clock.Over(x.ctx)
+	late := clock.Expired(x.ctx)
 	reason := "no answer"
 	if err != nil {
 		reason = err.Error()
