--- a/internal/clock/deadlines_test.go
+++ b/internal/clock/deadlines_test.go
@@ -23,7 +23,7 @@
 		defer endLong()
 		time.Sleep(time.Millisecond)
 		began := time.Now()
-		clock.Suspend(6 * time.Second)
+		clock.SimulateSuspension(6 * time.Second)
 		<-short.Done()
 		if after := time.Since(began); after > 200*time.Millisecond {
 			t.Errorf("it ended %v after the machine was back", after)
--- a/internal/clock/instant_test.go
+++ b/internal/clock/instant_test.go
@@ -12,7 +12,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		before := clock.Now()
 		time.Sleep(2 * time.Second)
-		clock.Suspend(5 * time.Second)
+		clock.SimulateSuspension(5 * time.Second)
 		if since := clock.Since(before); since != 7*time.Second {
 			t.Errorf("%v have passed, want 7s", since)
 		}
--- a/internal/clock/suspended_test.go
+++ b/internal/clock/suspended_test.go
@@ -38,7 +38,7 @@
 					r.Heard(clock.Bounds{Earliest: shown, Latest: shown}, sent, clock.Now())
 				}
 				hear(s.before)
-				clock.Suspend(s.suspended)
+				clock.SimulateSuspension(s.suspended)
 				gone += s.suspended
 				checkBounds(t, &r, other(), s.before+2*time.Millisecond)
 				if s.after > 0 {
@@ -53,7 +53,7 @@
 func TestSteadyCountsSuspensions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := clock.NewSteady()
-		clock.Suspend(3 * time.Second)
+		clock.SimulateSuspension(3 * time.Second)
 		if c.Now() != 3*time.Second {
 			t.Errorf("%s", c.Now())
 		}
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -100,9 +100,9 @@
 	return time.Duration(machine.total.Load())
 }
 
-// Suspend has Instants count as if the machine had been suspended for so long: for tests, whose
+// SimulateSuspension has Instants count as if the machine had been suspended for so long: for tests, whose
 // paused clock knows no suspension.
-func Suspend(d time.Duration) {
+func SimulateSuspension(d time.Duration) {
 	machine.mu.Lock()
 	defer machine.mu.Unlock()
 	machine.added += int64(d)
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -97,7 +97,7 @@
 	It("uses none again that rested too long while the machine was suspended", func() {
 		withEndpoint(standin.Reply{Status: 200, Body: "x"}, func(p *conn.Pool, e *standin.Endpoint) {
 			for _, away := range []time.Duration{0, time.Second, 10 * time.Second} {
-				clock.Suspend(away)
+				clock.SimulateSuspension(away)
 				c, err := p.Get(ctx, address, 1)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(exchange(c)).To(Equal("x"))
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -39,7 +39,7 @@
 				answers := make(chan standin.Answer, 1)
 				go func() { answers <- r.ask(q) }()
 				time.Sleep(50 * time.Millisecond)
-				clock.Suspend(s.lasts)
+				clock.SimulateSuspension(s.lasts)
 				Expect((<-answers).Err).NotTo(HaveOccurred(), "an answer is delivered, late too")
 				Expect(r.runs()).To(Equal(s.runs))
 				Expect(r.lastLeft()).To(BeNumerically("<=", s.left))
@@ -51,7 +51,7 @@
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
-			clock.Suspend(time.Hour)
+			clock.SimulateSuspension(time.Hour)
 			Expect(r.ask(request("POST", "/once/1", "x")).Status).To(Equal(http.StatusOK))
 		})
 	})
--- a/internal/gatewayd/suspended_test.go
+++ b/internal/gatewayd/suspended_test.go
@@ -28,7 +28,7 @@
 			go func() { _, _ = io.WriteString(c, q.Text()) }()
 			time.Sleep(time.Second)
 			began := time.Now()
-			clock.Suspend(6 * time.Second)
+			clock.SimulateSuspension(6 * time.Second)
 			a := standin.ReadAnswer(bufio.NewReader(c))
 			Expect(a.Err).NotTo(HaveOccurred())
 			Expect(a.Status).To(Equal(http.StatusGatewayTimeout))
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -67,7 +67,7 @@
 			l, err := manager(table.New(table.Options{}), "a").Acquire(ctx, "duty")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(l.Valid()).To(BeTrue())
-			clock.Suspend(length)
+			clock.SimulateSuspension(length)
 			Expect(l.Valid()).To(BeFalse())
 			Expect(l.Left()).To(BeNumerically("<", 0))
 		})
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -91,7 +91,7 @@
 			synctest.Wait()
 			age, _ = h.Age()
 			Expect(age).To(BeZero())
-			clock.Suspend(5 * time.Second)
+			clock.SimulateSuspension(5 * time.Second)
 			age, _ = h.Age()
 			Expect(age).To(Equal(5*time.Second), "what others changed while the machine was suspended is not known")
 		})
