--- a/internal/clock/deadlines.go
+++ b/internal/clock/deadlines.go
@@ -82,9 +82,9 @@
 // Watch tells of suspensions, after it has ended the contexts whose time was over by then; until
 // ctx ends.
 func (d *Deadlines) Watch(ctx context.Context, tell func(lasted time.Duration)) {
-	known := Suspended()
+	known := SuspendedTime()
 	for Sleep(ctx, watchEvery) {
-		now := Suspended()
+		now := SuspendedTime()
 		if now-known < suspensionLeast {
 			continue
 		}
--- a/internal/clock/instant_test.go
+++ b/internal/clock/instant_test.go
@@ -32,7 +32,7 @@
 	if since < 20*time.Millisecond || since > real {
 		t.Errorf("%v have passed by instants, %v by the runtime", since, real)
 	}
-	if suspended := clock.Suspended(); clock.Suspended() != suspended {
+	if suspended := clock.SuspendedTime(); clock.SuspendedTime() != suspended {
 		t.Error("this machine is said to be suspended all the time")
 	}
 }
@@ -46,6 +46,6 @@
 // BenchmarkSuspended is what each Now would cost that asks the kernel.
 func BenchmarkSuspended(b *testing.B) {
 	for b.Loop() {
-		clock.Suspended()
+		clock.SuspendedTime()
 	}
 }
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -94,8 +94,8 @@
 	return reading{least: boot.Nano() - after.Nano(), most: boot.Nano() - before.Nano(), known: true}
 }
 
-// Suspended is for how long the machine was suspended since the process began.
-func Suspended() time.Duration {
+// SuspendedTime is for how long the machine was suspended since the process began.
+func SuspendedTime() time.Duration {
 	machine.ask()
 	return time.Duration(machine.total.Load())
 }
