--- a/internal/clock/remote.go
+++ b/internal/clock/remote.go
@@ -36,8 +36,8 @@
 	at     Instant
 }
 
-// Heard takes in what the clock showed between two moments.
-func (r *Remote) Heard(shown Bounds, sent, arrived Instant) {
+// Observe takes in what the clock showed between two moments.
+func (r *Remote) Observe(shown Bounds, sent, arrived Instant) {
 	heard := Bounds{Earliest: shown.Earliest, Latest: shown.Latest + arrived.Sub(sent)}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/clock/remote_test.go
+++ b/internal/clock/remote_test.go
@@ -35,7 +35,7 @@
 					time.Sleep(q.there)
 					shown := other.Now()
 					time.Sleep(q.back)
-					r.Heard(clock.Bounds{Earliest: shown, Latest: shown}, sent, clock.Now())
+					r.Observe(clock.Bounds{Earliest: shown, Latest: shown}, sent, clock.Now())
 				}
 				checkBounds(t, &r, other.Now(), e.width)
 			})
@@ -61,8 +61,8 @@
 			t.Error("a clock is known that nothing was heard of")
 		}
 		hour, second := clock.Bounds{Earliest: time.Hour, Latest: time.Hour}, clock.Bounds{Earliest: time.Second, Latest: time.Second}
-		r.Heard(hour, clock.Now(), clock.Now())
-		r.Heard(second, clock.Now(), clock.Now())
+		r.Observe(hour, clock.Now(), clock.Now())
+		r.Observe(second, clock.Now(), clock.Now())
 		checkBounds(t, &r, time.Second, 0)
 	})
 }
@@ -70,7 +70,7 @@
 func TestRemoteWidensWithAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r clock.Remote
-		r.Heard(clock.Bounds{}, clock.Now(), clock.Now())
+		r.Observe(clock.Bounds{}, clock.Now(), clock.Now())
 		time.Sleep(time.Hour)
 		b, _ := r.Now()
 		if want := 2 * 200 * time.Microsecond * 3600; b.Width() != want {
--- a/internal/clock/suspended_test.go
+++ b/internal/clock/suspended_test.go
@@ -35,7 +35,7 @@
 				hear := func(took time.Duration) {
 					sent, shown := clock.Now(), other()
 					time.Sleep(took)
-					r.Heard(clock.Bounds{Earliest: shown, Latest: shown}, sent, clock.Now())
+					r.Observe(clock.Bounds{Earliest: shown, Latest: shown}, sent, clock.Now())
 				}
 				hear(s.before)
 				clock.SimulateSuspension(s.suspended)
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -264,7 +264,7 @@
 // hear notes what another host says of the store's clock, of which it may know nothing.
 func (w *Watcher) hear(shown clock.Bounds, sent clock.Instant) {
 	if shown.Earliest > 0 && shown.Latest >= shown.Earliest {
-		w.clock.Heard(shown, sent, clock.Now())
+		w.clock.Observe(shown, sent, clock.Now())
 	}
 }
 
