--- a/internal/billing/entry.go
+++ b/internal/billing/entry.go
@@ -63,7 +63,7 @@
 	l.mu.Lock()
 	l.pending[bill.Copy] = bill
 	l.mu.Unlock()
-	l.wake.Poke()
+	l.wake.Notify()
 	return bill
 }
 
@@ -83,7 +83,7 @@
 	}
 	l.mu.Unlock()
 	l.closed(id)
-	l.wake.Poke()
+	l.wake.Notify()
 }
 
 // closed forgets a bill that needs nothing more, and has its holders told.
--- a/internal/billing/flush.go
+++ b/internal/billing/flush.go
@@ -53,7 +53,7 @@
 		}
 		if err := l.Flush(ctx); err != nil {
 			backoff = min(max(backoff*2, minBackoff), maxBackoff)
-			l.wake.Poke()
+			l.wake.Notify()
 			continue
 		}
 		backoff = 0
--- a/internal/billing/held.go
+++ b/internal/billing/held.go
@@ -124,7 +124,7 @@
 		}
 		l.pending[id] = b
 	}
-	l.wake.Poke()
+	l.wake.Notify()
 }
 
 // SweepIntents settles intents whose hosts are gone; it is run by one host at a
@@ -172,5 +172,5 @@
 	if _, ok := l.pending[b.Copy]; !ok {
 		l.pending[b.Copy] = b.WithState(StateInterrupted, time.Now().UTC())
 	}
-	l.wake.Poke()
+	l.wake.Notify()
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -137,7 +137,7 @@
 }
 
 // Look has the host look at its leases at once: one was released.
-func (m *Manager) Look() { m.look.Poke() }
+func (m *Manager) Look() { m.look.Notify() }
 
 // Acquire takes a lease, or returns ErrHeld.
 func (m *Manager) Acquire(ctx context.Context, name string) (*Lease, error) {
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -188,7 +188,7 @@
 func (b *Book) changed() {
 	b.view, b.judged = nil, false
 	b.watching.Store(slices.ContainsFunc(slices.Collect(maps.Values(b.rows)), func(r row) bool { return !r.isEmpty() }))
-	b.news.Poke()
+	b.news.Notify()
 }
 
 // tell notes that there is other evidence which others have to know.
@@ -200,8 +200,8 @@
 	}
 	b.rows[b.options.Host] = mine
 	b.changed()
-	b.due.Poke()
-	b.save.Poke()
+	b.due.Notify()
+	b.save.Notify()
 }
 
 // now is the clock that all hosts share.
@@ -345,7 +345,7 @@
 	}
 	b.changed()
 	if b.kept && b.own().isEmpty() {
-		b.save.Poke() // the row goes
+		b.save.Notify() // the row goes
 	}
 }
 
--- a/internal/quarantine/relay.go
+++ b/internal/quarantine/relay.go
@@ -63,7 +63,7 @@
 	if whole {
 		r.whole = max(r.whole, scope)
 	}
-	r.due.Poke()
+	r.due.Notify()
 }
 
 // take returns the hosts whose rows are to be passed on to the group, and of them those for all hosts,
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -115,7 +115,7 @@
 		options: o, lender: NewLender(), wake: wake.NewSignal(), asks: make(chan struct{}, asksMost),
 		away: map[string]clock.Instant{}, failing: map[string]bool{},
 	}
-	o.Fleet.OnWanted(d.wake.Poke)
+	o.Fleet.OnWanted(d.wake.Notify)
 	return d
 }
 
@@ -125,7 +125,7 @@
 	defer working.Wait()
 	working.Go(func() { d.learn(ctx) })
 	// As a function's, the timer may be due at its setting; see clock.Sleep.
-	later := time.AfterFunc(0, d.wake.Poke)
+	later := time.AfterFunc(0, d.wake.Notify)
 	defer later.Stop()
 	for {
 		select {
--- a/internal/ratelimit/rig_test.go
+++ b/internal/ratelimit/rig_test.go
@@ -130,7 +130,7 @@
 		h.working.Go(func() { desk.Run(ctx) })
 	} else {
 		signal := wake.NewSignal()
-		f.OnWanted(signal.Poke)
+		f.OnWanted(signal.Notify)
 		h.working.Go(func() { h.split(ctx, f, signal) })
 	}
 }
@@ -150,7 +150,7 @@
 // split lends this host its part of each limit.
 func (h *simHost) split(ctx context.Context, f *fleet.Fleet, signal wake.Signal) {
 	lender := ratelimit.NewLender()
-	later := time.AfterFunc(0, signal.Poke)
+	later := time.AfterFunc(0, signal.Notify)
 	defer later.Stop()
 	for {
 		select {
--- a/internal/upgrade/tracker.go
+++ b/internal/upgrade/tracker.go
@@ -104,7 +104,7 @@
 	t.services[o.Service] = s
 	t.recall(s)
 	t.options.Logger.Info("upgrade ordered", "service", o.Service, "target", o.Target, "within", o.Within.String(), "revision", o.Revision)
-	t.wake.Poke()
+	t.wake.Notify()
 }
 
 // Report is what an answer told of a version.
@@ -158,7 +158,7 @@
 		s.own.blame(r.Endpoint)
 	}
 	if count.Bad > 0 && !s.othersFail() {
-		t.wake.Poke() // others should know at once
+		t.wake.Notify() // others should know at once
 	}
 	t.judge(s)
 }
@@ -287,7 +287,7 @@
 	}
 	fields := []any{"service", s.order.Service, "target", s.order.Target, "hosts", len(s.others) + 1}
 	t.options.Logger.Warn("version found bad; it gets nothing more from this host", append(append(fields, "cause", s.condemned), j.fields()...)...)
-	t.wake.Poke()
+	t.wake.Notify()
 }
 
 // mayBeItsOwn is why a version is taken back that can't be told from a bad one.
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -15,8 +15,8 @@
 // NewSignal returns a signal that is not given.
 func NewSignal() Signal { return make(Signal, 1) }
 
-// Poke gives the signal.
-func (s Signal) Poke() {
+// Notify gives the signal.
+func (s Signal) Notify() {
 	select {
 	case s <- struct{}{}:
 	default:
