--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -45,7 +45,7 @@
 
 // keep keeps what this host has seen in the store.
 func (b *Book) keep(ctx context.Context) {
-	for b.save.Await(ctx) {
+	for b.save.Wait(ctx) {
 		if !b.isLoaded() {
 			continue // it is kept then
 		}
--- a/internal/quarantine/relay.go
+++ b/internal/quarantine/relay.go
@@ -86,7 +86,7 @@
 
 // pass passes on what this host is to, as long as the context lasts.
 func (b *Book) pass(ctx context.Context) {
-	for b.relays.due.Await(ctx) {
+	for b.relays.due.Wait(ctx) {
 		clock.Sleep(ctx, relayGather)
 		b.relays.due.Drain()
 		group, all, whole := b.relays.take()
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -88,7 +88,7 @@
 
 // push tells all other hosts what this one has seen, as soon as there is something.
 func (b *Book) push(ctx context.Context) {
-	for b.due.Await(ctx) {
+	for b.due.Wait(ctx) {
 		if !b.isLoaded() {
 			continue // it is told then
 		}
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Await waits for the signal; false if the context ends first.
-func (s Signal) Await(ctx context.Context) bool {
+// Wait waits for the signal; false if the context ends first.
+func (s Signal) Wait(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
