--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -314,7 +314,7 @@
 	}
 	b.forget()
 	b.outlast()
-	b.news.Drain()
+	b.news.Clear()
 	before := b.verdicts
 	v := b.seen()
 	e := v.Evidence
--- a/internal/quarantine/relay.go
+++ b/internal/quarantine/relay.go
@@ -88,7 +88,7 @@
 func (b *Book) pass(ctx context.Context) {
 	for b.relays.due.Wait(ctx) {
 		clock.Sleep(ctx, relayGather)
-		b.relays.due.Drain()
+		b.relays.due.Clear()
 		group, all, whole := b.relays.take()
 		b.mu.Lock()
 		near, far := b.encoded(group), b.encoded(all)
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -93,7 +93,7 @@
 			continue // it is told then
 		}
 		clock.Sleep(ctx, gather)
-		b.due.Drain()
+		b.due.Clear()
 		b.mu.Lock()
 		rows := b.encoded([]string{b.options.Host})
 		b.mu.Unlock()
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Drain takes the signal back, if it is given.
-func (s Signal) Drain() {
+// Clear takes the signal back, if it is given.
+func (s Signal) Clear() {
 	select {
 	case <-s:
 	default:
