--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -36,8 +36,8 @@
 	awayAfter = 3 * time.Second
 )
 
-// Picture takes in what the table says.
-type Picture interface {
+// Replica takes in what the table says.
+type Replica interface {
 	// Reset replaces everything; away tells that the store was not reached a
 	// moment ago.
 	Reset(rows []store.Row, away bool)
@@ -57,7 +57,7 @@
 // follower is a follower's state.
 type follower struct {
 	Options
-	picture Picture
+	picture Replica
 	version int64 // -1 until the table was read
 	lost    bool
 	failed  clock.Instant // the last error
@@ -65,7 +65,7 @@
 }
 
 // Run follows a table until the context ends.
-func Run(ctx context.Context, o Options, p Picture) {
+func Run(ctx context.Context, o Options, p Replica) {
 	f := &follower{Options: o, picture: p, version: -1, retry: retryFirst}
 	for ctx.Err() == nil {
 		err := f.step(ctx)
