--- a/internal/measure/hosts.go
+++ b/internal/measure/hosts.go
@@ -30,7 +30,7 @@
 
 // manyHosts is many hosts with only what spreads: membership and configuration.
 type manyHosts struct {
-	network *peer.Local
+	network *peer.LocalNetwork
 	hosts   []*spreadHost
 	bytes   atomic.Int64
 	latency func(from, to string) time.Duration
--- a/internal/peer/local.go
+++ b/internal/peer/local.go
@@ -7,9 +7,9 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// Local joins hosts of one process without a network: for tests and for
+// LocalNetwork joins hosts of one process without a network: for tests and for
 // measurements of many hosts. Links can be cut per pair of hosts.
-type Local struct {
+type LocalNetwork struct {
 	mu       sync.Mutex // guards all below
 	handlers map[string]Handler
 	cuts     map[cutPair]bool
@@ -20,12 +20,12 @@
 type cutPair struct{ from, to string }
 
 // NewLocal returns a network without hosts.
-func NewLocal() *Local {
-	return &Local{handlers: map[string]Handler{}, cuts: map[cutPair]bool{}}
+func NewLocal() *LocalNetwork {
+	return &LocalNetwork{handlers: map[string]Handler{}, cuts: map[cutPair]bool{}}
 }
 
 // Serve answers at an address; a nil handler closes it.
-func (l *Local) Serve(address string, h Handler) {
+func (l *LocalNetwork) Serve(address string, h Handler) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if h == nil {
@@ -36,7 +36,7 @@
 }
 
 // Cut breaks or mends both directions between two addresses.
-func (l *Local) Cut(a, b string, on bool) {
+func (l *LocalNetwork) Cut(a, b string, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cuts[cutPair{a, b}] = on
@@ -44,18 +44,18 @@
 }
 
 // Messages counts the calls that got through.
-func (l *Local) Messages() int64 {
+func (l *LocalNetwork) Messages() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.messages
 }
 
 // Link returns the link of the host at an address.
-func (l *Local) Link(from string) Link { return localLink{network: l, from: from} }
+func (l *LocalNetwork) Link(from string) Link { return localLink{network: l, from: from} }
 
 // localLink implements Link by direct calls.
 type localLink struct {
-	network *Local
+	network *LocalNetwork
 	from    string
 }
 
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -85,7 +85,7 @@
 	Engines  []*engine.Engine
 	Services map[string]*service.Service
 	Hosts    []*Host
-	Peers    *peer.Local // in memory only
+	Peers    *peer.LocalNetwork // in memory only
 	Net      *memnet.Network
 
 	options Options
