--- a/internal/measure/hosts.go
+++ b/internal/measure/hosts.go
@@ -125,7 +125,7 @@
 // newFleet starts hosts spread over data halls and regions.
 func newFleet(count int, rows *table.Store, latency func(from, to string) time.Duration) *manyHosts {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &manyHosts{network: peer.NewLocal(), latency: latency, cancel: cancel}
+	f := &manyHosts{network: peer.NewLocalNetwork(), latency: latency, cancel: cancel}
 	log := config.NewLog(rows)
 	halls := min(dataHalls, max(3, count/20))
 	for i := range count {
--- a/internal/peer/local.go
+++ b/internal/peer/local.go
@@ -19,8 +19,8 @@
 // cutPair is a direction between two addresses.
 type cutPair struct{ from, to string }
 
-// NewLocal returns a network without hosts.
-func NewLocal() *LocalNetwork {
+// NewLocalNetwork returns a network without hosts.
+func NewLocalNetwork() *LocalNetwork {
 	return &LocalNetwork{handlers: map[string]Handler{}, cuts: map[cutPair]bool{}}
 }
 
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -157,7 +157,7 @@
 		listeners: map[string]net.Listener{}, logger: log.NewWithOptions(io.Discard, log.Options{}),
 	}
 	if options.Memory {
-		c.Net, c.Peers = memnet.New(), peer.NewLocal()
+		c.Net, c.Peers = memnet.New(), peer.NewLocalNetwork()
 	}
 	if options.Log != nil {
 		c.logger = log.NewWithOptions(options.Log, log.Options{ReportTimestamp: true, TimeFormat: "15:04:05.000"})
