--- a/internal/faults/scenarios_test.go
+++ b/internal/faults/scenarios_test.go
@@ -129,7 +129,7 @@
 		Expect(near.Hall).To(Equal(far.Hall))
 		w.c.Isolate(near, true)
 		w.c.Isolate(far, true)
-		w.c.Peers.Cut(near.Peers(), far.Peers(), false)
+		w.c.Peers.SetPartitioned(near.Peers(), far.Peers(), false)
 		outcome, err := w.withdraw(0, supportTwo)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(outcome.Everywhere).To(BeFalse())
--- a/internal/peer/local.go
+++ b/internal/peer/local.go
@@ -35,8 +35,8 @@
 	l.handlers[address] = h
 }
 
-// Cut breaks or mends both directions between two addresses.
-func (l *LocalNetwork) Cut(a, b string, on bool) {
+// SetPartitioned breaks or mends both directions between two addresses.
+func (l *LocalNetwork) SetPartitioned(a, b string, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cuts[cutPair{a, b}] = on
--- a/internal/standin/cluster/host.go
+++ b/internal/standin/cluster/host.go
@@ -150,7 +150,7 @@
 	}
 	for _, other := range c.Hosts {
 		if other != h {
-			c.Peers.Cut(h.Peers(), other.Peers(), on)
+			c.Peers.SetPartitioned(h.Peers(), other.Peers(), on)
 		}
 	}
 }
