--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -64,7 +64,7 @@
 		}
 		h.checkCertificate()
 		if link, ok := h.Link.(*rpc.Link); ok {
-			link.Forget(h.isMember)
+			link.Prune(h.isMember)
 		}
 	}
 }
--- a/internal/peer/rpc/link.go
+++ b/internal/peer/rpc/link.go
@@ -79,8 +79,8 @@
 	return c, nil
 }
 
-// Forget closes the connections to hosts that are no longer there.
-func (l *Link) Forget(keep func(address string) bool) {
+// Prune closes the connections to hosts that are no longer there.
+func (l *Link) Prune(keep func(address string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for address, c := range l.conns {
