--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -116,8 +116,8 @@
 	return d.Sum64()
 }
 
-// ByHall groups members by data hall.
-func ByHall(members []Member) map[string][]Member {
+// ByDataHall groups members by data hall.
+func ByDataHall(members []Member) map[string][]Member {
 	halls := map[string][]Member{}
 	for _, m := range members {
 		halls[m.DataHall] = append(halls[m.DataHall], m)
