--- a/internal/measure/hosts.go
+++ b/internal/measure/hosts.go
@@ -183,7 +183,7 @@
 		perHost := func(v float64) float64 { return v / elapsed / float64(n) }
 		after := store.Counts()
 		rate := 2 * perHost(float64(f.bytes.Load()-bytes)) // each message is seen by two hosts
-		watched := len(f.hosts[0].members.View().Watched())
+		watched := len(f.hosts[0].members.View().PingTargets())
 		t.Rows = append(t.Rows, []string{
 			fmt.Sprint(n), fmt.Sprint(min(dataHalls, max(3, n/20))), fmt.Sprint(watched),
 			fmt.Sprintf("%.1f", perHost(float64(f.network.Messages()-messages))), fmt.Sprintf("%.0f", rate),
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -90,7 +90,7 @@
 
 // period is the time between two pings of a watched host.
 func (m *Membership) period() time.Duration {
-	watched := len(m.View().Watched())
+	watched := len(m.View().PingTargets())
 	return m.options.Ping * time.Duration(max(watched, pingsPerPeriod)) / pingsPerPeriod
 }
 
@@ -122,7 +122,7 @@
 	ctx, cancel := context.WithTimeout(ctx, m.options.Ping)
 	defer cancel()
 	var wait sync.WaitGroup
-	for _, w := range m.View().Watched() {
+	for _, w := range m.View().PingTargets() {
 		wait.Go(func() { m.ping(ctx, w) })
 	}
 	wait.Wait()
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -128,11 +128,11 @@
 // hallWatched is how many hosts of its own data hall a host watches.
 const hallWatched = 6
 
-// Watched returns the members that self pings: the next few of its own data
+// PingTargets returns the members that self pings: the next few of its own data
 // hall, one of every other data hall of its region, and one of every other
 // region. So the count does not grow with the hosts, and a change of
 // configuration still reaches every host by pings alone.
-func (v View) Watched() []Member {
+func (v View) PingTargets() []Member {
 	self, ok := v.Member(v.Self)
 	if !ok {
 		return v.Others()
