--- a/internal/billing/copies.go
+++ b/internal/billing/copies.go
@@ -38,7 +38,7 @@
 func Holders(view membership.View, avoided func(host string) bool) []membership.Member {
 	self, _ := view.Member(view.Self)
 	var elsewhere, here []membership.Member
-	for _, m := range membership.Rank(view.Others(), view.Self) {
+	for _, m := range membership.Rank(view.ReachableOthers(), view.Self) {
 		switch {
 		case m.State != membership.StateLive || avoided(m.Host):
 		case m.DataHall == self.DataHall:
--- a/internal/config/spread.go
+++ b/internal/config/spread.go
@@ -243,7 +243,7 @@
 	self, _ := view.Member(view.Self)
 	var targets []peer.Target
 	rest := map[string][]peer.Target{}
-	for hall, members := range membership.ByDataHall(view.Others()) {
+	for hall, members := range membership.ByDataHall(view.ReachableOthers()) {
 		if hall == self.DataHall {
 			for _, m := range members {
 				targets = append(targets, targetOf(m))
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -69,9 +69,9 @@
 	return live
 }
 
-// Others returns the members that are not suspected, without self. A draining
+// ReachableOthers returns the members that are not suspected, without self. A draining
 // host still answers, so it is among them.
-func (v View) Others() []Member {
+func (v View) ReachableOthers() []Member {
 	others := make([]Member, 0, len(v.Members))
 	for _, m := range v.Members {
 		if m.Host != v.Self && m.State != StateSuspect {
@@ -135,7 +135,7 @@
 func (v View) PingTargets() []Member {
 	self, ok := v.Member(v.Self)
 	if !ok {
-		return v.Others()
+		return v.ReachableOthers()
 	}
 	var hall []Member
 	halls, regions := map[string][]Member{}, map[string][]Member{}
