--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -13,7 +13,7 @@
 
 // Ping implements peer.Handler.
 func (p *peerHandler) Ping(_ context.Context, s peer.Status) (peer.Status, error) {
-	return p.host.Membership.Answer(s), nil
+	return p.host.Membership.HandlePing(s), nil
 }
 
 // Fetch implements peer.Handler.
--- a/internal/measure/hosts.go
+++ b/internal/measure/hosts.go
@@ -56,7 +56,7 @@
 
 // Ping implements peer.Handler.
 func (h *spreadHost) Ping(_ context.Context, s peer.Status) (peer.Status, error) {
-	return h.members.Answer(s), nil
+	return h.members.HandlePing(s), nil
 }
 
 // Fetch implements peer.Handler.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -149,8 +149,8 @@
 	m.heard[host] = h
 }
 
-// Answer takes in another host's ping and returns this host's status.
-func (m *Membership) Answer(status peer.Status) peer.Status {
+// HandlePing takes in another host's ping and returns this host's status.
+func (m *Membership) HandlePing(status peer.Status) peer.Status {
 	m.hear(status, clock.Now())
 	return m.options.Self()
 }
