--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -40,7 +40,7 @@
 // Show implements peer.Handler.
 func (p *peerHandler) Show(_ context.Context, query peer.Query) (peer.Reply, error) {
 	if query.Subject == membership.QueryHosts {
-		return p.host.Membership.AnswerList(query.ID)
+		return p.host.Membership.HandleListQuery(query.ID)
 	}
 	return p.host.Queries.Answer(query)
 }
--- a/internal/measure/hosts.go
+++ b/internal/measure/hosts.go
@@ -77,7 +77,7 @@
 
 // Show implements peer.Handler.
 func (h *spreadHost) Show(_ context.Context, q peer.Query) (peer.Reply, error) {
-	return h.members.AnswerList(q.ID)
+	return h.members.HandleListQuery(q.ID)
 }
 
 // Tell implements peer.Handler.
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -85,8 +85,8 @@
 	return strconv.FormatUint(d.Sum64(), 16)
 }
 
-// AnswerList answers another host that asks for the list.
-func (m *Membership) AnswerList(known string) (peer.Reply, error) {
+// HandleListQuery answers another host that asks for the list.
+func (m *Membership) HandleListQuery(known string) (peer.Reply, error) {
 	m.mu.Lock()
 	hosts := m.all
 	m.mu.Unlock()
