--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -26,9 +26,9 @@
 	Self func() peer.Status
 	// Observe is told of every status heard, with the time its host could
 	// have sent it at the latest; nil if nobody listens.
-	Observe func(status peer.Status, at clock.Instant)
-	Ping    time.Duration
-	List    time.Duration
+	Observe    func(status peer.Status, at clock.Instant)
+	PingPeriod time.Duration
+	List       time.Duration
 }
 
 // heard is what is known of a host from pings.
@@ -91,7 +91,7 @@
 // period is the time between two pings of a watched host.
 func (m *Membership) period() time.Duration {
 	watched := len(m.View().PingTargets())
-	return m.options.Ping * time.Duration(max(watched, pingsPerPeriod)) / pingsPerPeriod
+	return m.options.PingPeriod * time.Duration(max(watched, pingsPerPeriod)) / pingsPerPeriod
 }
 
 // ReadList reads the list of hosts: from the platform if this host is one of its
@@ -119,7 +119,7 @@
 
 // PingAll pings every watched host, all at once.
 func (m *Membership) PingAll(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, m.options.Ping)
+	ctx, cancel := context.WithTimeout(ctx, m.options.PingPeriod)
 	defer cancel()
 	var wait sync.WaitGroup
 	for _, w := range m.View().PingTargets() {
@@ -171,7 +171,7 @@
 
 // rebuild makes a new view from the list and what was heard.
 func (m *Membership) rebuild() {
-	period := m.options.Ping
+	period := m.options.PingPeriod
 	if m.view.Load() != nil {
 		period = m.period()
 	}
