--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -166,7 +166,7 @@
 func newMembership(s settings.Settings, hosts store.Hosts, link peer.Link, state *State) *membership.Membership {
 	return membership.New(membership.Options{
 		Hosts: hosts, Link: link, Self: state.Status, Observe: state.observe,
-		PingPeriod: s.Times.Ping, List: s.Times.HostList,
+		PingPeriod: s.Times.Ping, ListPeriod: s.Times.HostList,
 	})
 }
 
--- a/internal/measure/capacity.go
+++ b/internal/measure/capacity.go
@@ -241,7 +241,7 @@
 func peerMessages() (Table, error) {
 	t := Table{Title: "A message between hosts over gRPC on loopback", Columns: []string{"message", "round trip p50", "CPU of both sides"}}
 	h := &spreadHost{name: "a", holder: config.NewHolder()}
-	h.members = membership.New(membership.Options{Hosts: table.New(table.Options{}), Self: h.status, PingPeriod: time.Second, List: time.Second})
+	h.members = membership.New(membership.Options{Hosts: table.New(table.Options{}), Self: h.status, PingPeriod: time.Second, ListPeriod: time.Second})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return Table{}, fmt.Errorf("listen: %w", err)
--- a/internal/measure/hosts.go
+++ b/internal/measure/hosts.go
@@ -136,7 +136,7 @@
 		}
 		link := countingLink{Link: f.network.Link(h.name), manyHosts: f, from: h.name}
 		h.members = membership.New(membership.Options{
-			Hosts: rows, Link: link, Self: h.status, PingPeriod: time.Second, List: time.Second,
+			Hosts: rows, Link: link, Self: h.status, PingPeriod: time.Second, ListPeriod: time.Second,
 			Observe: func(s peer.Status, at clock.Instant) { h.spreader.Observe(s, at) },
 		})
 		h.spreader = config.NewSpreader(config.SpreadOptions{
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -28,7 +28,7 @@
 	// have sent it at the latest; nil if nobody listens.
 	Observe    func(status peer.Status, at clock.Instant)
 	PingPeriod time.Duration
-	List       time.Duration
+	ListPeriod time.Duration
 }
 
 // heard is what is known of a host from pings.
@@ -69,7 +69,7 @@
 // Run reads the list and pings until the context ends.
 func (m *Membership) Run(ctx context.Context) {
 	var wait sync.WaitGroup
-	wait.Go(func() { every(ctx, func() time.Duration { return m.options.List }, m.ReadList) })
+	wait.Go(func() { every(ctx, func() time.Duration { return m.options.ListPeriod }, m.ReadList) })
 	wait.Go(func() { every(ctx, m.period, m.PingAll) })
 	wait.Wait()
 }
