--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -19,24 +19,24 @@
 // readersPerRegion is how many hosts of a region read the platform's list.
 const readersPerRegion = 2
 
-// fewHosts is a count of hosts up to which each reads the list itself.
-const fewHosts = 12
+// maxHostsWithoutReaders is a count of hosts up to which each reads the list itself.
+const maxHostsWithoutReaders = 12
 
-// askTimeout bounds asking another host for the list.
-const askTimeout = time.Second
+// peerListTimeout bounds asking another host for the list.
+const peerListTimeout = time.Second
 
-// readers are the hosts of this host's region that read the platform's list;
+// listReaders are the hosts of this host's region that read the platform's list;
 // none when this host is one, or when there are few hosts.
-func (m *Membership) readers() []Member {
+func (m *Membership) listReaders() []Member {
 	view := m.View()
-	if len(view.Members) <= fewHosts {
+	if len(view.Members) <= maxHostsWithoutReaders {
 		return nil
 	}
 	self, _ := view.Member(view.Self)
 	var region []Member
-	for _, o := range view.Live() {
-		if o.Region == self.Region {
-			region = append(region, o)
+	for _, member := range view.Live() {
+		if member.Region == self.Region {
+			region = append(region, member)
 		}
 	}
 	ranked := Rank(region, "list-reader/"+self.Region)
@@ -53,17 +53,17 @@
 // host has to read it itself.
 func (m *Membership) readFromPeer(ctx context.Context) ([]store.Host, bool) {
 	m.mu.Lock()
-	known := m.all
+	current := m.all
 	m.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerListTimeout)
 	defer cancel()
-	for _, r := range m.readers() {
-		reply, err := m.options.Link.Show(ctx, r.Address, peer.Query{Subject: QueryHosts, ID: hashOf(known)})
+	for _, r := range m.listReaders() {
+		reply, err := m.options.Link.Show(ctx, r.Address, peer.Query{Subject: QueryHosts, ID: listHash(current)})
 		if err != nil {
 			continue
 		}
 		if len(reply.Data) == 0 {
-			return known, true
+			return current, true
 		}
 		hosts, err := codec.Decode[[]store.Host](reply.Data)
 		if err == nil {
@@ -73,8 +73,8 @@
 	return nil, false
 }
 
-// hashOf names a list by its content.
-func hashOf(hosts []store.Host) string {
+// listHash names a list by its content.
+func listHash(hosts []store.Host) string {
 	var d xxhash.Digest
 	for _, h := range hosts {
 		for _, part := range []string{h.ID, h.Address, string(h.State), h.DataHall, h.Service} {
@@ -86,14 +86,14 @@
 }
 
 // HandleListQuery answers another host that asks for the list.
-func (m *Membership) HandleListQuery(known string) (peer.Reply, error) {
+func (m *Membership) HandleListQuery(knownHash string) (peer.Reply, error) {
 	m.mu.Lock()
 	hosts := m.all
 	m.mu.Unlock()
 	if len(hosts) == 0 {
 		return peer.Reply{}, peer.ErrRefused
 	}
-	if hashOf(hosts) == known {
+	if listHash(hosts) == knownHash {
 		return peer.Reply{}, nil
 	}
 	data, err := codec.Encode(hosts)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -14,8 +14,8 @@
 
 // Factors of the ping period.
 const (
-	suspectAfter = 3 // periods without a reply make a watched host suspect
-	forgetAfter  = 5 // periods after which an unlisted host is dropped
+	suspectAfterPeriods = 3 // periods without a reply make a watched host suspect
+	forgetAfterPeriods  = 5 // periods after which an unlisted host is dropped
 )
 
 // Options set up a Membership.
@@ -31,11 +31,11 @@
 	ListPeriod time.Duration
 }
 
-// heard is what is known of a host from pings.
-type heard struct {
-	status  peer.Status
-	at      clock.Instant // of the last status
-	failing clock.Instant // start of the present run of failed pings; zero if none
+// hostRecord is what is known of a host from pings.
+type hostRecord struct {
+	status     peer.Status
+	receivedAt clock.Instant // of the last status
+	failing    clock.Instant // start of the present run of failed pings; zero if none
 }
 
 // Membership keeps the view up to date.
@@ -43,15 +43,15 @@
 	options Options
 	view    atomic.Pointer[View]
 
-	mu     sync.Mutex // guards all below
-	listed []store.Host
-	all    []store.Host // whole list, endpoints too
-	heard  map[string]heard
+	mu          sync.Mutex // guards all below
+	listedHosts []store.Host
+	all         []store.Host // whole list, endpoints too
+	records     map[string]hostRecord
 }
 
 // New returns a membership that knows only this host.
 func New(options Options) *Membership {
-	m := &Membership{options: options, heard: map[string]heard{}}
+	m := &Membership{options: options, records: map[string]hostRecord{}}
 	m.rebuild()
 	return m
 }
@@ -70,7 +70,7 @@
 func (m *Membership) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	wait.Go(func() { every(ctx, func() time.Duration { return m.options.ListPeriod }, m.ReadList) })
-	wait.Go(func() { every(ctx, m.period, m.PingAll) })
+	wait.Go(func() { every(ctx, m.pingPeriod, m.PingAll) })
 	wait.Wait()
 }
 
@@ -88,10 +88,10 @@
 // watch, the time between two pings of one grows instead.
 const pingsPerPeriod = 3
 
-// period is the time between two pings of a watched host.
-func (m *Membership) period() time.Duration {
-	watched := len(m.View().PingTargets())
-	return m.options.PingPeriod * time.Duration(max(watched, pingsPerPeriod)) / pingsPerPeriod
+// pingPeriod is the time between two pings of a watched host.
+func (m *Membership) pingPeriod() time.Duration {
+	targets := len(m.View().PingTargets())
+	return m.options.PingPeriod * time.Duration(max(targets, pingsPerPeriod)) / pingsPerPeriod
 }
 
 // ReadList reads the list of hosts: from the platform if this host is one of its
@@ -112,7 +112,7 @@
 		}
 	}
 	m.mu.Lock()
-	m.listed, m.all = entries, hosts
+	m.listedHosts, m.all = entries, hosts
 	m.mu.Unlock()
 	m.rebuild()
 }
@@ -122,46 +122,46 @@
 	ctx, cancel := context.WithTimeout(ctx, m.options.PingPeriod)
 	defer cancel()
 	var wait sync.WaitGroup
-	for _, w := range m.View().PingTargets() {
-		wait.Go(func() { m.ping(ctx, w) })
+	for _, target := range m.View().PingTargets() {
+		wait.Go(func() { m.ping(ctx, target) })
 	}
 	wait.Wait()
 	m.rebuild()
 }
 
-func (m *Membership) ping(ctx context.Context, w Member) {
+func (m *Membership) ping(ctx context.Context, target Member) {
 	sent := clock.Now()
-	status, err := m.options.Link.Ping(ctx, w.Address, m.options.Self())
-	if err != nil || status.Host != w.Host {
-		m.failed(w.Host)
+	status, err := m.options.Link.Ping(ctx, target.Address, m.options.Self())
+	if err != nil || status.Host != target.Host {
+		m.recordFailure(target.Host)
 		return
 	}
-	m.hear(status, sent)
+	m.recordStatus(status, sent)
 }
 
-func (m *Membership) failed(host string) {
+func (m *Membership) recordFailure(host string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	h := m.heard[host]
+	h := m.records[host]
 	if h.failing.IsZero() {
 		h.failing = clock.Now()
 	}
-	m.heard[host] = h
+	m.records[host] = h
 }
 
 // HandlePing takes in another host's ping and returns this host's status.
 func (m *Membership) HandlePing(status peer.Status) peer.Status {
-	m.hear(status, clock.Now())
+	m.recordStatus(status, clock.Now())
 	return m.options.Self()
 }
 
-// hear notes a status that is at least as old as the given time.
-func (m *Membership) hear(status peer.Status, at clock.Instant) {
+// recordStatus notes a status that is at least as old as the given time.
+func (m *Membership) recordStatus(status peer.Status, at clock.Instant) {
 	m.mu.Lock()
-	known, ok := m.heard[status.Host]
-	m.heard[status.Host] = heard{status: status, at: clock.Now()}
+	previous, ok := m.records[status.Host]
+	m.records[status.Host] = hostRecord{status: status, receivedAt: clock.Now()}
 	m.mu.Unlock()
-	if !ok || known.status.Incarnation != status.Incarnation || known.status.Draining != status.Draining {
+	if !ok || previous.status.Incarnation != status.Incarnation || previous.status.Draining != status.Draining {
 		m.rebuild()
 	}
 	if m.options.Observe != nil {
@@ -173,29 +173,29 @@
 func (m *Membership) rebuild() {
 	period := m.options.PingPeriod
 	if m.view.Load() != nil {
-		period = m.period()
+		period = m.pingPeriod()
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	self := m.options.Self()
-	members := map[string]Member{self.Host: memberOf(self, StateLive)}
-	for _, h := range m.listed {
+	members := map[string]Member{self.Host: memberFromStatus(self, StateLive)}
+	for _, h := range m.listedHosts {
 		if h.ID == self.Host {
 			continue
 		}
-		members[h.ID] = m.judge(h, period)
+		members[h.ID] = m.listedMember(h, period)
 	}
-	for host, h := range m.heard {
+	for host, h := range m.records {
 		if _, ok := members[host]; ok {
 			continue
 		}
-		if clock.Since(h.at) > forgetAfter*period {
-			if h.failing.IsZero() || clock.Since(h.failing) > forgetAfter*period {
-				delete(m.heard, host)
+		if clock.Since(h.receivedAt) > forgetAfterPeriods*period {
+			if h.failing.IsZero() || clock.Since(h.failing) > forgetAfterPeriods*period {
+				delete(m.records, host)
 			}
 			continue
 		}
-		members[host] = memberOf(h.status, StateLive)
+		members[host] = memberFromStatus(h.status, StateLive)
 	}
 	view := View{Self: self.Host, Members: make([]Member, 0, len(members))}
 	for _, member := range members {
@@ -205,8 +205,8 @@
 	m.view.Store(&view)
 }
 
-// memberOf makes a member of a host's own words.
-func memberOf(s peer.Status, state State) Member {
+// memberFromStatus makes a member of a host's own words.
+func memberFromStatus(s peer.Status, state State) Member {
 	if s.Draining {
 		state = StateDraining
 	}
@@ -216,15 +216,15 @@
 	}
 }
 
-// judge decides on a listed host; the caller holds mu.
-func (m *Membership) judge(listed store.Host, period time.Duration) Member {
-	h := m.heard[listed.ID]
+// listedMember decides on a listed host; the caller holds mu.
+func (m *Membership) listedMember(listed store.Host, period time.Duration) Member {
+	h := m.records[listed.ID]
 	member := Member{
 		Host: listed.ID, DataHall: listed.DataHall, Region: listed.Region,
 		Address: listed.Address, State: StateLive, Status: h.status,
 	}
 	switch {
-	case !h.failing.IsZero() && clock.Since(h.failing) >= (suspectAfter-1)*period:
+	case !h.failing.IsZero() && clock.Since(h.failing) >= (suspectAfterPeriods-1)*period:
 		member.State = StateSuspect
 	case listed.State == store.HostLeaving || h.status.Draining:
 		member.State = StateDraining
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -125,8 +125,8 @@
 	return halls
 }
 
-// hallWatched is how many hosts of its own data hall a host watches.
-const hallWatched = 6
+// pingTargetsPerHall is how many hosts of its own data hall a host watches.
+const pingTargetsPerHall = 6
 
 // PingTargets returns the members that self pings: the next few of its own data
 // hall, one of every other data hall of its region, and one of every other
@@ -149,14 +149,14 @@
 			regions[m.Region] = append(regions[m.Region], m)
 		}
 	}
-	watched := successors(hall, v.Self, hallWatched)
+	targets := successors(hall, v.Self, pingTargetsPerHall)
 	for _, group := range []map[string][]Member{halls, regions} {
 		for _, members := range group {
-			watched = append(watched, Rank(members, v.Self)[0])
+			targets = append(targets, Rank(members, v.Self)[0])
 		}
 	}
-	sort.Slice(watched, func(i, j int) bool { return watched[i].Host < watched[j].Host })
-	return watched
+	sort.Slice(targets, func(i, j int) bool { return targets[i].Host < targets[j].Host })
+	return targets
 }
 
 // successors returns the members after self, in a ring by host.
