--- a/internal/peer/local.go
+++ b/internal/peer/local.go
@@ -10,18 +10,18 @@
 // LocalNetwork joins hosts of one process without a network: for tests and for
 // measurements of many hosts. Links can be cut per pair of hosts.
 type LocalNetwork struct {
-	mu       sync.Mutex // guards all below
-	handlers map[string]Handler
-	cuts     map[cutPair]bool
-	messages int64
+	mu          sync.Mutex // guards all below
+	handlers    map[string]Handler
+	partitioned map[direction]bool
+	messages    int64
 }
 
-// cutPair is a direction between two addresses.
-type cutPair struct{ from, to string }
+// direction is a direction between two addresses.
+type direction struct{ from, to string }
 
 // NewLocalNetwork returns a network without hosts.
 func NewLocalNetwork() *LocalNetwork {
-	return &LocalNetwork{handlers: map[string]Handler{}, cuts: map[cutPair]bool{}}
+	return &LocalNetwork{handlers: map[string]Handler{}, partitioned: map[direction]bool{}}
 }
 
 // Serve answers at an address; a nil handler closes it.
@@ -36,11 +36,11 @@
 }
 
 // SetPartitioned breaks or mends both directions between two addresses.
-func (l *LocalNetwork) SetPartitioned(a, b string, on bool) {
+func (l *LocalNetwork) SetPartitioned(a, b string, partitioned bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cuts[cutPair{a, b}] = on
-	l.cuts[cutPair{b, a}] = on
+	l.partitioned[direction{a, b}] = partitioned
+	l.partitioned[direction{b, a}] = partitioned
 }
 
 // Messages counts the calls that got through.
@@ -59,15 +59,15 @@
 	from    string
 }
 
-// to finds the handler of an address that can be reached.
-func (k localLink) to(ctx context.Context, address string) (Handler, error) {
+// handlerAt finds the handler of an address that can be reached.
+func (k localLink) handlerAt(ctx context.Context, address string) (Handler, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
 	k.network.mu.Lock()
 	defer k.network.mu.Unlock()
 	h, ok := k.network.handlers[address]
-	if !ok || k.network.cuts[cutPair{k.from, address}] {
+	if !ok || k.network.partitioned[direction{k.from, address}] {
 		return nil, ErrUnreachable
 	}
 	k.network.messages++
@@ -76,7 +76,7 @@
 
 // Ping implements Link.
 func (k localLink) Ping(ctx context.Context, address string, status Status) (Status, error) {
-	h, err := k.to(ctx, address)
+	h, err := k.handlerAt(ctx, address)
 	if err != nil {
 		return Status{}, err
 	}
@@ -85,7 +85,7 @@
 
 // Fetch implements Link.
 func (k localLink) Fetch(ctx context.Context, address string, above int64) (RevisionMessage, error) {
-	h, err := k.to(ctx, address)
+	h, err := k.handlerAt(ctx, address)
 	if err != nil {
 		return RevisionMessage{}, err
 	}
@@ -94,7 +94,7 @@
 
 // Push implements Link.
 func (k localLink) Push(ctx context.Context, address string, push Push) ([]Confirmation, error) {
-	h, err := k.to(ctx, address)
+	h, err := k.handlerAt(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 
 // Hold implements Link.
 func (k localLink) Hold(ctx context.Context, address string, hold Hold) error {
-	h, err := k.to(ctx, address)
+	h, err := k.handlerAt(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 
 // Grant implements Link.
 func (k localLink) Grant(ctx context.Context, address string, grant Grant) error {
-	h, err := k.to(ctx, address)
+	h, err := k.handlerAt(ctx, address)
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 
 // Show implements Link.
 func (k localLink) Show(ctx context.Context, address string, query Query) (Reply, error) {
-	h, err := k.to(ctx, address)
+	h, err := k.handlerAt(ctx, address)
 	if err != nil {
 		return Reply{}, err
 	}
@@ -130,7 +130,7 @@
 
 // Tell implements Link.
 func (k localLink) Tell(ctx context.Context, address string, n quarantine.News) (quarantine.News, error) {
-	h, err := k.to(ctx, address)
+	h, err := k.handlerAt(ctx, address)
 	if err != nil {
 		return quarantine.News{}, err
 	}
--- a/internal/peer/rpc/link.go
+++ b/internal/peer/rpc/link.go
@@ -20,8 +20,8 @@
 
 // Reconnection of a link.
 const (
-	firstBackoff   = 200 * time.Millisecond
-	longestBackoff = 3 * time.Second
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff     = 3 * time.Second
 	connectTimeout = 2 * time.Second
 )
 
@@ -69,7 +69,7 @@
 		grpc.WithTransportCredentials(l.credentials),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: firstBackoff, Multiplier: 1.6, Jitter: 0.2, MaxDelay: longestBackoff},
+			Backoff:           backoff.Config{BaseDelay: initialBackoff, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxBackoff},
 			MinConnectTimeout: connectTimeout,
 		}))
 	if err != nil {
@@ -91,67 +91,67 @@
 	}
 }
 
-// errorOf makes a peer error of a gRPC one.
-func errorOf(address string, err error) error {
+// peerError makes a peer error of a gRPC one.
+func peerError(address string, err error) error {
 	if status.Code(err) == codes.FailedPrecondition {
 		return fmt.Errorf("ask %s: %w", address, peer.ErrRefused)
 	}
 	return fmt.Errorf("ask %s: %w: %w", address, peer.ErrUnreachable, err)
 }
 
-// ask makes one call and converts its reply.
-func ask[Request, WireReply, Reply any](
+// invoke makes one call and converts its reply.
+func invoke[Request, WireReply, Reply any](
 	ctx context.Context, l *Link, address string, request Request,
 	call func(peerpb.PeerClient, context.Context, Request, ...grpc.CallOption) (WireReply, error),
 	convert func(WireReply) Reply, options ...grpc.CallOption,
 ) (Reply, error) {
-	var none Reply
+	var zero Reply
 	client, err := l.client(address)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	reply, err := call(client, ctx, request, options...)
 	if err != nil {
-		return none, errorOf(address, err)
+		return zero, peerError(address, err)
 	}
 	return convert(reply), nil
 }
 
 // Ping implements peer.Link.
 func (l *Link) Ping(ctx context.Context, address string, s peer.Status) (peer.Status, error) {
-	return ask(ctx, l, address, statusToWire(s), peerpb.PeerClient.Ping, statusFromWire)
+	return invoke(ctx, l, address, statusToWire(s), peerpb.PeerClient.Ping, statusFromWire)
 }
 
 // Fetch implements peer.Link.
 func (l *Link) Fetch(ctx context.Context, address string, above int64) (peer.RevisionMessage, error) {
 	request := &peerpb.FetchRequest{Above: above}
-	return ask(ctx, l, address, request, peerpb.PeerClient.Fetch, revisionFromWire, grpc.UseCompressor(gzip.Name))
+	return invoke(ctx, l, address, request, peerpb.PeerClient.Fetch, revisionFromWire, grpc.UseCompressor(gzip.Name))
 }
 
 // Push implements peer.Link.
 func (l *Link) Push(ctx context.Context, address string, push peer.Push) ([]peer.Confirmation, error) {
-	return ask(ctx, l, address, pushToWire(push), peerpb.PeerClient.Push, confirmationsFromWire, grpc.UseCompressor(gzip.Name))
+	return invoke(ctx, l, address, pushToWire(push), peerpb.PeerClient.Push, confirmationsFromWire, grpc.UseCompressor(gzip.Name))
 }
 
-// nothing converts a reply without content.
-func nothing(*peerpb.Empty) struct{} { return struct{}{} }
+// discardEmpty converts a reply without content.
+func discardEmpty(*peerpb.Empty) struct{} { return struct{}{} }
 
 // Hold implements peer.Link.
 func (l *Link) Hold(ctx context.Context, address string, hold peer.Hold) error {
-	_, err := ask(ctx, l, address, holdToWire(hold), peerpb.PeerClient.Hold, nothing)
+	_, err := invoke(ctx, l, address, holdToWire(hold), peerpb.PeerClient.Hold, discardEmpty)
 	return err
 }
 
 // Grant implements peer.Link.
 func (l *Link) Grant(ctx context.Context, address string, grant peer.Grant) error {
-	_, err := ask(ctx, l, address, grantToWire(grant), peerpb.PeerClient.Grant, nothing)
+	_, err := invoke(ctx, l, address, grantToWire(grant), peerpb.PeerClient.Grant, discardEmpty)
 	return err
 }
 
 // Show implements peer.Link.
 func (l *Link) Show(ctx context.Context, address string, query peer.Query) (peer.Reply, error) {
 	convert := func(r *peerpb.ShowReply) peer.Reply { return peer.Reply{Data: r.GetData()} }
-	return ask(ctx, l, address, queryToWire(query), peerpb.PeerClient.Show, convert, grpc.UseCompressor(gzip.Name))
+	return invoke(ctx, l, address, queryToWire(query), peerpb.PeerClient.Show, convert, grpc.UseCompressor(gzip.Name))
 }
 
 // Tell implements peer.Link.
--- a/internal/peer/rpc/rpc_test.go
+++ b/internal/peer/rpc/rpc_test.go
@@ -25,34 +25,36 @@
 	"quaybarrow/internal/tlsfiles"
 )
 
-// echo answers with what it was sent.
-type echo struct{ got peer.Hold }
+// echoHandler answers with what it was sent.
+type echoHandler struct{ lastHold peer.Hold }
 
-func (e *echo) Ping(_ context.Context, s peer.Status) (peer.Status, error) { return s, nil }
+func (e *echoHandler) Ping(_ context.Context, s peer.Status) (peer.Status, error) { return s, nil }
 
-func (e *echo) Fetch(_ context.Context, above int64) (peer.RevisionMessage, error) {
+func (e *echoHandler) Fetch(_ context.Context, above int64) (peer.RevisionMessage, error) {
 	return peer.RevisionMessage{Number: above + 1, Data: []byte("data")}, nil
 }
 
-func (e *echo) Push(_ context.Context, p peer.Push) ([]peer.Confirmation, error) {
+func (e *echoHandler) Push(_ context.Context, p peer.Push) ([]peer.Confirmation, error) {
 	return []peer.Confirmation{{Host: p.Relay[0].Host, Revision: p.Revision.Number}}, nil
 }
 
-func (e *echo) Hold(_ context.Context, h peer.Hold) error {
-	e.got = h
+func (e *echoHandler) Hold(_ context.Context, h peer.Hold) error {
+	e.lastHold = h
 	if h.Known > 0 {
 		return peer.ErrRefused
 	}
 	return nil
 }
 
-func (e *echo) Grant(context.Context, peer.Grant) error { return nil }
+func (e *echoHandler) Grant(context.Context, peer.Grant) error { return nil }
 
-func (e *echo) Show(_ context.Context, q peer.Query) (peer.Reply, error) {
+func (e *echoHandler) Show(_ context.Context, q peer.Query) (peer.Reply, error) {
 	return peer.Reply{Data: []byte(q.Subject)}, nil
 }
 
-func (e *echo) Tell(_ context.Context, n quarantine.News) (quarantine.News, error) { return n, nil }
+func (e *echoHandler) Tell(_ context.Context, n quarantine.News) (quarantine.News, error) {
+	return n, nil
+}
 
 // authority signs certificates.
 type authority struct {
@@ -101,7 +103,7 @@
 	return names
 }
 
-func files(names settings.TLS) *tlsfiles.Files {
+func openFiles(names settings.TLS) *tlsfiles.Files {
 	f, err := tlsfiles.Open(names)
 	Expect(err).NotTo(HaveOccurred())
 	return f
@@ -117,7 +119,7 @@
 	return listener.Addr().String()
 }
 
-func ask(c credentials.TransportCredentials, address string) error {
+func ping(c credentials.TransportCredentials, address string) error {
 	link := rpc.NewLink(c)
 	defer func() { _ = link.Close() }()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -129,7 +131,7 @@
 var _ = Describe("messages over gRPC", func() {
 	It("arrive as they were sent", func() {
 		var none *tlsfiles.Files
-		handler := &echo{}
+		handler := &echoHandler{}
 		address := serve(handler, none.ServerCredentials())
 		link := rpc.NewLink(none.ClientCredentials())
 		defer func() { _ = link.Close() }()
@@ -144,7 +146,7 @@
 		Expect(link.Push(ctx, address, push)).To(Equal([]peer.Confirmation{{Host: "b", Revision: 9}}))
 		hold := peer.Hold{Owner: "a", Incarnation: "i", Address: "x", Open: [][]byte{[]byte("bill")}, Closed: []string{"c"}}
 		Expect(link.Hold(ctx, address, hold)).To(Succeed())
-		Expect(handler.got).To(Equal(hold))
+		Expect(handler.lastHold).To(Equal(hold))
 		hold.Known = 1
 		Expect(link.Hold(ctx, address, hold)).To(MatchError(peer.ErrRefused))
 		news := quarantine.News{
@@ -152,29 +154,29 @@
 			Rows: []quarantine.Row{{Host: "a", Version: 7, Value: []byte("{}")}},
 		}
 		Expect(link.Tell(ctx, address, news)).To(Equal(news))
-		Expect(ask(none.ClientCredentials(), "127.0.0.1:1")).To(MatchError(peer.ErrUnreachable))
+		Expect(ping(none.ClientCredentials(), "127.0.0.1:1")).To(MatchError(peer.ErrUnreachable))
 	})
 
 	It("pass between hosts of one authority, and no others", func() {
 		dir := GinkgoT().TempDir()
 		ours, theirs := newAuthority(dir, "ours"), newAuthority(dir, "theirs")
 		later := time.Now().Add(time.Hour)
-		server := files(ours.issue(dir, "server", later))
-		address := serve(&echo{}, server.ServerCredentials())
-		Expect(ask(files(ours.issue(dir, "client", later)).ClientCredentials(), address)).To(Succeed())
-		Expect(ask(files(theirs.issue(dir, "stranger", later)).ClientCredentials(), address)).To(HaveOccurred())
-		Expect(ask(files(ours.issue(dir, "expired", time.Now().Add(-time.Hour))).ClientCredentials(), address)).To(HaveOccurred())
+		server := openFiles(ours.issue(dir, "server", later))
+		address := serve(&echoHandler{}, server.ServerCredentials())
+		Expect(ping(openFiles(ours.issue(dir, "client", later)).ClientCredentials(), address)).To(Succeed())
+		Expect(ping(openFiles(theirs.issue(dir, "stranger", later)).ClientCredentials(), address)).To(HaveOccurred())
+		Expect(ping(openFiles(ours.issue(dir, "expired", time.Now().Add(-time.Hour))).ClientCredentials(), address)).To(HaveOccurred())
 		var none *tlsfiles.Files
-		Expect(ask(none.ClientCredentials(), address)).To(HaveOccurred())
+		Expect(ping(none.ClientCredentials(), address)).To(HaveOccurred())
 	})
 
 	It("are refused by a client when the server's certificate is a stranger's", func() {
 		dir := GinkgoT().TempDir()
 		ours, theirs := newAuthority(dir, "ours"), newAuthority(dir, "theirs")
 		later := time.Now().Add(time.Hour)
-		stranger := files(theirs.issue(dir, "server", later))
-		address := serve(&echo{}, stranger.ServerCredentials())
-		Expect(ask(files(ours.issue(dir, "client", later)).ClientCredentials(), address)).To(HaveOccurred())
+		stranger := openFiles(theirs.issue(dir, "server", later))
+		address := serve(&echoHandler{}, stranger.ServerCredentials())
+		Expect(ping(openFiles(ours.issue(dir, "client", later)).ClientCredentials(), address)).To(HaveOccurred())
 	})
 
 	It("need files that can be read", func() {
--- a/internal/peer/rpc/server.go
+++ b/internal/peer/rpc/server.go
@@ -29,28 +29,28 @@
 // NewServer returns a gRPC server that hands messages to a handler.
 func NewServer(h peer.Handler, c credentials.TransportCredentials) *grpc.Server {
 	server := grpc.NewServer(grpc.Creds(c), grpc.MaxRecvMsgSize(maxMessageBytes))
-	peerpb.RegisterPeerServer(server, &handler{to: h})
+	peerpb.RegisterPeerServer(server, &peerService{to: h})
 	quarantine.Register(server, h.Tell)
 	return server
 }
 
-// handler implements peerpb.PeerServer.
-type handler struct {
+// peerService implements peerpb.PeerServer.
+type peerService struct {
 	peerpb.UnimplementedPeerServer
 	to peer.Handler
 }
 
-// answer converts what a handler returned.
-func answer[T, Wire any](value T, err error, convert func(T) Wire) (Wire, error) {
+// convertResult converts what a handler returned.
+func convertResult[T, Wire any](value T, err error, convert func(T) Wire) (Wire, error) {
 	if err != nil {
-		var none Wire
-		return none, statusOf(err)
+		var zero Wire
+		return zero, statusError(err)
 	}
 	return convert(value), nil
 }
 
-// statusOf makes a gRPC status of an error.
-func statusOf(err error) error {
+// statusError makes a gRPC status of an error.
+func statusError(err error) error {
 	if errors.Is(err, peer.ErrRefused) {
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
@@ -58,42 +58,42 @@
 }
 
 // Ping implements peerpb.PeerServer.
-func (h *handler) Ping(ctx context.Context, r *peerpb.Status) (*peerpb.Status, error) {
+func (h *peerService) Ping(ctx context.Context, r *peerpb.Status) (*peerpb.Status, error) {
 	s, err := h.to.Ping(ctx, statusFromWire(r))
-	return answer(s, err, statusToWire)
+	return convertResult(s, err, statusToWire)
 }
 
 // Fetch implements peerpb.PeerServer.
-func (h *handler) Fetch(ctx context.Context, r *peerpb.FetchRequest) (*peerpb.RevisionMessage, error) {
+func (h *peerService) Fetch(ctx context.Context, r *peerpb.FetchRequest) (*peerpb.RevisionMessage, error) {
 	m, err := h.to.Fetch(ctx, r.GetAbove())
-	return answer(m, err, revisionToWire)
+	return convertResult(m, err, revisionToWire)
 }
 
 // Push implements peerpb.PeerServer.
-func (h *handler) Push(ctx context.Context, r *peerpb.PushRequest) (*peerpb.PushReply, error) {
+func (h *peerService) Push(ctx context.Context, r *peerpb.PushRequest) (*peerpb.PushReply, error) {
 	c, err := h.to.Push(ctx, pushFromWire(r))
-	return answer(c, err, confirmationsToWire)
+	return convertResult(c, err, confirmationsToWire)
 }
 
 // Hold implements peerpb.PeerServer.
-func (h *handler) Hold(ctx context.Context, r *peerpb.HoldRequest) (*peerpb.Empty, error) {
-	return empty(h.to.Hold(ctx, holdFromWire(r)))
+func (h *peerService) Hold(ctx context.Context, r *peerpb.HoldRequest) (*peerpb.Empty, error) {
+	return emptyReply(h.to.Hold(ctx, holdFromWire(r)))
 }
 
 // Grant implements peerpb.PeerServer.
-func (h *handler) Grant(ctx context.Context, r *peerpb.GrantRequest) (*peerpb.Empty, error) {
-	return empty(h.to.Grant(ctx, grantFromWire(r)))
+func (h *peerService) Grant(ctx context.Context, r *peerpb.GrantRequest) (*peerpb.Empty, error) {
+	return emptyReply(h.to.Grant(ctx, grantFromWire(r)))
 }
 
 // Show implements peerpb.PeerServer.
-func (h *handler) Show(ctx context.Context, r *peerpb.ShowRequest) (*peerpb.ShowReply, error) {
+func (h *peerService) Show(ctx context.Context, r *peerpb.ShowRequest) (*peerpb.ShowReply, error) {
 	reply, err := h.to.Show(ctx, queryFromWire(r))
-	return answer(reply, err, func(r peer.Reply) *peerpb.ShowReply { return &peerpb.ShowReply{Data: r.Data} })
+	return convertResult(reply, err, func(r peer.Reply) *peerpb.ShowReply { return &peerpb.ShowReply{Data: r.Data} })
 }
 
-func empty(err error) (*peerpb.Empty, error) {
+func emptyReply(err error) (*peerpb.Empty, error) {
 	if err != nil {
-		return nil, statusOf(err)
+		return nil, statusError(err)
 	}
 	return &peerpb.Empty{}, nil
 }
