--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -40,9 +40,9 @@
 type Replica interface {
 	// Reset replaces everything; away tells that the store was not reached a
 	// moment ago.
-	Reset(rows []store.Row, away bool)
+	Reset(rows []store.Row, afterOutage bool)
 	// Change takes in rows that changed.
-	Change(changes []store.Change, away bool)
+	Change(changes []store.Change, afterOutage bool)
 	// Confirm notes that nothing has changed up to now.
 	Confirm()
 }
@@ -71,12 +71,12 @@
 		err := f.step(ctx)
 		switch {
 		case err == nil:
-			f.regained()
+			f.handleSuccess()
 		case errors.Is(err, store.ErrCompacted):
 			f.Logger.Warn("history of the table is gone; reading it whole", "table", f.Table, "version", f.version)
 			f.version = -1
 		case ctx.Err() == nil:
-			f.failedOnce(ctx, err)
+			f.handleFailure(ctx, err)
 		}
 	}
 }
@@ -88,7 +88,7 @@
 		if err != nil {
 			return fmt.Errorf("follow %s: %w", f.Table, err)
 		}
-		f.picture.Reset(state.Rows, f.away())
+		f.picture.Reset(state.Rows, f.afterOutage())
 		f.version = state.Version
 		return nil
 	}
@@ -102,25 +102,25 @@
 	}
 	f.version = version
 	if len(changes) > 0 {
-		f.picture.Change(changes, f.away())
+		f.picture.Change(changes, f.afterOutage())
 	}
 	f.picture.Confirm()
 	return nil
 }
 
-// away reports whether the store was not reached a moment ago.
-func (f *follower) away() bool {
+// afterOutage reports whether the store was not reached a moment ago.
+func (f *follower) afterOutage() bool {
 	return !f.failed.IsZero() && clock.Since(f.failed) < awayAfter
 }
 
-func (f *follower) regained() {
+func (f *follower) handleSuccess() {
 	if f.lost {
 		f.Logger.Info("store regained", "table", f.Table, "version", f.version)
 	}
 	f.lost, f.retry = false, retryFirst
 }
 
-func (f *follower) failedOnce(ctx context.Context, err error) {
+func (f *follower) handleFailure(ctx context.Context, err error) {
 	if !f.lost {
 		f.Logger.Warn("store lost", "table", f.Table, "version", f.version, "error", err)
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -19,16 +19,16 @@
 	"quaybarrow/platform/standin"
 )
 
-// picture records what a follower tells.
-type picture struct {
-	mu        sync.Mutex
-	rows      map[string]string
-	lapsed    []string // deleted while the store was away
-	resets    int
-	confirmed time.Time
+// recordingReplica records what a follower tells.
+type recordingReplica struct {
+	mu              sync.Mutex
+	rows            map[string]string
+	deletedInOutage []string // deleted while the store was away
+	resets          int
+	confirmed       time.Time
 }
 
-func (p *picture) Reset(rows []store.Row, _ bool) {
+func (p *recordingReplica) Reset(rows []store.Row, _ bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.resets++
@@ -38,14 +38,14 @@
 	}
 }
 
-func (p *picture) Change(changes []store.Change, away bool) {
+func (p *recordingReplica) Change(changes []store.Change, afterOutage bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range changes {
 		if c.Deleted {
 			delete(p.rows, c.Key)
-			if away {
-				p.lapsed = append(p.lapsed, c.Key)
+			if afterOutage {
+				p.deletedInOutage = append(p.deletedInOutage, c.Key)
 			}
 			continue
 		}
@@ -53,13 +53,13 @@
 	}
 }
 
-func (p *picture) Confirm() {
+func (p *recordingReplica) Confirm() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.confirmed = time.Now()
 }
 
-func (p *picture) get(key string) string {
+func (p *recordingReplica) get(key string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rows[key]
@@ -67,17 +67,17 @@
 
 const address = "10.9.0.1:80"
 
-// told returns how often the table was read whole, and what lapsed.
-func (p *picture) told() (resets int, lapsed []string) {
+// observed returns how often the table was read whole, and what lapsed.
+func (p *recordingReplica) observed() (resets int, deletedInOutage []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.resets, p.lapsed
+	return p.resets, p.deletedInOutage
 }
 
-// following runs a body beside a follower of table t.
-func following(body func(s *standin.Store, p *picture)) {
+// withFollower runs a body beside a follower of table t.
+func withFollower(body func(s *standin.Store, p *recordingReplica)) {
 	suite.Paused(func() {
-		network, s, p := memnet.New(), standin.NewStore(), &picture{}
+		network, s, p := memnet.New(), standin.NewStore(), &recordingReplica{}
 		server := &http.Server{Handler: s}
 		l := network.Listen(address)
 		go func() { _ = server.Serve(l) }()
@@ -94,10 +94,10 @@
 	})
 }
 
-// settle is what a change may take to be seen once the store is well; the
+// recoveryBound is what a change may take to be seen once the store is well; the
 // platform's tightest bound on a configuration is two seconds after three of
 // contact.
-const settle = 2900 * time.Millisecond
+const recoveryBound = 2900 * time.Millisecond
 
 // outages are ways in which the store is away.
 var outages = map[string]standin.Fault{
@@ -106,7 +106,7 @@
 
 var _ = Describe("a follower", func() {
 	It("reads the table and then its changes at once", func() {
-		following(func(s *standin.Store, p *picture) {
+		withFollower(func(s *standin.Store, p *recordingReplica) {
 			Expect(p.get("a")).To(Equal("1"))
 			s.Put("t", "a", []byte("2"))
 			s.Put("t", "b", []byte("3"))
@@ -116,21 +116,21 @@
 			s.Drop("t", "a")
 			time.Sleep(10 * time.Millisecond)
 			Expect(p.get("a")).To(BeEmpty())
-			_, lapsed := p.told()
-			Expect(lapsed).To(BeEmpty())
+			_, deletedInOutage := p.observed()
+			Expect(deletedInOutage).To(BeEmpty())
 		})
 	})
 
 	for name, fault := range outages {
 		for _, length := range []time.Duration{time.Second, 4 * time.Second, 30 * time.Second} {
 			It("is right again soon after the store was "+name+" for "+length.String(), func() {
-				following(func(s *standin.Store, p *picture) {
+				withFollower(func(s *standin.Store, p *recordingReplica) {
 					time.Sleep(time.Second)
 					s.Break(fault)
 					s.Put("t", "a", []byte("2"))
 					time.Sleep(length)
 					s.Break(standin.Healthy)
-					time.Sleep(settle)
+					time.Sleep(recoveryBound)
 					Expect(p.get("a")).To(Equal("2"))
 				})
 			})
@@ -138,32 +138,32 @@
 	}
 
 	It("tells what vanished while the store was away", func() {
-		following(func(s *standin.Store, p *picture) {
+		withFollower(func(s *standin.Store, p *recordingReplica) {
 			s.Break(standin.Busy)
 			time.Sleep(4 * time.Second)
 			s.Drop("t", "a")
 			s.Break(standin.Healthy)
-			time.Sleep(settle)
-			_, lapsed := p.told()
+			time.Sleep(recoveryBound)
+			_, lapsed := p.observed()
 			Expect(lapsed).To(Equal([]string{"a"}))
 		})
 	})
 
 	It("reads the table whole when the history is gone", func() {
-		following(func(s *standin.Store, p *picture) {
+		withFollower(func(s *standin.Store, p *recordingReplica) {
 			s.Break(standin.LoseFeed)
 			s.Put("t", "a", []byte("2"))
 			s.Forget()
 			s.Break(standin.Healthy)
 			time.Sleep(10 * time.Millisecond)
 			Expect(p.get("a")).To(Equal("2"))
-			resets, _ := p.told()
+			resets, _ := p.observed()
 			Expect(resets).To(Equal(2))
 		})
 	})
 
 	It("makes few calls while nothing changes, and few while the store is away", func() {
-		following(func(s *standin.Store, _ *picture) {
+		withFollower(func(s *standin.Store, _ *recordingReplica) {
 			time.Sleep(time.Minute)
 			Expect(s.Feeds()).To(BeNumerically("<=", 21))
 			before := s.Feeds()
--- a/internal/gatewayd/host.go
+++ b/internal/gatewayd/host.go
@@ -191,9 +191,9 @@
 
 // work lists what runs in the background.
 func (h *Host) work() []func(context.Context) {
-	table := func(name string, p follow.Replica) func(context.Context) {
+	table := func(name string, replica follow.Replica) func(context.Context) {
 		return func(ctx context.Context) {
-			follow.Run(ctx, follow.Options{Watch: h.Watch, Table: name, Logger: h.Logger}, p)
+			follow.Run(ctx, follow.Options{Watch: h.Watch, Table: name, Logger: h.Logger}, replica)
 		}
 	}
 	return []func(context.Context){
