--- a/internal/recent/recent.go
+++ b/internal/recent/recent.go
@@ -20,7 +20,7 @@
 }
 
 // New returns a keeper of so many values, without any.
-func New(most int) *Values { return &Values{most: most} }
+func New(limit int) *Values { return &Values{most: limit} }
 
 // Add takes in a value in place of the oldest one, once there are as many as are kept.
 func (v *Values) Add(value float64) {
@@ -37,10 +37,10 @@
 
 // Quantile returns the value that a part of the kept ones is below, the least one
 // while there are few; 0 without any.
-func (v *Values) Quantile(part float64) float64 {
+func (v *Values) Quantile(q float64) float64 {
 	if len(v.kept) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(v.kept))
-	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
+	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
