--- a/internal/clock/ages_test.go
+++ b/internal/clock/ages_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// standsStill are the functions by which an age, or the time that is left, does not count what
+// ignoresSuspension are the functions by which an age, or the time that is left, does not count what
 // the machine was suspended.
-var standsStill = map[string]bool{"time.Now": true, "time.Since": true, "time.Until": true, "context.WithDeadline": true}
+var ignoresSuspension = map[string]bool{"time.Now": true, "time.Since": true, "time.Until": true, "context.WithDeadline": true}
 
-// mayStandStill are files and folders that may use them, and why.
-var mayStandStill = map[string]string{
+// mayIgnoreSuspension are files and folders that may use them, and why.
+var mayIgnoreSuspension = map[string]string{
 	"internal/clock/":                "makes Instants of them",
 	"internal/standin/":              "the world around hosts, which is not suspended",
 	"platform/standin/":              "the world around hosts, which is not suspended",
@@ -42,10 +42,10 @@
 	"internal/rollout/credits.go":    "the time of day, as it is kept",
 }
 
-// TestAgesCountSuspensions finds what goes by a clock that stands still while the machine is
+// TestElapsedTimeCountsSuspension finds what goes by a clock that stands still while the machine is
 // suspended: what was learnt before looked as fresh as if nothing had happened meanwhile, and
 // endpoints were given time that had passed.
-func TestAgesCountSuspensions(t *testing.T) {
+func TestElapsedTimeCountsSuspension(t *testing.T) {
 	used := map[string]bool{}
 	for _, dir := range []string{"internal", "platform", "cmd"} {
 		err := filepath.WalkDir("../../"+dir, func(path string, d fs.DirEntry, err error) error {
@@ -58,7 +58,7 @@
 			t.Fatal(err)
 		}
 	}
-	for path := range mayStandStill {
+	for path := range mayIgnoreSuspension {
 		if !used[path] {
 			t.Errorf("%s need not be allowed to any more", path)
 		}
@@ -78,11 +78,11 @@
 			return true
 		}
 		of, ok := selected.X.(*ast.Ident)
-		if !ok || !standsStill[of.Name+"."+selected.Sel.Name] {
+		if !ok || !ignoresSuspension[of.Name+"."+selected.Sel.Name] {
 			return true
 		}
 		for _, entry := range []string{path, filepath.ToSlash(filepath.Dir(path)) + "/", "internal/standin/"} {
-			if mayStandStill[entry] != "" && strings.HasPrefix(path, entry) {
+			if mayIgnoreSuspension[entry] != "" && strings.HasPrefix(path, entry) {
 				used[entry] = true
 				return true
 			}
--- a/internal/clock/deadlines.go
+++ b/internal/clock/deadlines.go
@@ -31,7 +31,7 @@
 	d.mu.Lock()
 	d.open[one] = struct{}{}
 	d.mu.Unlock()
-	return context.WithValue(ctx, untilKey{}, until), func() {
+	return context.WithValue(ctx, deadlineKey{}, until), func() {
 		d.mu.Lock()
 		delete(d.open, one)
 		if one.again != nil {
@@ -42,30 +42,30 @@
 	}
 }
 
-// untilKey is under which a context knows its moment.
-type untilKey struct{}
+// deadlineKey is under which a context knows its moment.
+type deadlineKey struct{}
 
 // Expired reports whether a context has ended, or the moment has come at which one by With ends:
 // for the place right before what can't be undone. There a timer may still be to come.
 func Expired(ctx context.Context) bool {
-	until, ok := ctx.Value(untilKey{}).(Instant)
+	until, ok := ctx.Value(deadlineKey{}).(Instant)
 	return ctx.Err() != nil || ok && !Now().Before(until)
 }
 
-// wake ends the contexts whose time is over, and sets the timers of the others anew.
-func (d *Deadlines) wake() {
+// rearm ends the contexts whose time is over, and sets the timers of the others anew.
+func (d *Deadlines) rearm() {
 	now := Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for one := range d.open {
-		if one.again != nil {
-			one.again.Stop()
+	for entry := range d.open {
+		if entry.again != nil {
+			entry.again.Stop()
 		}
-		if !now.Before(one.until) {
-			one.end()
+		if !now.Before(entry.until) {
+			entry.end()
 			continue
 		}
-		one.again = time.AfterFunc(one.until.Sub(now), one.end)
+		entry.again = time.AfterFunc(entry.until.Sub(now), entry.end)
 	}
 }
 
@@ -81,15 +81,15 @@
 
 // Watch tells of suspensions, after it has ended the contexts whose time was over by then; until
 // ctx ends.
-func (d *Deadlines) Watch(ctx context.Context, tell func(lasted time.Duration)) {
+func (d *Deadlines) Watch(ctx context.Context, report func(lasted time.Duration)) {
 	known := SuspendedTime()
 	for Sleep(ctx, watchEvery) {
 		now := SuspendedTime()
 		if now-known < suspensionLeast {
 			continue
 		}
-		d.wake()
-		tell(now - known)
+		d.rearm()
+		report(now - known)
 		known = now
 	}
 }
--- a/internal/clock/deadlines_test.go
+++ b/internal/clock/deadlines_test.go
@@ -9,9 +9,9 @@
 	"quaybarrow/internal/clock"
 )
 
-// TestDeadlinesOfASuspendedMachine has contexts of five and of ten seconds while the machine is
+// TestDeadlinesAfterSuspension has contexts of five and of ten seconds while the machine is
 // suspended for six: the first ends as soon as that is noticed, the other four seconds later.
-func TestDeadlinesOfASuspendedMachine(t *testing.T) {
+func TestDeadlinesAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		deadlines := clock.NewDeadlines()
 		watching, stop := context.WithCancel(t.Context())
--- a/internal/clock/instant.go
+++ b/internal/clock/instant.go
@@ -11,7 +11,7 @@
 // Now is the moment that is now.
 func Now() Instant {
 	now := time.Now()
-	return Instant{now.Add(machine.asOf(now))}
+	return Instant{now.Add(machineSuspension.totalAt(now))}
 }
 
 // Since is how long ago a moment was.
@@ -45,7 +45,7 @@
 		return time.Time{}
 	}
 	now := time.Now()
-	return i.at.Add(-machine.asOf(now))
+	return i.at.Add(-machineSuspension.totalAt(now))
 }
 
 // At is a moment of a clock that is not the runtime's, as a simulation has one.
--- a/internal/clock/instant_test.go
+++ b/internal/clock/instant_test.go
@@ -8,7 +8,7 @@
 	"quaybarrow/internal/clock"
 )
 
-func TestInstantsCountSuspensions(t *testing.T) {
+func TestInstantCountsSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := clock.Now()
 		time.Sleep(2 * time.Second)
@@ -25,7 +25,7 @@
 	})
 }
 
-func TestInstantsWithoutSuspension(t *testing.T) {
+func TestInstantWithoutSuspension(t *testing.T) {
 	began, before := time.Now(), clock.Now()
 	time.Sleep(20 * time.Millisecond)
 	since, real := clock.Since(before), time.Since(began)
--- a/internal/clock/remote.go
+++ b/internal/clock/remote.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// remoteDrift is how much a remote clock and this host's may go apart, for each second:
+// maxDriftRate is how much a remote clock and this host's may go apart, for each second:
 // quartz clocks keep within 100 parts in a million each.
-const remoteDrift = 200e-6
+const maxDriftRate = 200e-6
 
 // Bounds are the earliest and the latest time that another host's clock may show. An
 // immutable value.
@@ -42,7 +42,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.known {
-		old := r.asOf(arrived)
+		old := r.boundsAt(arrived)
 		narrow := Bounds{Earliest: max(old.Earliest, heard.Earliest), Latest: min(old.Latest, heard.Latest)}
 		if narrow.Earliest <= narrow.Latest {
 			heard = narrow
@@ -55,12 +55,12 @@
 func (r *Remote) Now() (Bounds, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.asOf(Now()), r.known
+	return r.boundsAt(Now()), r.known
 }
 
-// asOf is what was heard, carried to a moment; the caller holds mu.
-func (r *Remote) asOf(moment Instant) Bounds {
-	passed := moment.Sub(r.at)
-	drift := time.Duration(remoteDrift * float64(passed))
+// boundsAt is what was heard, carried to a moment; the caller holds mu.
+func (r *Remote) boundsAt(at Instant) Bounds {
+	passed := at.Sub(r.at)
+	drift := time.Duration(maxDriftRate * float64(passed))
 	return Bounds{Earliest: r.bounds.Earliest + passed - drift, Latest: r.bounds.Latest + passed + drift}
 }
--- a/internal/clock/remote_test.go
+++ b/internal/clock/remote_test.go
@@ -8,23 +8,23 @@
 	"quaybarrow/internal/clock"
 )
 
-// question is one that another host answers: on its way for there, and back again.
-type question struct{ there, back time.Duration }
+// exchange is one that another host answers: on its way for there, and back again.
+type exchange struct{ outbound, inbound time.Duration }
 
-// exchanges are questions in order, with how far the bounds may be apart in the end.
-var exchanges = map[string]struct {
-	questions []question
+// exchangeCases are questions in order, with how far the bounds may be apart in the end.
+var exchangeCases = map[string]struct {
+	questions []exchange
 	width     time.Duration
 }{
-	"a quick answer":                  {[]question{{time.Millisecond, time.Millisecond}}, 2 * time.Millisecond},
-	"an answer that is late":          {[]question{{time.Millisecond, time.Second}}, 1001 * time.Millisecond},
-	"a late one after a quick one":    {[]question{{time.Millisecond, time.Millisecond}, {0, time.Second}}, 3 * time.Millisecond},
-	"a wait, and a late answer":       {[]question{{3 * time.Second, time.Millisecond}, {time.Millisecond, time.Second}}, 3 * time.Millisecond},
-	"a quick one after two late ones": {[]question{{time.Second, 0}, {0, time.Second}, {0, time.Millisecond}}, time.Millisecond},
+	"a quick answer":                  {[]exchange{{time.Millisecond, time.Millisecond}}, 2 * time.Millisecond},
+	"an answer that is late":          {[]exchange{{time.Millisecond, time.Second}}, 1001 * time.Millisecond},
+	"a late one after a quick one":    {[]exchange{{time.Millisecond, time.Millisecond}, {0, time.Second}}, 3 * time.Millisecond},
+	"a wait, and a late answer":       {[]exchange{{3 * time.Second, time.Millisecond}, {time.Millisecond, time.Second}}, 3 * time.Millisecond},
+	"a quick one after two late ones": {[]exchange{{time.Second, 0}, {0, time.Second}, {0, time.Millisecond}}, time.Millisecond},
 }
 
-func TestRemoteBoundsTheOtherClock(t *testing.T) {
-	for name, e := range exchanges {
+func TestRemoteBoundsContainOtherClock(t *testing.T) {
+	for name, e := range exchangeCases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				other := clock.NewSteady()
@@ -32,9 +32,9 @@
 				var r clock.Remote
 				for _, q := range e.questions {
 					sent := clock.Now()
-					time.Sleep(q.there)
+					time.Sleep(q.outbound)
 					shown := other.Now()
-					time.Sleep(q.back)
+					time.Sleep(q.inbound)
 					r.Observe(clock.Bounds{Earliest: shown, Latest: shown}, sent, clock.Now())
 				}
 				checkBounds(t, &r, other.Now(), e.width)
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestRemoteOfAnotherClock(t *testing.T) {
+func TestRemoteAfterClockRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r clock.Remote
 		if _, known := r.Now(); known {
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestRemoteWidensWithAge(t *testing.T) {
+func TestRemoteBoundsWidenWithAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r clock.Remote
 		r.Observe(clock.Bounds{}, clock.Now(), clock.Now())
--- a/internal/clock/steady_test.go
+++ b/internal/clock/steady_test.go
@@ -14,13 +14,13 @@
 	"quaybarrow/internal/clock"
 )
 
-// timeOfDay are the methods that make a number of the time of day; what goes by it
+// wallClockMethods are the methods that make a number of the time of day; what goes by it
 // moves when that jumps. Differences of times go by the steady clock.
-var timeOfDay = map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true}
+var wallClockMethods = map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true}
 
-// mayGoByTimeOfDay are files that tell or keep a moment for people or for other
+// mayUseWallClock are files that tell or keep a moment for people or for other
 // hosts, and decide nothing by it on the way of a routed request.
-var mayGoByTimeOfDay = map[string]string{
+var mayUseWallClock = map[string]string{
 	"internal/entry/entry.go": "the list of models tells when each was made",
 	"internal/job/job.go":     "jobs are due at a time of day that all hosts share",
 	"internal/usage/usage.go": "windows of the time of day that most hosts agree on, whatever a single one's does",
@@ -35,7 +35,7 @@
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
-			return checkFile(t, path)
+			return checkWallClock(t, path)
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -43,13 +43,13 @@
 	}
 }
 
-func checkFile(t *testing.T, path string) error {
+func checkWallClock(t *testing.T, path string) error {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return err
 	}
-	if mayGoByTimeOfDay[strings.TrimPrefix(filepath.ToSlash(path), "../../")] != "" {
+	if mayUseWallClock[strings.TrimPrefix(filepath.ToSlash(path), "../../")] != "" {
 		return nil
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
@@ -58,7 +58,7 @@
 			return true
 		}
 		method, ok := call.Fun.(*ast.SelectorExpr)
-		if !ok || !timeOfDay[method.Sel.Name] {
+		if !ok || !wallClockMethods[method.Sel.Name] {
 			return true
 		}
 		if of, ok := method.X.(*ast.Ident); ok && of.Name == "time" {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func TestSteadyCountsFromItsMaking(t *testing.T) {
+func TestSteadyStartsAtZero(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := clock.NewSteady()
 		time.Sleep(3 * time.Second)
--- a/internal/clock/suspended_test.go
+++ b/internal/clock/suspended_test.go
@@ -21,11 +21,11 @@
 	"while nothing is asked afterwards, at the first moment": {time.Millisecond, 5 * time.Second, 0},
 }
 
-// TestRemoteOfASuspendedHost: a machine is suspended while another host's clock goes on. Bounds
+// TestRemoteCountsSuspension: a machine is suspended while another host's clock goes on. Bounds
 // that were carried on by the clock that stood still were wrong by as long, not only wide; and
 // where the next answer still overlapped with them they stayed wrong, since each answer only
 // narrows what is known. Leases, shares of upgrades and what lapses went by them.
-func TestRemoteOfASuspendedHost(t *testing.T) {
+func TestRemoteCountsSuspension(t *testing.T) {
 	for name, s := range suspensions {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestSteadyCountsSuspensions(t *testing.T) {
+func TestSteadyCountsSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := clock.NewSteady()
 		clock.SimulateSuspension(3 * time.Second)
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -21,42 +21,42 @@
 	began    time.Time
 
 	mu    sync.Mutex // guards all below; held while the kernel is asked
-	first reading    // when the process began
+	first bootOffset // when the process began
 	added int64      // ns, by Suspend
 }
 
-// machine is the one that this process runs on.
-var machine = newSuspension()
+// machineSuspension is the one that this process runs on.
+var machineSuspension = newSuspension()
 
-func newSuspension() *suspension { return &suspension{began: time.Now(), first: readAhead()} }
+func newSuspension() *suspension { return &suspension{began: time.Now(), first: readBootOffset()} }
 
-// slewMost is how far the time of day may go from the runtime's clock, as it does when it is
+// maxSlew is how far the time of day may go from the runtime's clock, as it does when it is
 // set right slowly, before the kernel is asked.
-const slewMost = time.Millisecond
+const maxSlew = time.Millisecond
 
-// asOf is for how long the machine was suspended up to a moment.
-func (s *suspension) asOf(now time.Time) time.Duration {
+// totalAt is for how long the machine was suspended up to a moment.
+func (s *suspension) totalAt(now time.Time) time.Duration {
 	distance := now.Round(0).Sub(s.began.Round(0)) - now.Sub(s.began)
-	if (distance - time.Duration(s.distance.Load())).Abs() > slewMost {
-		s.ask()
+	if (distance - time.Duration(s.distance.Load())).Abs() > maxSlew {
+		s.readKernel()
 		s.distance.Store(int64(distance))
 	}
 	return time.Duration(s.total.Load())
 }
 
-// ask asks the kernel.
-func (s *suspension) ask() {
+// readKernel asks the kernel.
+func (s *suspension) readKernel() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := readAhead()
+	now := readBootOffset()
 	if now.known && s.first.known {
 		s.total.Store(max(s.total.Load(), now.least-s.first.most+s.added))
 	}
 }
 
-// reading is how far CLOCK_BOOTTIME was ahead of the steady clock: both can't be read at once,
+// bootOffset is how far CLOCK_BOOTTIME was ahead of the steady clock: both can't be read at once,
 // and a thread that waits in between has bounds that are so far apart.
-type reading struct {
+type bootOffset struct {
 	least, most int64 // ns
 	known       bool  // false where the kernel does not tell; Instants count as the runtime does
 }
@@ -67,44 +67,44 @@
 	readWidth = 50 * time.Microsecond // nearer bounds need no other try
 )
 
-// readAhead asks until the bounds are near, a few times.
-func readAhead() reading {
-	best := readOnce()
+// readBootOffset asks until the bounds are near, a few times.
+func readBootOffset() bootOffset {
+	best := readBootOffsetOnce()
 	for range readTries - 1 {
 		if best.most-best.least < int64(readWidth) {
 			break
 		}
-		if r := readOnce(); r.most-r.least < best.most-best.least {
+		if r := readBootOffsetOnce(); r.most-r.least < best.most-best.least {
 			best = r
 		}
 	}
 	return best
 }
 
-func readOnce() reading {
+func readBootOffsetOnce() bootOffset {
 	var before, boot, after unix.Timespec
 	for _, c := range []struct {
 		id   int32
 		into *unix.Timespec
 	}{{unix.CLOCK_MONOTONIC, &before}, {unix.CLOCK_BOOTTIME, &boot}, {unix.CLOCK_MONOTONIC, &after}} {
 		if err := unix.ClockGettime(c.id, c.into); err != nil {
-			return reading{}
+			return bootOffset{}
 		}
 	}
-	return reading{least: boot.Nano() - after.Nano(), most: boot.Nano() - before.Nano(), known: true}
+	return bootOffset{least: boot.Nano() - after.Nano(), most: boot.Nano() - before.Nano(), known: true}
 }
 
 // SuspendedTime is for how long the machine was suspended since the process began.
 func SuspendedTime() time.Duration {
-	machine.ask()
-	return time.Duration(machine.total.Load())
+	machineSuspension.readKernel()
+	return time.Duration(machineSuspension.total.Load())
 }
 
 // SimulateSuspension has Instants count as if the machine had been suspended for so long: for tests, whose
 // paused clock knows no suspension.
 func SimulateSuspension(d time.Duration) {
-	machine.mu.Lock()
-	defer machine.mu.Unlock()
-	machine.added += int64(d)
-	machine.total.Add(int64(d))
+	machineSuspension.mu.Lock()
+	defer machineSuspension.mu.Unlock()
+	machineSuspension.added += int64(d)
+	machineSuspension.total.Add(int64(d))
 }
--- a/internal/recent/recent_test.go
+++ b/internal/recent/recent_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestKeepsTheLast holds the keeper against a plain list.
-func TestKeepsTheLast(t *testing.T) {
+// TestKeepsLastValues holds the keeper against a plain list.
+func TestKeepsLastValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 9).Draw(t, "most")
 		list, v := rapid.SliceOf(rapid.Float64Range(0, 100)).Draw(t, "values"), recent.New(most)
--- a/internal/store/httpapi/httpapi.go
+++ b/internal/store/httpapi/httpapi.go
@@ -108,7 +108,7 @@
 		return reply, fmt.Errorf("call %s: %w: %w", path, store.ErrUnavailable, err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	if err := errorOf(response.StatusCode); err != nil {
+	if err := statusError(response.StatusCode); err != nil {
 		return reply, fmt.Errorf("call %s: %w", path, err)
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(&reply); err != nil {
@@ -117,7 +117,7 @@
 	return reply, nil
 }
 
-func errorOf(status int) error {
+func statusError(status int) error {
 	switch status {
 	case http.StatusOK:
 		return nil
