--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -53,7 +53,7 @@
 // host has to read it itself.
 func (m *Membership) readFromPeer(ctx context.Context) ([]store.Host, bool) {
 	m.mu.Lock()
-	current := m.all
+	current := m.allListed
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, peerListTimeout)
 	defer cancel()
@@ -88,7 +88,7 @@
 // HandleListQuery answers another host that asks for the list.
 func (m *Membership) HandleListQuery(knownHash string) (peer.Reply, error) {
 	m.mu.Lock()
-	hosts := m.all
+	hosts := m.allListed
 	m.mu.Unlock()
 	if len(hosts) == 0 {
 		return peer.Reply{}, peer.ErrRefused
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -33,9 +33,9 @@
 
 // hostRecord is what is known of a host from pings.
 type hostRecord struct {
-	status     peer.Status
-	receivedAt clock.Instant // of the last status
-	failing    clock.Instant // start of the present run of failed pings; zero if none
+	status       peer.Status
+	receivedAt   clock.Instant // of the last status
+	failingSince clock.Instant // start of the present run of failed pings; zero if none
 }
 
 // Membership keeps the view up to date.
@@ -45,7 +45,7 @@
 
 	mu          sync.Mutex // guards all below
 	listedHosts []store.Host
-	all         []store.Host // whole list, endpoints too
+	allListed   []store.Host // whole list, endpoints too
 	records     map[string]hostRecord
 }
 
@@ -63,7 +63,7 @@
 func (m *Membership) Listed() []store.Host {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.all
+	return m.allListed
 }
 
 // Run reads the list and pings until the context ends.
@@ -112,7 +112,7 @@
 		}
 	}
 	m.mu.Lock()
-	m.listedHosts, m.all = entries, hosts
+	m.listedHosts, m.allListed = entries, hosts
 	m.mu.Unlock()
 	m.rebuild()
 }
@@ -143,8 +143,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h := m.records[host]
-	if h.failing.IsZero() {
-		h.failing = clock.Now()
+	if h.failingSince.IsZero() {
+		h.failingSince = clock.Now()
 	}
 	m.records[host] = h
 }
@@ -190,7 +190,7 @@
 			continue
 		}
 		if clock.Since(h.receivedAt) > forgetAfterPeriods*period {
-			if h.failing.IsZero() || clock.Since(h.failing) > forgetAfterPeriods*period {
+			if h.failingSince.IsZero() || clock.Since(h.failingSince) > forgetAfterPeriods*period {
 				delete(m.records, host)
 			}
 			continue
@@ -224,7 +224,7 @@
 		Address: listed.Address, State: StateLive, Status: h.status,
 	}
 	switch {
-	case !h.failing.IsZero() && clock.Since(h.failing) >= (suspectAfterPeriods-1)*period:
+	case !h.failingSince.IsZero() && clock.Since(h.failingSince) >= (suspectAfterPeriods-1)*period:
 		member.State = StateSuspect
 	case listed.State == store.HostLeaving || h.status.Draining:
 		member.State = StateDraining
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -161,15 +161,15 @@
 
 // successors returns the members after self, in a ring by host.
 func successors(members []Member, self string, count int) []Member {
-	at := 0
+	selfIndex := 0
 	for i, m := range members {
 		if m.Host == self {
-			at = i
+			selfIndex = i
 		}
 	}
 	var next []Member
 	for n := 1; n < len(members) && len(next) < count; n++ {
-		next = append(next, members[(at+n)%len(members)])
+		next = append(next, members[(selfIndex+n)%len(members)])
 	}
 	return next
 }
