--- a/internal/peer/rpc/rpc_test.go
+++ b/internal/peer/rpc/rpc_test.go
@@ -174,8 +174,8 @@
 		dir := GinkgoT().TempDir()
 		ours, theirs := newAuthority(dir, "ours"), newAuthority(dir, "theirs")
 		later := time.Now().Add(time.Hour)
-		stranger := openFiles(theirs.issue(dir, "server", later))
-		address := serve(&echoHandler{}, stranger.ServerCredentials())
+		untrusted := openFiles(theirs.issue(dir, "server", later))
+		address := serve(&echoHandler{}, untrusted.ServerCredentials())
 		Expect(ping(openFiles(ours.issue(dir, "client", later)).ClientCredentials(), address)).To(HaveOccurred())
 	})
 
--- a/internal/peer/rpc/server.go
+++ b/internal/peer/rpc/server.go
@@ -29,7 +29,7 @@
 // NewServer returns a gRPC server that hands messages to a handler.
 func NewServer(h peer.Handler, c credentials.TransportCredentials) *grpc.Server {
 	server := grpc.NewServer(grpc.Creds(c), grpc.MaxRecvMsgSize(maxMessageBytes))
-	peerpb.RegisterPeerServer(server, &peerService{to: h})
+	peerpb.RegisterPeerServer(server, &peerService{handler: h})
 	quarantine.Register(server, h.Tell)
 	return server
 }
@@ -37,7 +37,7 @@
 // peerService implements peerpb.PeerServer.
 type peerService struct {
 	peerpb.UnimplementedPeerServer
-	to peer.Handler
+	handler peer.Handler
 }
 
 // convertResult converts what a handler returned.
@@ -59,35 +59,35 @@
 
 // Ping implements peerpb.PeerServer.
 func (h *peerService) Ping(ctx context.Context, r *peerpb.Status) (*peerpb.Status, error) {
-	s, err := h.to.Ping(ctx, statusFromWire(r))
+	s, err := h.handler.Ping(ctx, statusFromWire(r))
 	return convertResult(s, err, statusToWire)
 }
 
 // Fetch implements peerpb.PeerServer.
 func (h *peerService) Fetch(ctx context.Context, r *peerpb.FetchRequest) (*peerpb.RevisionMessage, error) {
-	m, err := h.to.Fetch(ctx, r.GetAbove())
+	m, err := h.handler.Fetch(ctx, r.GetAbove())
 	return convertResult(m, err, revisionToWire)
 }
 
 // Push implements peerpb.PeerServer.
 func (h *peerService) Push(ctx context.Context, r *peerpb.PushRequest) (*peerpb.PushReply, error) {
-	c, err := h.to.Push(ctx, pushFromWire(r))
+	c, err := h.handler.Push(ctx, pushFromWire(r))
 	return convertResult(c, err, confirmationsToWire)
 }
 
 // Hold implements peerpb.PeerServer.
 func (h *peerService) Hold(ctx context.Context, r *peerpb.HoldRequest) (*peerpb.Empty, error) {
-	return emptyReply(h.to.Hold(ctx, holdFromWire(r)))
+	return emptyReply(h.handler.Hold(ctx, holdFromWire(r)))
 }
 
 // Grant implements peerpb.PeerServer.
 func (h *peerService) Grant(ctx context.Context, r *peerpb.GrantRequest) (*peerpb.Empty, error) {
-	return emptyReply(h.to.Grant(ctx, grantFromWire(r)))
+	return emptyReply(h.handler.Grant(ctx, grantFromWire(r)))
 }
 
 // Show implements peerpb.PeerServer.
 func (h *peerService) Show(ctx context.Context, r *peerpb.ShowRequest) (*peerpb.ShowReply, error) {
-	reply, err := h.to.Show(ctx, queryFromWire(r))
+	reply, err := h.handler.Show(ctx, queryFromWire(r))
 	return convertResult(reply, err, func(r peer.Reply) *peerpb.ShowReply { return &peerpb.ShowReply{Data: r.Data} })
 }
 
