--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -24,16 +24,16 @@
 
 // Waits of a follower.
 const (
-	// waitLong is one wait for changes. Each is a priced call; a feed that went
+	// watchWait is one wait for changes. Each is a priced call; a feed that went
 	// silent without an error is noticed when the wait is over.
-	waitLong = 3 * time.Second
-	// waitShort is one wait until the store has answered again.
-	waitShort  = 500 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
-	retryFirst = 100 * time.Millisecond
-	// awayAfter is how long after an error entries that vanish are taken to have
+	watchWait = 3 * time.Second
+	// reconnectWait is one wait until the store has answered again.
+	reconnectWait     = 500 * time.Millisecond
+	maxRetryDelay     = 800 * time.Millisecond
+	initialRetryDelay = 100 * time.Millisecond
+	// outageWindow is how long after an error entries that vanish are taken to have
 	// lapsed while the store was away.
-	awayAfter = 3 * time.Second
+	outageWindow = 3 * time.Second
 )
 
 // Replica takes in what the table says.
@@ -57,16 +57,16 @@
 // follower is a follower's state.
 type follower struct {
 	Options
-	picture Replica
-	version int64 // -1 until the table was read
-	lost    bool
-	failed  clock.Instant // the last error
-	retry   time.Duration
+	replica     Replica
+	version     int64 // -1 until the table was read
+	storeLost   bool
+	lastFailure clock.Instant // the last error
+	retryDelay  time.Duration
 }
 
 // Run follows a table until the context ends.
 func Run(ctx context.Context, o Options, p Replica) {
-	f := &follower{Options: o, picture: p, version: -1, retry: retryFirst}
+	f := &follower{Options: o, replica: p, version: -1, retryDelay: initialRetryDelay}
 	for ctx.Err() == nil {
 		err := f.step(ctx)
 		switch {
@@ -88,13 +88,13 @@
 		if err != nil {
 			return fmt.Errorf("follow %s: %w", f.Table, err)
 		}
-		f.picture.Reset(state.Rows, f.afterOutage())
+		f.replica.Reset(state.Rows, f.afterOutage())
 		f.version = state.Version
 		return nil
 	}
-	wait := waitLong
-	if f.lost {
-		wait = waitShort
+	wait := watchWait
+	if f.storeLost {
+		wait = reconnectWait
 	}
 	changes, version, err := f.Watch.Changes(ctx, f.Table, f.version, wait)
 	if err != nil {
@@ -102,29 +102,29 @@
 	}
 	f.version = version
 	if len(changes) > 0 {
-		f.picture.Change(changes, f.afterOutage())
+		f.replica.Change(changes, f.afterOutage())
 	}
-	f.picture.Confirm()
+	f.replica.Confirm()
 	return nil
 }
 
 // afterOutage reports whether the store was not reached a moment ago.
 func (f *follower) afterOutage() bool {
-	return !f.failed.IsZero() && clock.Since(f.failed) < awayAfter
+	return !f.lastFailure.IsZero() && clock.Since(f.lastFailure) < outageWindow
 }
 
 func (f *follower) handleSuccess() {
-	if f.lost {
+	if f.storeLost {
 		f.Logger.Info("store regained", "table", f.Table, "version", f.version)
 	}
-	f.lost, f.retry = false, retryFirst
+	f.storeLost, f.retryDelay = false, initialRetryDelay
 }
 
 func (f *follower) handleFailure(ctx context.Context, err error) {
-	if !f.lost {
+	if !f.storeLost {
 		f.Logger.Warn("store lost", "table", f.Table, "version", f.version, "error", err)
 	}
-	f.lost, f.failed = true, clock.Now()
-	clock.Sleep(ctx, clock.Jitter(f.retry))
-	f.retry = min(2*f.retry, retryMost)
+	f.storeLost, f.lastFailure = true, clock.Now()
+	clock.Sleep(ctx, clock.Jitter(f.retryDelay))
+	f.retryDelay = min(2*f.retryDelay, maxRetryDelay)
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -144,8 +144,8 @@
 			s.Drop("t", "a")
 			s.Break(standin.Healthy)
 			time.Sleep(recoveryBound)
-			_, lapsed := p.observed()
-			Expect(lapsed).To(Equal([]string{"a"}))
+			_, deletedInOutage := p.observed()
+			Expect(deletedInOutage).To(Equal([]string{"a"}))
 		})
 	})
 
