--- a/internal/recent/recent_test.go
+++ b/internal/recent/recent_test.go
@@ -12,7 +12,7 @@
 func TestQuantiles(t *testing.T) {
 	cases := map[string]struct {
 		values []float64
-		part   float64
+		q      float64
 		want   float64
 	}{
 		"without values":      {nil, 0.5, 0},
@@ -28,7 +28,7 @@
 		for _, value := range c.values {
 			v.Add(value)
 		}
-		if got := v.Quantile(c.part); got != c.want {
+		if got := v.Quantile(c.q); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 		if v.Seen() != len(c.values) {
@@ -40,12 +40,12 @@
 // TestKeepsLastValues holds the keeper against a plain list.
 func TestKeepsLastValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 9).Draw(t, "most")
-		list, v := rapid.SliceOf(rapid.Float64Range(0, 100)).Draw(t, "values"), recent.New(most)
+		limit := rapid.IntRange(1, 9).Draw(t, "most")
+		list, v := rapid.SliceOf(rapid.Float64Range(0, 100)).Draw(t, "values"), recent.New(limit)
 		for _, value := range list {
 			v.Add(value)
 		}
-		last := list[max(0, len(list)-most):]
+		last := list[max(0, len(list)-limit):]
 		if len(last) > 0 && (v.Quantile(0) != slices.Min(last) || v.Quantile(1) != slices.Max(last)) {
 			t.Fatalf("%v to %v of %v", v.Quantile(0), v.Quantile(1), last)
 		}
