--- a/internal/clock/ages_test.go
+++ b/internal/clock/ages_test.go
@@ -67,8 +67,8 @@
 
 // checkAges checks a file, and notes by what entry of mayStandStill it is allowed.
 func checkAges(t *testing.T, path string, used map[string]bool) error {
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, "../../"+path, nil, parser.SkipObjectResolution)
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, "../../"+path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return err
 	}
@@ -77,8 +77,8 @@
 		if !ok {
 			return true
 		}
-		of, ok := selected.X.(*ast.Ident)
-		if !ok || !ignoresSuspension[of.Name+"."+selected.Sel.Name] {
+		pkg, ok := selected.X.(*ast.Ident)
+		if !ok || !ignoresSuspension[pkg.Name+"."+selected.Sel.Name] {
 			return true
 		}
 		for _, entry := range []string{path, filepath.ToSlash(filepath.Dir(path)) + "/", "internal/standin/"} {
@@ -87,7 +87,7 @@
 				return true
 			}
 		}
-		t.Errorf("%s: %s.%s stands still while the machine is suspended; see clock.Instant", files.Position(selected.Pos()), of.Name, selected.Sel.Name)
+		t.Errorf("%s: %s.%s stands still while the machine is suspended; see clock.Instant", fileSet.Position(selected.Pos()), pkg.Name, selected.Sel.Name)
 		return true
 	})
 	return nil
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,15 +12,15 @@
 // waits are times with what Sleep does with them.
 var waits = map[string]struct {
 	wait, took time.Duration
-	ended      bool // the context, before
+	ctxEnded   bool // the context, before
 	want       bool
 }{
 	"a while":                       {wait: time.Second, took: time.Second, want: true},
 	"no time":                       {want: true},
 	"a time that is over":           {wait: -time.Hour, want: true},
-	"a while, in an ended context":  {wait: time.Second, ended: true},
-	"no time, in an ended context":  {ended: true},
-	"over, and in an ended context": {wait: -time.Hour, ended: true},
+	"a while, in an ended context":  {wait: time.Second, ctxEnded: true},
+	"no time, in an ended context":  {ctxEnded: true},
+	"over, and in an ended context": {wait: -time.Hour, ctxEnded: true},
 }
 
 func TestSleep(t *testing.T) {
@@ -29,7 +29,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
-				if w.ended {
+				if w.ctxEnded {
 					cancel()
 				}
 				started := time.Now()
--- a/internal/clock/deadlines.go
+++ b/internal/clock/deadlines.go
@@ -16,9 +16,9 @@
 
 // deadline is a context's.
 type deadline struct {
-	until Instant
-	end   context.CancelFunc
-	again *time.Timer // nil unless the machine was suspended
+	until  Instant
+	cancel context.CancelFunc
+	timer  *time.Timer // nil unless the machine was suspended
 }
 
 // NewDeadlines returns none.
@@ -27,15 +27,15 @@
 // WithDeadline returns a context that ends at a moment, and what lets go of it.
 func (d *Deadlines) WithDeadline(ctx context.Context, until Instant) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, Until(until))
-	one := &deadline{until: until, end: cancel}
+	entry := &deadline{until: until, cancel: cancel}
 	d.mu.Lock()
-	d.open[one] = struct{}{}
+	d.open[entry] = struct{}{}
 	d.mu.Unlock()
 	return context.WithValue(ctx, deadlineKey{}, until), func() {
 		d.mu.Lock()
-		delete(d.open, one)
-		if one.again != nil {
-			one.again.Stop()
+		delete(d.open, entry)
+		if entry.timer != nil {
+			entry.timer.Stop()
 		}
 		d.mu.Unlock()
 		cancel()
@@ -58,38 +58,38 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for entry := range d.open {
-		if entry.again != nil {
-			entry.again.Stop()
+		if entry.timer != nil {
+			entry.timer.Stop()
 		}
 		if !now.Before(entry.until) {
-			entry.end()
+			entry.cancel()
 			continue
 		}
-		entry.again = time.AfterFunc(entry.until.Sub(now), entry.end)
+		entry.timer = time.AfterFunc(entry.until.Sub(now), entry.cancel)
 	}
 }
 
 // Times of Watch.
 const (
-	// watchEvery is how soon after the machine is back a suspension is noticed: callers are to
+	// watchInterval is how soon after the machine is back a suspension is noticed: callers are to
 	// have their answers within half a second of their time.
-	watchEvery = 200 * time.Millisecond
-	// suspensionLeast is how long one is that is told: a thread that waits between two readings
+	watchInterval = 200 * time.Millisecond
+	// minSuspension is how long one is that is told: a thread that waits between two readings
 	// looks like a shorter one.
-	suspensionLeast = 20 * time.Millisecond
+	minSuspension = 20 * time.Millisecond
 )
 
 // Watch tells of suspensions, after it has ended the contexts whose time was over by then; until
 // ctx ends.
 func (d *Deadlines) Watch(ctx context.Context, report func(lasted time.Duration)) {
-	known := SuspendedTime()
-	for Sleep(ctx, watchEvery) {
+	total := SuspendedTime()
+	for Sleep(ctx, watchInterval) {
 		now := SuspendedTime()
-		if now-known < suspensionLeast {
+		if now-total < minSuspension {
 			continue
 		}
 		d.rearm()
-		report(now - known)
-		known = now
+		report(now - total)
+		total = now
 	}
 }
--- a/internal/clock/instant_test.go
+++ b/internal/clock/instant_test.go
@@ -26,11 +26,11 @@
 }
 
 func TestInstantWithoutSuspension(t *testing.T) {
-	began, before := time.Now(), clock.Now()
+	started, before := time.Now(), clock.Now()
 	time.Sleep(20 * time.Millisecond)
-	since, real := clock.Since(before), time.Since(began)
-	if since < 20*time.Millisecond || since > real {
-		t.Errorf("%v have passed by instants, %v by the runtime", since, real)
+	since, elapsed := clock.Since(before), time.Since(started)
+	if since < 20*time.Millisecond || since > elapsed {
+		t.Errorf("%v have passed by instants, %v by the runtime", since, elapsed)
 	}
 	if suspended := clock.SuspendedTime(); clock.SuspendedTime() != suspended {
 		t.Error("this machine is said to be suspended all the time")
--- a/internal/clock/remote.go
+++ b/internal/clock/remote.go
@@ -38,17 +38,17 @@
 
 // Observe takes in what the clock showed between two moments.
 func (r *Remote) Observe(shown Bounds, sent, arrived Instant) {
-	heard := Bounds{Earliest: shown.Earliest, Latest: shown.Latest + arrived.Sub(sent)}
+	observed := Bounds{Earliest: shown.Earliest, Latest: shown.Latest + arrived.Sub(sent)}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.known {
-		old := r.boundsAt(arrived)
-		narrow := Bounds{Earliest: max(old.Earliest, heard.Earliest), Latest: min(old.Latest, heard.Latest)}
-		if narrow.Earliest <= narrow.Latest {
-			heard = narrow
+		previous := r.boundsAt(arrived)
+		intersection := Bounds{Earliest: max(previous.Earliest, observed.Earliest), Latest: min(previous.Latest, observed.Latest)}
+		if intersection.Earliest <= intersection.Latest {
+			observed = intersection
 		} // else the clock is another one now
 	}
-	r.known, r.bounds, r.at = true, heard, arrived
+	r.known, r.bounds, r.at = true, observed, arrived
 }
 
 // Now bounds what the clock shows; false before anything was heard.
@@ -60,7 +60,7 @@
 
 // boundsAt is what was heard, carried to a moment; the caller holds mu.
 func (r *Remote) boundsAt(at Instant) Bounds {
-	passed := at.Sub(r.at)
-	drift := time.Duration(maxDriftRate * float64(passed))
-	return Bounds{Earliest: r.bounds.Earliest + passed - drift, Latest: r.bounds.Latest + passed + drift}
+	elapsed := at.Sub(r.at)
+	drift := time.Duration(maxDriftRate * float64(elapsed))
+	return Bounds{Earliest: r.bounds.Earliest + elapsed - drift, Latest: r.bounds.Latest + elapsed + drift}
 }
--- a/internal/clock/remote_test.go
+++ b/internal/clock/remote_test.go
@@ -13,7 +13,7 @@
 
 // exchangeCases are questions in order, with how far the bounds may be apart in the end.
 var exchangeCases = map[string]struct {
-	questions []exchange
+	exchanges []exchange
 	width     time.Duration
 }{
 	"a quick answer":                  {[]exchange{{time.Millisecond, time.Millisecond}}, 2 * time.Millisecond},
@@ -30,7 +30,7 @@
 				other := clock.NewSteady()
 				time.Sleep(time.Hour)
 				var r clock.Remote
-				for _, q := range e.questions {
+				for _, q := range e.exchanges {
 					sent := clock.Now()
 					time.Sleep(q.outbound)
 					shown := other.Now()
--- a/internal/clock/steady_test.go
+++ b/internal/clock/steady_test.go
@@ -44,8 +44,8 @@
 }
 
 func checkWallClock(t *testing.T, path string) error {
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return err
 	}
@@ -61,10 +61,10 @@
 		if !ok || !wallClockMethods[method.Sel.Name] {
 			return true
 		}
-		if of, ok := method.X.(*ast.Ident); ok && of.Name == "time" {
+		if pkg, ok := method.X.(*ast.Ident); ok && pkg.Name == "time" {
 			return true // makes a time of a number
 		}
-		t.Errorf("%s: %s goes by the time of day", files.Position(n.Pos()), method.Sel.Name)
+		t.Errorf("%s: %s goes by the time of day", fileSet.Position(n.Pos()), method.Sel.Name)
 		return true
 	})
 	return nil
--- a/internal/clock/suspended_test.go
+++ b/internal/clock/suspended_test.go
@@ -29,20 +29,20 @@
 	for name, s := range suspensions {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				began, gone := time.Now(), time.Duration(0)
-				other := func() time.Duration { return time.Since(began) + gone }
+				started, suspended := time.Now(), time.Duration(0)
+				other := func() time.Duration { return time.Since(started) + suspended }
 				var r clock.Remote
-				hear := func(took time.Duration) {
+				observe := func(took time.Duration) {
 					sent, shown := clock.Now(), other()
 					time.Sleep(took)
 					r.Observe(clock.Bounds{Earliest: shown, Latest: shown}, sent, clock.Now())
 				}
-				hear(s.before)
+				observe(s.before)
 				clock.SimulateSuspension(s.suspended)
-				gone += s.suspended
+				suspended += s.suspended
 				checkBounds(t, &r, other(), s.before+2*time.Millisecond)
 				if s.after > 0 {
-					hear(s.after)
+					observe(s.after)
 					checkBounds(t, &r, other(), min(s.before, s.after)+4*time.Millisecond)
 				}
 			})
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -16,19 +16,19 @@
 // as long (BenchmarkNow, BenchmarkSuspended). That a step of the time of day hides a suspension
 // of the same length is left to Watch, which asks in any case.
 type suspension struct {
-	total    atomic.Int64 // ns
-	distance atomic.Int64 // ns, of the time of day from the runtime's clock when the kernel was asked
-	began    time.Time
+	total   atomic.Int64 // ns
+	offset  atomic.Int64 // ns, of the time of day from the runtime's clock when the kernel was asked
+	started time.Time
 
-	mu    sync.Mutex // guards all below; held while the kernel is asked
-	first bootOffset // when the process began
-	added int64      // ns, by Suspend
+	mu        sync.Mutex // guards all below; held while the kernel is asked
+	first     bootOffset // when the process began
+	simulated int64      // ns, by Suspend
 }
 
 // machineSuspension is the one that this process runs on.
 var machineSuspension = newSuspension()
 
-func newSuspension() *suspension { return &suspension{began: time.Now(), first: readBootOffset()} }
+func newSuspension() *suspension { return &suspension{started: time.Now(), first: readBootOffset()} }
 
 // maxSlew is how far the time of day may go from the runtime's clock, as it does when it is
 // set right slowly, before the kernel is asked.
@@ -36,10 +36,10 @@
 
 // totalAt is for how long the machine was suspended up to a moment.
 func (s *suspension) totalAt(now time.Time) time.Duration {
-	distance := now.Round(0).Sub(s.began.Round(0)) - now.Sub(s.began)
-	if (distance - time.Duration(s.distance.Load())).Abs() > maxSlew {
+	offset := now.Round(0).Sub(s.started.Round(0)) - now.Sub(s.started)
+	if (offset - time.Duration(s.offset.Load())).Abs() > maxSlew {
 		s.readKernel()
-		s.distance.Store(int64(distance))
+		s.offset.Store(int64(offset))
 	}
 	return time.Duration(s.total.Load())
 }
@@ -50,31 +50,31 @@
 	defer s.mu.Unlock()
 	now := readBootOffset()
 	if now.known && s.first.known {
-		s.total.Store(max(s.total.Load(), now.least-s.first.most+s.added))
+		s.total.Store(max(s.total.Load(), now.lower-s.first.upper+s.simulated))
 	}
 }
 
 // bootOffset is how far CLOCK_BOOTTIME was ahead of the steady clock: both can't be read at once,
 // and a thread that waits in between has bounds that are so far apart.
 type bootOffset struct {
-	least, most int64 // ns
-	known       bool  // false where the kernel does not tell; Instants count as the runtime does
+	lower, upper int64 // ns
+	known        bool  // false where the kernel does not tell; Instants count as the runtime does
 }
 
 // Bounds of readAhead.
 const (
-	readTries = 3
-	readWidth = 50 * time.Microsecond // nearer bounds need no other try
+	maxOffsetReads  = 3
+	goodOffsetWidth = 50 * time.Microsecond // nearer bounds need no other try
 )
 
 // readBootOffset asks until the bounds are near, a few times.
 func readBootOffset() bootOffset {
 	best := readBootOffsetOnce()
-	for range readTries - 1 {
-		if best.most-best.least < int64(readWidth) {
+	for range maxOffsetReads - 1 {
+		if best.upper-best.lower < int64(goodOffsetWidth) {
 			break
 		}
-		if r := readBootOffsetOnce(); r.most-r.least < best.most-best.least {
+		if r := readBootOffsetOnce(); r.upper-r.lower < best.upper-best.lower {
 			best = r
 		}
 	}
@@ -91,7 +91,7 @@
 			return bootOffset{}
 		}
 	}
-	return bootOffset{least: boot.Nano() - after.Nano(), most: boot.Nano() - before.Nano(), known: true}
+	return bootOffset{lower: boot.Nano() - after.Nano(), upper: boot.Nano() - before.Nano(), known: true}
 }
 
 // SuspendedTime is for how long the machine was suspended since the process began.
@@ -105,6 +105,6 @@
 func SimulateSuspension(d time.Duration) {
 	machineSuspension.mu.Lock()
 	defer machineSuspension.mu.Unlock()
-	machineSuspension.added += int64(d)
+	machineSuspension.simulated += int64(d)
 	machineSuspension.total.Add(int64(d))
 }
