--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -21,14 +21,14 @@
 	started time.Time
 
 	mu        sync.Mutex // guards all below; held while the kernel is asked
-	first     bootOffset // when the process began
+	initial     bootOffset // when the process began
 	simulated int64      // ns, by Suspend
 }
 
 // machineSuspension is the one that this process runs on.
 var machineSuspension = newSuspension()
 
-func newSuspension() *suspension { return &suspension{started: time.Now(), first: readBootOffset()} }
+func newSuspension() *suspension { return &suspension{started: time.Now(), initial: readBootOffset()} }
 
 // maxSlew is how far the time of day may go from the runtime's clock, as it does when it is
 // set right slowly, before the kernel is asked.
@@ -49,8 +49,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := readBootOffset()
-	if now.known && s.first.known {
-		s.total.Store(max(s.total.Load(), now.lower-s.first.upper+s.simulated))
+	if now.known && s.initial.known {
+		s.total.Store(max(s.total.Load(), now.lower-s.initial.upper+s.simulated))
 	}
 }
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,13 +1,13 @@
-// Package follow keeps a host's picture of a store's table up to date.
+// Package follow keeps a local replica of a store table up to date.
 //
 // # Usage
 //
-//	go follow.Run(ctx, follow.Options{Watch: watcher, Table: "endpoints", Logger: logger}, picture)
+//	go follow.Run(ctx, follow.Options{Watch: watcher, Table: "endpoints", Logger: logger}, replica)
 //
-// The table is read whole once, then its changes are waited for. After an error
-// the wait goes on from the last version; when the history is gone the table is
-// read whole again. Waits are short while the store does not answer, so that the
-// picture is right soon after it is back.
+// The follower reads the whole table once and then waits for changes. After an error it continues
+// from the last version; if the history since then is gone, it reads the whole table again. Waits
+// are short while the store does not answer, so that the replica is current soon after the store
+// recovers.
 package follow
 
 import (
@@ -22,45 +22,45 @@
 	"quaybarrow/internal/store"
 )
 
-// Waits of a follower.
+// Wait times of a follower.
 const (
-	// watchWait is one wait for changes. Each is a priced call; a feed that went
-	// silent without an error is noticed when the wait is over.
+	// watchWait is the length of one call that waits for changes. The store charges for each call; a feed
+	// that stops without an error is noticed when the call ends.
 	watchWait = 3 * time.Second
-	// reconnectWait is one wait until the store has answered again.
+	// reconnectWait replaces watchWait until the store has answered again.
 	reconnectWait     = 500 * time.Millisecond
 	maxRetryDelay     = 800 * time.Millisecond
 	initialRetryDelay = 100 * time.Millisecond
-	// outageWindow is how long after an error entries that vanish are taken to have
-	// lapsed while the store was away.
+	// outageWindow is the time after an error within which a removed entry is assumed to have
+	// expired because the store was unavailable.
 	outageWindow = 3 * time.Second
 )
 
-// Replica takes in what the table says.
+// Replica receives the content of a table and its changes.
 type Replica interface {
-	// Reset replaces everything; away tells that the store was not reached a
-	// moment ago.
+	// Reset replaces the whole content. afterOutage means that a call to the store failed a few
+	// seconds ago.
 	Reset(rows []store.Row, afterOutage bool)
-	// Change takes in rows that changed.
+	// Change applies changes of rows.
 	Change(changes []store.Change, afterOutage bool)
-	// Confirm notes that nothing has changed up to now.
+	// Confirm reports that the replica is current as of now.
 	Confirm()
 }
 
-// Options set up a follower.
+// Options configures a follower.
 type Options struct {
 	Watch  store.Watcher
 	Table  string
 	Logger *log.Logger
 }
 
-// follower is a follower's state.
+// follower holds the state of one Run.
 type follower struct {
 	Options
 	replica     Replica
-	version     int64 // -1 until the table was read
+	version     int64 // -1 until the table has been read
 	storeLost   bool
-	lastFailure clock.Instant // the last error
+	lastFailure clock.Instant // time of the last error
 	retryDelay  time.Duration
 }
 
@@ -73,7 +73,7 @@
 		case err == nil:
 			f.handleSuccess()
 		case errors.Is(err, store.ErrCompacted):
-			f.Logger.Warn("history of the table is gone; reading it whole", "table", f.Table, "version", f.version)
+			f.Logger.Warn("history of the table is gone; reading the whole table", "table", f.Table, "version", f.version)
 			f.version = -1
 		case ctx.Err() == nil:
 			f.handleFailure(ctx, err)
@@ -81,7 +81,7 @@
 	}
 }
 
-// step reads the table, or waits for its next changes.
+// step reads the whole table, or waits for its next changes.
 func (f *follower) step(ctx context.Context) error {
 	if f.version < 0 {
 		state, err := f.Watch.State(ctx, f.Table)
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// afterOutage reports whether the store was not reached a moment ago.
+// afterOutage reports whether a call to the store failed within outageWindow.
 func (f *follower) afterOutage() bool {
 	return !f.lastFailure.IsZero() && clock.Since(f.lastFailure) < outageWindow
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -19,11 +19,11 @@
 	"quaybarrow/platform/standin"
 )
 
-// recordingReplica records what a follower tells.
+// recordingReplica records the calls of a follower.
 type recordingReplica struct {
 	mu              sync.Mutex
 	rows            map[string]string
-	deletedInOutage []string // deleted while the store was away
+	deletedInOutage []string // deleted with afterOutage set
 	resets          int
 	confirmed       time.Time
 }
@@ -67,14 +67,14 @@
 
 const address = "10.9.0.1:80"
 
-// observed returns how often the table was read whole, and what lapsed.
+// observed returns the number of resets and the keys that were deleted with afterOutage set.
 func (p *recordingReplica) observed() (resets int, deletedInOutage []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.resets, p.deletedInOutage
 }
 
-// withFollower runs a body beside a follower of table t.
+// withFollower runs body while a follower follows table t.
 func withFollower(body func(s *standin.Store, p *recordingReplica)) {
 	suite.Paused(func() {
 		network, s, p := memnet.New(), standin.NewStore(), &recordingReplica{}
@@ -94,18 +94,17 @@
 	})
 }
 
-// recoveryBound is what a change may take to be seen once the store is well; the
-// platform's tightest bound on a configuration is two seconds after three of
-// contact.
+// recoveryBound is the time within which a change has to be visible after the store recovers. The
+// platform's tightest bound on a configuration is two seconds after three seconds of contact.
 const recoveryBound = 2900 * time.Millisecond
 
-// outages are ways in which the store is away.
+// outages are the ways in which the store is unavailable.
 var outages = map[string]standin.Fault{
 	"busy": standin.Busy, "limited": standin.Limited, "silent": standin.Silent,
 }
 
 var _ = Describe("a follower", func() {
-	It("reads the table and then its changes at once", func() {
+	It("reads the table and then receives its changes immediately", func() {
 		withFollower(func(s *standin.Store, p *recordingReplica) {
 			Expect(p.get("a")).To(Equal("1"))
 			s.Put("t", "a", []byte("2"))
@@ -123,7 +122,7 @@
 
 	for name, fault := range outages {
 		for _, length := range []time.Duration{time.Second, 4 * time.Second, 30 * time.Second} {
-			It("is right again soon after the store was "+name+" for "+length.String(), func() {
+			It("is current again soon after the store was "+name+" for "+length.String(), func() {
 				withFollower(func(s *standin.Store, p *recordingReplica) {
 					time.Sleep(time.Second)
 					s.Break(fault)
@@ -137,7 +136,7 @@
 		}
 	}
 
-	It("tells what vanished while the store was away", func() {
+	It("reports rows that were deleted while the store was unavailable", func() {
 		withFollower(func(s *standin.Store, p *recordingReplica) {
 			s.Break(standin.Busy)
 			time.Sleep(4 * time.Second)
@@ -149,7 +148,7 @@
 		})
 	})
 
-	It("reads the table whole when the history is gone", func() {
+	It("reads the whole table when the history is gone", func() {
 		withFollower(func(s *standin.Store, p *recordingReplica) {
 			s.Break(standin.LoseFeed)
 			s.Put("t", "a", []byte("2"))
@@ -162,7 +161,7 @@
 		})
 	})
 
-	It("makes few calls while nothing changes, and few while the store is away", func() {
+	It("makes few calls while nothing changes or the store is unavailable", func() {
 		withFollower(func(s *standin.Store, _ *recordingReplica) {
 			time.Sleep(time.Minute)
 			Expect(s.Feeds()).To(BeNumerically("<=", 21))
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -12,21 +12,22 @@
 	"quaybarrow/internal/store"
 )
 
-// QueryHosts is the subject of a query for the list of hosts. Its id is the hash
-// of the list that the asker has; a reply without data says that it is the same.
+// QueryHosts is the subject of a query for the platform's host list. The query's ID is the hash
+// of the list that the sender has; a reply without data means that the list is unchanged.
 const QueryHosts = "hosts"
 
-// readersPerRegion is how many hosts of a region read the platform's list.
+// readersPerRegion is the number of hosts in each region that read the list from the platform.
 const readersPerRegion = 2
 
-// maxHostsWithoutReaders is a count of hosts up to which each reads the list itself.
+// maxHostsWithoutReaders is the largest number of hosts at which every host reads the list from the
+// platform itself.
 const maxHostsWithoutReaders = 12
 
-// peerListTimeout bounds asking another host for the list.
+// peerListTimeout bounds the attempt to get the list from other hosts.
 const peerListTimeout = time.Second
 
-// listReaders are the hosts of this host's region that read the platform's list;
-// none when this host is one, or when there are few hosts.
+// listReaders returns the hosts in this host's region that read the list from the platform. It
+// returns none if this host is one of them, or if there are at most maxHostsWithoutReaders hosts.
 func (m *Membership) listReaders() []Member {
 	view := m.View()
 	if len(view.Members) <= maxHostsWithoutReaders {
@@ -49,8 +50,8 @@
 	return readers
 }
 
-// readFromPeer gets the list from one of the region's readers; false if this
-// host has to read it itself.
+// readFromPeer gets the list from one of the region's readers. It returns false if this host has to
+// read the list from the platform.
 func (m *Membership) readFromPeer(ctx context.Context) ([]store.Host, bool) {
 	m.mu.Lock()
 	current := m.allListed
@@ -73,7 +74,7 @@
 	return nil, false
 }
 
-// listHash names a list by its content.
+// listHash returns a hash of a list's content.
 func listHash(hosts []store.Host) string {
 	var d xxhash.Digest
 	for _, h := range hosts {
@@ -85,7 +86,8 @@
 	return strconv.FormatUint(d.Sum64(), 16)
 }
 
-// HandleListQuery answers another host that asks for the list.
+// HandleListQuery answers another host's QueryHosts query; knownHash is the hash of the list which
+// that host has.
 func (m *Membership) HandleListQuery(knownHash string) (peer.Reply, error) {
 	m.mu.Lock()
 	hosts := m.allListed
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -12,51 +12,51 @@
 	"quaybarrow/internal/store"
 )
 
-// Factors of the ping period.
+// Failure detection times, as multiples of the ping period.
 const (
-	suspectAfterPeriods = 3 // periods without a reply make a watched host suspect
-	forgetAfterPeriods  = 5 // periods after which an unlisted host is dropped
+	suspectAfterPeriods = 3 // a pinged host is suspect after this many periods without a reply
+	forgetAfterPeriods  = 5 // an unlisted host is removed after this many periods without a status
 )
 
-// Options set up a Membership.
+// Options configures a Membership.
 type Options struct {
 	Hosts store.Hosts
 	Link  peer.Link
-	// Self describes this host at the moment.
+	// Self returns the current status of this host.
 	Self func() peer.Status
-	// Observe is told of every status heard, with the time its host could
-	// have sent it at the latest; nil if nobody listens.
+	// Observe is called with every status received. The status is at least as old as the given
+	// time. Observe may be nil.
 	Observe    func(status peer.Status, at clock.Instant)
 	PingPeriod time.Duration
 	ListPeriod time.Duration
 }
 
-// hostRecord is what is known of a host from pings.
+// hostRecord holds what pings have shown about a host.
 type hostRecord struct {
 	status       peer.Status
-	receivedAt   clock.Instant // of the last status
-	failingSince clock.Instant // start of the present run of failed pings; zero if none
+	receivedAt   clock.Instant // when the last status was received
+	failingSince clock.Instant // start of the current run of failed pings; zero if none
 }
 
-// Membership keeps the view up to date.
+// Membership maintains this host's view of the other hosts.
 type Membership struct {
 	options Options
 	view    atomic.Pointer[View]
 
-	mu          sync.Mutex // guards all below
-	listedHosts []store.Host
-	allListed   []store.Host // whole list, endpoints too
+	mu          sync.Mutex   // guards the fields below
+	listedHosts []store.Host // the routers in allListed
+	allListed   []store.Host // the whole list, endpoints included
 	records     map[string]hostRecord
 }
 
-// New returns a membership that knows only this host.
+// New returns a Membership whose view contains only this host.
 func New(options Options) *Membership {
 	m := &Membership{options: options, records: map[string]hostRecord{}}
 	m.rebuild()
 	return m
 }
 
-// View returns the present picture.
+// View returns the current view.
 func (m *Membership) View() View { return *m.view.Load() }
 
 // Listed returns the platform's list as last read, endpoints included.
@@ -66,7 +66,7 @@
 	return m.allListed
 }
 
-// Run reads the list and pings until the context ends.
+// Run reads the list and pings other hosts periodically until ctx ends.
 func (m *Membership) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	wait.Go(func() { every(ctx, func() time.Duration { return m.options.ListPeriod }, m.ReadList) })
@@ -74,7 +74,7 @@
 	wait.Wait()
 }
 
-// every calls f at once and then once a period, with jitter.
+// every calls f immediately and then once a period, with jitter, until ctx ends.
 func every(ctx context.Context, period func() time.Duration, f func(context.Context)) {
 	for {
 		f(ctx)
@@ -84,19 +84,19 @@
 	}
 }
 
-// pingsPerPeriod is how many hosts are pinged in Options.Ping; with more to
-// watch, the time between two pings of one grows instead.
+// pingsPerPeriod is the number of hosts pinged in each Options.PingPeriod. With more ping targets,
+// the time between two pings of the same host grows instead.
 const pingsPerPeriod = 3
 
-// pingPeriod is the time between two pings of a watched host.
+// pingPeriod returns the time between two pings of the same host.
 func (m *Membership) pingPeriod() time.Duration {
 	targets := len(m.View().PingTargets())
 	return m.options.PingPeriod * time.Duration(max(targets, pingsPerPeriod)) / pingsPerPeriod
 }
 
-// ReadList reads the list of hosts: from the platform if this host is one of its
-// region's readers, else from one of them. When neither answers, the old list
-// stays.
+// ReadList reads the list of hosts from one of the region's readers. It reads from the platform if
+// this host is a reader, if there are few hosts, or if no reader answers. If the platform doesn't
+// answer either, the old list stays.
 func (m *Membership) ReadList(ctx context.Context) {
 	hosts, ok := m.readFromPeer(ctx)
 	if !ok {
@@ -117,7 +117,7 @@
 	m.rebuild()
 }
 
-// PingAll pings every watched host, all at once.
+// PingAll pings all ping targets concurrently.
 func (m *Membership) PingAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, m.options.PingPeriod)
 	defer cancel()
@@ -149,13 +149,13 @@
 	m.records[host] = h
 }
 
-// HandlePing takes in another host's ping and returns this host's status.
+// HandlePing records the status in another host's ping and returns this host's status.
 func (m *Membership) HandlePing(status peer.Status) peer.Status {
 	m.recordStatus(status, clock.Now())
 	return m.options.Self()
 }
 
-// recordStatus notes a status that is at least as old as the given time.
+// recordStatus stores a received status, which is at least as old as the given time.
 func (m *Membership) recordStatus(status peer.Status, at clock.Instant) {
 	m.mu.Lock()
 	previous, ok := m.records[status.Host]
@@ -169,7 +169,7 @@
 	}
 }
 
-// rebuild makes a new view from the list and what was heard.
+// rebuild makes a new view from the list and the received statuses.
 func (m *Membership) rebuild() {
 	period := m.options.PingPeriod
 	if m.view.Load() != nil {
@@ -205,7 +205,7 @@
 	m.view.Store(&view)
 }
 
-// memberFromStatus makes a member of a host's own words.
+// memberFromStatus returns the member that a host's own status describes.
 func memberFromStatus(s peer.Status, state State) Member {
 	if s.Draining {
 		state = StateDraining
@@ -216,7 +216,8 @@
 	}
 }
 
-// listedMember decides on a listed host; the caller holds mu.
+// listedMember returns the member for a host of the list, and determines its state. The caller
+// holds mu.
 func (m *Membership) listedMember(listed store.Host, period time.Duration) Member {
 	h := m.records[listed.ID]
 	member := Member{
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,5 +1,5 @@
-// Package membership knows which hosts of the router are live, draining or
-// suspected, from the platform's lagging list and from pings of its own.
+// Package membership tracks which hosts of the router are live, draining or suspected to have
+// failed. It combines the platform's host list, which lags, with pings between hosts.
 //
 // # Usage
 //
@@ -8,10 +8,11 @@
 //	...
 //	owner := m.View().Owner("sweep-bills")
 //
-// A host watches a few others, and spends a fixed number of pings a second on
-// them, so that neither grows with the number of hosts.
-// Nothing here is agreed: two hosts may differ for a while. What needs one
-// owner is guarded by a lease besides.
+// A host pings a few other hosts, with a fixed number of pings per second, so that neither number
+// grows with the number of hosts.
+//
+// There is no consensus on membership: the views of two hosts may differ for a while. Work that
+// needs a single owner is also guarded by a lease.
 package membership
 
 import (
@@ -22,33 +23,33 @@
 	"quaybarrow/internal/peer"
 )
 
-// State is what this host believes of another.
+// State is the state of a member as this host sees it.
 type State string
 
-// States of a member.
+// The states of a member.
 const (
 	StateLive     State = "live"
 	StateDraining State = "draining"
-	StateSuspect  State = "suspect" // watched, and its pings fail
+	StateSuspect  State = "suspect" // pinged by this host, and the pings fail
 )
 
-// Member is a host as this host sees it.
+// Member describes a host as this host sees it.
 type Member struct {
 	Host     string
 	DataHall string
 	Region   string
-	Address  string // for peers
+	Address  string // where the host listens for peers, ip:port
 	State    State
-	Status   peer.Status // the last one heard; zero if none
+	Status   peer.Status // the last one received; zero if none
 }
 
-// View is an immutable picture of all members, sorted by host.
+// View is an immutable snapshot of all members, sorted by host.
 type View struct {
 	Self    string
 	Members []Member
 }
 
-// Member finds a host.
+// Member returns the member with a host name, and whether there is one.
 func (v View) Member(host string) (Member, bool) {
 	for _, m := range v.Members {
 		if m.Host == host {
@@ -58,7 +59,7 @@
 	return Member{}, false
 }
 
-// Live returns the members that may be given duties, self included.
+// Live returns the live members, which may be assigned duties. It includes self.
 func (v View) Live() []Member {
 	live := make([]Member, 0, len(v.Members))
 	for _, m := range v.Members {
@@ -69,8 +70,8 @@
 	return live
 }
 
-// ReachableOthers returns the members that are not suspected, without self. A draining
-// host still answers, so it is among them.
+// ReachableOthers returns the members other than self that are not suspected. It includes draining
+// hosts, which still answer.
 func (v View) ReachableOthers() []Member {
 	others := make([]Member, 0, len(v.Members))
 	for _, m := range v.Members {
@@ -81,7 +82,7 @@
 	return others
 }
 
-// Owner picks the host for a duty by rendezvous hashing over the live members.
+// Owner returns the host that is assigned a duty, chosen by rendezvous hashing over the live members.
 func (v View) Owner(duty string) string {
 	ranked := Rank(v.Live(), duty)
 	if len(ranked) == 0 {
@@ -107,7 +108,7 @@
 	return ranked
 }
 
-// weight mixes a host and a key.
+// weight returns the rendezvous weight of a host for a key.
 func weight(host, key string) uint64 {
 	var d xxhash.Digest
 	_, _ = d.WriteString(host)
@@ -125,13 +126,13 @@
 	return halls
 }
 
-// pingTargetsPerHall is how many hosts of its own data hall a host watches.
+// pingTargetsPerHall is the number of hosts in its own data hall that a host pings.
 const pingTargetsPerHall = 6
 
-// PingTargets returns the members that self pings: the next few of its own data
-// hall, one of every other data hall of its region, and one of every other
-// region. So the count does not grow with the hosts, and a change of
-// configuration still reaches every host by pings alone.
+// PingTargets returns the members that self pings: its next pingTargetsPerHall successors in its own
+// data hall, one host in every other data hall of its region, and one host in every other region.
+// The count thus does not grow with the number of hosts, and a configuration change still reaches
+// every host by pings alone.
 func (v View) PingTargets() []Member {
 	self, ok := v.Member(v.Self)
 	if !ok {
@@ -159,7 +160,7 @@
 	return targets
 }
 
-// successors returns the members after self, in a ring by host.
+// successors returns up to count members that follow self in the ring of members ordered by host.
 func successors(members []Member, self string, count int) []Member {
 	selfIndex := 0
 	for i, m := range members {
--- a/internal/peer/local.go
+++ b/internal/peer/local.go
@@ -7,24 +7,24 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// LocalNetwork joins hosts of one process without a network: for tests and for
-// measurements of many hosts. Links can be cut per pair of hosts.
+// LocalNetwork connects hosts in one process by direct calls, for tests and for measurements of many
+// hosts. Each pair of hosts can be partitioned.
 type LocalNetwork struct {
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards the fields below
 	handlers    map[string]Handler
 	partitioned map[direction]bool
 	messages    int64
 }
 
-// direction is a direction between two addresses.
+// direction is one direction of the connection between two addresses.
 type direction struct{ from, to string }
 
-// NewLocalNetwork returns a network without hosts.
+// NewLocalNetwork returns a LocalNetwork without hosts.
 func NewLocalNetwork() *LocalNetwork {
 	return &LocalNetwork{handlers: map[string]Handler{}, partitioned: map[direction]bool{}}
 }
 
-// Serve answers at an address; a nil handler closes it.
+// Serve registers the handler of an address; a nil handler removes it.
 func (l *LocalNetwork) Serve(address string, h Handler) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,7 +35,7 @@
 	l.handlers[address] = h
 }
 
-// SetPartitioned breaks or mends both directions between two addresses.
+// SetPartitioned breaks or restores both directions between two addresses.
 func (l *LocalNetwork) SetPartitioned(a, b string, partitioned bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,14 +43,14 @@
 	l.partitioned[direction{b, a}] = partitioned
 }
 
-// Messages counts the calls that got through.
+// Messages returns the number of calls that reached a handler.
 func (l *LocalNetwork) Messages() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.messages
 }
 
-// Link returns the link of the host at an address.
+// Link returns the Link used by the host at an address.
 func (l *LocalNetwork) Link(from string) Link { return localLink{network: l, from: from} }
 
 // localLink implements Link by direct calls.
@@ -59,7 +59,7 @@
 	from    string
 }
 
-// handlerAt finds the handler of an address that can be reached.
+// handlerAt returns the handler of an address and counts the message, or returns ErrUnreachable.
 func (k localLink) handlerAt(ctx context.Context, address string) (Handler, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,10 +1,10 @@
-// Package peer holds the messages between hosts of the router and the ports
-// through which they travel.
+// Package peer defines the messages between hosts of the router and the interfaces for sending and
+// handling them.
 //
 // # Usage
 //
-// A Link sends to another host by address; a Handler answers. The gRPC adapter
-// in package rpc implements both ends; tests join hosts with an in-memory one.
+// A Link sends messages to other hosts by address; a Handler answers them. Package rpc implements
+// both sides over gRPC; tests connect hosts with the in-memory LocalNetwork.
 //
 //	pong, err := link.Ping(ctx, "10.0.0.7:7301", ping)
 package peer
@@ -18,22 +18,22 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// ErrUnreachable means no reply came from the peer.
+// ErrUnreachable means that no reply came from the peer.
 var ErrUnreachable = errors.New("peer unreachable")
 
-// ErrRefused means that the peer answered and declined.
+// ErrRefused means that the peer answered and refused the request.
 var ErrRefused = errors.New("refused by the peer")
 
-// Status is what a host tells of itself in every ping and reply.
+// Status describes a host; it is sent in every ping and in the reply to it.
 type Status struct {
 	Host        string
 	DataHall    string
 	Region      string
-	Address     string // where it listens for peers, ip:port
-	Incarnation string // new at each start of the process
-	Revision    int64  // newest configuration in force there
-	Age         time.Duration
-	Confirmed   bool // Age is valid: time since the head was last confirmed
+	Address     string        // where it listens for peers, ip:port
+	Incarnation string        // changes with each start of the process
+	Revision    int64         // newest configuration revision in force on the host
+	Age         time.Duration // time since the head was last confirmed
+	Confirmed   bool          // Age is valid
 	Draining    bool
 }
 
@@ -43,19 +43,19 @@
 	Data   []byte // codec encoding of config.Revision
 }
 
-// Push asks a host to apply a revision and to pass it on to others.
+// Push asks a host to apply a revision and to relay it to others.
 type Push struct {
 	Revision RevisionMessage
-	Relay    []Target // hosts to pass it on to
+	Relay    []Target // hosts to relay it to
 }
 
-// Target is a host that a push is relayed to.
+// Target is a host to relay a push to.
 type Target struct {
 	Host    string
 	Address string
 }
 
-// Confirmation says which revision a host has in force.
+// Confirmation reports which revision a host has in force.
 type Confirmation struct {
 	Host     string
 	Revision int64
@@ -67,27 +67,27 @@
 	Incarnation string
 	Address     string
 	Open        [][]byte // codec encoding of billing.Bill; new or changed
-	Closed      []string // ids of bills that the table has, or that were void
-	Known       int      // copies the owner believes are held there already
+	Closed      []string // ids of bills that are in the table, or that were void
+	Known       int      // copies that, according to the owner, the host holds already
 }
 
-// Grant gives a host credits for answers of a version in roll-out.
+// Grant gives a host credits for answers of a version that is being rolled out.
 type Grant struct {
 	Plan    string
 	Epoch   int64
-	Serial  int64 // grants with a serial that was seen are ignored
+	Serial  int64 // a grant with a serial seen before is ignored
 	Credits int
-	Timeout time.Duration // after which the controller counts them as lost
+	Timeout time.Duration // the controller counts the credits as lost after it
 }
 
-// Query asks a host for rows of what it alone knows, such as recent requests.
+// Query asks a host for rows of data that only this host has, such as recent requests.
 type Query struct {
-	Subject string // which rows, as the console names them
+	Subject string // which rows, by the console's name for them
 	Since   time.Duration
-	ID      string // of what is asked for, such as a trace
+	ID      string // of the requested object, such as a trace
 }
 
-// Reply carries the rows that a query asked for, encoded.
+// Reply carries the encoded rows for a query.
 type Reply struct{ Data []byte }
 
 // Link sends messages to other hosts.
@@ -98,7 +98,7 @@
 	Hold(ctx context.Context, address string, hold Hold) error
 	Grant(ctx context.Context, address string, grant Grant) error
 	Show(ctx context.Context, address string, query Query) (Reply, error)
-	// Tell brings news of crashes and returns what this host lacks.
+	// Tell sends news of crashes to a host and returns the news that the sender lacks.
 	Tell(ctx context.Context, address string, n quarantine.News) (quarantine.News, error)
 }
 
--- a/internal/peer/rpc/convert.go
+++ b/internal/peer/rpc/convert.go
@@ -7,7 +7,7 @@
 	"quaybarrow/internal/peer/peerpb"
 )
 
-// Conversions between the messages and their wire types.
+// Conversions between peer messages and their protobuf types.
 
 func statusToWire(s peer.Status) *peerpb.Status {
 	return &peerpb.Status{
--- a/internal/peer/rpc/link.go
+++ b/internal/peer/rpc/link.go
@@ -18,7 +18,7 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// Reconnection of a link.
+// Connection parameters of a link.
 const (
 	initialBackoff = 200 * time.Millisecond
 	maxBackoff     = 3 * time.Second
@@ -33,12 +33,12 @@
 	conns map[string]*grpc.ClientConn
 }
 
-// NewLink returns a link without connections; they are made when needed.
+// NewLink returns a link that connects to a host when it first sends to it.
 func NewLink(c credentials.TransportCredentials) *Link {
 	return &Link{credentials: c, conns: map[string]*grpc.ClientConn{}}
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (l *Link) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// client returns the client of an address.
+// client returns a client for an address.
 func (l *Link) client(address string) (peerpb.PeerClient, error) {
 	c, err := l.conn(address)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return peerpb.NewPeerClient(c), nil
 }
 
-// conn returns the connection to an address.
+// conn returns the connection to an address, and creates it if there is none.
 func (l *Link) conn(address string) (grpc.ClientConnInterface, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +79,7 @@
 	return c, nil
 }
 
-// Prune closes the connections to hosts that are no longer there.
+// Prune closes the connections to addresses for which keep returns false.
 func (l *Link) Prune(keep func(address string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,15 +91,15 @@
 	}
 }
 
-// peerError makes a peer error of a gRPC one.
+// peerError converts a gRPC error to peer.ErrRefused or peer.ErrUnreachable.
 func peerError(address string, err error) error {
 	if status.Code(err) == codes.FailedPrecondition {
-		return fmt.Errorf("ask %s: %w", address, peer.ErrRefused)
+		return fmt.Errorf("call peer %s: %w", address, peer.ErrRefused)
 	}
-	return fmt.Errorf("ask %s: %w: %w", address, peer.ErrUnreachable, err)
+	return fmt.Errorf("call peer %s: %w: %w", address, peer.ErrUnreachable, err)
 }
 
-// invoke makes one call and converts its reply.
+// invoke makes one RPC and converts its reply.
 func invoke[Request, WireReply, Reply any](
 	ctx context.Context, l *Link, address string, request Request,
 	call func(peerpb.PeerClient, context.Context, Request, ...grpc.CallOption) (WireReply, error),
@@ -133,7 +133,7 @@
 	return invoke(ctx, l, address, pushToWire(push), peerpb.PeerClient.Push, confirmationsFromWire, grpc.UseCompressor(gzip.Name))
 }
 
-// discardEmpty converts a reply without content.
+// discardEmpty converts the reply of an RPC that returns no data.
 func discardEmpty(*peerpb.Empty) struct{} { return struct{}{} }
 
 // Hold implements peer.Link.
--- a/internal/peer/rpc/rpc_test.go
+++ b/internal/peer/rpc/rpc_test.go
@@ -25,7 +25,7 @@
 	"quaybarrow/internal/tlsfiles"
 )
 
-// echoHandler answers with what it was sent.
+// echoHandler answers with the data that it receives.
 type echoHandler struct{ lastHold peer.Hold }
 
 func (e *echoHandler) Ping(_ context.Context, s peer.Status) (peer.Status, error) { return s, nil }
@@ -56,7 +56,7 @@
 	return n, nil
 }
 
-// authority signs certificates.
+// authority is a certificate authority.
 type authority struct {
 	key  *ecdsa.PrivateKey
 	cert *x509.Certificate
@@ -84,7 +84,7 @@
 	Expect(os.WriteFile(file, data, 0o600)).To(Succeed())
 }
 
-// issue writes a host's files, with a certificate that ends at a moment.
+// issue writes a host's key and certificate files; the certificate expires at the given time.
 func (a authority) issue(dir, name string, ends time.Time) settings.TLS {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
@@ -109,7 +109,7 @@
 	return f
 }
 
-// serve answers with a handler and returns the address.
+// serve starts a server with a handler and returns its address.
 func serve(h peer.Handler, c credentials.TransportCredentials) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -157,7 +157,7 @@
 		Expect(ping(none.ClientCredentials(), "127.0.0.1:1")).To(MatchError(peer.ErrUnreachable))
 	})
 
-	It("pass between hosts of one authority, and no others", func() {
+	It("are exchanged only between hosts with certificates of the same authority", func() {
 		dir := GinkgoT().TempDir()
 		ours, theirs := newAuthority(dir, "ours"), newAuthority(dir, "theirs")
 		later := time.Now().Add(time.Hour)
@@ -170,7 +170,7 @@
 		Expect(ping(none.ClientCredentials(), address)).To(HaveOccurred())
 	})
 
-	It("are refused by a client when the server's certificate is a stranger's", func() {
+	It("are refused by a client when another authority issued the server's certificate", func() {
 		dir := GinkgoT().TempDir()
 		ours, theirs := newAuthority(dir, "ours"), newAuthority(dir, "theirs")
 		later := time.Now().Add(time.Hour)
@@ -179,7 +179,7 @@
 		Expect(ping(openFiles(ours.issue(dir, "client", later)).ClientCredentials(), address)).To(HaveOccurred())
 	})
 
-	It("need files that can be read", func() {
+	It("need readable certificate files", func() {
 		_, err := tlsfiles.Open(settings.TLS{Certificate: "none.crt", Key: "none.key", Authority: "none.pem"})
 		Expect(err).To(MatchError(tlsfiles.ErrCertificate))
 		Expect(err).To(MatchError(ContainSubstring("none.crt")))
--- a/internal/peer/rpc/server.go
+++ b/internal/peer/rpc/server.go
@@ -1,4 +1,4 @@
-// Package rpc is the gRPC adapter of the messages between hosts.
+// Package rpc implements the messages between hosts over gRPC.
 //
 // # Usage
 //
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/credentials"
-	_ "google.golang.org/grpc/encoding/gzip" // large revisions travel compressed
+	_ "google.golang.org/grpc/encoding/gzip" // registers the compressor used for large revisions
 	"google.golang.org/grpc/status"
 
 	"quaybarrow/internal/peer"
@@ -23,10 +23,10 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// maxMessageBytes bounds a message.
+// maxMessageBytes is the maximum size of a message.
 const maxMessageBytes = 16 << 20
 
-// NewServer returns a gRPC server that hands messages to a handler.
+// NewServer returns a gRPC server that passes messages to a handler.
 func NewServer(h peer.Handler, c credentials.TransportCredentials) *grpc.Server {
 	server := grpc.NewServer(grpc.Creds(c), grpc.MaxRecvMsgSize(maxMessageBytes))
 	peerpb.RegisterPeerServer(server, &peerService{handler: h})
@@ -40,7 +40,7 @@
 	handler peer.Handler
 }
 
-// convertResult converts what a handler returned.
+// convertResult converts the value and error that a handler returned to their gRPC forms.
 func convertResult[T, Wire any](value T, err error, convert func(T) Wire) (Wire, error) {
 	if err != nil {
 		var zero Wire
@@ -49,7 +49,7 @@
 	return convert(value), nil
 }
 
-// statusError makes a gRPC status of an error.
+// statusError converts an error to a gRPC status error.
 func statusError(err error) error {
 	if errors.Is(err, peer.ErrRefused) {
 		return status.Error(codes.FailedPrecondition, err.Error())
--- a/internal/peer/rpc/size.go
+++ b/internal/peer/rpc/size.go
@@ -6,8 +6,8 @@
 	"quaybarrow/internal/peer"
 )
 
-// StatusSize is the length of a status on the wire, in bytes.
+// StatusSize returns the size of a status on the wire, in bytes.
 func StatusSize(s peer.Status) int { return proto.Size(statusToWire(s)) }
 
-// PushSize is the length of a push on the wire before compression, in bytes.
+// PushSize returns the size of a push on the wire before compression, in bytes.
 func PushSize(p peer.Push) int { return proto.Size(pushToWire(p)) }
--- a/internal/recent/recent.go
+++ b/internal/recent/recent.go
@@ -1,4 +1,4 @@
-// Package recent keeps the last values of a measure and tells their quantiles.
+// Package recent keeps the most recent values of a measurement and computes their quantiles.
 //
 // # Usage
 //
@@ -12,17 +12,17 @@
 
 import "slices"
 
-// Values are the last values of a measure, in no order.
+// Values holds the most recent values of a measurement.
 type Values struct {
 	values []float64
 	limit  int
 	added  int
 }
 
-// New returns a keeper of so many values, without any.
+// New returns an empty Values that keeps at most limit values.
 func New(limit int) *Values { return &Values{limit: limit} }
 
-// Add takes in a value in place of the oldest one, once there are as many as are kept.
+// Add adds a value; when the limit is reached, it replaces the oldest one.
 func (v *Values) Add(value float64) {
 	if len(v.values) < v.limit {
 		v.values = append(v.values, value)
@@ -32,11 +32,11 @@
 	v.added++
 }
 
-// Seen counts the values that were added, kept ones and others.
+// Seen returns the number of values added, including those replaced since.
 func (v *Values) Seen() int { return v.added }
 
-// Quantile returns the value that a part of the kept ones is below, the least one
-// while there are few; 0 without any.
+// Quantile returns the q-quantile of the kept values. It does not interpolate: with few values a low
+// quantile is the smallest value. It returns 0 if there are no values.
 func (v *Values) Quantile(q float64) float64 {
 	if len(v.values) == 0 {
 		return 0
--- a/internal/recent/recent_test.go
+++ b/internal/recent/recent_test.go
@@ -15,13 +15,13 @@
 		q      float64
 		want   float64
 	}{
-		"without values":      {nil, 0.5, 0},
-		"of one":              {[]float64{3}, 0.9, 3},
-		"a low one of few":    {[]float64{5, 2, 9}, 0.2, 2},
-		"the median":          {[]float64{5, 2, 9}, 0.5, 5},
-		"the highest":         {[]float64{5, 2, 9}, 1, 9},
-		"of the last four":    {[]float64{1, 1, 1, 7, 8, 9, 10}, 0, 7},
-		"of the last, median": {[]float64{1, 1, 1, 7, 8, 9, 10}, 0.5, 9},
+		"no values":                {nil, 0.5, 0},
+		"single value":             {[]float64{3}, 0.9, 3},
+		"low quantile of few":      {[]float64{5, 2, 9}, 0.2, 2},
+		"median":                   {[]float64{5, 2, 9}, 0.5, 5},
+		"maximum":                  {[]float64{5, 2, 9}, 1, 9},
+		"minimum of the last four": {[]float64{1, 1, 1, 7, 8, 9, 10}, 0, 7},
+		"median of the last four":  {[]float64{1, 1, 1, 7, 8, 9, 10}, 0.5, 9},
 	}
 	for name, c := range cases {
 		v := recent.New(4)
@@ -32,12 +32,12 @@
 			t.Errorf("%s: %v", name, got)
 		}
 		if v.Seen() != len(c.values) {
-			t.Errorf("%s: %d were seen", name, v.Seen())
+			t.Errorf("%s: Seen is %d", name, v.Seen())
 		}
 	}
 }
 
-// TestKeepsLastValues holds the keeper against a plain list.
+// TestKeepsLastValues compares Values with a plain list.
 func TestKeepsLastValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 9).Draw(t, "most")
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -1,4 +1,4 @@
-// Package wake has signals that there is something to do.
+// Package wake provides a signal that wakes a goroutine when there is work to do.
 //
 // # Usage
 //
@@ -9,13 +9,13 @@
 
 import "context"
 
-// Signal wakes one who waits for it.
+// Signal wakes one goroutine that waits for it.
 type Signal chan struct{}
 
-// NewSignal returns a signal that is not given.
+// NewSignal returns a signal that is not set.
 func NewSignal() Signal { return make(Signal, 1) }
 
-// Notify gives the signal.
+// Notify sets the signal and wakes a waiting goroutine.
 func (s Signal) Notify() {
 	select {
 	case s <- struct{}{}:
@@ -23,7 +23,7 @@
 	}
 }
 
-// Wait waits for the signal; false if the context ends first.
+// Wait blocks until the signal is set and clears it. It returns false if ctx ends first.
 func (s Signal) Wait(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
@@ -33,7 +33,7 @@
 	}
 }
 
-// Clear takes the signal back, if it is given.
+// Clear clears the signal if it is set.
 func (s Signal) Clear() {
 	select {
 	case <-s:
