--- a/internal/clock/ages_test.go
+++ b/internal/clock/ages_test.go
@@ -10,41 +10,41 @@
 	"testing"
 )
 
-// ignoresSuspension are the functions by which an age, or the time that is left, does not count what
-// the machine was suspended.
+// ignoresSuspension are the functions whose elapsed or remaining times don't include the time for
+// which the machine was suspended.
 var ignoresSuspension = map[string]bool{"time.Now": true, "time.Since": true, "time.Until": true, "context.WithDeadline": true}
 
-// mayIgnoreSuspension are files and folders that may use them, and why.
+// mayIgnoreSuspension lists files and folders that may use these functions, with the reason.
 var mayIgnoreSuspension = map[string]string{
-	"internal/clock/":                "makes Instants of them",
-	"internal/standin/":              "the world around hosts, which is not suspended",
-	"platform/standin/":              "the world around hosts, which is not suspended",
-	"internal/soak/":                 "the world around hosts, which is not suspended",
-	"internal/load/":                 "a tool that measures",
-	"internal/measure/":              "a tool that measures",
-	"internal/demo/":                 "a tool that shows",
-	"internal/cli/standin.go":        "a tool: the time of day of ratings",
-	"internal/billing/entry.go":      "the time of day, as it is kept",
-	"internal/billing/ledger.go":     "the time of day, as it is kept",
-	"internal/billing/held.go":       "the time of day, as it is kept; a bill that opened before a suspension waits longer",
-	"internal/config/log.go":         "the time of day, as it is kept",
-	"internal/daemon/duties.go":      "a certificate's end is a time of day",
-	"internal/duty/ask.go":           "the time of day that this host shows",
-	"internal/entry/jobs.go":         "the time of day at which a job is due",
-	"internal/entry/sink.go":         "what the runtime waits for while it writes",
-	"internal/job/":                  "the time of day at which jobs are due and end",
-	"internal/once/":                 "the time of day, as it is kept; a claim before a suspension waits longer",
-	"internal/operator/queries.go":   "the time of day of requests that are listed",
-	"internal/pipeline/choose.go":    "the time of day at which sessions open",
-	"internal/pipeline/pipeline.go":  "how long a request took, for the log",
-	"internal/pipeline/record.go":    "how long a request took, for the log",
-	"internal/rollout/controller.go": "the time of day, as it is kept",
-	"internal/rollout/credits.go":    "the time of day, as it is kept",
+	"internal/clock/":                "implements Instant with them",
+	"internal/standin/":              "simulates the environment of hosts, which is not suspended",
+	"platform/standin/":              "simulates the environment of hosts, which is not suspended",
+	"internal/soak/":                 "simulates the environment of hosts, which is not suspended",
+	"internal/load/":                 "a measurement tool",
+	"internal/measure/":              "a measurement tool",
+	"internal/demo/":                 "a demonstration tool",
+	"internal/cli/standin.go":        "a tool; uses the wall clock time of ratings",
+	"internal/billing/entry.go":      "stored wall clock times",
+	"internal/billing/ledger.go":     "stored wall clock times",
+	"internal/billing/held.go":       "stored wall clock times; a bill that opened before a suspension waits longer",
+	"internal/config/log.go":         "stored wall clock times",
+	"internal/daemon/duties.go":      "a certificate expires at a wall clock time",
+	"internal/duty/ask.go":           "the wall clock time that this host reports",
+	"internal/entry/jobs.go":         "the wall clock time at which a job is due",
+	"internal/entry/sink.go":         "times that the runtime waits for during writes",
+	"internal/job/":                  "the wall clock times at which jobs are due and end",
+	"internal/once/":                 "stored wall clock times; a claim made before a suspension waits longer",
+	"internal/operator/queries.go":   "wall clock times of listed requests",
+	"internal/pipeline/choose.go":    "wall clock times at which sessions open",
+	"internal/pipeline/pipeline.go":  "logged duration of a request",
+	"internal/pipeline/record.go":    "logged duration of a request",
+	"internal/rollout/controller.go": "stored wall clock times",
+	"internal/rollout/credits.go":    "stored wall clock times",
 }
 
-// TestElapsedTimeCountsSuspension finds what goes by a clock that stands still while the machine is
-// suspended: what was learnt before looked as fresh as if nothing had happened meanwhile, and
-// endpoints were given time that had passed.
+// TestElapsedTimeCountsSuspension finds uses of a clock that stops while the machine is suspended.
+// With such a clock, data from before a suspension looked as fresh as if no time had passed, and
+// endpoints were given time that had already passed.
 func TestElapsedTimeCountsSuspension(t *testing.T) {
 	used := map[string]bool{}
 	for _, dir := range []string{"internal", "platform", "cmd"} {
@@ -60,12 +60,12 @@
 	}
 	for path := range mayIgnoreSuspension {
 		if !used[path] {
-			t.Errorf("%s need not be allowed to any more", path)
+			t.Errorf("%s: exemption is no longer needed", path)
 		}
 	}
 }
 
-// checkAges checks a file, and notes by what entry of mayStandStill it is allowed.
+// checkAges checks a file. If an entry of mayIgnoreSuspension exempts it, it adds the entry to used.
 func checkAges(t *testing.T, path string, used map[string]bool) error {
 	fileSet := token.NewFileSet()
 	file, err := parser.ParseFile(fileSet, "../../"+path, nil, parser.SkipObjectResolution)
@@ -87,7 +87,7 @@
 				return true
 			}
 		}
-		t.Errorf("%s: %s.%s stands still while the machine is suspended; see clock.Instant", fileSet.Position(selected.Pos()), pkg.Name, selected.Sel.Name)
+		t.Errorf("%s: %s.%s does not count suspensions of the machine; see clock.Instant", fileSet.Position(selected.Pos()), pkg.Name, selected.Sel.Name)
 		return true
 	})
 	return nil
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,7 @@
-// Package clock waits: for a time or for the end of a context, with jitter where
-// many hosts would otherwise wait in step. It reads the runtime's clock, which
-// tests pause and advance with testing/synctest. Remote bounds what the clock of another host shows.
+// Package clock provides sleeps that end with a context, jitter that keeps many hosts from acting in
+// lockstep, and times and deadlines that count suspensions of the machine. It reads the runtime's
+// clock, which tests pause and advance with testing/synctest. Remote bounds the reading of another
+// host's clock.
 //
 // # Usage
 //
@@ -15,9 +16,9 @@
 	"time"
 )
 
-// Sleep waits; false if the context ends first. A time that is over already makes
-// no timer: the runtime crashes now and then when a timer that was due at its
-// making is waited for in a paused clock's bubble under the race detector.
+// Sleep waits for d and returns false if ctx ends first. It creates no timer if d is not positive:
+// under the race detector, the runtime occasionally crashes when a goroutine in a synctest bubble
+// waits for a timer that was already due at its creation.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -32,7 +33,7 @@
 	}
 }
 
-// Jitter returns a time between half of d and d.
+// Jitter returns a random duration between half of d and d.
 func Jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
@@ -40,7 +41,7 @@
 	return d/2 + time.Duration(rand.Int64N(int64(d)/2+1))
 }
 
-// Around returns a time within a tenth of d, to either side.
+// Around returns a random duration between 0.9 and 1.1 times d.
 func Around(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,18 +9,18 @@
 	"quaybarrow/internal/clock"
 )
 
-// waits are times with what Sleep does with them.
+// waits are the cases of TestSleep.
 var waits = map[string]struct {
 	wait, took time.Duration
-	ctxEnded   bool // the context, before
+	ctxEnded   bool // ctx has ended before the call
 	want       bool
 }{
-	"a while":                       {wait: time.Second, took: time.Second, want: true},
-	"no time":                       {want: true},
-	"a time that is over":           {wait: -time.Hour, want: true},
-	"a while, in an ended context":  {wait: time.Second, ctxEnded: true},
-	"no time, in an ended context":  {ctxEnded: true},
-	"over, and in an ended context": {wait: -time.Hour, ctxEnded: true},
+	"positive":                    {wait: time.Second, took: time.Second, want: true},
+	"zero":                        {want: true},
+	"negative":                    {wait: -time.Hour, want: true},
+	"positive, context has ended": {wait: time.Second, ctxEnded: true},
+	"zero, context has ended":     {ctxEnded: true},
+	"negative, context has ended": {wait: -time.Hour, ctxEnded: true},
 }
 
 func TestSleep(t *testing.T) {
@@ -34,7 +34,7 @@
 				}
 				started := time.Now()
 				if got := clock.Sleep(ctx, w.wait); got != w.want {
-					t.Errorf("slept %v, want %v", got, w.want)
+					t.Errorf("Sleep returned %v, want %v", got, w.want)
 				}
 				if took := time.Since(started); took != w.took {
 					t.Errorf("took %v, want %v", took, w.took)
--- a/internal/clock/deadlines.go
+++ b/internal/clock/deadlines.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// Deadlines are contexts that end in time also when the machine was suspended: the runtime's
-// timers go off later by as long as that. Without them requests in hand were held, and kept
-// endpoints at work, for as long after their time as the machine was away.
+// Deadlines creates contexts whose deadlines also hold when the machine is suspended: the runtime's
+// timers fire late by the length of the suspension. Without Deadlines, requests in flight overran
+// their deadlines by that time, and kept endpoints busy.
 type Deadlines struct {
-	mu   sync.Mutex // guards open
+	mu   sync.Mutex // guards open and the timers of its entries
 	open map[*deadline]struct{}
 }
 
-// deadline is a context's.
+// deadline is the deadline of one context.
 type deadline struct {
 	until  Instant
 	cancel context.CancelFunc
-	timer  *time.Timer // nil unless the machine was suspended
+	timer  *time.Timer // set after a suspension; nil before the first one
 }
 
-// NewDeadlines returns none.
+// NewDeadlines returns a Deadlines without contexts.
 func NewDeadlines() *Deadlines { return &Deadlines{open: map[*deadline]struct{}{}} }
 
-// WithDeadline returns a context that ends at a moment, and what lets go of it.
+// WithDeadline returns a context that ends at an instant. The returned function cancels the context
+// and releases its resources.
 func (d *Deadlines) WithDeadline(ctx context.Context, until Instant) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, Until(until))
 	entry := &deadline{until: until, cancel: cancel}
@@ -42,17 +43,17 @@
 	}
 }
 
-// deadlineKey is under which a context knows its moment.
+// deadlineKey is the context key for a context's deadline.
 type deadlineKey struct{}
 
-// Expired reports whether a context has ended, or the moment has come at which one by With ends:
-// for the place right before what can't be undone. There a timer may still be to come.
+// Expired reports whether ctx has ended or its deadline set by WithDeadline has passed. Call it right
+// before an action that can't be undone: the timer of a passed deadline may not have fired yet.
 func Expired(ctx context.Context) bool {
 	until, ok := ctx.Value(deadlineKey{}).(Instant)
 	return ctx.Err() != nil || ok && !Now().Before(until)
 }
 
-// rearm ends the contexts whose time is over, and sets the timers of the others anew.
+// rearm cancels the contexts whose deadlines have passed and sets new timers for the others.
 func (d *Deadlines) rearm() {
 	now := Now()
 	d.mu.Lock()
@@ -69,18 +70,18 @@
 	}
 }
 
-// Times of Watch.
+// Parameters of Watch.
 const (
-	// watchInterval is how soon after the machine is back a suspension is noticed: callers are to
-	// have their answers within half a second of their time.
+	// watchInterval is the maximum delay between the end of a suspension and its detection: callers
+	// have to get their answers within half a second of their deadlines.
 	watchInterval = 200 * time.Millisecond
-	// minSuspension is how long one is that is told: a thread that waits between two readings
-	// looks like a shorter one.
+	// minSuspension is the shortest suspension that is reported: a thread that is delayed between
+	// two clock readings looks like a shorter one.
 	minSuspension = 20 * time.Millisecond
 )
 
-// Watch tells of suspensions, after it has ended the contexts whose time was over by then; until
-// ctx ends.
+// Watch reports suspensions of the machine until ctx ends. Before each report it cancels the
+// contexts whose deadlines have passed and rearms the timers of the others.
 func (d *Deadlines) Watch(ctx context.Context, report func(lasted time.Duration)) {
 	total := SuspendedTime()
 	for Sleep(ctx, watchInterval) {
--- a/internal/clock/deadlines_test.go
+++ b/internal/clock/deadlines_test.go
@@ -9,8 +9,9 @@
 	"quaybarrow/internal/clock"
 )
 
-// TestDeadlinesAfterSuspension has contexts of five and of ten seconds while the machine is
-// suspended for six: the first ends as soon as that is noticed, the other four seconds later.
+// TestDeadlinesAfterSuspension suspends the machine for six seconds while there are contexts with
+// deadlines after five and ten seconds: the first ends as soon as the suspension is noticed, the
+// other four seconds later.
 func TestDeadlinesAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		deadlines := clock.NewDeadlines()
@@ -26,17 +27,17 @@
 		clock.SimulateSuspension(6 * time.Second)
 		<-short.Done()
 		if after := time.Since(resumed); after > 200*time.Millisecond {
-			t.Errorf("it ended %v after the machine was back", after)
+			t.Errorf("first context ended %v after the suspension", after)
 		}
 		if long.Err() != nil {
-			t.Error("the other one ended too")
+			t.Error("second context ended with the first")
 		}
 		<-long.Done()
 		if after := time.Since(resumed); after < 3900*time.Millisecond || after > 4*time.Second {
-			t.Errorf("the other one ended %v after the machine was back", after)
+			t.Errorf("second context ended %v after the suspension", after)
 		}
 		if reported != 6*time.Second {
-			t.Errorf("%v were told", reported)
+			t.Errorf("reported suspensions of %v in total", reported)
 		}
 		stop()
 	})
--- a/internal/clock/instant.go
+++ b/internal/clock/instant.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// Instant is a moment. Unlike the runtime's times, the time between two instants counts what
-// the machine was suspended: the world went on meanwhile. What the runtime waits for, as
-// timers and the deadlines of connections, goes by the runtime's times; a Watch makes up for
-// them. An immutable value; the zero one is before all others.
+// Instant is a point in time. Unlike the difference of two time.Time values, the difference of two
+// instants includes the time for which the machine was suspended, since other machines kept running.
+// The runtime's timers and connection deadlines don't include it; Deadlines.Watch compensates for
+// that in contexts. An Instant is immutable; the zero value is before all others.
 type Instant struct{ at time.Time }
 
-// Now is the moment that is now.
+// Now returns the current instant.
 func Now() Instant {
 	now := time.Now()
 	return Instant{now.Add(machineSuspension.totalAt(now))}
 }
 
-// Since is how long ago a moment was.
+// Since returns the time elapsed since i.
 func Since(i Instant) time.Duration { return Now().Sub(i) }
 
-// Until is how long it is until a moment.
+// Until returns the time left until i.
 func Until(i Instant) time.Duration { return i.Sub(Now()) }
 
-// Add is the moment that is so much later.
+// Add returns the instant i+d.
 func (i Instant) Add(d time.Duration) Instant { return Instant{i.at.Add(d)} }
 
-// Sub is how much later the moment is than another.
+// Sub returns the duration i-o.
 func (i Instant) Sub(o Instant) time.Duration { return i.at.Sub(o.at) }
 
-// Before reports whether the moment is before another.
+// Before reports whether i is before o.
 func (i Instant) Before(o Instant) bool { return i.at.Before(o.at) }
 
-// After reports whether the moment is after another.
+// After reports whether i is after o.
 func (i Instant) After(o Instant) bool { return i.at.After(o.at) }
 
-// Compare is -1 if the moment is before another, 1 if it is after it, else 0.
+// Compare returns -1 if i is before o, 1 if i is after o, and 0 otherwise.
 func (i Instant) Compare(o Instant) int { return i.at.Compare(o.at) }
 
-// IsZero reports whether it is no moment.
+// IsZero reports whether i is the zero value, which stands for no instant.
 func (i Instant) IsZero() bool { return i.at.IsZero() }
 
-// Time is the moment in the runtime's times: when a timer or a connection's deadline is due that
-// is to end then, or what the time of day was; the zero time for no moment.
+// Time converts i to the runtime's time, for setting a timer or connection deadline that ends at i
+// or for finding the wall clock time at i. It returns the zero time for the zero instant.
 func (i Instant) Time() time.Time {
 	if i.IsZero() {
 		return time.Time{}
@@ -48,5 +48,5 @@
 	return i.at.Add(-machineSuspension.totalAt(now))
 }
 
-// At is a moment of a clock that is not the runtime's, as a simulation has one.
+// At returns an instant of a clock other than the runtime's, such as a simulation's clock.
 func At(t time.Time) Instant { return Instant{t} }
--- a/internal/clock/instant_test.go
+++ b/internal/clock/instant_test.go
@@ -14,13 +14,13 @@
 		time.Sleep(2 * time.Second)
 		clock.SimulateSuspension(5 * time.Second)
 		if since := clock.Since(before); since != 7*time.Second {
-			t.Errorf("%v have passed, want 7s", since)
+			t.Errorf("elapsed time is %v, want 7s", since)
 		}
 		if until := clock.Until(before.Add(10 * time.Second)); until != 3*time.Second {
-			t.Errorf("%v are left, want 3s", until)
+			t.Errorf("remaining time is %v, want 3s", until)
 		}
 		if due := time.Until(before.Add(10 * time.Second).Time()); due != 3*time.Second {
-			t.Errorf("a timer is due in %v, want 3s", due)
+			t.Errorf("timer is due in %v, want 3s", due)
 		}
 	})
 }
@@ -30,10 +30,10 @@
 	time.Sleep(20 * time.Millisecond)
 	since, elapsed := clock.Since(before), time.Since(started)
 	if since < 20*time.Millisecond || since > elapsed {
-		t.Errorf("%v have passed by instants, %v by the runtime", since, elapsed)
+		t.Errorf("elapsed time is %v by instants, %v by the runtime", since, elapsed)
 	}
 	if suspended := clock.SuspendedTime(); clock.SuspendedTime() != suspended {
-		t.Error("this machine is said to be suspended all the time")
+		t.Error("suspended time grows although the machine is running")
 	}
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkSuspended is what each Now would cost that asks the kernel.
+// BenchmarkSuspended measures the cost of Now if it read the kernel's clocks each time.
 func BenchmarkSuspended(b *testing.B) {
 	for b.Loop() {
 		clock.SuspendedTime()
--- a/internal/clock/remote.go
+++ b/internal/clock/remote.go
@@ -5,38 +5,37 @@
 	"time"
 )
 
-// maxDriftRate is how much a remote clock and this host's may go apart, for each second:
-// quartz clocks keep within 100 parts in a million each.
+// maxDriftRate is the maximum drift between a remote clock and this host's clock, in seconds per
+// second: quartz clocks are accurate to within 100 parts per million each.
 const maxDriftRate = 200e-6
 
-// Bounds are the earliest and the latest time that another host's clock may show. An
-// immutable value.
+// Bounds holds the earliest and latest possible reading of another host's clock. It is immutable.
 type Bounds struct{ Earliest, Latest time.Duration }
 
-// Width is how far the bounds are apart.
+// Width returns the difference between the bounds.
 func (b Bounds) Width() time.Duration { return b.Latest - b.Earliest }
 
-// Minus returns the bounds of what the clock showed so long ago.
+// Minus returns the bounds of the reading that the clock had d earlier.
 func (b Bounds) Minus(d time.Duration) Bounds {
 	return Bounds{Earliest: b.Earliest - d, Latest: b.Latest - d}
 }
 
-// Remote bounds what another host's steady clock shows now, from what it showed in
-// answers (Cristian's way: it showed that at some moment between the sending of the
-// question and the arrival of the answer). Each answer narrows the bounds, as in
-// Marzullo's intersection; safe for use at once.
+// Remote bounds the current reading of another host's steady clock, from the readings in that host's
+// replies. As in Cristian's algorithm, a reading was taken at some time between the sending of the
+// request and the arrival of the reply. Each reply narrows the bounds by intersection, as in
+// Marzullo's algorithm. Remote is safe for concurrent use.
 //
-// A single estimate, taken as of the arrival, is behind by as long as the answer was
-// on its way, and on hosts that start together sessions would be moved so much before
-// half of an upgrade's time is over.
+// A single estimate that dates the reading at the arrival of the reply is behind by the transit time
+// of the reply. On hosts that start together, sessions would be moved by that much before half of an
+// upgrade's time is over.
 type Remote struct {
-	mu     sync.Mutex // guards all below
+	mu     sync.Mutex // guards the fields below
 	known  bool
-	bounds Bounds // as of at
+	bounds Bounds // bounds at the instant at
 	at     Instant
 }
 
-// Observe takes in what the clock showed between two moments.
+// Observe adds a reading that the clock had at some instant between sent and arrived.
 func (r *Remote) Observe(shown Bounds, sent, arrived Instant) {
 	observed := Bounds{Earliest: shown.Earliest, Latest: shown.Latest + arrived.Sub(sent)}
 	r.mu.Lock()
@@ -46,19 +45,19 @@
 		intersection := Bounds{Earliest: max(previous.Earliest, observed.Earliest), Latest: min(previous.Latest, observed.Latest)}
 		if intersection.Earliest <= intersection.Latest {
 			observed = intersection
-		} // else the clock is another one now
+		} // otherwise the remote clock was replaced, and the old bounds are void
 	}
 	r.known, r.bounds, r.at = true, observed, arrived
 }
 
-// Now bounds what the clock shows; false before anything was heard.
+// Now returns the bounds of the current reading, and false before the first Observe.
 func (r *Remote) Now() (Bounds, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.boundsAt(Now()), r.known
 }
 
-// boundsAt is what was heard, carried to a moment; the caller holds mu.
+// boundsAt extrapolates the bounds to an instant. The caller holds mu.
 func (r *Remote) boundsAt(at Instant) Bounds {
 	elapsed := at.Sub(r.at)
 	drift := time.Duration(maxDriftRate * float64(elapsed))
--- a/internal/clock/remote_test.go
+++ b/internal/clock/remote_test.go
@@ -8,19 +8,19 @@
 	"quaybarrow/internal/clock"
 )
 
-// exchange is one that another host answers: on its way for there, and back again.
+// exchange holds the transit times of a request to another host and of its reply.
 type exchange struct{ outbound, inbound time.Duration }
 
-// exchangeCases are questions in order, with how far the bounds may be apart in the end.
+// exchangeCases are sequences of exchanges with the maximum width of the bounds after them.
 var exchangeCases = map[string]struct {
 	exchanges []exchange
 	width     time.Duration
 }{
-	"a quick answer":                  {[]exchange{{time.Millisecond, time.Millisecond}}, 2 * time.Millisecond},
-	"an answer that is late":          {[]exchange{{time.Millisecond, time.Second}}, 1001 * time.Millisecond},
-	"a late one after a quick one":    {[]exchange{{time.Millisecond, time.Millisecond}, {0, time.Second}}, 3 * time.Millisecond},
-	"a wait, and a late answer":       {[]exchange{{3 * time.Second, time.Millisecond}, {time.Millisecond, time.Second}}, 3 * time.Millisecond},
-	"a quick one after two late ones": {[]exchange{{time.Second, 0}, {0, time.Second}, {0, time.Millisecond}}, time.Millisecond},
+	"fast reply":                                   {[]exchange{{time.Millisecond, time.Millisecond}}, 2 * time.Millisecond},
+	"slow reply":                                   {[]exchange{{time.Millisecond, time.Second}}, 1001 * time.Millisecond},
+	"slow reply after a fast one":                  {[]exchange{{time.Millisecond, time.Millisecond}, {0, time.Second}}, 3 * time.Millisecond},
+	"slow request, then slow reply":                {[]exchange{{3 * time.Second, time.Millisecond}, {time.Millisecond, time.Second}}, 3 * time.Millisecond},
+	"fast reply after slow request and slow reply": {[]exchange{{time.Second, 0}, {0, time.Second}, {0, time.Millisecond}}, time.Millisecond},
 }
 
 func TestRemoteBoundsContainOtherClock(t *testing.T) {
@@ -47,10 +47,10 @@
 	t.Helper()
 	b, known := r.Now()
 	if !known || b.Earliest > shown || b.Latest < shown {
-		t.Errorf("bounds are %v, %v; the clock shows %v", b, known, shown)
+		t.Errorf("bounds are %v, known %v; the clock reads %v", b, known, shown)
 	}
 	if b.Width() > width {
-		t.Errorf("bounds are %v apart, want at most %v", b.Width(), width)
+		t.Errorf("width of the bounds is %v, want at most %v", b.Width(), width)
 	}
 }
 
@@ -58,7 +58,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var r clock.Remote
 		if _, known := r.Now(); known {
-			t.Error("a clock is known that nothing was heard of")
+			t.Error("bounds are known before the first reading")
 		}
 		hour, second := clock.Bounds{Earliest: time.Hour, Latest: time.Hour}, clock.Bounds{Earliest: time.Second, Latest: time.Second}
 		r.Observe(hour, clock.Now(), clock.Now())
@@ -74,7 +74,7 @@
 		time.Sleep(time.Hour)
 		b, _ := r.Now()
 		if want := 2 * 200 * time.Microsecond * 3600; b.Width() != want {
-			t.Errorf("bounds are %v apart after an hour, want %v", b.Width(), want)
+			t.Errorf("width of the bounds after an hour is %v, want %v", b.Width(), want)
 		}
 	})
 }
--- a/internal/clock/steady_test.go
+++ b/internal/clock/steady_test.go
@@ -14,21 +14,21 @@
 	"quaybarrow/internal/clock"
 )
 
-// wallClockMethods are the methods that make a number of the time of day; what goes by it
-// moves when that jumps. Differences of times go by the steady clock.
+// wallClockMethods are the methods that convert wall clock time to a number. Results computed from
+// it shift when the wall clock jumps; differences of time.Time values use the monotonic clock.
 var wallClockMethods = map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true}
 
-// mayUseWallClock are files that tell or keep a moment for people or for other
-// hosts, and decide nothing by it on the way of a routed request.
+// mayUseWallClock lists files that report or store a wall clock time for people or for other hosts,
+// and base no decision about a routed request on it, with the reason.
 var mayUseWallClock = map[string]string{
-	"internal/entry/entry.go": "the list of models tells when each was made",
-	"internal/job/job.go":     "jobs are due at a time of day that all hosts share",
-	"internal/usage/usage.go": "windows of the time of day that most hosts agree on, whatever a single one's does",
-	"internal/duty/grpc.go":   "what time of day a host shows, and which one most hosts agree on",
+	"internal/entry/entry.go": "the list of models shows the creation time of each",
+	"internal/job/job.go":     "due times of jobs are wall clock times that all hosts share",
+	"internal/usage/usage.go": "usage windows follow the wall clock time that most hosts agree on, whatever the clock of a single host shows",
+	"internal/duty/grpc.go":   "reports the wall clock time of a host and the one that most hosts agree on",
 }
 
-// TestNothingGoesByTheTimeOfDay finds deadlines, windows and ages that would move
-// when the time of day jumps: it looks for what turns a time into one of day.
+// TestNothingGoesByTheTimeOfDay guards against deadlines, windows and ages that shift when the wall
+// clock jumps: it finds conversions of times to wall clock numbers.
 func TestNothingGoesByTheTimeOfDay(t *testing.T) {
 	for _, dir := range []string{"../../internal", "../../platform", "../../cmd"} {
 		err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
@@ -62,9 +62,9 @@
 			return true
 		}
 		if pkg, ok := method.X.(*ast.Ident); ok && pkg.Name == "time" {
-			return true // makes a time of a number
+			return true // converts a number to a time
 		}
-		t.Errorf("%s: %s goes by the time of day", fileSet.Position(n.Pos()), method.Sel.Name)
+		t.Errorf("%s: %s depends on the wall clock", fileSet.Position(n.Pos()), method.Sel.Name)
 		return true
 	})
 	return nil
--- a/internal/clock/suspended_test.go
+++ b/internal/clock/suspended_test.go
@@ -8,23 +8,24 @@
 	"quaybarrow/internal/clock"
 )
 
-// suspensions are of a host that bounds another one's clock: how long its answer took to come
-// before, how long the machine is suspended, and how long the next answer takes.
+// suspensions are the cases of a host that bounds another host's clock: the transit time of the last
+// reply before the suspension, the length of the suspension, and the transit time of the next reply
+// (0 for none).
 var suspensions = map[string]struct{ before, suspended, after time.Duration }{
-	"longer than the bounds are wide":                        {time.Millisecond, 5 * time.Second, time.Millisecond},
-	"shorter than the bounds are wide":                       {4 * time.Second, time.Second, time.Millisecond},
-	"shorter than the bounds are wide, and the next too":     {4 * time.Second, time.Second, 4 * time.Second},
-	"longer than the bounds are wide, and a slow next one":   {time.Millisecond, 5 * time.Second, 6 * time.Second},
-	"about as long as the bounds are wide":                   {2 * time.Second, 2 * time.Second, time.Second},
-	"a little longer than the bounds, and a slow next one":   {2 * time.Second, 2100 * time.Millisecond, time.Second},
-	"much shorter than the bounds, and a quicker next one":   {4 * time.Second, 100 * time.Millisecond, time.Second},
-	"while nothing is asked afterwards, at the first moment": {time.Millisecond, 5 * time.Second, 0},
+	"longer than the width of the bounds":               {time.Millisecond, 5 * time.Second, time.Millisecond},
+	"shorter than the width":                            {4 * time.Second, time.Second, time.Millisecond},
+	"shorter than the width, slow next reply":           {4 * time.Second, time.Second, 4 * time.Second},
+	"longer than the width, slow next reply":            {time.Millisecond, 5 * time.Second, 6 * time.Second},
+	"as long as the width, faster next reply":           {2 * time.Second, 2 * time.Second, time.Second},
+	"slightly longer than the width, faster next reply": {2 * time.Second, 2100 * time.Millisecond, time.Second},
+	"much shorter than the width, faster next reply":    {4 * time.Second, 100 * time.Millisecond, time.Second},
+	"longer than the width, no next reply":              {time.Millisecond, 5 * time.Second, 0},
 }
 
-// TestRemoteCountsSuspension: a machine is suspended while another host's clock goes on. Bounds
-// that were carried on by the clock that stood still were wrong by as long, not only wide; and
-// where the next answer still overlapped with them they stayed wrong, since each answer only
-// narrows what is known. Leases, shares of upgrades and what lapses went by them.
+// TestRemoteCountsSuspension suspends the machine while another host's clock keeps running. When
+// bounds were extrapolated with a clock that stops during suspension, they were wrong by the length
+// of the suspension, not only wide. If the next reply still overlapped with them they stayed wrong,
+// since each reply only narrows the bounds. Leases, shares of upgrades and expiry depended on them.
 func TestRemoteCountsSuspension(t *testing.T) {
 	for name, s := range suspensions {
 		t.Run(name, func(t *testing.T) {
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -8,33 +8,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspension counts for how long the machine was suspended since the process began. The
-// runtime's clock stands still meanwhile; the kernel has one that does not, CLOCK_BOOTTIME.
+// suspension measures for how long the machine was suspended since the process started. The
+// runtime's monotonic clock stops during suspension; the kernel's CLOCK_BOOTTIME does not.
 //
-// The time of day goes on too, so as long as it and the runtime's clock keep their distance
-// the machine was not suspended, and nothing is asked of the kernel, which takes several times
-// as long (BenchmarkNow, BenchmarkSuspended). That a step of the time of day hides a suspension
-// of the same length is left to Watch, which asks in any case.
+// The wall clock does not stop either. As long as the offset between it and the monotonic clock is
+// constant, the machine was not suspended, and the kernel's clocks are not read, which takes several
+// times as long (BenchmarkNow, BenchmarkSuspended). A step of the wall clock can hide a suspension of
+// the same length; Watch, which always reads the kernel's clocks, detects it.
 type suspension struct {
 	total   atomic.Int64 // ns
-	offset  atomic.Int64 // ns, of the time of day from the runtime's clock when the kernel was asked
+	offset  atomic.Int64 // ns, wall clock minus monotonic clock when the kernel's clocks were last read
 	started time.Time
 
-	mu        sync.Mutex // guards all below; held while the kernel is asked
-	initial     bootOffset // when the process began
-	simulated int64      // ns, by Suspend
+	mu        sync.Mutex // guards the fields below; held while the kernel's clocks are read
+	initial   bootOffset // when the process started
+	simulated int64      // ns, by SimulateSuspension
 }
 
-// machineSuspension is the one that this process runs on.
+// machineSuspension measures the suspensions of the machine that runs this process.
 var machineSuspension = newSuspension()
 
 func newSuspension() *suspension { return &suspension{started: time.Now(), initial: readBootOffset()} }
 
-// maxSlew is how far the time of day may go from the runtime's clock, as it does when it is
-// set right slowly, before the kernel is asked.
+// maxSlew is how far the offset between wall clock and monotonic clock may change, as it does when
+// the wall clock is slewed, before the kernel's clocks are read.
 const maxSlew = time.Millisecond
 
-// totalAt is for how long the machine was suspended up to a moment.
+// totalAt returns the total time for which the machine was suspended until now.
 func (s *suspension) totalAt(now time.Time) time.Duration {
 	offset := now.Round(0).Sub(s.started.Round(0)) - now.Sub(s.started)
 	if (offset - time.Duration(s.offset.Load())).Abs() > maxSlew {
@@ -44,7 +44,7 @@
 	return time.Duration(s.total.Load())
 }
 
-// readKernel asks the kernel.
+// readKernel updates the total from the kernel's clocks.
 func (s *suspension) readKernel() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,20 +54,21 @@
 	}
 }
 
-// bootOffset is how far CLOCK_BOOTTIME was ahead of the steady clock: both can't be read at once,
-// and a thread that waits in between has bounds that are so far apart.
+// bootOffset bounds how far CLOCK_BOOTTIME was ahead of CLOCK_MONOTONIC. The two can't be read
+// atomically; a thread that is delayed between the readings gets wider bounds.
 type bootOffset struct {
 	lower, upper int64 // ns
-	known        bool  // false where the kernel does not tell; Instants count as the runtime does
+	known        bool  // false if the kernel lacks the clocks; Instants then count as the runtime does
 }
 
-// Bounds of readAhead.
+// Limits of readBootOffset.
 const (
 	maxOffsetReads  = 3
-	goodOffsetWidth = 50 * time.Microsecond // nearer bounds need no other try
+	goodOffsetWidth = 50 * time.Microsecond // narrower bounds are not read again
 )
 
-// readBootOffset asks until the bounds are near, a few times.
+// readBootOffset reads the offset up to maxOffsetReads times, until its bounds are narrow, and returns
+// the narrowest.
 func readBootOffset() bootOffset {
 	best := readBootOffsetOnce()
 	for range maxOffsetReads - 1 {
@@ -94,14 +95,14 @@
 	return bootOffset{lower: boot.Nano() - after.Nano(), upper: boot.Nano() - before.Nano(), known: true}
 }
 
-// SuspendedTime is for how long the machine was suspended since the process began.
+// SuspendedTime returns the total time for which the machine was suspended since the process started.
 func SuspendedTime() time.Duration {
 	machineSuspension.readKernel()
 	return time.Duration(machineSuspension.total.Load())
 }
 
-// SimulateSuspension has Instants count as if the machine had been suspended for so long: for tests, whose
-// paused clock knows no suspension.
+// SimulateSuspension makes Instants count as if the machine had been suspended for d. It is for
+// tests, where synctest's fake clock has no suspension.
 func SimulateSuspension(d time.Duration) {
 	machineSuspension.mu.Lock()
 	defer machineSuspension.mu.Unlock()
--- a/internal/clock/units.go
+++ b/internal/clock/units.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Seconds is a time of so many seconds.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Micros is a time of so many microseconds, as messages between hosts tell it.
+// Micros converts a number of microseconds, the unit in messages between hosts, to a duration.
 func Micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -24,8 +24,8 @@
 
 // Wait times of a follower.
 const (
-	// watchWait is the length of one call that waits for changes. The store charges for each call; a feed
-	// that stops without an error is noticed when the call ends.
+	// watchWait is the length of one call that waits for changes. The store charges for each call;
+	// a feed that stops without an error is noticed when the call ends.
 	watchWait = 3 * time.Second
 	// reconnectWait replaces watchWait until the store has answered again.
 	reconnectWait     = 500 * time.Millisecond
@@ -73,7 +73,7 @@
 		case err == nil:
 			f.handleSuccess()
 		case errors.Is(err, store.ErrCompacted):
-			f.Logger.Warn("history of the table is gone; reading the whole table", "table", f.Table, "version", f.version)
+			f.Logger.Warn("history of the table is gone; reading it whole", "table", f.Table, "version", f.version)
 			f.version = -1
 		case ctx.Err() == nil:
 			f.handleFailure(ctx, err)
--- a/internal/gatewayd/endpoints.go
+++ b/internal/gatewayd/endpoints.go
@@ -27,7 +27,7 @@
 	logger     *log.Logger
 }
 
-// Reset implements follow.Picture.
+// Reset implements follow.Replica.
 func (e *endpoints) Reset(rows []store.Row, away bool) {
 	var list []fleet.Endpoint
 	services := map[string]bool{}
@@ -45,7 +45,7 @@
 	e.logger.Info("endpoints read", "count", len(list), "rows", len(rows), "store_was_away", away)
 }
 
-// Change implements follow.Picture.
+// Change implements follow.Replica.
 func (e *endpoints) Change(changes []store.Change, away bool) {
 	services := map[string]bool{}
 	for _, c := range changes {
@@ -54,7 +54,7 @@
 	e.settle(services)
 }
 
-// Confirm implements follow.Picture.
+// Confirm implements follow.Replica.
 func (e *endpoints) Confirm() {}
 
 func (e *endpoints) change(c store.Change, away bool, services map[string]bool) {
--- a/internal/gatewayd/operators.go
+++ b/internal/gatewayd/operators.go
@@ -22,7 +22,7 @@
 	halls    map[string]bool // that are evacuated, by the rows
 }
 
-// Reset implements follow.Picture.
+// Reset implements follow.Replica.
 func (o *operators) Reset(rows []store.Row, _ bool) {
 	halls := map[string]bool{}
 	for _, row := range rows {
@@ -35,7 +35,7 @@
 	o.evacuate(halls)
 }
 
-// Change implements follow.Picture.
+// Change implements follow.Replica.
 func (o *operators) Change(changes []store.Change, _ bool) {
 	for _, c := range changes {
 		hall, ok := platform.EvacuatedHall(c.Key)
@@ -53,7 +53,7 @@
 	}
 }
 
-// Confirm implements follow.Picture.
+// Confirm implements follow.Replica.
 func (o *operators) Confirm() { o.holder.Confirm() }
 
 // evacuate takes in which data halls are evacuated.
--- a/internal/peer/rpc/link.go
+++ b/internal/peer/rpc/link.go
@@ -94,9 +94,9 @@
 // peerError converts a gRPC error to peer.ErrRefused or peer.ErrUnreachable.
 func peerError(address string, err error) error {
 	if status.Code(err) == codes.FailedPrecondition {
-		return fmt.Errorf("call peer %s: %w", address, peer.ErrRefused)
+		return fmt.Errorf("ask %s: %w", address, peer.ErrRefused)
 	}
-	return fmt.Errorf("call peer %s: %w: %w", address, peer.ErrUnreachable, err)
+	return fmt.Errorf("ask %s: %w: %w", address, peer.ErrUnreachable, err)
 }
 
 // invoke makes one RPC and converts its reply.
--- a/internal/store/httpapi/httpapi.go
+++ b/internal/store/httpapi/httpapi.go
@@ -1,12 +1,12 @@
-// Package httpapi is the adapter of the platform ports to JSON over HTTP, the
-// protocol that the project's own platform stand-in serves.
+// Package httpapi implements the platform interfaces of package store with JSON over HTTP, the
+// protocol of the project's simulated platform.
 //
 // # Usage
 //
 //	client := httpapi.NewClient("http://10.0.0.5:7070", http.DefaultTransport)
 //	row, err := client.Get(ctx, "config", "head")
 //
-// A platform with another protocol needs another adapter and nothing else.
+// A platform with another protocol needs only another adapter.
 package httpapi
 
 import (
@@ -30,7 +30,7 @@
 	PathRatings = "/v1/ratings"
 )
 
-// Limits of one exchange.
+// Limits of one request.
 const (
 	maxReplyBytes  = 16 << 20
 	requestTimeout = 3 * time.Second
@@ -67,7 +67,7 @@
 	Hosts []store.Host `json:"hosts"`
 }
 
-// RatingsRequest asks for ratings past a sequence.
+// RatingsRequest asks for ratings after a sequence.
 type RatingsRequest struct {
 	After int64 `json:"after"`
 	Limit int   `json:"limit"`
@@ -81,18 +81,18 @@
 // Empty is a request or reply without content.
 type Empty struct{}
 
-// Client implements the platform ports.
+// Client implements the platform interfaces of package store.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client of the platform at a base URL.
+// NewClient returns a client for the platform at a base URL.
 func NewClient(base string, transport http.RoundTripper) *Client {
 	return &Client{base: base, http: &http.Client{Transport: transport, Timeout: requestTimeout}}
 }
 
-// call posts a request and decodes the reply; its errors are the ports'.
+// call posts a request and decodes the reply. It returns the errors of package store.
 func call[Req, Reply any](ctx context.Context, c *Client, path string, request Req) (Reply, error) {
 	var reply Reply
 	body, err := json.Marshal(request)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,19 +1,19 @@
-// Package store holds the ports through which the router meets the
-// platform: the table service, the list of hosts and the rating service.
+// Package store defines the interfaces between the router and the platform: the table service, the
+// list of hosts and the rating service.
 //
 // # Usage
 //
-// Decisions and duties take these interfaces, never a client. An adapter turns
-// them into a platform's real protocol:
+// Code that makes decisions or performs duties depends on these interfaces, never on a client. An
+// adapter implements them with the protocol of a platform:
 //
-//	result, err := tables.Commit(ctx, platform.Transaction{
+//	err := tables.Commit(ctx, store.Transaction{
 //		Conditions: []store.Condition{store.Absent("bill", id)},
 //		Writes:     []store.Write{store.Put("bill", id, data)},
 //	})
 //
-// Errors tell three things apart. ErrConflict and ErrThrottled say that the
-// transaction was certainly not applied. Any other error leaves it open: it
-// may have been applied, and the caller reads back to learn.
+// Errors of Commit distinguish three cases. ErrConflict and ErrThrottled mean that the transaction
+// was certainly not applied. After any other error it may have been applied, and the caller reads
+// the rows to find out.
 package store
 
 import (
@@ -23,15 +23,15 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of the ports.
+// Errors of the platform interfaces.
 var (
-	// ErrConflict means a condition did not hold; nothing was applied.
+	// ErrConflict means that a condition did not hold; nothing was applied.
 	ErrConflict = errors.New("condition failed")
-	// ErrThrottled means the rate limit refused the call; nothing was applied.
+	// ErrThrottled means that the rate limit rejected the call; nothing was applied.
 	ErrThrottled = errors.New("rate limited by the platform")
-	// ErrNotFound means there is no such row.
+	// ErrNotFound means that there is no such row.
 	ErrNotFound = errors.New("no such row")
-	// ErrUnavailable means no reply came; a write may have been applied.
+	// ErrUnavailable means that no valid reply came; a write may have been applied.
 	ErrUnavailable = errors.New("platform unavailable")
 )
 
@@ -39,7 +39,7 @@
 type Row struct {
 	Key     string
 	Value   []byte
-	Version int64 // grows with every write of the row; 1 or more
+	Version int64 // at least 1; grows with every write of the row
 }
 
 // Condition requires a row to be at a version when a transaction commits.
@@ -49,15 +49,15 @@
 	Version int64  `json:"version"` // 0 means the row must not exist
 }
 
-// Absent requires that there is no such row.
+// Absent returns a condition that requires that the row does not exist.
 func Absent(table, key string) Condition { return Condition{Table: table, Key: key} }
 
-// AtVersion requires that the row has not changed since it was read.
+// AtVersion returns a condition that requires that the row has not changed since it was read.
 func AtVersion(table string, row Row) Condition {
 	return Condition{Table: table, Key: row.Key, Version: row.Version}
 }
 
-// Write puts or deletes one row.
+// Write writes or deletes one row.
 type Write struct {
 	Table  string `json:"table"`
 	Key    string `json:"key"`
@@ -65,15 +65,15 @@
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Put writes a row.
+// Put returns a Write that writes a row.
 func Put(table, key string, value []byte) Write {
 	return Write{Table: table, Key: key, Value: value}
 }
 
-// Delete removes a row.
+// Delete returns a Write that deletes a row.
 func Delete(table, key string) Write { return Write{Table: table, Key: key, Delete: true} }
 
-// Transaction applies all writes, or none if a condition fails.
+// Transaction is a set of writes that are all applied, or none of them if a condition fails.
 type Transaction struct {
 	Conditions []Condition `json:"conditions,omitempty"`
 	Writes     []Write     `json:"writes"`
@@ -84,7 +84,7 @@
 	Table  string
 	Prefix string
 	After  string // exclusive; empty starts at the prefix
-	Limit  int    // at most this many rows; 0 means the service's own limit
+	Limit  int    // maximum number of rows; 0 means the service's own limit
 }
 
 // Tables is the transactional table service.
@@ -97,7 +97,7 @@
 	Commit(ctx context.Context, txn Transaction) error
 }
 
-// HostKind tells what runs on a listed host.
+// HostKind is the kind of a listed host, by the software that runs on it.
 type HostKind string
 
 // Kinds of listed hosts.
@@ -107,7 +107,7 @@
 	HostService HostKind = "service"
 )
 
-// HostState is what the platform says of a host.
+// HostState is the state of a host according to the platform.
 type HostState string
 
 // States of listed hosts.
@@ -116,7 +116,7 @@
 	HostLeaving HostState = "leaving"
 )
 
-// Host is one entry of the platform's list.
+// Host is one entry of the platform's host list.
 type Host struct {
 	ID       string    `json:"id"`
 	Kind     HostKind  `json:"kind"`
@@ -127,12 +127,12 @@
 	State    HostState `json:"state"`
 }
 
-// Hosts is the platform's list of hosts, which lags.
+// Hosts reads the platform's list of hosts, which lags behind their actual state.
 type Hosts interface {
 	List(ctx context.Context) ([]Host, error)
 }
 
-// Rating is one verdict of the rating service on an answer.
+// Rating is the rating service's assessment of one answer.
 type Rating struct {
 	Sequence  int64     `json:"sequence"` // position in the service's log
 	RequestID string    `json:"request_id"`
@@ -143,14 +143,14 @@
 	At        time.Time `json:"at"`
 }
 
-// Ratings is the rating service; ratings come late, and not for every answer.
+// Ratings is the rating service. Ratings are delayed and do not exist for every answer.
 type Ratings interface {
-	// After returns ratings with a higher sequence, in order, at most limit.
+	// After returns up to limit ratings with a higher sequence, in order.
 	After(ctx context.Context, sequence int64, limit int) ([]Rating, error)
 }
 
-// Uncertain reports whether an error of Commit leaves open that the transaction
-// took effect.
+// Uncertain reports whether, given an error of Commit, the transaction may or may not have been
+// applied.
 func Uncertain(err error) bool {
 	return err != nil && !errors.Is(err, ErrConflict) && !errors.Is(err, ErrThrottled)
 }
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -9,30 +9,30 @@
 	"quaybarrow/internal/clock"
 )
 
-// ErrCompacted means that the changes asked for are no longer kept: read the
-// table whole and go on from there.
+// ErrCompacted means that the requested changes are no longer stored. The caller reads the whole
+// table and continues from its version.
 var ErrCompacted = errors.New("history was compacted")
 
-// Change is a row as it now stands, or the removal of one.
+// Change is the new state of a row, or its deletion.
 type Change struct {
 	Row
 	Deleted bool
 }
 
-// State is a table as of one moment.
+// State is a snapshot of a table.
 type State struct {
 	Rows    []Row
-	Version int64 // changes after it are yet to come
+	Version int64 // version of the snapshot, for Watcher.Changes
 }
 
-// Watcher reads tables whole and waits for their changes.
+// Watcher reads whole tables and waits for their changes.
 type Watcher interface {
 	// State reads a whole table.
 	State(ctx context.Context, table string) (State, error)
-	// Changes waits at most a time for rows that changed after a version, and
-	// returns them in order with the version to go on from. None within the
-	// time is no error. ErrCompacted if the history is gone.
+	// Changes waits up to wait for rows that changed after a version, and returns them in order
+	// with the version to continue from. It is not an error if there are none in that time. It
+	// returns ErrCompacted if the history is gone.
 	Changes(ctx context.Context, table string, after int64, wait time.Duration) ([]Change, int64, error)
-	// Now bounds what the store's steady clock shows; false before the first answer.
+	// Now returns bounds of the store's steady clock, and false before the first reply.
 	Now() (clock.Bounds, bool)
 }
--- a/internal/wake/wake.go
+++ b/internal/wake/wake.go
@@ -3,7 +3,7 @@
 // # Usage
 //
 //	signal := wake.NewSignal()
-//	signal.Poke() // never waits; several before the work begins are one
+//	signal.Notify() // never blocks; several calls before the receive count as one
 //	<-signal
 package wake
 
