--- a/internal/clock/ages_test.go
+++ b/internal/clock/ages_test.go
@@ -52,7 +52,7 @@
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
-			return checkAges(t, strings.TrimPrefix(filepath.ToSlash(path), "../../"), used)
+			return checkSuspensionUse(t, strings.TrimPrefix(filepath.ToSlash(path), "../../"), used)
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -65,8 +65,8 @@
 	}
 }
 
-// checkAges checks a file. If an entry of mayIgnoreSuspension exempts it, it adds the entry to used.
-func checkAges(t *testing.T, path string, used map[string]bool) error {
+// checkSuspensionUse checks a file. If an entry of mayIgnoreSuspension exempts it, it adds the entry to used.
+func checkSuspensionUse(t *testing.T, path string, used map[string]bool) error {
 	fileSet := token.NewFileSet()
 	file, err := parser.ParseFile(fileSet, "../../"+path, nil, parser.SkipObjectResolution)
 	if err != nil {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,8 +9,8 @@
 	"quaybarrow/internal/clock"
 )
 
-// waits are the cases of TestSleep.
-var waits = map[string]struct {
+// sleepCases are the cases of TestSleep.
+var sleepCases = map[string]struct {
 	wait, took time.Duration
 	ctxEnded   bool // ctx has ended before the call
 	want       bool
@@ -24,20 +24,20 @@
 }
 
 func TestSleep(t *testing.T) {
-	for name, w := range waits {
+	for name, c := range sleepCases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
-				if w.ctxEnded {
+				if c.ctxEnded {
 					cancel()
 				}
 				started := time.Now()
-				if got := clock.Sleep(ctx, w.wait); got != w.want {
-					t.Errorf("Sleep returned %v, want %v", got, w.want)
+				if got := clock.Sleep(ctx, c.wait); got != c.want {
+					t.Errorf("Sleep returned %v, want %v", got, c.want)
 				}
-				if took := time.Since(started); took != w.took {
-					t.Errorf("took %v, want %v", took, w.took)
+				if took := time.Since(started); took != c.took {
+					t.Errorf("took %v, want %v", took, c.took)
 				}
 			})
 		})
--- a/internal/clock/remote_test.go
+++ b/internal/clock/remote_test.go
@@ -24,20 +24,20 @@
 }
 
 func TestRemoteBoundsContainOtherClock(t *testing.T) {
-	for name, e := range exchangeCases {
+	for name, c := range exchangeCases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				other := clock.NewSteady()
 				time.Sleep(time.Hour)
 				var r clock.Remote
-				for _, q := range e.exchanges {
+				for _, x := range c.exchanges {
 					sent := clock.Now()
-					time.Sleep(q.outbound)
+					time.Sleep(x.outbound)
 					shown := other.Now()
-					time.Sleep(q.inbound)
+					time.Sleep(x.inbound)
 					r.Observe(clock.Bounds{Earliest: shown, Latest: shown}, sent, clock.Now())
 				}
-				checkBounds(t, &r, other.Now(), e.width)
+				checkBounds(t, &r, other.Now(), c.width)
 			})
 		})
 	}
--- a/internal/clock/suspended_test.go
+++ b/internal/clock/suspended_test.go
@@ -8,10 +8,10 @@
 	"quaybarrow/internal/clock"
 )
 
-// suspensions are the cases of a host that bounds another host's clock: the transit time of the last
+// suspensionCases are the cases of a host that bounds another host's clock: the transit time of the last
 // reply before the suspension, the length of the suspension, and the transit time of the next reply
 // (0 for none).
-var suspensions = map[string]struct{ before, suspended, after time.Duration }{
+var suspensionCases = map[string]struct{ before, suspended, after time.Duration }{
 	"longer than the width of the bounds":               {time.Millisecond, 5 * time.Second, time.Millisecond},
 	"shorter than the width":                            {4 * time.Second, time.Second, time.Millisecond},
 	"shorter than the width, slow next reply":           {4 * time.Second, time.Second, 4 * time.Second},
@@ -27,7 +27,7 @@
 // of the suspension, not only wide. If the next reply still overlapped with them they stayed wrong,
 // since each reply only narrows the bounds. Leases, shares of upgrades and expiry depended on them.
 func TestRemoteCountsSuspension(t *testing.T) {
-	for name, s := range suspensions {
+	for name, s := range suspensionCases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				started, suspended := time.Now(), time.Duration(0)
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -17,7 +17,7 @@
 // the same length; Watch, which always reads the kernel's clocks, detects it.
 type suspension struct {
 	total   atomic.Int64 // ns
-	offset  atomic.Int64 // ns, wall clock minus monotonic clock when the kernel's clocks were last read
+	offset  atomic.Int64 // ns, wall clock minus monotonic clock since started, when the kernel was last read
 	started time.Time
 
 	mu        sync.Mutex // guards the fields below; held while the kernel's clocks are read
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -67,8 +67,8 @@
 
 const address = "10.9.0.1:80"
 
-// observed returns the number of resets and the keys that were deleted with afterOutage set.
-func (p *recordingReplica) observed() (resets int, deletedInOutage []string) {
+// resetsAndDeletions returns the number of resets and the keys that were deleted with afterOutage set.
+func (p *recordingReplica) resetsAndDeletions() (resets int, deletedInOutage []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.resets, p.deletedInOutage
@@ -115,7 +115,7 @@
 			s.Drop("t", "a")
 			time.Sleep(10 * time.Millisecond)
 			Expect(p.get("a")).To(BeEmpty())
-			_, deletedInOutage := p.observed()
+			_, deletedInOutage := p.resetsAndDeletions()
 			Expect(deletedInOutage).To(BeEmpty())
 		})
 	})
@@ -143,7 +143,7 @@
 			s.Drop("t", "a")
 			s.Break(standin.Healthy)
 			time.Sleep(recoveryBound)
-			_, deletedInOutage := p.observed()
+			_, deletedInOutage := p.resetsAndDeletions()
 			Expect(deletedInOutage).To(Equal([]string{"a"}))
 		})
 	})
@@ -156,7 +156,7 @@
 			s.Break(standin.Healthy)
 			time.Sleep(10 * time.Millisecond)
 			Expect(p.get("a")).To(Equal("2"))
-			resets, _ := p.observed()
+			resets, _ := p.resetsAndDeletions()
 			Expect(resets).To(Equal(2))
 		})
 	})
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -12,7 +12,7 @@
 	"quaybarrow/internal/store"
 )
 
-// Failure detection times, as multiples of the ping period.
+// Failure detection times, as multiples of scaledPingPeriod.
 const (
 	suspectAfterPeriods = 3 // a pinged host is suspect after this many periods without a reply
 	forgetAfterPeriods  = 5 // an unlisted host is removed after this many periods without a status
@@ -24,8 +24,9 @@
 	Link  peer.Link
 	// Self returns the current status of this host.
 	Self func() peer.Status
-	// Observe is called with every status received. The status is at least as old as the given
-	// time. Observe may be nil.
+	// Observe is called with every status received; it may be nil. If the status came in a reply,
+	// at is the time when this host sent the ping. If it came in another host's ping, at is the time
+	// when this host received it.
 	Observe    func(status peer.Status, at clock.Instant)
 	PingPeriod time.Duration
 	ListPeriod time.Duration
@@ -44,7 +45,7 @@
 	view    atomic.Pointer[View]
 
 	mu          sync.Mutex   // guards the fields below
-	listedHosts []store.Host // the routers in allListed
+	listedHosts []store.Host // the router's hosts in allListed
 	allListed   []store.Host // the whole list, endpoints included
 	records     map[string]hostRecord
 }
@@ -70,7 +71,7 @@
 func (m *Membership) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	wait.Go(func() { every(ctx, func() time.Duration { return m.options.ListPeriod }, m.ReadList) })
-	wait.Go(func() { every(ctx, m.pingPeriod, m.PingAll) })
+	wait.Go(func() { every(ctx, m.scaledPingPeriod, m.PingAll) })
 	wait.Wait()
 }
 
@@ -88,8 +89,9 @@
 // the time between two pings of the same host grows instead.
 const pingsPerPeriod = 3
 
-// pingPeriod returns the time between two pings of the same host.
-func (m *Membership) pingPeriod() time.Duration {
+// scaledPingPeriod returns the time between two pings of the same host: Options.PingPeriod, or more
+// if there are more than pingsPerPeriod ping targets.
+func (m *Membership) scaledPingPeriod() time.Duration {
 	targets := len(m.View().PingTargets())
 	return m.options.PingPeriod * time.Duration(max(targets, pingsPerPeriod)) / pingsPerPeriod
 }
@@ -105,14 +107,14 @@
 			return
 		}
 	}
-	entries := make([]store.Host, 0, len(hosts))
+	routerHosts := make([]store.Host, 0, len(hosts))
 	for _, h := range hosts {
 		if h.Kind == store.HostEntry {
-			entries = append(entries, h)
+			routerHosts = append(routerHosts, h)
 		}
 	}
 	m.mu.Lock()
-	m.listedHosts, m.allListed = entries, hosts
+	m.listedHosts, m.allListed = routerHosts, hosts
 	m.mu.Unlock()
 	m.rebuild()
 }
@@ -155,7 +157,7 @@
 	return m.options.Self()
 }
 
-// recordStatus stores a received status, which is at least as old as the given time.
+// recordStatus stores a received status and passes it to Options.Observe with the given time.
 func (m *Membership) recordStatus(status peer.Status, at clock.Instant) {
 	m.mu.Lock()
 	previous, ok := m.records[status.Host]
@@ -173,7 +175,7 @@
 func (m *Membership) rebuild() {
 	period := m.options.PingPeriod
 	if m.view.Load() != nil {
-		period = m.pingPeriod()
+		period = m.scaledPingPeriod()
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -102,7 +102,7 @@
 
 // Kinds of listed hosts.
 const (
-	HostEntry   HostKind = "entry"
+	HostEntry   HostKind = "entry" // a host of the router
 	HostEngine  HostKind = "engine"
 	HostService HostKind = "service"
 )
