--- a/internal/clock/ages_test.go
+++ b/internal/clock/ages_test.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// checkSuspensionUse checks a file. If an entry of mayIgnoreSuspension exempts it, it adds the entry to used.
+// checkSuspensionUse checks a file. If an entry of mayIgnoreSuspension exempts the file, it adds the
+// entry to used.
 func checkSuspensionUse(t *testing.T, path string, used map[string]bool) error {
 	fileSet := token.NewFileSet()
 	file, err := parser.ParseFile(fileSet, "../../"+path, nil, parser.SkipObjectResolution)
--- a/internal/clock/suspended_test.go
+++ b/internal/clock/suspended_test.go
@@ -8,9 +8,9 @@
 	"quaybarrow/internal/clock"
 )
 
-// suspensionCases are the cases of a host that bounds another host's clock: the transit time of the last
-// reply before the suspension, the length of the suspension, and the transit time of the next reply
-// (0 for none).
+// suspensionCases are the cases of a host that bounds another host's clock: the transit time of the
+// last reply before the suspension, the length of the suspension, and the transit time of the next
+// reply (0 for none).
 var suspensionCases = map[string]struct{ before, suspended, after time.Duration }{
 	"longer than the width of the bounds":               {time.Millisecond, 5 * time.Second, time.Millisecond},
 	"shorter than the width":                            {4 * time.Second, time.Second, time.Millisecond},
