--- a/internal/peer/local.go
+++ b/internal/peer/local.go
@@ -59,7 +59,8 @@
 	from    string
 }
 
-// handlerAt returns the handler of an address and counts the message, or returns ErrUnreachable.
+// handlerAt returns the handler of an address and counts the message. It returns ErrUnreachable if the
+// address has no handler or is partitioned from this host.
 func (k localLink) handlerAt(ctx context.Context, address string) (Handler, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
--- a/internal/peer/rpc/link.go
+++ b/internal/peer/rpc/link.go
@@ -79,7 +79,8 @@
 	return c, nil
 }
 
-// Prune closes the connections to addresses for which keep returns false.
+// Prune closes the connections to addresses for which keep returns false, such as those of hosts that
+// have left.
 func (l *Link) Prune(keep func(address string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/recent/recent.go
+++ b/internal/recent/recent.go
@@ -14,7 +14,7 @@
 
 // Values holds the most recent values of a measurement.
 type Values struct {
-	values []float64
+	values []float64 // in no particular order
 	limit  int
 	added  int
 }
