--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -100,7 +100,7 @@
 		}
 		if room := state.Room(); room > 0 {
 			state = state.WithGrant(room, clock.wall())
-			for i, n := range rollout.Split(int(room), s.Hosts, state.Serial) {
+			for i, n := range rollout.SplitCredits(int(room), s.Hosts, state.Serial) {
 				credits[i] += n
 			}
 		}
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -246,9 +246,9 @@
 	}
 }
 
-// Split divides credits over hosts as evenly as they go; the serial decides who
+// SplitCredits divides credits over hosts as evenly as they go; the serial decides who
 // gets one more, so that the rest wanders.
-func Split(credits, hosts int, serial int64) []int {
+func SplitCredits(credits, hosts int, serial int64) []int {
 	shares := make([]int, hosts)
 	for i := range shares {
 		shares[i] = credits / hosts
@@ -269,7 +269,7 @@
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	var wait sync.WaitGroup
-	for i, share := range Split(credits, len(hosts), s.Serial) {
+	for i, share := range SplitCredits(credits, len(hosts), s.Serial) {
 		if share == 0 {
 			continue
 		}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -128,8 +128,8 @@
 	})
 
 	It("gives its credits to hosts as evenly as they go", func() {
-		Expect(rollout.Split(7, 3, 0)).To(Equal([]int{3, 2, 2}))
-		Expect(rollout.Split(7, 3, 1)).To(Equal([]int{2, 3, 2}))
-		Expect(rollout.Split(1, 3, 2)).To(Equal([]int{0, 0, 1}))
+		Expect(rollout.SplitCredits(7, 3, 0)).To(Equal([]int{3, 2, 2}))
+		Expect(rollout.SplitCredits(7, 3, 1)).To(Equal([]int{2, 3, 2}))
+		Expect(rollout.SplitCredits(1, 3, 2)).To(Equal([]int{0, 0, 1}))
 	})
 })
