--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -98,7 +98,7 @@
 			run.ended, run.accepted = clock.now, action == rollout.ActionAccept
 			return run
 		}
-		if room := state.Room(); room > 0 {
+		if room := state.GrantableCredits(); room > 0 {
 			state = state.WithGrant(room, clock.wall())
 			for i, n := range rollout.SplitCredits(int(room), s.Hosts, state.Serial) {
 				credits[i] += n
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -145,7 +145,7 @@
 	}
 	room := int64(0)
 	if !plan.Held && c.options.Ready(ref) {
-		room = next.Room()
+		room = next.GrantableCredits()
 	}
 	if room > 0 {
 		next = next.WithGrant(room, time.Now().UTC())
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -110,10 +110,10 @@
 				if action != rollout.ActionNone {
 					return
 				}
-				if room := s.Room(); room > 0 {
+				if room := s.GrantableCredits(); room > 0 {
 					s = s.WithGrant(room, now)
 				}
-				if s.Outstanding() < 0 || float64(s.Outstanding()) > s.Window+1 && len(ratings) == 0 && s.Room() > 0 {
+				if s.Outstanding() < 0 || float64(s.Outstanding()) > s.Window+1 && len(ratings) == 0 && s.GrantableCredits() > 0 {
 					t.Fatalf("%d answers out in a window of %v", s.Outstanding(), s.Window)
 				}
 				held := int64(0)
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -88,8 +88,8 @@
 // Outstanding is how many answers may be out without a rating.
 func (s State) Outstanding() int64 { return max(s.Granted-s.Rated-s.Expired, 0) }
 
-// Room is how many credits may be granted now.
-func (s State) Room() int64 {
+// GrantableCredits is how many credits may be granted now.
+func (s State) GrantableCredits() int64 {
 	if s.Phase != PhaseRunning {
 		return 0
 	}
