--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -246,7 +246,7 @@
 	})
 }
 
-func newPipeline(s settings.Settings, h *config.Holder, a *admission.Controller, k *keyrings, n *session.Names, f *fleet.Fleet,
+func newPipeline(s settings.Settings, h *config.Holder, a *admission.Controller, k *keyrings, n *session.NamedSessions, f *fleet.Fleet,
 	d *dispatch.Dispatcher, q *quarantine.Tracker, l *billing.Ledger, g *once.Guard, c *rollout.Credits, e *estimate.Aggregator,
 	tel *telemetry.Telemetry, tr *traffic.Log, deadlines *clock.Deadlines,
 ) *pipeline.Pipeline {
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -55,7 +55,7 @@
 	Config     *config.Holder
 	Admission  *admission.Controller
 	Keyring    func() session.Keyring
-	Names      *session.Names
+	Names      *session.NamedSessions
 	Ready      func(declare.Ref) bool // whether some endpoint serves a version
 	Dispatcher *dispatch.Dispatcher
 	Quarantine *quarantine.Tracker
--- a/internal/session/names.go
+++ b/internal/session/names.go
@@ -20,10 +20,10 @@
 // claimAttempts bounds how often an uncertain claim is tried again.
 const claimAttempts = 3
 
-// Names keeps pins of sessions that callers name, one row for each. Rows are
+// NamedSessions keeps pins of sessions that callers name, one row for each. Rows are
 // never changed once written, so a remembered pin is as good as the row and
 // outlasts an outage of the store.
-type Names struct {
+type NamedSessions struct {
 	tables store.Tables
 
 	mu    sync.Mutex // guards known and order
@@ -32,12 +32,12 @@
 }
 
 // NewNames returns the names kept in the given tables.
-func NewNames(tables store.Tables) *Names {
-	return &Names{tables: tables, known: map[string]Pin{}}
+func NewNames(tables store.Tables) *NamedSessions {
+	return &NamedSessions{tables: tables, known: map[string]Pin{}}
 }
 
 // Find returns the pin of a name; store.ErrNotFound if it is free.
-func (n *Names) Find(ctx context.Context, workspace, name string) (Pin, error) {
+func (n *NamedSessions) Find(ctx context.Context, workspace, name string) (Pin, error) {
 	key := workspace + "/" + name
 	n.mu.Lock()
 	pin, ok := n.known[key]
@@ -58,7 +58,7 @@
 }
 
 // Claim pins a name, unless it is pinned: then it returns the pin it has.
-func (n *Names) Claim(ctx context.Context, name string, pin Pin) (Pin, error) {
+func (n *NamedSessions) Claim(ctx context.Context, name string, pin Pin) (Pin, error) {
 	data, err := codec.Encode(pin)
 	if err != nil {
 		return Pin{}, err
@@ -86,7 +86,7 @@
 }
 
 // remember keeps a pin, dropping the oldest past the bound.
-func (n *Names) remember(key string, pin Pin) {
+func (n *NamedSessions) remember(key string, pin Pin) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if _, ok := n.known[key]; ok {
