--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -92,7 +92,7 @@
 			newLogger, newPlatform, newTelemetry, newTLS, newLink, newTransport, newConns,
 			config.NewHolder, config.NewLog, newKeyrings, newState, newMembership, newSpreader,
 			newWatch, clock.NewDeadlines, newQuarantine, newDispatcher, newAdmission, newLeases, newLedger, newGuard,
-			session.NewNames, job.NewQueue, newCredits, newTraffic, estimate.NewAggregator,
+			session.NewNamedSessions, job.NewQueue, newCredits, newTraffic, estimate.NewAggregator,
 			newPipeline, newWorker, operator.NewCommands, newQueries, newRollout, newOrders, newHost,
 		),
 		fx.Invoke(func(lc fx.Lifecycle, h *Host) {
--- a/internal/session/names.go
+++ b/internal/session/names.go
@@ -31,8 +31,8 @@
 	order []string // oldest first
 }
 
-// NewNames returns the names kept in the given tables.
-func NewNames(tables store.Tables) *NamedSessions {
+// NewNamedSessions returns the names kept in the given tables.
+func NewNamedSessions(tables store.Tables) *NamedSessions {
 	return &NamedSessions{tables: tables, known: map[string]Pin{}}
 }
 
