--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -91,7 +91,7 @@
 	if age, ok := h.Config.Age(); ok {
 		t.Gauge("config_age_seconds", age.Seconds())
 	}
-	t.Gauge("outcomes_waiting", float64(h.Guard.Waiting()))
+	t.Gauge("outcomes_waiting", float64(h.Guard.PendingUpdates()))
 }
 
 func (h *Host) checkCertificate() {
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -166,7 +166,7 @@
 		}
 		for _, h := range s.cluster.Hosts {
 			open, pending, _ := h.Daemon().Ledger.Size()
-			if open+pending+h.Daemon().Guard.Waiting() > 0 {
+			if open+pending+h.Daemon().Guard.PendingUpdates() > 0 {
 				return false
 			}
 		}
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -139,7 +139,7 @@
 				return ran
 			})
 			Expect(err).NotTo(HaveOccurred())
-			Expect(c.guard.Waiting()).To(Equal(1))
+			Expect(c.guard.PendingUpdates()).To(Equal(1))
 			store.Heal()
 			Expect(c.guard.Flush(context.Background())).To(Succeed())
 			r, err := c.do(ran)
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -24,14 +24,14 @@
 	g.waiting = append(g.waiting, r)
 }
 
-// Waiting counts the ends that the table does not have yet.
-func (g *Guard) Waiting() int {
+// PendingUpdates counts the ends that the table does not have yet.
+func (g *Guard) PendingUpdates() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.waiting)
 }
 
-func (g *Guard) full() bool { return g.Waiting() >= g.options.Limit }
+func (g *Guard) full() bool { return g.PendingUpdates() >= g.options.Limit }
 
 // Run records what waits, until the context ends.
 func (g *Guard) Run(ctx context.Context) {
