--- a/internal/billing/held.go
+++ b/internal/billing/held.go
@@ -143,7 +143,7 @@
 		key := ownerKey{b.Host, b.Incarnation}
 		alive, known := asked[key]
 		if !known {
-			alive = l.Lives(ctx, key.host, key.incarnation)
+			alive = l.MayBeRunning(ctx, key.host, key.incarnation)
 			asked[key] = alive
 		}
 		if !alive {
@@ -153,9 +153,9 @@
 	return nil
 }
 
-// Lives reports whether a start of a host still runs, as far as can be told. A
+// MayBeRunning reports whether a start of a host still runs, as far as can be told. A
 // listed host that can't be asked counts as living.
-func (l *Ledger) Lives(ctx context.Context, host, incarnation string) bool {
+func (l *Ledger) MayBeRunning(ctx context.Context, host, incarnation string) bool {
 	if host == l.options.Host {
 		return incarnation == l.options.Incarnation
 	}
