--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -47,8 +47,8 @@
 	ErrNotClaimed = errors.New("claim could not be made")
 	// ErrUnderWay means that an earlier call with the key is not finished.
 	ErrUnderWay = errors.New("an earlier call with this key is under way")
-	// ErrUnknown means that the outcome of an earlier call with the key is lost.
-	ErrUnknown = errors.New("an earlier call with this key may have run")
+	// ErrOutcomeUnknown means that the outcome of an earlier call with the key is lost.
+	ErrOutcomeUnknown = errors.New("an earlier call with this key may have run")
 	// ErrOtherBody means that the key was used before for another content.
 	ErrOtherBody = errors.New("the key was used for a different body")
 )
@@ -210,11 +210,11 @@
 	case existing.State == StateDone && existing.Outcome != nil:
 		return Result{Run: problem.Ran, Outcome: *existing.Outcome, Replayed: true}, nil
 	case existing.State == StateUnknown:
-		return Result{}, ErrUnknown
+		return Result{}, ErrOutcomeUnknown
 	case g.options.Lives(ctx, existing.Host, existing.Incarnation):
 		return Result{}, ErrUnderWay
 	default:
-		return Result{}, ErrUnknown
+		return Result{}, ErrOutcomeUnknown
 	}
 }
 
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -74,7 +74,7 @@
 			_, err := c.do(once.Attempt{Run: problem.Unknown})
 			Expect(err).NotTo(HaveOccurred())
 			_, err = c.do(ran)
-			Expect(err).To(MatchError(once.ErrUnknown))
+			Expect(err).To(MatchError(once.ErrOutcomeUnknown))
 			Expect(dispatched).To(Equal(1))
 		})
 	})
@@ -110,7 +110,7 @@
 		})
 	})
 
-	hosts := map[string]error{"a": once.ErrUnderWay, "dead": once.ErrUnknown}
+	hosts := map[string]error{"a": once.ErrUnderWay, "dead": once.ErrOutcomeUnknown}
 	for host, want := range hosts {
 		It(fmt.Sprintf("is %v while its claimer is host %s", want, host), func() {
 			suite.Paused(func() {
