--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -49,8 +49,8 @@
 	ErrUnderWay = errors.New("an earlier call with this key is under way")
 	// ErrOutcomeUnknown means that the outcome of an earlier call with the key is lost.
 	ErrOutcomeUnknown = errors.New("an earlier call with this key may have run")
-	// ErrOtherBody means that the key was used before for another content.
-	ErrOtherBody = errors.New("the key was used for a different body")
+	// ErrBodyMismatch means that the key was used before for another content.
+	ErrBodyMismatch = errors.New("the key was used for a different body")
 )
 
 // Call names a call that may not be repeated.
@@ -204,7 +204,7 @@
 // replay answers from a claim that another call made.
 func (g *Guard) replay(ctx context.Context, c Call, existing claim) (Result, error) {
 	if existing.BodyDigest != digest(c.Body) {
-		return Result{}, ErrOtherBody
+		return Result{}, ErrBodyMismatch
 	}
 	switch {
 	case existing.State == StateDone && existing.Outcome != nil:
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -87,7 +87,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			other := once.Call{Workspace: "w", Service: "payouts", Name: "pay", Key: "k", Body: []byte("200")}
 			_, err = c.guard.Do(context.Background(), other, func(context.Context) once.Attempt { panic("dispatched") })
-			Expect(err).To(MatchError(once.ErrOtherBody))
+			Expect(err).To(MatchError(once.ErrBodyMismatch))
 		})
 	})
 
--- a/internal/pipeline/call.go
+++ b/internal/pipeline/call.go
@@ -77,7 +77,7 @@
 	case errors.Is(err, once.ErrUnderWay):
 		return problem.New(http.StatusConflict, problem.CodeUnderWay, problem.Unknown,
 			"an earlier call with this key is under way").WithRetryAfter(underWayRetry)
-	case errors.Is(err, once.ErrOtherBody):
+	case errors.Is(err, once.ErrBodyMismatch):
 		return problem.New(http.StatusUnprocessableEntity, problem.CodeKeyReused, problem.NotRun,
 			"the Idempotency-Key was used for another body; this body was not sent")
 	default:
