--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -242,7 +242,7 @@
 
 func newGuard(id identity, tables store.Tables, ledger *billing.Ledger) *once.Guard {
 	return once.NewGuard(once.Options{
-		Tables: tables, Host: id.host, Incarnation: id.incarnation, Lives: ledger.MayBeRunning, Limit: outcomesWaiting,
+		Tables: tables, Host: id.host, Incarnation: id.incarnation, MayBeRunning: ledger.MayBeRunning, Limit: outcomesWaiting,
 	})
 }
 
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -111,8 +111,8 @@
 	Tables      store.Tables
 	Host        string
 	Incarnation string
-	// Lives reports whether the given start of a host may still be running.
-	Lives func(ctx context.Context, host, incarnation string) bool
+	// MayBeRunning reports whether the given start of a host may still be running.
+	MayBeRunning func(ctx context.Context, host, incarnation string) bool
 	Limit int // most records that wait for the table
 }
 
@@ -211,7 +211,7 @@
 		return Result{Run: problem.Ran, Outcome: *existing.Outcome, Replayed: true}, nil
 	case existing.State == StateUnknown:
 		return Result{}, ErrOutcomeUnknown
-	case g.options.Lives(ctx, existing.Host, existing.Incarnation):
+	case g.options.MayBeRunning(ctx, existing.Host, existing.Incarnation):
 		return Result{}, ErrUnderWay
 	default:
 		return Result{}, ErrOutcomeUnknown
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -23,7 +23,7 @@
 func newCaller(store *table.Store, host string, dispatched *int) caller {
 	lives := func(_ context.Context, host, _ string) bool { return host != "dead" }
 	return caller{once.NewGuard(once.Options{
-		Tables: store, Host: host, Incarnation: host + "-1", Lives: lives, Limit: 100,
+		Tables: store, Host: host, Incarnation: host + "-1", MayBeRunning: lives, Limit: 100,
 	}), dispatched}
 }
 
