--- a/internal/billing/bill.go
+++ b/internal/billing/bill.go
@@ -51,7 +51,7 @@
 // Bill is what one request costs.
 type Bill struct {
 	RequestID   string    `json:"request_id"` // the row's key
-	Copy        string    `json:"copy"`       // names this opening among repeats of the request
+	OpeningID        string    `json:"copy"`       // names this opening among repeats of the request
 	Workspace   string    `json:"workspace"`
 	Subject     string    `json:"subject"` // model@version, or service/call
 	Class       string    `json:"class,omitempty"`
@@ -105,5 +105,5 @@
 // Replaces reports whether the bill takes the place of one in the table: only
 // the final word of the same opening over an interrupted one.
 func (b Bill) Replaces(existing Bill) bool {
-	return existing.State == StateInterrupted && b.State == StateFinal && existing.Copy == b.Copy
+	return existing.State == StateInterrupted && b.State == StateFinal && existing.OpeningID == b.OpeningID
 }
--- a/internal/billing/copies.go
+++ b/internal/billing/copies.go
@@ -190,8 +190,8 @@
 			e.holders = append(e.holders, h.member.Host)
 			h.known++
 		}
-		if _, open := l.open[e.bill.Copy]; !open {
-			h.closed = append(h.closed, e.bill.Copy)
+		if _, open := l.open[e.bill.OpeningID]; !open {
+			h.closed = append(h.closed, e.bill.OpeningID)
 			h.known--
 		}
 		e.mu.Unlock()
--- a/internal/billing/entry.go
+++ b/internal/billing/entry.go
@@ -61,7 +61,7 @@
 	e.mu.Unlock()
 	l := e.ledger
 	l.mu.Lock()
-	l.pending[bill.Copy] = bill
+	l.pending[bill.OpeningID] = bill
 	l.mu.Unlock()
 	l.wake.Poke()
 	return bill
@@ -70,7 +70,7 @@
 // Void ends the bill of a request that certainly did not run.
 func (e *Entry) Void() {
 	e.mu.Lock()
-	ended, intent, id := e.ended, e.bill.Intent, e.bill.Copy
+	ended, intent, id := e.ended, e.bill.Intent, e.bill.OpeningID
 	e.ended = true
 	e.mu.Unlock()
 	if ended {
--- a/internal/billing/flush.go
+++ b/internal/billing/flush.go
@@ -85,7 +85,7 @@
 		}
 		bills = append(bills, b)
 	}
-	sort.Slice(bills, func(i, j int) bool { return bills[i].Copy < bills[j].Copy })
+	sort.Slice(bills, func(i, j int) bool { return bills[i].OpeningID < bills[j].OpeningID })
 	strays := l.strays[:min(len(l.strays), maxBatch)]
 	return bills, append([]string(nil), strays...)
 }
@@ -114,7 +114,7 @@
 	}
 	l.dropStrays(strays)
 	for _, b := range bills {
-		l.closed(b.Copy)
+		l.closed(b.OpeningID)
 	}
 	return nil
 }
@@ -125,7 +125,7 @@
 	seen := map[string]bool{}
 	for _, b := range bills {
 		if b.Intent {
-			txn.Writes = append(txn.Writes, store.Delete(TableIntents, b.Copy))
+			txn.Writes = append(txn.Writes, store.Delete(TableIntents, b.OpeningID))
 		}
 		if seen[b.RequestID] {
 			continue // a repeat of the same request: billed once
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	l.closed(b.Copy)
+	l.closed(b.OpeningID)
 	return nil
 }
 
@@ -177,7 +177,7 @@
 		if !b.Intent {
 			return nil
 		}
-		txn.Writes = []store.Write{store.Delete(TableIntents, b.Copy)}
+		txn.Writes = []store.Write{store.Delete(TableIntents, b.OpeningID)}
 	}
 	return l.options.Tables.Commit(ctx, txn)
 }
--- a/internal/billing/held.go
+++ b/internal/billing/held.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		h.bills[bill.Copy] = bill
+		h.bills[bill.OpeningID] = bill
 	}
 	l.held[key] = h
 	if len(h.bills) == 0 {
@@ -169,8 +169,8 @@
 func (l *Ledger) adoptIntent(b Bill) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, ok := l.pending[b.Copy]; !ok {
-		l.pending[b.Copy] = b.WithState(StateInterrupted, time.Now().UTC())
+	if _, ok := l.pending[b.OpeningID]; !ok {
+		l.pending[b.OpeningID] = b.WithState(StateInterrupted, time.Now().UTC())
 	}
 	l.wake.Poke()
 }
--- a/internal/billing/ledger.go
+++ b/internal/billing/ledger.go
@@ -62,7 +62,7 @@
 
 // Open keeps a bill in a second place before its request runs.
 func (l *Ledger) Open(ctx context.Context, bill Bill) (*Entry, error) {
-	bill.Copy = uuid.NewString()
+	bill.OpeningID = uuid.NewString()
 	bill.Host, bill.Incarnation = l.options.Host, l.options.Incarnation
 	bill.State, bill.Opened = StateOpen, time.Now().UTC()
 	e := &Entry{ledger: l, bill: bill}
@@ -83,7 +83,7 @@
 	if l.sizeLocked() >= l.options.Limit {
 		return false
 	}
-	l.open[e.bill.Copy] = e
+	l.open[e.bill.OpeningID] = e
 	return true
 }
 
@@ -112,7 +112,7 @@
 		if err != nil {
 			return err
 		}
-		txn.Writes = append(txn.Writes, store.Put(TableIntents, b.Copy, data))
+		txn.Writes = append(txn.Writes, store.Put(TableIntents, b.OpeningID, data))
 	}
 	if err := l.options.Tables.Commit(ctx, txn); err != nil {
 		return fmt.Errorf("write intents: %w", err)
--- a/internal/measure/capacity.go
+++ b/internal/measure/capacity.go
@@ -125,7 +125,7 @@
 		data := make([][]byte, n)
 		for i := range data {
 			b := billing.Bill{
-				RequestID: fmt.Sprintf("r-00000000-0000-4000-8000-%012d", i), Copy: fmt.Sprintf("00000000-0000-4000-8000-%012d", i),
+				RequestID: fmt.Sprintf("r-00000000-0000-4000-8000-%012d", i), OpeningID: fmt.Sprintf("00000000-0000-4000-8000-%012d", i),
 				Workspace: "workspace-001", Subject: "support@7", Class: "questions", Host: "entry-001",
 				Incarnation: "00000000-0000-4000-8000-000000000001", State: billing.StateOpen, Opened: time.Now(),
 			}
