--- a/internal/billing/bill.go
+++ b/internal/billing/bill.go
@@ -31,8 +31,8 @@
 var (
 	// ErrFull means that too many bills wait for the table service.
 	ErrFull = errors.New("too many bills are unsettled")
-	// ErrUnsafe means that no second place for the open bill could be had.
-	ErrUnsafe = errors.New("open bill could not be kept in a second place")
+	// ErrNotReplicated means that no second place for the open bill could be had.
+	ErrNotReplicated = errors.New("open bill could not be kept in a second place")
 )
 
 // State is how far a bill has come.
@@ -51,7 +51,7 @@
 // Bill is what one request costs.
 type Bill struct {
 	RequestID   string    `json:"request_id"` // the row's key
-	OpeningID        string    `json:"copy"`       // names this opening among repeats of the request
+	OpeningID   string    `json:"copy"`       // names this opening among repeats of the request
 	Workspace   string    `json:"workspace"`
 	Subject     string    `json:"subject"` // model@version, or service/call
 	Class       string    `json:"class,omitempty"`
--- a/internal/billing/copies.go
+++ b/internal/billing/copies.go
@@ -16,56 +16,56 @@
 
 // Limits of the messages to holders.
 const (
-	maxBatch    = 100
-	holdTimeout = 2 * time.Second
-	avoidHolder = 5 * time.Second // after it failed
+	maxBatch         = 100
+	holdTimeout      = 2 * time.Second
+	holderRetryDelay = 5 * time.Second // after it failed
 )
 
 // holder is another host that keeps copies of this host's open bills.
 type holder struct {
-	member membership.Member
-	send   *batch.Batcher[*Entry]
-	turn   sync.Mutex // one message at a time, so that none overtakes another
+	member  membership.Member
+	batcher *batch.Batcher[*Entry]
+	sendMu  sync.Mutex // one message at a time, so that none overtakes another
 
 	// Guarded by Ledger.mu.
-	closed []string      // ids to tell as closed
-	known  int           // copies it should have
-	avoid  clock.Instant // not to be chosen before
+	closedIDs      []string      // ids to tell as closed
+	expectedCopies int           // copies it should have
+	avoidUntil     clock.Instant // not to be chosen before
 }
 
-// Holders picks the hosts that keep copies of a host's bills: in other data
+// ChooseHolders picks the hosts that keep copies of a host's bills: in other data
 // halls, and in two different ones where there are two.
-func Holders(view membership.View, avoided func(host string) bool) []membership.Member {
+func ChooseHolders(view membership.View, avoided func(host string) bool) []membership.Member {
 	self, _ := view.Member(view.Self)
-	var elsewhere, here []membership.Member
+	var otherHalls, sameHall []membership.Member
 	for _, m := range membership.Rank(view.Others(), view.Self) {
 		switch {
 		case m.State != membership.StateLive || avoided(m.Host):
 		case m.DataHall == self.DataHall:
-			here = append(here, m)
+			sameHall = append(sameHall, m)
 		default:
-			elsewhere = append(elsewhere, m)
+			otherHalls = append(otherHalls, m)
 		}
 	}
-	chosen := distinctHalls(elsewhere)
-	for _, m := range append(elsewhere, here...) {
-		if len(chosen) >= copies {
+	chosen := onePerDataHall(otherHalls)
+	for _, m := range append(otherHalls, sameHall...) {
+		if len(chosen) >= copiesPerBill {
 			break
 		}
-		if !contains(chosen, m.Host) {
+		if !containsHost(chosen, m.Host) {
 			chosen = append(chosen, m)
 		}
 	}
 	return chosen
 }
 
-// distinctHalls takes the first member of each data hall, at most as many as
+// onePerDataHall takes the first member of each data hall, at most as many as
 // there are copies.
-func distinctHalls(members []membership.Member) []membership.Member {
+func onePerDataHall(members []membership.Member) []membership.Member {
 	var chosen []membership.Member
 	halls := map[string]bool{}
 	for _, m := range members {
-		if len(chosen) < copies && !halls[m.DataHall] {
+		if len(chosen) < copiesPerBill && !halls[m.DataHall] {
 			halls[m.DataHall] = true
 			chosen = append(chosen, m)
 		}
@@ -73,7 +73,7 @@
 	return chosen
 }
 
-func contains(members []membership.Member, host string) bool {
+func containsHost(members []membership.Member, host string) bool {
 	for _, m := range members {
 		if m.Host == host {
 			return true
@@ -82,19 +82,19 @@
 	return false
 }
 
-// holderRounds bounds how often other holders are looked for when some fail.
-const holderRounds = 3
+// maxReplicationRounds bounds how often other holders are looked for when some fail.
+const maxReplicationRounds = 3
 
-// copyOut sends an open bill to hosts until two hold it; it returns how many do.
-func (l *Ledger) copyOut(ctx context.Context, e *Entry) int {
-	for range holderRounds {
-		holders := l.chooseHolders(e)
+// replicate sends an open bill to hosts until two hold it; it returns how many do.
+func (l *Ledger) replicate(ctx context.Context, e *Entry) int {
+	for range maxReplicationRounds {
+		holders := l.missingHolders(e)
 		if len(holders) == 0 {
 			break
 		}
 		var wait sync.WaitGroup
 		for _, h := range holders {
-			wait.Go(func() { _ = h.send.Do(ctx, e) })
+			wait.Go(func() { _ = h.batcher.Do(ctx, e) })
 		}
 		wait.Wait()
 	}
@@ -103,31 +103,31 @@
 	return len(e.holders)
 }
 
-// chooseHolders returns the hosts that should hold the entry and do not yet.
-func (l *Ledger) chooseHolders(e *Entry) []*holder {
+// missingHolders returns the hosts that should hold the entry and do not yet.
+func (l *Ledger) missingHolders(e *Entry) []*holder {
 	e.mu.Lock()
-	has := append([]string(nil), e.holders...)
+	current := append([]string(nil), e.holders...)
 	e.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
-	members := Holders(l.options.View(), func(host string) bool {
+	members := ChooseHolders(l.options.View(), func(host string) bool {
 		h := l.holders[host]
-		return h != nil && now.Before(h.avoid)
+		return h != nil && now.Before(h.avoidUntil)
 	})
 	var chosen []*holder
 	for _, m := range members {
-		if len(has)+len(chosen) >= copies {
+		if len(current)+len(chosen) >= copiesPerBill {
 			break
 		}
-		if !containsName(has, m.Host) {
+		if !containsString(current, m.Host) {
 			chosen = append(chosen, l.holderLocked(m))
 		}
 	}
 	return chosen
 }
 
-func containsName(names []string, name string) bool {
+func containsString(names []string, name string) bool {
 	for _, n := range names {
 		if n == name {
 			return true
@@ -143,23 +143,23 @@
 		return h
 	}
 	h := &holder{member: m}
-	h.send = batch.New(maxBatch, func(ctx context.Context, entries []*Entry) error {
-		return l.tell(ctx, h, entries)
+	h.batcher = batch.New(maxBatch, func(ctx context.Context, entries []*Entry) error {
+		return l.sendUpdates(ctx, h, entries)
 	})
 	l.holders[m.Host] = h
 	return h
 }
 
-// tell sends entries, new or changed, and closed ids to a holder.
-func (l *Ledger) tell(ctx context.Context, h *holder, entries []*Entry) error {
-	h.turn.Lock()
-	defer h.turn.Unlock()
+// sendUpdates sends entries, new or changed, and closed ids to a holder.
+func (l *Ledger) sendUpdates(ctx context.Context, h *holder, entries []*Entry) error {
+	h.sendMu.Lock()
+	defer h.sendMu.Unlock()
 	l.mu.Lock()
 	message := peer.Hold{
 		Owner: l.options.Host, Incarnation: l.options.Incarnation, Address: l.options.Address,
-		Closed: h.closed, Known: h.known,
+		Closed: h.closedIDs, Known: h.expectedCopies,
 	}
-	h.closed = nil
+	h.closedIDs = nil
 	address := h.member.Address
 	l.mu.Unlock()
 	for _, e := range entries {
@@ -172,44 +172,44 @@
 	ctx, cancel := context.WithTimeout(ctx, holdTimeout)
 	defer cancel()
 	if err := l.options.Link.Hold(ctx, address, message); err != nil {
-		l.lost(h, message.Closed, errors.Is(err, peer.ErrRefused))
+		l.recordHolderFailure(h, message.Closed, errors.Is(err, peer.ErrRefused))
 		return err
 	}
-	l.keptBy(h, entries)
+	l.recordCopies(h, entries)
 	return nil
 }
 
-// keptBy notes that a holder has the entries. One that ended while the message
+// recordCopies notes that a holder has the entries. One that ended while the message
 // was under way is told as closed with the next.
-func (l *Ledger) keptBy(h *holder, entries []*Entry) {
+func (l *Ledger) recordCopies(h *holder, entries []*Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range entries {
 		e.mu.Lock()
-		if !containsName(e.holders, h.member.Host) {
+		if !containsString(e.holders, h.member.Host) {
 			e.holders = append(e.holders, h.member.Host)
-			h.known++
+			h.expectedCopies++
 		}
 		if _, open := l.open[e.bill.OpeningID]; !open {
-			h.closed = append(h.closed, e.bill.OpeningID)
-			h.known--
+			h.closedIDs = append(h.closedIDs, e.bill.OpeningID)
+			h.expectedCopies--
 		}
 		e.mu.Unlock()
 	}
 }
 
-// lost notes that a holder could not be told. Its copies no longer count; what
+// recordHolderFailure notes that a holder could not be told. Its copies no longer count; what
 // it still has is put right when it answers again, or by its own sweep.
-func (l *Ledger) lost(h *holder, closed []string, refused bool) {
+func (l *Ledger) recordHolderFailure(h *holder, closed []string, rejected bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h.known = 0
-	if !refused {
-		h.avoid = clock.Now().Add(avoidHolder)
-		h.closed = append(closed, h.closed...)
+	h.expectedCopies = 0
+	if !rejected {
+		h.avoidUntil = clock.Now().Add(holderRetryDelay)
+		h.closedIDs = append(closed, h.closedIDs...)
 	}
-	if len(h.closed) > l.options.Limit {
-		h.closed = nil
+	if len(h.closedIDs) > l.options.Limit {
+		h.closedIDs = nil
 	}
 	for _, e := range l.open {
 		e.mu.Lock()
@@ -223,38 +223,38 @@
 	}
 }
 
-// keepalive tells every holder what changed and finds new holders for entries
+// syncHolders tells every holder what changed and finds new holders for entries
 // that lost one.
-func (l *Ledger) keepalive(ctx context.Context) {
-	changed, bare := l.collect()
+func (l *Ledger) syncHolders(ctx context.Context) {
+	changed, underReplicated := l.entriesToSync()
 	var wait sync.WaitGroup
 	for h, entries := range changed {
 		wait.Go(func() {
 			for len(entries) > maxBatch {
-				if l.tell(ctx, h, entries[:maxBatch]) != nil {
+				if l.sendUpdates(ctx, h, entries[:maxBatch]) != nil {
 					return
 				}
 				entries = entries[maxBatch:]
 			}
-			_ = l.tell(ctx, h, entries)
+			_ = l.sendUpdates(ctx, h, entries)
 		})
 	}
 	wait.Wait()
-	for _, e := range bare {
-		wait.Go(func() { l.copyOut(ctx, e) })
+	for _, e := range underReplicated {
+		wait.Go(func() { l.replicate(ctx, e) })
 	}
 	wait.Wait()
 }
 
-// collect lists, by holder, the entries that changed since it was told, and the
+// entriesToSync lists, by holder, the entries that changed since it was told, and the
 // entries with too few holders.
-func (l *Ledger) collect() (map[*holder][]*Entry, []*Entry) {
+func (l *Ledger) entriesToSync() (map[*holder][]*Entry, []*Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	changed := map[*holder][]*Entry{}
-	var bare []*Entry
+	var underReplicated []*Entry
 	for _, h := range l.holders {
-		if h.known > 0 || len(h.closed) > 0 && clock.Now().After(h.avoid) {
+		if h.expectedCopies > 0 || len(h.closedIDs) > 0 && clock.Now().After(h.avoidUntil) {
 			changed[h] = nil
 		}
 	}
@@ -267,10 +267,10 @@
 			}
 			e.dirty = false
 		}
-		if len(e.holders) < copies && !e.bill.Intent {
-			bare = append(bare, e)
+		if len(e.holders) < copiesPerBill && !e.bill.Intent {
+			underReplicated = append(underReplicated, e)
 		}
 		e.mu.Unlock()
 	}
-	return changed, bare
+	return changed, underReplicated
 }
--- a/internal/billing/entry.go
+++ b/internal/billing/entry.go
@@ -13,11 +13,11 @@
 	bill    Bill
 	dirty   bool     // holders have an older state
 	holders []string // hosts that hold a copy
-	ended   bool
+	closed  bool
 }
 
-// mark changes an entry under its lock.
-func (e *Entry) mark(change func()) {
+// update changes an entry under its lock.
+func (e *Entry) update(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change()
@@ -32,7 +32,7 @@
 
 // Progress notes what was used so far, for whoever may have to settle.
 func (e *Entry) Progress(u Usage) {
-	e.mark(func() {
+	e.update(func() {
 		e.bill = e.bill.WithUsage(u)
 		e.dirty = true
 	})
@@ -40,7 +40,7 @@
 
 // Retarget notes the version that the request runs on now.
 func (e *Entry) Retarget(subject string) {
-	e.mark(func() {
+	e.update(func() {
 		e.bill = e.bill.WithSubject(subject)
 		e.dirty = true
 	})
@@ -50,11 +50,11 @@
 // writes it before long; calls after the first change nothing.
 func (e *Entry) Settle(u Usage) Bill {
 	e.mu.Lock()
-	if e.ended {
+	if e.closed {
 		defer e.mu.Unlock()
 		return e.bill
 	}
-	e.ended = true
+	e.closed = true
 	e.bill = e.bill.WithUsage(u).WithState(StateFinal, time.Now().UTC())
 	e.dirty = true
 	bill := e.bill
@@ -70,24 +70,24 @@
 // Void ends the bill of a request that certainly did not run.
 func (e *Entry) Void() {
 	e.mu.Lock()
-	ended, intent, id := e.ended, e.bill.Intent, e.bill.OpeningID
-	e.ended = true
+	wasClosed, intent, id := e.closed, e.bill.Intent, e.bill.OpeningID
+	e.closed = true
 	e.mu.Unlock()
-	if ended {
+	if wasClosed {
 		return
 	}
 	l := e.ledger
 	l.mu.Lock()
 	if intent {
-		l.strays = append(l.strays, id)
+		l.staleIntents = append(l.staleIntents, id)
 	}
 	l.mu.Unlock()
-	l.closed(id)
+	l.forgetBill(id)
 	l.wake.Poke()
 }
 
-// closed forgets a bill that needs nothing more, and has its holders told.
-func (l *Ledger) closed(id string) {
+// forgetBill forgets a bill that needs nothing more, and has its holders told.
+func (l *Ledger) forgetBill(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.open[id]
@@ -95,7 +95,7 @@
 	delete(l.pending, id)
 	for key, h := range l.held {
 		delete(h.bills, id)
-		if len(h.bills) == 0 && h.gone {
+		if len(h.bills) == 0 && h.ownerLost {
 			delete(l.held, key)
 		}
 	}
@@ -106,8 +106,8 @@
 	defer e.mu.Unlock()
 	for _, name := range e.holders {
 		if h := l.holders[name]; h != nil {
-			h.closed = append(h.closed, id)
-			h.known--
+			h.closedIDs = append(h.closedIDs, id)
+			h.expectedCopies--
 		}
 	}
 }
--- a/internal/billing/flush.go
+++ b/internal/billing/flush.go
@@ -15,14 +15,14 @@
 
 // Limits of writing to the table.
 const (
-	flushTimeout = 3 * time.Second
-	minBackoff   = 500 * time.Millisecond
-	maxBackoff   = 8 * time.Second
-	maxIntents   = 1000 // rows of one sweep
+	flushTimeout       = 3 * time.Second
+	minBackoff         = 500 * time.Millisecond
+	maxBackoff         = 8 * time.Second
+	maxIntentsPerSweep = 1000 // rows of one sweep
 )
 
 // intentRange selects the intents of one sweep.
-var intentRange = store.Range{Table: TableIntents, Limit: maxIntents}
+var intentRange = store.Range{Table: TableIntents, Limit: maxIntentsPerSweep}
 
 // Run writes bills, keeps holders told and settles the bills of lost hosts,
 // until the context ends.
@@ -31,8 +31,8 @@
 	wait.Go(func() { l.flushLoop(ctx) })
 	wait.Go(func() {
 		for clock.Sleep(ctx, l.options.Keepalive) {
-			l.keepalive(ctx)
-			l.sweepHeld(ctx)
+			l.syncHolders(ctx)
+			l.takeOverLostOwners(ctx)
 		}
 	})
 	wait.Wait()
@@ -63,19 +63,19 @@
 // Flush writes everything that is pending now, in batches.
 func (l *Ledger) Flush(ctx context.Context) error {
 	for {
-		bills, strays := l.take()
-		if len(bills) == 0 && len(strays) == 0 {
+		bills, staleIntents := l.nextBatch()
+		if len(bills) == 0 && len(staleIntents) == 0 {
 			return nil
 		}
-		if err := l.flushBatch(ctx, bills, strays); err != nil {
+		if err := l.flushBatch(ctx, bills, staleIntents); err != nil {
 			return err
 		}
 	}
 }
 
-// take returns some pending bills and stray intents; they stay in the ledger
+// nextBatch returns some pending bills and stray intents; they stay in the ledger
 // until they are written.
-func (l *Ledger) take() ([]Bill, []string) {
+func (l *Ledger) nextBatch() ([]Bill, []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	bills := make([]Bill, 0, min(len(l.pending), maxBatch))
@@ -86,16 +86,16 @@
 		bills = append(bills, b)
 	}
 	sort.Slice(bills, func(i, j int) bool { return bills[i].OpeningID < bills[j].OpeningID })
-	strays := l.strays[:min(len(l.strays), maxBatch)]
-	return bills, append([]string(nil), strays...)
+	staleIntents := l.staleIntents[:min(len(l.staleIntents), maxBatch)]
+	return bills, append([]string(nil), staleIntents...)
 }
 
 // flushBatch writes bills in one transaction; when some were billed before, one
 // by one.
-func (l *Ledger) flushBatch(ctx context.Context, bills []Bill, strays []string) error {
+func (l *Ledger) flushBatch(ctx context.Context, bills []Bill, staleIntents []string) error {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	txn, err := transactionOf(bills, strays)
+	txn, err := newTransaction(bills, staleIntents)
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 	case err == nil:
 	case errors.Is(err, store.ErrConflict):
 		for _, b := range bills {
-			if err := l.writeOne(ctx, b); err != nil {
+			if err := l.writeBill(ctx, b); err != nil {
 				return err
 			}
 		}
@@ -112,15 +112,15 @@
 	default:
 		return err
 	}
-	l.dropStrays(strays)
+	l.removeStaleIntents(staleIntents)
 	for _, b := range bills {
-		l.closed(b.OpeningID)
+		l.forgetBill(b.OpeningID)
 	}
 	return nil
 }
 
-// transactionOf writes bills only if absent and removes their intents.
-func transactionOf(bills []Bill, strays []string) (store.Transaction, error) {
+// newTransaction writes bills only if absent and removes their intents.
+func newTransaction(bills []Bill, staleIntents []string) (store.Transaction, error) {
 	var txn store.Transaction
 	seen := map[string]bool{}
 	for _, b := range bills {
@@ -138,32 +138,32 @@
 		txn.Conditions = append(txn.Conditions, store.Absent(TableBills, b.RequestID))
 		txn.Writes = append(txn.Writes, store.Put(TableBills, b.RequestID, data))
 	}
-	for _, id := range strays {
+	for _, id := range staleIntents {
 		txn.Writes = append(txn.Writes, store.Delete(TableIntents, id))
 	}
 	return txn, nil
 }
 
-// writeOne writes one bill, or finds that the request is billed already.
-func (l *Ledger) writeOne(ctx context.Context, b Bill) error {
-	txn, err := transactionOf([]Bill{b}, nil)
+// writeBill writes one bill, or finds that the request is billed already.
+func (l *Ledger) writeBill(ctx context.Context, b Bill) error {
+	txn, err := newTransaction([]Bill{b}, nil)
 	if err != nil {
 		return err
 	}
 	err = l.options.Tables.Commit(ctx, txn)
 	if errors.Is(err, store.ErrConflict) {
-		err = l.amend(ctx, b, txn)
+		err = l.resolveConflict(ctx, b, txn)
 	}
 	if err != nil {
 		return err
 	}
-	l.closed(b.OpeningID)
+	l.forgetBill(b.OpeningID)
 	return nil
 }
 
-// amend replaces an interrupted bill of the same opening by its final word; any
+// resolveConflict replaces an interrupted bill of the same opening by its final word; any
 // other bill in the table stands, and only the intent goes.
-func (l *Ledger) amend(ctx context.Context, b Bill, txn store.Transaction) error {
+func (l *Ledger) resolveConflict(ctx context.Context, b Bill, txn store.Transaction) error {
 	row, err := l.options.Tables.Get(ctx, TableBills, b.RequestID)
 	if err != nil {
 		return err
@@ -182,10 +182,10 @@
 	return l.options.Tables.Commit(ctx, txn)
 }
 
-func (l *Ledger) dropStrays(done []string) {
+func (l *Ledger) removeStaleIntents(done []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.strays = l.strays[len(done):]
+	l.staleIntents = l.staleIntents[len(done):]
 }
 
 // Drain writes all bills before a stop. While the table is away it makes sure
@@ -196,18 +196,18 @@
 		if err := l.Flush(ctx); err == nil {
 			return nil
 		}
-		l.keepalive(ctx)
-		if left := l.unheld(); left == 0 {
+		l.syncHolders(ctx)
+		if count := l.unreplicatedCount(); count == 0 {
 			return nil
 		}
 		if !clock.Sleep(ctx, minBackoff) {
-			return errors.Errorf("%d bills have no second place", l.unheld())
+			return errors.Errorf("%d bills have no second place", l.unreplicatedCount())
 		}
 	}
 }
 
-// unheld counts pending bills that nobody else has in their final state.
-func (l *Ledger) unheld() int {
+// unreplicatedCount counts pending bills that nobody else has in their final state.
+func (l *Ledger) unreplicatedCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	count := 0
--- a/internal/billing/held.go
+++ b/internal/billing/held.go
@@ -10,19 +10,19 @@
 	"quaybarrow/internal/peer"
 )
 
-// silence is how long an owner may say nothing before its holder looks whether
+// ownerSilenceTimeout is how long an owner may say nothing before its holder looks whether
 // it is still there.
-const silence = 10 * time.Second
+const ownerSilenceTimeout = 10 * time.Second
 
 // ownerKey names one start of an owner's process.
 type ownerKey struct{ host, incarnation string }
 
 // heldBills are the copies kept for one owner; guarded by Ledger.mu.
 type heldBills struct {
-	address string
-	last    clock.Instant // when it was last heard
-	bills   map[string]Bill
-	gone    bool // its bills are being settled here
+	address   string
+	lastHeard clock.Instant // when it was last heard
+	bills     map[string]Bill
+	ownerLost bool // its bills are being settled here
 }
 
 // Hold takes in another host's message about its open bills. ErrRefused says
@@ -41,7 +41,7 @@
 	if l.sizeLocked()+len(message.Open) > l.options.Limit {
 		return peer.ErrRefused
 	}
-	h.address, h.last, h.gone = message.Address, clock.Now(), false
+	h.address, h.lastHeard, h.ownerLost = message.Address, clock.Now(), false
 	for _, id := range message.Closed {
 		delete(h.bills, id)
 	}
@@ -65,14 +65,14 @@
 	address string
 }
 
-// sweepHeld settles the bills of owners that are gone.
-func (l *Ledger) sweepHeld(ctx context.Context) {
+// takeOverLostOwners settles the bills of owners that are gone.
+func (l *Ledger) takeOverLostOwners(ctx context.Context) {
 	for _, o := range l.silentOwners() {
-		if l.alive(ctx, o.key, o.address) {
-			l.heard(o.key)
+		if l.isRunning(ctx, o.key, o.address) {
+			l.markHeard(o.key)
 			continue
 		}
-		l.adopt(o.key)
+		l.takeOver(o.key)
 	}
 }
 
@@ -81,43 +81,43 @@
 	defer l.mu.Unlock()
 	var silent []silentOwner
 	for key, h := range l.held {
-		if clock.Since(h.last) >= silence {
+		if clock.Since(h.lastHeard) >= ownerSilenceTimeout {
 			silent = append(silent, silentOwner{key, h.address})
 		}
 	}
 	return silent
 }
 
-// alive asks a host whether the given start of it still runs.
-func (l *Ledger) alive(ctx context.Context, key ownerKey, address string) bool {
+// isRunning asks a host whether the given start of it still runs.
+func (l *Ledger) isRunning(ctx context.Context, key ownerKey, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, holdTimeout)
 	defer cancel()
 	self := peer.Status{Host: l.options.Host, Incarnation: l.options.Incarnation, Address: l.options.Address}
-	if me, ok := l.options.View().Member(l.options.Host); ok {
-		self = me.Status
+	if member, ok := l.options.View().Member(l.options.Host); ok {
+		self = member.Status
 	}
 	status, err := l.options.Link.Ping(ctx, address, self)
 	return err == nil && status.Host == key.host && status.Incarnation == key.incarnation
 }
 
-func (l *Ledger) heard(key ownerKey) {
+func (l *Ledger) markHeard(key ownerKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if h := l.held[key]; h != nil {
-		h.last = clock.Now()
+		h.lastHeard = clock.Now()
 	}
 }
 
-// adopt makes the bills of a lost owner pending here. An open one is settled
+// takeOver makes the bills of a lost owner pending here. An open one is settled
 // with the usage known last.
-func (l *Ledger) adopt(key ownerKey) {
+func (l *Ledger) takeOver(key ownerKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.held[key]
 	if h == nil {
 		return
 	}
-	h.gone = true
+	h.ownerLost = true
 	for id, b := range h.bills {
 		if b.State == StateOpen {
 			b = b.WithState(StateInterrupted, time.Now().UTC())
@@ -134,20 +134,20 @@
 	if err != nil {
 		return err
 	}
-	asked := map[ownerKey]bool{}
+	runningByOwner := map[ownerKey]bool{}
 	for _, row := range rows {
 		b, err := codec.Decode[Bill](row.Value)
-		if err != nil || time.Since(b.Opened) < silence {
+		if err != nil || time.Since(b.Opened) < ownerSilenceTimeout {
 			continue
 		}
 		key := ownerKey{b.Host, b.Incarnation}
-		alive, known := asked[key]
-		if !known {
-			alive = l.MayBeRunning(ctx, key.host, key.incarnation)
-			asked[key] = alive
+		running, checked := runningByOwner[key]
+		if !checked {
+			running = l.MayBeRunning(ctx, key.host, key.incarnation)
+			runningByOwner[key] = running
 		}
-		if !alive {
-			l.adoptIntent(b)
+		if !running {
+			l.takeOverIntent(b)
 		}
 	}
 	return nil
@@ -163,10 +163,10 @@
 	if !ok {
 		return false
 	}
-	return m.State == membership.StateSuspect || l.alive(ctx, ownerKey{host, incarnation}, m.Address)
+	return m.State == membership.StateSuspect || l.isRunning(ctx, ownerKey{host, incarnation}, m.Address)
 }
 
-func (l *Ledger) adoptIntent(b Bill) {
+func (l *Ledger) takeOverIntent(b Bill) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, ok := l.pending[b.OpeningID]; !ok {
--- a/internal/billing/ledger.go
+++ b/internal/billing/ledger.go
@@ -16,8 +16,8 @@
 	"quaybarrow/internal/wake"
 )
 
-// copies is how many other hosts hold an open bill.
-const copies = 2
+// copiesPerBill is how many other hosts hold an open bill.
+const copiesPerBill = 2
 
 // Options set up a Ledger.
 type Options struct {
@@ -37,13 +37,13 @@
 	options Options
 	intents *batch.Batcher[Bill]
 
-	mu      sync.Mutex // guards all below
-	open    map[string]*Entry
-	pending map[string]Bill // settled, not yet in the table; by Copy
-	strays  []string        // intents to delete: their request did not run
-	holders map[string]*holder
-	held    map[ownerKey]*heldBills
-	wake    wake.Signal // tells Run that a bill is pending
+	mu           sync.Mutex // guards all below
+	open         map[string]*Entry
+	pending      map[string]Bill // settled, not yet in the table; by Copy
+	staleIntents []string        // intents to delete: their request did not run
+	holders      map[string]*holder
+	held         map[ownerKey]*heldBills
+	wake         wake.Signal // tells Run that a bill is pending
 }
 
 // New returns an empty ledger.
@@ -66,18 +66,18 @@
 	bill.Host, bill.Incarnation = l.options.Host, l.options.Incarnation
 	bill.State, bill.Opened = StateOpen, time.Now().UTC()
 	e := &Entry{ledger: l, bill: bill}
-	if !l.admit(e) {
+	if !l.addEntry(e) {
 		return nil, ErrFull
 	}
-	if err := l.secure(ctx, e); err != nil {
+	if err := l.makeDurable(ctx, e); err != nil {
 		e.Void()
 		return nil, err
 	}
 	return e, nil
 }
 
-// admit adds an entry unless the ledger is at its bound.
-func (l *Ledger) admit(e *Entry) bool {
+// addEntry adds an entry unless the ledger is at its bound.
+func (l *Ledger) addEntry(e *Entry) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.sizeLocked() >= l.options.Limit {
@@ -87,21 +87,21 @@
 	return true
 }
 
-// secure copies the open bill to two hosts, or writes its intent, or, with the
+// makeDurable copies the open bill to two hosts, or writes its intent, or, with the
 // table away, makes do with one copy.
-func (l *Ledger) secure(ctx context.Context, e *Entry) error {
-	kept := l.copyOut(ctx, e)
-	if kept >= copies {
+func (l *Ledger) makeDurable(ctx context.Context, e *Entry) error {
+	copied := l.replicate(ctx, e)
+	if copied >= copiesPerBill {
 		return nil
 	}
-	e.mark(func() { // before the write: a lost reply may hide a row
+	e.update(func() { // before the write: a lost reply may hide a row
 		e.bill.Intent, e.dirty = true, true
 	})
 	err := l.intents.Do(ctx, e.Bill())
-	if err == nil || kept > 0 {
+	if err == nil || copied > 0 {
 		return nil
 	}
-	return fmt.Errorf("%w: %w", ErrUnsafe, err)
+	return fmt.Errorf("%w: %w", ErrNotReplicated, err)
 }
 
 // writeIntents puts open bills into the table, all in one transaction.
@@ -124,7 +124,7 @@
 func (l *Ledger) Size() (open, pending, held int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.open) - l.ownPendingLocked(), len(l.pending), l.heldLocked()
+	return len(l.open) - l.ownPendingLocked(), len(l.pending), l.heldCountLocked()
 }
 
 // ownPendingLocked counts entries that are settled; the caller holds mu.
@@ -138,7 +138,7 @@
 	return count
 }
 
-func (l *Ledger) heldLocked() int {
+func (l *Ledger) heldCountLocked() int {
 	count := 0
 	for _, h := range l.held {
 		count += len(h.bills)
@@ -147,4 +147,4 @@
 }
 
 // sizeLocked counts everything kept; the caller holds mu.
-func (l *Ledger) sizeLocked() int { return len(l.open) + len(l.pending) + l.heldLocked() }
+func (l *Ledger) sizeLocked() int { return len(l.open) + len(l.pending) + l.heldCountLocked() }
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -113,7 +113,7 @@
 	Incarnation string
 	// MayBeRunning reports whether the given start of a host may still be running.
 	MayBeRunning func(ctx context.Context, host, incarnation string) bool
-	Limit int // most records that wait for the table
+	Limit        int // most records that wait for the table
 }
 
 // Guard makes claims for one host.
@@ -121,14 +121,14 @@
 	options Options
 
 	mu      sync.Mutex // guards waiting
-	waiting []record
+	pending []claimUpdate
 }
 
-// record is an end of a claim that the table does not have yet.
-type record struct {
-	key   string
-	claim claim
-	drop  bool // the claim goes: the call certainly did not run
+// claimUpdate is an end of a claim that the table does not have yet.
+type claimUpdate struct {
+	key    string
+	claim  claim
+	remove bool // the claim goes: the call certainly did not run
 }
 
 // NewGuard returns a guard without records.
@@ -136,45 +136,45 @@
 
 // Do claims a call and dispatches it, or tells what became of an earlier one.
 func (g *Guard) Do(ctx context.Context, c Call, dispatch func(context.Context) Attempt) (Result, error) {
-	if g.full() {
+	if g.queueFull() {
 		return Result{}, fmt.Errorf("%w: too many outcomes wait for the table service", ErrNotClaimed)
 	}
-	mine := claim{
+	own := claim{
 		State: StateClaimed, RequestID: c.RequestID, Token: uuid.NewString(), BodyDigest: digest(c.Body),
 		Host: g.options.Host, Incarnation: g.options.Incarnation, At: time.Now().UTC(),
 	}
-	existing, err := g.claim(ctx, c.rowKey(), mine)
+	existing, err := g.claimOrRead(ctx, c.rowKey(), own)
 	if err != nil {
 		return Result{}, err
 	}
-	if existing.Token != mine.Token {
+	if existing.Token != own.Token {
 		return g.replay(ctx, c, existing)
 	}
 	attempt := dispatch(ctx)
-	g.conclude(c.rowKey(), mine, attempt)
+	g.recordResult(c.rowKey(), own, attempt)
 	return Result{Run: attempt.Run, Outcome: attempt.Outcome}, nil
 }
 
-// claimAttempts bounds how often a claim with a lost reply is looked up.
-const claimAttempts = 3
+// maxClaimAttempts bounds how often a claim with a lost reply is looked up.
+const maxClaimAttempts = 3
 
-// claim writes the claim or returns the one that is there. When it can't learn
+// claimOrRead writes the claimOrRead or returns the one that is there. When it can't learn
 // which, it gives up, which is safe: it never dispatches after that.
-func (g *Guard) claim(ctx context.Context, key string, mine claim) (claim, error) {
-	data, err := codec.Encode(mine)
+func (g *Guard) claimOrRead(ctx context.Context, key string, own claim) (claim, error) {
+	data, err := codec.Encode(own)
 	if err != nil {
 		return claim{}, err
 	}
-	sent := false
-	for range claimAttempts {
+	mayBeWritten := false
+	for range maxClaimAttempts {
 		err = g.options.Tables.Commit(ctx, store.Transaction{
 			Conditions: []store.Condition{store.Absent(TableClaims, key)},
 			Writes:     []store.Write{store.Put(TableClaims, key, data)},
 		})
 		if err == nil {
-			return mine, nil
+			return own, nil
 		}
-		sent = sent || store.Uncertain(err)
+		mayBeWritten = mayBeWritten || store.Uncertain(err)
 		if errors.Is(err, store.ErrThrottled) {
 			break
 		}
@@ -183,8 +183,8 @@
 			return existing, nil
 		}
 	}
-	if sent {
-		g.keep(record{key: key, claim: mine, drop: true})
+	if mayBeWritten {
+		g.enqueue(claimUpdate{key: key, claim: own, remove: true})
 	}
 	return claim{}, fmt.Errorf("%w: %w", ErrNotClaimed, err)
 }
@@ -218,21 +218,21 @@
 	}
 }
 
-// conclude records the end of a claim, now or when the table is back.
-func (g *Guard) conclude(key string, mine claim, attempt Attempt) {
-	r := record{key: key, claim: mine}
+// recordResult records the end of a claim, now or when the table is back.
+func (g *Guard) recordResult(key string, own claim, attempt Attempt) {
+	update := claimUpdate{key: key, claim: own}
 	switch attempt.Run {
 	case problem.NotRun:
-		r.drop = true
+		update.remove = true
 	case problem.Ran:
-		r.claim.State = StateDone
-		r.claim.Outcome = &attempt.Outcome
+		update.claim.State = StateDone
+		update.claim.Outcome = &attempt.Outcome
 	case problem.Unknown:
-		r.claim.State = StateUnknown
+		update.claim.State = StateUnknown
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), updateTimeout)
 	defer cancel()
-	if err := g.write(ctx, r); err != nil {
-		g.keep(r)
+	if err := g.applyUpdate(ctx, update); err != nil {
+		g.enqueue(update)
 	}
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -23,14 +23,14 @@
 
 // Bounds of a controller's work.
 const (
-	stepEvery    = time.Second
-	ratingsAtOne = 500
-	grantTimeout = time.Second
+	stepInterval      = time.Second
+	maxRatingsPerStep = 500
+	grantTimeout      = time.Second
 )
 
-// Mover changes a version's state in the configuration, for a reason. Moving a
+// MoveFunc changes a version's state in the configuration, for a reason. Moving a
 // version to where it is already is no error.
-type Mover func(ctx context.Context, ref declare.Ref, to declare.State, commandID, reason string) error
+type MoveFunc func(ctx context.Context, ref declare.Ref, to declare.State, commandID, reason string) error
 
 // Options set up a Controller.
 type Options struct {
@@ -40,7 +40,7 @@
 	Leases  *lease.Manager
 	Link    peer.Link
 	View    func() membership.View
-	Move    Mover
+	Move    MoveFunc
 	// GrantSelf takes the credits meant for this host.
 	GrantSelf func(peer.Grant)
 	// Ready reports whether some endpoint serves a version.
@@ -58,16 +58,16 @@
 	var wait sync.WaitGroup
 	running := map[string]context.CancelFunc{}
 	for ctx.Err() == nil {
-		wanted := c.plans()
+		wanted := c.activePlans()
 		for name := range wanted {
 			if _, ok := running[name]; ok {
 				continue
 			}
-			planContext, cancel := context.WithCancel(ctx)
+			planCtx, cancel := context.WithCancel(ctx)
 			running[name] = cancel
 			wait.Go(func() {
-				c.options.Leases.Run(planContext, "rollout/"+name, func(ctx context.Context, l *lease.Lease) {
-					c.control(ctx, l, name)
+				c.options.Leases.Run(planCtx, "rollout/"+name, func(ctx context.Context, l *lease.Lease) {
+					c.runPlan(ctx, l, name)
 				})
 			})
 		}
@@ -77,7 +77,7 @@
 				delete(running, name)
 			}
 		}
-		clock.Sleep(ctx, stepEvery)
+		clock.Sleep(ctx, stepInterval)
 	}
 	for _, cancel := range running {
 		cancel()
@@ -85,8 +85,8 @@
 	wait.Wait()
 }
 
-// plans names the plans whose version is in roll-out or in service.
-func (c *Controller) plans() map[string]bool {
+// activePlans names the activePlans whose version is in roll-out or in service.
+func (c *Controller) activePlans() map[string]bool {
 	snapshot := c.options.Config.Current()
 	names := map[string]bool{}
 	if snapshot == nil {
@@ -101,13 +101,13 @@
 	return names
 }
 
-// control steps a plan while the lease is held.
-func (c *Controller) control(ctx context.Context, l *lease.Lease, name string) {
+// runPlan steps a plan while the lease is held.
+func (c *Controller) runPlan(ctx context.Context, l *lease.Lease, name string) {
 	for l.Valid() && ctx.Err() == nil {
 		if err := c.Step(ctx, l, name); errors.Is(err, store.ErrConflict) {
 			return // the fence or the row says that another controls the plan
 		}
-		clock.Sleep(ctx, stepEvery)
+		clock.Sleep(ctx, stepInterval)
 	}
 }
 
@@ -123,44 +123,44 @@
 		return err
 	}
 	ref := declare.ParseRef(plan.Version)
-	state = follow(state, snapshot.State(ref))
+	state = applyOperatorChange(state, snapshot.State(ref))
 	if state.Phase == PhaseWithdrawn {
 		return nil
 	}
-	ratings, cursor, err := c.ratings(ctx, state)
+	ratings, cursor, err := c.newRatings(ctx, state)
 	if err != nil {
 		return err
 	}
-	failed, err := c.troubles(ctx, plan.Version)
+	failingHosts, err := c.failingHostCount(ctx, plan.Version)
 	if err != nil {
 		return err
 	}
 	next, action := Step(state, plan, ratings, time.Now().UTC())
 	if action == ActionNone {
-		next, action = next.Failing(failed, len(c.options.View().Live()))
+		next, action = next.WithFailingHosts(failingHosts, len(c.options.View().Live()))
 	}
 	next.Cursor, next.Epoch = cursor, l.Epoch()
-	if err := c.act(ctx, ref, next, action); err != nil {
+	if err := c.applyAction(ctx, ref, next, action); err != nil {
 		return err
 	}
-	room := int64(0)
+	grantable := int64(0)
 	if !plan.Held && c.options.Ready(ref) {
-		room = next.GrantableCredits()
+		grantable = next.GrantableCredits()
 	}
-	if room > 0 {
-		next = next.WithGrant(room, time.Now().UTC())
+	if grantable > 0 {
+		next = next.WithGrant(grantable, time.Now().UTC())
 	}
 	if err := c.save(ctx, l, row, next); err != nil {
 		return err
 	}
-	if room > 0 {
-		c.grant(ctx, l, next, int(room), plan.Timeout())
+	if grantable > 0 {
+		c.sendGrants(ctx, l, next, int(grantable), plan.Timeout())
 	}
 	return nil
 }
 
-// follow takes over what an operator did to the version meanwhile.
-func follow(s State, now declare.State) State {
+// applyOperatorChange takes over what an operator did to the version meanwhile.
+func applyOperatorChange(s State, now declare.State) State {
 	switch {
 	case now == declare.StateServing && s.Phase == PhaseRunning:
 		return s.WithPhase(PhaseAccepted, "an operator put the version into service")
@@ -206,9 +206,9 @@
 	return nil
 }
 
-// ratings reads the ratings of the plan's version past its cursor.
-func (c *Controller) ratings(ctx context.Context, s State) ([]float64, int64, error) {
-	all, err := c.options.Ratings.After(ctx, s.Cursor, ratingsAtOne)
+// newRatings reads the newRatings of the plan's version past its cursor.
+func (c *Controller) newRatings(ctx context.Context, s State) ([]float64, int64, error) {
+	all, err := c.options.Ratings.After(ctx, s.Cursor, maxRatingsPerStep)
 	if err != nil {
 		return nil, 0, fmt.Errorf("read ratings: %w", err)
 	}
@@ -223,18 +223,18 @@
 	return scores, cursor, nil
 }
 
-// troubles counts the hosts on which a version fails.
-func (c *Controller) troubles(ctx context.Context, version string) (int, error) {
-	rows, err := c.options.Tables.Scan(ctx, store.Range{Table: TableTroubles, Prefix: troublePrefix(version), Limit: failingHosts})
+// failingHostCount counts the hosts on which a version fails.
+func (c *Controller) failingHostCount(ctx context.Context, version string) (int, error) {
+	rows, err := c.options.Tables.Scan(ctx, store.Range{Table: TableFailingHosts, Prefix: failingHostPrefix(version), Limit: minFailingHosts})
 	if err != nil {
 		return 0, fmt.Errorf("read troubles: %w", err)
 	}
 	return len(rows), nil
 }
 
-// act carries a verdict out before the state is saved: if this host dies in
+// applyAction carries a verdict out before the state is saved: if this host dies in
 // between, the next one comes to the same verdict and finds it carried out.
-func (c *Controller) act(ctx context.Context, ref declare.Ref, s State, a Action) error {
+func (c *Controller) applyAction(ctx context.Context, ref declare.Ref, s State, a Action) error {
 	id := fmt.Sprintf("plan/%s/%s/%s", s.Plan, s.Version, a)
 	switch a {
 	case ActionAccept:
@@ -259,9 +259,9 @@
 	return shares
 }
 
-// grant sends credits to the live hosts. What does not arrive is not granted
+// sendGrants sends credits to the live hosts. What does not arrive is not granted
 // again: it expires like an answer that is never rated.
-func (c *Controller) grant(ctx context.Context, l *lease.Lease, s State, credits int, timeout time.Duration) {
+func (c *Controller) sendGrants(ctx context.Context, l *lease.Lease, s State, credits int, timeout time.Duration) {
 	hosts := c.options.View().Live()
 	if len(hosts) == 0 {
 		return
--- a/internal/rollout/credits.go
+++ b/internal/rollout/credits.go
@@ -14,19 +14,19 @@
 	"quaybarrow/internal/store"
 )
 
-// TableTroubles holds a row for each host on which a version fails.
-const TableTroubles = "trouble"
+// TableFailingHosts holds a row for each host on which a version fails.
+const TableFailingHosts = "trouble"
 
-// failuresToStop is how many failures in a row make a host stop using a version
+// maxConsecutiveFailures is how many failures in a row make a host stop using a version
 // in roll-out, on its own evidence.
-const failuresToStop = 3
+const maxConsecutiveFailures = 3
 
-// troubleTimeout bounds writing a trouble row.
-const troubleTimeout = 2 * time.Second
+// failingHostWriteTimeout bounds writing a trouble row.
+const failingHostWriteTimeout = 2 * time.Second
 
-// validShare is the part of a rating timeout for which a host may use a credit;
+// creditValidityFraction is the part of a rating timeout for which a host may use a credit;
 // the controller waits for the whole of it.
-const validShare = 0.8
+const creditValidityFraction = 0.8
 
 // Credits are what this host may still answer with versions in roll-out.
 type Credits struct {
@@ -40,11 +40,11 @@
 
 // planCredits are the credits of one plan.
 type planCredits struct {
-	epoch    int64
-	serial   int64 // of the last grant taken in
-	batches  []creditBatch
-	failures int  // in a row
-	stopped  bool // by failures in a row
+	epoch               int64
+	serial              int64 // of the last grant taken in
+	batches             []creditBatch
+	consecutiveFailures int  // in a row
+	stopped             bool // by failures in a row
 }
 
 // creditBatch is a grant, until it is spent or expires.
@@ -101,13 +101,13 @@
 		return
 	}
 	p.epoch, p.serial = g.Epoch, g.Serial
-	valid := time.Duration(float64(g.Timeout) * validShare)
+	valid := time.Duration(float64(g.Timeout) * creditValidityFraction)
 	p.batches = append(p.batches, creditBatch{left: g.Credits, expires: clock.Now().Add(valid)})
 	c.plans[g.Plan] = p
 }
 
-// plan finds the running plan of a version.
-func (c *Credits) plan(ref declare.Ref) (string, bool) {
+// activeGrantName finds the running activeGrantName of a version.
+func (c *Credits) activeGrantName(ref declare.Ref) (string, bool) {
 	snapshot := c.config.Current()
 	if snapshot == nil {
 		return "", false
@@ -125,7 +125,7 @@
 
 // Left returns the credits left for a version.
 func (c *Credits) Left(ref declare.Ref) int {
-	name, ok := c.plan(ref)
+	name, ok := c.activeGrantName(ref)
 	if !ok {
 		return 0
 	}
@@ -136,7 +136,7 @@
 
 // Spend takes a credit. A pinned session goes on even if none is left.
 func (c *Credits) Spend(ref declare.Ref) {
-	name, ok := c.plan(ref)
+	name, ok := c.activeGrantName(ref)
 	if !ok {
 		return
 	}
@@ -148,48 +148,48 @@
 // Report tells how an attempt on a version in roll-out went. After a few failures
 // in a row this host uses it no more, and tells the plan's controller why.
 func (c *Credits) Report(ctx context.Context, ref declare.Ref, failed bool) {
-	name, ok := c.plan(ref)
+	name, ok := c.activeGrantName(ref)
 	if !ok {
 		return
 	}
-	if c.note(name, failed) {
-		_ = c.writeTrouble(ctx, ref) // at worst the window's credits expire unused
+	if c.countFailure(name, failed) {
+		_ = c.writeFailingHost(ctx, ref) // at worst the window's credits expire unused
 	}
 }
 
-// note counts failures in a row; true when they have just become too many.
-func (c *Credits) note(name string, failed bool) bool {
+// countFailure counts failures in a row; true when they have just become too many.
+func (c *Credits) countFailure(name string, failed bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.plans[name]
-	p.failures++
+	p.consecutiveFailures++
 	if !failed {
-		p.failures = 0
+		p.consecutiveFailures = 0
 	}
-	stops := p.failures >= failuresToStop && !p.stopped
-	p.stopped = p.stopped || stops
+	mustStop := p.consecutiveFailures >= maxConsecutiveFailures && !p.stopped
+	p.stopped = p.stopped || mustStop
 	c.plans[name] = p
-	return stops
+	return mustStop
 }
 
-// troublePrefix is where a version's troubles stand.
-func troublePrefix(version string) string { return version + "/" }
+// failingHostPrefix is where a version's troubles stand.
+func failingHostPrefix(version string) string { return version + "/" }
 
-// trouble is a row of TableTroubles.
-type trouble struct {
+// failingHost is a row of TableTroubles.
+type failingHost struct {
 	Host string    `json:"host"`
 	At   time.Time `json:"at"`
 }
 
-func (c *Credits) writeTrouble(ctx context.Context, ref declare.Ref) error {
-	data, err := codec.Encode(trouble{Host: c.host, At: time.Now().UTC()})
+func (c *Credits) writeFailingHost(ctx context.Context, ref declare.Ref) error {
+	data, err := codec.Encode(failingHost{Host: c.host, At: time.Now().UTC()})
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), troubleTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), failingHostWriteTimeout)
 	defer cancel()
 	err = c.tables.Commit(ctx, store.Transaction{
-		Writes: []store.Write{store.Put(TableTroubles, troublePrefix(ref.String())+c.host, data)},
+		Writes: []store.Write{store.Put(TableFailingHosts, failingHostPrefix(ref.String())+c.host, data)},
 	})
 	if err != nil {
 		return fmt.Errorf("write trouble: %w", err)
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -15,18 +15,18 @@
 
 import "math"
 
-// betSizes are the stakes of the tests; their wealth is averaged, which keeps a
+// betFractions are the stakes of the tests; their wealth is averaged, which keeps a
 // test valid and makes it quick over a range of differences.
-var betSizes = [...]float64{0.25, 0.5, 1, 1.5}
+var betFractions = [...]float64{0.25, 0.5, 1, 1.5}
 
-// Wealth is what a gambler owns who bets that a version's mean rating is on one
+// Evidence is what a gambler owns who bets that a version's mean rating is on one
 // side of a floor, for each stake. If it is not, the wealth exceeds 1/a with
 // probability a at the most, ever: this is the test.
-type Wealth [len(betSizes)]float64
+type Evidence [len(betFractions)]float64
 
-// newWealth is the wealth before the first bet.
-func newWealth() Wealth {
-	var w Wealth
+// newEvidence is the wealth before the first bet.
+func newEvidence() Evidence {
+	var w Evidence
 	for i := range w {
 		w[i] = 1
 	}
@@ -34,7 +34,7 @@
 }
 
 // mean is the gambler's whole wealth.
-func (w Wealth) mean() float64 {
+func (w Evidence) mean() float64 {
 	sum := 0.0
 	for _, v := range w {
 		sum += v
@@ -42,38 +42,38 @@
 	return sum / float64(len(w))
 }
 
-// bet plays one rating: for is +1 to bet that the mean is above the floor, -1
+// update plays one rating: for is +1 to update that the mean is above the floor, -1
 // that it is below. A stake never risks more than all.
-func (w Wealth) bet(rating, floor, side float64) Wealth {
-	worst := floor // largest loss per stake: rating 0 when betting above
-	if side < 0 {
-		worst = 1 - floor
+func (w Evidence) update(rating, floor, direction float64) Evidence {
+	maxLoss := floor // largest loss per stake: rating 0 when betting above
+	if direction < 0 {
+		maxLoss = 1 - floor
 	}
-	for i, size := range betSizes {
-		stake := math.Min(size, maxStake/math.Max(worst, minWorst))
-		w[i] *= 1 + stake*side*(rating-floor)
+	for i, fraction := range betFractions {
+		bet := math.Min(fraction, maxLossPerRating/math.Max(maxLoss, minMaxLoss))
+		w[i] *= 1 + bet*direction*(rating-floor)
 	}
 	return w
 }
 
 // Bounds of a stake.
 const (
-	maxStake = 0.9
-	minWorst = 0.05
+	maxLossPerRating = 0.9
+	minMaxLoss       = 0.05
 )
 
-// Detector watches a version in service for a change to the bad: a gambler who
+// ChangeDetector watches a version in service for a change to the bad: a gambler who
 // starts anew with one unit at every rating. Its sum crosses 1/a about once in
 // 1/a ratings of a good version at the most.
-type Detector Wealth
+type ChangeDetector Evidence
 
-// next plays one rating.
-func (d Detector) next(rating, floor float64) Detector {
-	w := Wealth(d)
+// update plays one rating.
+func (d ChangeDetector) update(rating, floor float64) ChangeDetector {
+	w := Evidence(d)
 	for i := range w {
 		w[i]++
 	}
-	return Detector(w.bet(rating, floor, -1))
+	return ChangeDetector(w.update(rating, floor, -1))
 }
 
-func (d Detector) mean() float64 { return Wealth(d).mean() }
+func (d ChangeDetector) mean() float64 { return Evidence(d).mean() }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -14,10 +14,10 @@
 
 var plan = declare.Plan{Name: "p", Version: "m@2", Window: 10, Floor: 0.7, Ratings: 20}
 
-// rate plays ratings of a version with a mean until a verdict or a bound.
-func rate(s rollout.State, mean float64, random *rand.Rand, most int) (rollout.State, rollout.Action, int) {
+// applyRatings plays ratings of a version with a mean until a verdict or a bound.
+func applyRatings(s rollout.State, mean float64, random *rand.Rand, maxRatings int) (rollout.State, rollout.Action, int) {
 	now := time.Unix(0, 0)
-	for i := range most {
+	for i := range maxRatings {
 		score := 0.0
 		if random.Float64() < mean {
 			score = 1
@@ -27,7 +27,7 @@
 			return s, action, i + 1
 		}
 	}
-	return s, rollout.ActionNone, most
+	return s, rollout.ActionNone, maxRatings
 }
 
 var _ = Describe("a plan", func() {
@@ -35,21 +35,21 @@
 
 	// The bound of the test itself is one in ten at the floor; how much rarer it
 	// is for a version above it decides whether good versions are safe.
-	stopped := map[string]struct{ mean, most float64 }{
+	falseWithdrawals := map[string]struct{ mean, maxShare float64 }{
 		"at the floor, one in ten":              {plan.Floor, 0.1},
 		"a little above it, three in a hundred": {plan.Floor + 0.1, 0.03},
 		"well above it, one in a hundred":       {plan.Floor + 0.2, 0.01},
 	}
-	for name, c := range stopped {
+	for name, c := range falseWithdrawals {
 		It("stops a version by mistake, however often it looks, at most so often: "+name, func() {
-			stops := 0
+			withdrawn := 0
 			for seed := range seeds {
-				_, action, _ := rate(rollout.NewState(plan, time.Unix(0, 0)), c.mean, rand.New(rand.NewPCG(uint64(seed), 1)), 2000)
+				_, action, _ := applyRatings(rollout.NewState(plan, time.Unix(0, 0)), c.mean, rand.New(rand.NewPCG(uint64(seed), 1)), 2000)
 				if action == rollout.ActionWithdraw {
-					stops++
+					withdrawn++
 				}
 			}
-			Expect(float64(stops) / float64(seeds)).To(BeNumerically("<", c.most))
+			Expect(float64(withdrawn) / float64(seeds)).To(BeNumerically("<", c.maxShare))
 		})
 	}
 
@@ -67,7 +67,7 @@
 		It(name, func() {
 			inTime := 0
 			for seed := range 200 {
-				_, action, count := rate(rollout.NewState(plan, time.Unix(0, 0)), v.mean, rand.New(rand.NewPCG(uint64(seed), 2)), 4000)
+				_, action, count := applyRatings(rollout.NewState(plan, time.Unix(0, 0)), v.mean, rand.New(rand.NewPCG(uint64(seed), 2)), 4000)
 				if action == v.action && count <= v.within {
 					inTime++
 				}
@@ -80,20 +80,20 @@
 		for seed := range 100 {
 			random := rand.New(rand.NewPCG(uint64(seed), 3))
 			s := rollout.NewState(plan, time.Unix(0, 0)).WithPhase(rollout.PhaseAccepted, "")
-			s, action, _ := rate(s, 0.95, random, 2000)
+			s, action, _ := applyRatings(s, 0.95, random, 2000)
 			Expect(action).To(Equal(rollout.ActionNone))
-			_, action, _ = rate(s, 0.2, random, 60)
+			_, action, _ = applyRatings(s, 0.2, random, 60)
 			Expect(action).To(Equal(rollout.ActionWithdraw))
 		}
 	})
 
 	It("withdraws a version that fails on two hosts, or on the only one", func() {
 		s := rollout.NewState(plan, time.Unix(0, 0))
-		_, action := s.Failing(1, 3)
+		_, action := s.WithFailingHosts(1, 3)
 		Expect(action).To(Equal(rollout.ActionNone))
-		_, action = s.Failing(2, 3)
+		_, action = s.WithFailingHosts(2, 3)
 		Expect(action).To(Equal(rollout.ActionWithdraw))
-		_, action = s.Failing(1, 1)
+		_, action = s.WithFailingHosts(1, 1)
 		Expect(action).To(Equal(rollout.ActionWithdraw))
 	})
 
@@ -103,8 +103,8 @@
 			s := rollout.NewState(plan, now)
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
 				now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "seconds")) * time.Second)
-				out := int(s.Outstanding())
-				ratings := rapid.SliceOfN(rapid.Float64Range(0, 1), 0, min(out, 5)).Draw(t, "ratings")
+				outstanding := int(s.Outstanding())
+				ratings := rapid.SliceOfN(rapid.Float64Range(0, 1), 0, min(outstanding, 5)).Draw(t, "ratings")
 				var action rollout.Action
 				s, action = rollout.Step(s, plan, ratings, now)
 				if action != rollout.ActionNone {
@@ -116,12 +116,12 @@
 				if s.Outstanding() < 0 || float64(s.Outstanding()) > s.Window+1 && len(ratings) == 0 && s.GrantableCredits() > 0 {
 					t.Fatalf("%d answers out in a window of %v", s.Outstanding(), s.Window)
 				}
-				held := int64(0)
+				inBatches := int64(0)
 				for _, b := range s.Batches {
-					held += b.Count
+					inBatches += b.Count
 				}
-				if held+s.Dropped != s.Granted {
-					t.Fatalf("batches hold %d, dropped %d, granted %d", held, s.Dropped, s.Granted)
+				if inBatches+s.Settled != s.Granted {
+					t.Fatalf("batches hold %d, dropped %d, granted %d", inBatches, s.Settled, s.Granted)
 				}
 			}
 		})
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -30,37 +30,37 @@
 
 // Error rates of the decisions.
 const (
-	falseStop   = 0.1
-	falseAccept = 0.05  // of a version whose mean is below the floor
-	falseAlarm  = 0.001 // per rating, of a version in service
-	suspicion   = 3     // wealth of the bet against it at which a version gets the least window
-	suspected   = 4     // part of the first window that it gets then
-	growth      = 2.0   // window added per rating in the version's favour
-	shrink      = 0.5   // of the window, per rating against it
-	maxWindow   = 100_000
+	falseWithdrawRate    = 0.1
+	falseAcceptRate      = 0.05  // of a version whose mean is below the floor
+	falseAlarmRate       = 0.001 // per rating, of a version in service
+	suspectEvidence      = 3     // wealth of the bet against it at which a version gets the least window
+	suspectWindowDivisor = 4     // part of the first window that it gets then
+	windowGrowth         = 2.0   // window added per rating in the version's favour
+	windowShrink         = 0.5   // of the window, per rating against it
+	maxWindow            = 100_000
 )
 
 // State is a plan as stored; Step returns new ones.
 type State struct {
-	Plan    string    `json:"plan"`
-	Version string    `json:"version"`
-	Phase   Phase     `json:"phase"`
-	Epoch   int64     `json:"epoch"` // of the controller that wrote it
-	Window  float64   `json:"window"`
-	Granted int64     `json:"granted"`           // credits ever given to hosts
-	Rated   int64     `json:"rated"`             // ratings that came back
-	Failed  int       `json:"failed"`            // hosts on which the version fails
-	Expired int64     `json:"expired"`           // credits no longer waited for
-	Batches []Batch   `json:"batches,omitempty"` // grants not settled, oldest first
-	Dropped int64     `json:"dropped"`           // credits of batches that are settled
-	Good    Wealth    `json:"good"`
-	Bad     Wealth    `json:"bad"`
-	Watch   Detector  `json:"watch"`
-	Sum     float64   `json:"sum"`
-	Cursor  int64     `json:"cursor"` // of the ratings taken in
-	Serial  int64     `json:"serial"` // of the last grant
-	Started time.Time `json:"started"`
-	Reason  string    `json:"reason,omitempty"`
+	Plan         string         `json:"plan"`
+	Version      string         `json:"version"`
+	Phase        Phase          `json:"phase"`
+	Epoch        int64          `json:"epoch"` // of the controller that wrote it
+	Window       float64        `json:"window"`
+	Granted      int64          `json:"granted"`           // credits ever given to hosts
+	Rated        int64          `json:"rated"`             // ratings that came back
+	FailingHosts int            `json:"failed"`            // hosts on which the version fails
+	Expired      int64          `json:"expired"`           // credits no longer waited for
+	Batches      []Batch        `json:"batches,omitempty"` // grants not settled, oldest first
+	Settled      int64          `json:"dropped"`           // credits of batches that are settled
+	AboveFloor   Evidence       `json:"good"`
+	BelowFloor   Evidence       `json:"bad"`
+	Change       ChangeDetector `json:"watch"`
+	Sum          float64        `json:"sum"`
+	Cursor       int64          `json:"cursor"` // of the ratings taken in
+	Serial       int64          `json:"serial"` // of the last grant
+	Started      time.Time      `json:"started"`
+	Reason       string         `json:"reason,omitempty"`
 }
 
 // Batch is some credits granted at one moment.
@@ -73,7 +73,7 @@
 func NewState(plan declare.Plan, now time.Time) State {
 	return State{
 		Plan: plan.Name, Version: plan.Version, Phase: PhaseRunning,
-		Window: float64(plan.Window), Good: newWealth(), Bad: newWealth(), Started: now,
+		Window: float64(plan.Window), AboveFloor: newEvidence(), BelowFloor: newEvidence(), Started: now,
 	}
 }
 
@@ -110,14 +110,14 @@
 	return s
 }
 
-// failingHosts is how many hosts must see a version fail before it is withdrawn
+// minFailingHosts is how many hosts must see a version fail before it is withdrawn
 // without ratings; one may have a fault of its own.
-const failingHosts = 2
+const minFailingHosts = 2
 
-// Failing returns the verdict on a version that fails on some of the live hosts.
-func (s State) Failing(failed, live int) (State, Action) {
-	s.Failed = failed
-	if s.Phase == PhaseWithdrawn || failed == 0 || failed < min(failingHosts, live) {
+// WithFailingHosts returns the verdict on a version that fails on some of the live hosts.
+func (s State) WithFailingHosts(failing, live int) (State, Action) {
+	s.FailingHosts = failing
+	if s.Phase == PhaseWithdrawn || failing == 0 || failing < min(minFailingHosts, live) {
 		return s, ActionNone
 	}
 	return s.WithPhase(PhaseWithdrawn, "the version fails"), ActionWithdraw
@@ -125,26 +125,26 @@
 
 // Step takes in ratings of the plan's version, in order, and says what to do.
 func Step(s State, plan declare.Plan, ratings []float64, now time.Time) (State, Action) {
-	s = s.expire(now, plan.Timeout())
+	s = s.expireCredits(now, plan.Timeout())
 	for _, r := range ratings {
-		s = s.rated(r, plan)
+		s = s.withRating(r, plan)
 		if action := s.verdict(plan); action != ActionNone {
-			return s.concluded(action), action
+			return s.withVerdict(action), action
 		}
 	}
 	return s, ActionNone
 }
 
-// rated plays one rating.
-func (s State) rated(r float64, plan declare.Plan) State {
+// withRating plays one rating.
+func (s State) withRating(r float64, plan declare.Plan) State {
 	s.Rated++
 	s.Sum += r
-	s.Watch = s.Watch.next(r, plan.Floor)
+	s.Change = s.Change.update(r, plan.Floor)
 	if s.Phase == PhaseAccepted {
 		return s
 	}
-	s.Good = s.Good.bet(r, plan.Floor, 1)
-	s.Bad = s.Bad.bet(r, plan.Floor, -1)
+	s.AboveFloor = s.AboveFloor.update(r, plan.Floor, 1)
+	s.BelowFloor = s.BelowFloor.update(r, plan.Floor, -1)
 	s.Window = s.windowAfter(r, plan)
 	return s
 }
@@ -152,42 +152,42 @@
 // windowAfter opens the window with each good rating while the evidence is not
 // against the version, and closes it on bad ones.
 func (s State) windowAfter(r float64, plan declare.Plan) float64 {
-	first := float64(plan.Window)
+	initial := float64(plan.Window)
 	switch {
-	case s.Bad.mean() > suspicion:
-		return math.Max(first/suspected, 1)
-	case s.Bad.mean() > s.Good.mean():
-		return first
+	case s.BelowFloor.mean() > suspectEvidence:
+		return math.Max(initial/suspectWindowDivisor, 1)
+	case s.BelowFloor.mean() > s.AboveFloor.mean():
+		return initial
 	case r >= plan.Floor:
-		return math.Min(s.Window+growth, maxWindow)
+		return math.Min(s.Window+windowGrowth, maxWindow)
 	default:
-		return math.Max(s.Window*(1-shrink/math.Max(first, 2)), first)
+		return math.Max(s.Window*(1-windowShrink/math.Max(initial, 2)), initial)
 	}
 }
 
 // verdict decides on the evidence so far.
 func (s State) verdict(plan declare.Plan) Action {
 	if s.Phase == PhaseAccepted {
-		if s.Watch.mean() > 1/falseAlarm {
+		if s.Change.mean() > 1/falseAlarmRate {
 			return ActionWithdraw
 		}
 		return ActionNone
 	}
 	switch {
-	case s.Bad.mean() > 1/falseStop:
+	case s.BelowFloor.mean() > 1/falseWithdrawRate:
 		return ActionWithdraw
-	case s.Good.mean() > 1/falseAccept && s.Rated >= int64(plan.Ratings):
+	case s.AboveFloor.mean() > 1/falseAcceptRate && s.Rated >= int64(plan.Ratings):
 		return ActionAccept
 	default:
 		return ActionNone
 	}
 }
 
-// concluded notes a verdict.
-func (s State) concluded(a Action) State {
+// withVerdict notes a verdict.
+func (s State) withVerdict(a Action) State {
 	switch a {
 	case ActionAccept:
-		s.Watch = Detector{}
+		s.Change = ChangeDetector{}
 		return s.WithPhase(PhaseAccepted, "ratings accept the version")
 	case ActionWithdraw:
 		if s.Phase == PhaseAccepted {
@@ -199,21 +199,21 @@
 	}
 }
 
-// expire gives up on credits whose ratings will not come, as ratings are partial.
+// expireCredits gives up on credits whose ratings will not come, as ratings are partial.
 // Ratings settle the oldest credits first.
-func (s State) expire(now time.Time, timeout time.Duration) State {
+func (s State) expireCredits(now time.Time, timeout time.Duration) State {
 	settled := s.Rated + s.Expired
 	batches := s.Batches
 	for len(batches) > 0 {
-		end := s.Dropped + batches[0].Count
+		end := s.Settled + batches[0].Count
 		if end > settled {
 			if now.Sub(batches[0].At) < timeout {
 				break
 			}
-			s.Expired += end - max(settled, s.Dropped)
+			s.Expired += end - max(settled, s.Settled)
 			settled = end
 		}
-		s.Dropped = end
+		s.Settled = end
 		batches = batches[1:]
 	}
 	s.Batches = append([]Batch(nil), batches...)
--- a/internal/session/names.go
+++ b/internal/session/named.go
@@ -14,11 +14,11 @@
 // tableSessions holds the pins of sessions that callers name.
 const tableSessions = "session"
 
-// nameCacheSize bounds the pins that a host remembers.
-const nameCacheSize = 10_000
+// maxCachedPins bounds the pins that a host remembers.
+const maxCachedPins = 10_000
 
-// claimAttempts bounds how often an uncertain claim is tried again.
-const claimAttempts = 3
+// maxClaimAttempts bounds how often an uncertain claim is tried again.
+const maxClaimAttempts = 3
 
 // NamedSessions keeps pins of sessions that callers name, one row for each. Rows are
 // never changed once written, so a remembered pin is as good as the row and
@@ -26,21 +26,21 @@
 type NamedSessions struct {
 	tables store.Tables
 
-	mu    sync.Mutex // guards known and order
-	known map[string]Pin
-	order []string // oldest first
+	mu         sync.Mutex // guards known and order
+	cache      map[string]Pin
+	cacheOrder []string // oldest first
 }
 
 // NewNamedSessions returns the names kept in the given tables.
 func NewNamedSessions(tables store.Tables) *NamedSessions {
-	return &NamedSessions{tables: tables, known: map[string]Pin{}}
+	return &NamedSessions{tables: tables, cache: map[string]Pin{}}
 }
 
 // Find returns the pin of a name; store.ErrNotFound if it is free.
 func (n *NamedSessions) Find(ctx context.Context, workspace, name string) (Pin, error) {
 	key := workspace + "/" + name
 	n.mu.Lock()
-	pin, ok := n.known[key]
+	pin, ok := n.cache[key]
 	n.mu.Unlock()
 	if ok {
 		return pin, nil
@@ -53,7 +53,7 @@
 	if err != nil {
 		return Pin{}, fmt.Errorf("find session %s: %w", name, err)
 	}
-	n.remember(key, pin)
+	n.addToCache(key, pin)
 	return pin, nil
 }
 
@@ -64,13 +64,13 @@
 		return Pin{}, err
 	}
 	key := pin.Workspace + "/" + name
-	for range claimAttempts {
+	for range maxClaimAttempts {
 		err = n.tables.Commit(ctx, store.Transaction{
 			Conditions: []store.Condition{store.Absent(tableSessions, key)},
 			Writes:     []store.Write{store.Put(tableSessions, key, data)},
 		})
 		if err == nil {
-			n.remember(key, pin)
+			n.addToCache(key, pin)
 			return pin, nil
 		}
 		if errors.Is(err, store.ErrThrottled) {
@@ -85,17 +85,17 @@
 	return Pin{}, fmt.Errorf("claim session %s: %w", name, err)
 }
 
-// remember keeps a pin, dropping the oldest past the bound.
-func (n *NamedSessions) remember(key string, pin Pin) {
+// addToCache keeps a pin, dropping the oldest past the bound.
+func (n *NamedSessions) addToCache(key string, pin Pin) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if _, ok := n.known[key]; ok {
+	if _, ok := n.cache[key]; ok {
 		return
 	}
-	if len(n.order) >= nameCacheSize {
-		delete(n.known, n.order[0])
-		n.order = n.order[1:]
+	if len(n.cacheOrder) >= maxCachedPins {
+		delete(n.cache, n.cacheOrder[0])
+		n.cacheOrder = n.cacheOrder[1:]
 	}
-	n.known[key] = pin
-	n.order = append(n.order, key)
+	n.cache[key] = pin
+	n.cacheOrder = append(n.cacheOrder, key)
 }
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -64,7 +64,7 @@
 	}
 	key := k.keys[0]
 	body := key.ID + separator + base64.RawURLEncoding.EncodeToString(data)
-	return body + separator + base64.RawURLEncoding.EncodeToString(sum(key, body)), nil
+	return body + separator + base64.RawURLEncoding.EncodeToString(computeMAC(key, body)), nil
 }
 
 // Verify returns the pin of a token.
@@ -73,12 +73,12 @@
 	if len(parts) != 3 {
 		return Pin{}, ErrToken
 	}
-	key, ok := k.find(parts[0])
+	key, ok := k.keyByID(parts[0])
 	if !ok {
 		return Pin{}, ErrKey
 	}
 	signature, err := base64.RawURLEncoding.DecodeString(parts[2])
-	if err != nil || !hmac.Equal(signature, sum(key, parts[0]+separator+parts[1])) {
+	if err != nil || !hmac.Equal(signature, computeMAC(key, parts[0]+separator+parts[1])) {
 		return Pin{}, ErrToken
 	}
 	data, err := base64.RawURLEncoding.DecodeString(parts[1])
@@ -92,7 +92,7 @@
 	return pin, nil
 }
 
-func (k Keyring) find(id string) (Key, bool) {
+func (k Keyring) keyByID(id string) (Key, bool) {
 	for _, key := range k.keys {
 		if key.ID == id {
 			return key, true
@@ -101,7 +101,7 @@
 	return Key{}, false
 }
 
-func sum(key Key, body string) []byte {
+func computeMAC(key Key, body string) []byte {
 	mac := hmac.New(sha256.New, key.Secret)
 	_, _ = mac.Write([]byte(body))
 	return mac.Sum(nil)
