--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -18,21 +18,21 @@
 	"quaybarrow/internal/store"
 )
 
-// TablePlans holds the states of plans.
+// TablePlans is the table of plan states.
 const TablePlans = "plan"
 
-// Bounds of a controller's work.
+// Interval and limits of a controller's steps.
 const (
 	stepInterval      = time.Second
 	maxRatingsPerStep = 500
 	grantTimeout      = time.Second
 )
 
-// MoveFunc changes a version's state in the configuration, for a reason. Moving a
-// version to where it is already is no error.
+// MoveFunc changes a version's state in the configuration and records the reason. It returns
+// no error if the version is in that state already.
 type MoveFunc func(ctx context.Context, ref declare.Ref, to declare.State, commandID, reason string) error
 
-// Options set up a Controller.
+// Options configure a Controller.
 type Options struct {
 	Tables  store.Tables
 	Ratings store.Ratings
@@ -41,19 +41,19 @@
 	Link    peer.Link
 	View    func() membership.View
 	Move    MoveFunc
-	// GrantSelf takes the credits meant for this host.
+	// GrantSelf delivers the credits granted to this host.
 	GrantSelf func(peer.Grant)
-	// Ready reports whether some endpoint serves a version.
+	// Ready reports whether at least one endpoint serves a version.
 	Ready func(declare.Ref) bool
 }
 
-// Controller runs the plans that this host owns.
+// Controller runs the plans whose leases this host holds.
 type Controller struct{ options Options }
 
 // NewController returns a controller.
 func NewController(options Options) *Controller { return &Controller{options: options} }
 
-// Run competes for every declared plan until the context ends.
+// Run competes for the lease of every active plan until the context is done.
 func (c *Controller) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	running := map[string]context.CancelFunc{}
@@ -85,7 +85,7 @@
 	wait.Wait()
 }
 
-// activePlans names the activePlans whose version is in roll-out or in service.
+// activePlans returns the names of the plans whose version is being rolled out or in service.
 func (c *Controller) activePlans() map[string]bool {
 	snapshot := c.options.Config.Current()
 	names := map[string]bool{}
@@ -101,17 +101,17 @@
 	return names
 }
 
-// runPlan steps a plan while the lease is held.
+// runPlan runs the steps of a plan while the lease is held.
 func (c *Controller) runPlan(ctx context.Context, l *lease.Lease, name string) {
 	for l.Valid() && ctx.Err() == nil {
 		if err := c.Step(ctx, l, name); errors.Is(err, store.ErrConflict) {
-			return // the fence or the row says that another controls the plan
+			return // the fencing token or the row shows that another host controls the plan
 		}
 		clock.Sleep(ctx, stepInterval)
 	}
 }
 
-// Step takes one step of a plan: ratings in, verdict, credits out.
+// Step runs one step of a plan: it reads ratings, applies the verdict and grants credits.
 func (c *Controller) Step(ctx context.Context, l *lease.Lease, name string) error {
 	snapshot := c.options.Config.Current()
 	plan, ok := snapshot.Revision().Declarations.Plan(name)
@@ -159,7 +159,8 @@
 	return nil
 }
 
-// applyOperatorChange takes over what an operator did to the version meanwhile.
+// applyOperatorChange adapts the state to a change that an operator made to the version since
+// the last step.
 func applyOperatorChange(s State, now declare.State) State {
 	switch {
 	case now == declare.StateServing && s.Phase == PhaseRunning:
@@ -171,7 +172,7 @@
 	}
 }
 
-// load reads a plan's state, or starts it.
+// load reads a plan's state, or returns the initial state if there is none.
 func (c *Controller) load(ctx context.Context, plan declare.Plan) (State, store.Row, error) {
 	row, err := c.options.Tables.Get(ctx, TablePlans, plan.Name)
 	if errors.Is(err, store.ErrNotFound) {
@@ -185,12 +186,12 @@
 		return State{}, store.Row{}, fmt.Errorf("load plan %s: %w", plan.Name, err)
 	}
 	if s.Version != plan.Version {
-		s = NewState(plan, time.Now().UTC()) // the plan was declared anew
+		s = NewState(plan, time.Now().UTC()) // the plan was redeclared for another version
 	}
 	return s, row, nil
 }
 
-// save writes a plan's state under the lease's fence.
+// save writes a plan's state, fenced by the lease.
 func (c *Controller) save(ctx context.Context, l *lease.Lease, row store.Row, s State) error {
 	data, err := codec.Encode(s)
 	if err != nil {
@@ -206,15 +207,15 @@
 	return nil
 }
 
-// newRatings reads the newRatings of the plan's version past its cursor.
+// newRatings reads the ratings of the plan's version after the cursor, and returns the new cursor.
 func (c *Controller) newRatings(ctx context.Context, s State) ([]float64, int64, error) {
-	all, err := c.options.Ratings.After(ctx, s.Cursor, maxRatingsPerStep)
+	page, err := c.options.Ratings.After(ctx, s.Cursor, maxRatingsPerStep)
 	if err != nil {
 		return nil, 0, fmt.Errorf("read ratings: %w", err)
 	}
 	cursor := s.Cursor
 	var scores []float64
-	for _, r := range all {
+	for _, r := range page {
 		cursor = r.Sequence
 		if r.Version == s.Version {
 			scores = append(scores, r.Score)
@@ -223,17 +224,17 @@
 	return scores, cursor, nil
 }
 
-// failingHostCount counts the hosts on which a version fails.
+// failingHostCount returns the number of hosts on which a version fails, at most minFailingHosts.
 func (c *Controller) failingHostCount(ctx context.Context, version string) (int, error) {
 	rows, err := c.options.Tables.Scan(ctx, store.Range{Table: TableFailingHosts, Prefix: failingHostPrefix(version), Limit: minFailingHosts})
 	if err != nil {
-		return 0, fmt.Errorf("read troubles: %w", err)
+		return 0, fmt.Errorf("read failing hosts: %w", err)
 	}
 	return len(rows), nil
 }
 
-// applyAction carries a verdict out before the state is saved: if this host dies in
-// between, the next one comes to the same verdict and finds it carried out.
+// applyAction applies an action before the state is saved. If this host crashes in between,
+// the next controller reaches the same verdict and finds it applied already.
 func (c *Controller) applyAction(ctx context.Context, ref declare.Ref, s State, a Action) error {
 	id := fmt.Sprintf("plan/%s/%s/%s", s.Plan, s.Version, a)
 	switch a {
@@ -246,8 +247,8 @@
 	}
 }
 
-// SplitCredits divides credits over hosts as evenly as they go; the serial decides who
-// gets one more, so that the rest wanders.
+// SplitCredits divides credits among hosts as evenly as possible. The grant's serial number
+// selects the hosts that get the remainder, so that it rotates among them.
 func SplitCredits(credits, hosts int, serial int64) []int {
 	shares := make([]int, hosts)
 	for i := range shares {
@@ -259,8 +260,8 @@
 	return shares
 }
 
-// sendGrants sends credits to the live hosts. What does not arrive is not granted
-// again: it expires like an answer that is never rated.
+// sendGrants sends credits to the live hosts. Credits lost on the way are not granted again:
+// they expire like the credit of an answer that is never rated.
 func (c *Controller) sendGrants(ctx context.Context, l *lease.Lease, s State, credits int, timeout time.Duration) {
 	hosts := c.options.View().Live()
 	if len(hosts) == 0 {
--- a/internal/rollout/credits.go
+++ b/internal/rollout/credits.go
@@ -14,21 +14,21 @@
 	"quaybarrow/internal/store"
 )
 
-// TableFailingHosts holds a row for each host on which a version fails.
+// TableFailingHosts is the table with a row for each version and host on which it fails.
 const TableFailingHosts = "trouble"
 
-// maxConsecutiveFailures is how many failures in a row make a host stop using a version
-// in roll-out, on its own evidence.
+// maxConsecutiveFailures is the number of consecutive failures after which a host stops using
+// a version in rollout, whatever other hosts observe.
 const maxConsecutiveFailures = 3
 
-// failingHostWriteTimeout bounds writing a trouble row.
+// failingHostWriteTimeout limits the write of a failing-host row.
 const failingHostWriteTimeout = 2 * time.Second
 
-// creditValidityFraction is the part of a rating timeout for which a host may use a credit;
-// the controller waits for the whole of it.
+// creditValidityFraction is the fraction of the rating timeout during which a host may use a
+// credit. The controller waits for the whole timeout before it expires the credit.
 const creditValidityFraction = 0.8
 
-// Credits are what this host may still answer with versions in roll-out.
+// Credits are the answers that this host may still give with versions in rollout.
 type Credits struct {
 	config *config.Holder
 	tables store.Tables
@@ -41,19 +41,19 @@
 // planCredits are the credits of one plan.
 type planCredits struct {
 	epoch               int64
-	serial              int64 // of the last grant taken in
+	serial              int64 // of the last accepted grant
 	batches             []creditBatch
-	consecutiveFailures int  // in a row
-	stopped             bool // by failures in a row
+	consecutiveFailures int  // since the last success
+	stopped             bool // after too many consecutive failures
 }
 
-// creditBatch is a grant, until it is spent or expires.
+// creditBatch is the unspent part of a grant.
 type creditBatch struct {
 	left    int
 	expires clock.Instant
 }
 
-// left counts the credits that can be spent at a moment.
+// left returns the number of credits that can be spent at the given time.
 func (p planCredits) left(now clock.Instant) int {
 	if p.stopped {
 		return 0
@@ -67,7 +67,7 @@
 	return count
 }
 
-// spend takes a credit, the oldest first, and drops what is used up.
+// spend uses one credit of the oldest valid batch and removes spent and expired batches.
 func (p planCredits) spend(now clock.Instant) planCredits {
 	spent := false
 	var kept []creditBatch
@@ -87,12 +87,12 @@
 	return p
 }
 
-// NewCredits returns no credits.
+// NewCredits returns an empty set of credits.
 func NewCredits(holder *config.Holder, tables store.Tables, host string) *Credits {
 	return &Credits{config: holder, tables: tables, host: host, plans: map[string]planCredits{}}
 }
 
-// Grant takes in credits, each grant once, and none of an older controller.
+// Grant adds the credits of a grant. It ignores duplicates and grants of an older controller.
 func (c *Credits) Grant(g peer.Grant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +106,8 @@
 	c.plans[g.Plan] = p
 }
 
-// activeGrantName finds the running activeGrantName of a version.
+// activeGrantName returns the grant name of the version's plan, and whether there is a plan that
+// is not on hold.
 func (c *Credits) activeGrantName(ref declare.Ref) (string, bool) {
 	snapshot := c.config.Current()
 	if snapshot == nil {
@@ -116,14 +117,14 @@
 	return grantName(p.Name, p.Version), ok && !p.Held
 }
 
-// grantName names the credits of a plan for one version: a plan that is declared
-// anew for another version starts without any.
+// grantName identifies the credits of a plan for one version. A plan that is redeclared for
+// another version starts without credits.
 func grantName(plan, version string) string { return plan + "=" + version }
 
-// Available reports whether a credit for the version is left.
+// Available reports whether a credit is left for a version.
 func (c *Credits) Available(ref declare.Ref) bool { return c.Left(ref) > 0 }
 
-// Left returns the credits left for a version.
+// Left returns the number of credits left for a version.
 func (c *Credits) Left(ref declare.Ref) int {
 	name, ok := c.activeGrantName(ref)
 	if !ok {
@@ -134,7 +135,7 @@
 	return c.plans[name].left(clock.Now())
 }
 
-// Spend takes a credit. A pinned session goes on even if none is left.
+// Spend uses one credit if any is left. A pinned session continues even without credits.
 func (c *Credits) Spend(ref declare.Ref) {
 	name, ok := c.activeGrantName(ref)
 	if !ok {
@@ -145,19 +146,21 @@
 	c.plans[name] = c.plans[name].spend(clock.Now())
 }
 
-// Report tells how an attempt on a version in roll-out went. After a few failures
-// in a row this host uses it no more, and tells the plan's controller why.
+// Report records whether an attempt on a version in rollout failed. After
+// maxConsecutiveFailures, this host stops using the version and reports that it fails to the
+// plan's controller.
 func (c *Credits) Report(ctx context.Context, ref declare.Ref, failed bool) {
 	name, ok := c.activeGrantName(ref)
 	if !ok {
 		return
 	}
 	if c.countFailure(name, failed) {
-		_ = c.writeFailingHost(ctx, ref) // at worst the window's credits expire unused
+		_ = c.writeFailingHost(ctx, ref) // if this fails, at worst the window's credits expire unused
 	}
 }
 
-// countFailure counts failures in a row; true when they have just become too many.
+// countFailure counts consecutive failures. It returns true when they reach the limit for the
+// first time.
 func (c *Credits) countFailure(name string, failed bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,10 +175,10 @@
 	return mustStop
 }
 
-// failingHostPrefix is where a version's troubles stand.
+// failingHostPrefix returns the key prefix of a version's rows in TableFailingHosts.
 func failingHostPrefix(version string) string { return version + "/" }
 
-// failingHost is a row of TableTroubles.
+// failingHost is a row of TableFailingHosts.
 type failingHost struct {
 	Host string    `json:"host"`
 	At   time.Time `json:"at"`
@@ -192,7 +195,7 @@
 		Writes: []store.Write{store.Put(TableFailingHosts, failingHostPrefix(ref.String())+c.host, data)},
 	})
 	if err != nil {
-		return fmt.Errorf("write trouble: %w", err)
+		return fmt.Errorf("write failing host: %w", err)
 	}
 	return nil
 }
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -1,79 +1,79 @@
-// Package rollout brings a version into service while a bad one touches few
-// requests, and withdraws one that turns bad later.
+// Package rollout puts a model version into service gradually, so that a bad version affects
+// few requests, and withdraws a version whose quality drops later.
 //
 // # Usage
 //
 //	state, action := rollout.Step(state, plan, ratings, now)
 //
-// Step is pure. A plan holds a window of answers that may be out without a
-// rating, as a congestion window holds packets without an acknowledgement: it
-// opens as good ratings return and closes on bad ones. The window is given to
-// hosts as credits, one for each answer, so a controller that dies exposes
-// nobody to more than what it had granted. The decisions are sequential tests
-// that stay valid however often one looks.
+// Step is a pure function. A plan has a window: the number of answers that may be
+// outstanding without a rating, much as a congestion window limits unacknowledged packets.
+// It grows with good ratings and shrinks with bad ones. The controller grants the window to
+// hosts as credits, one for each answer, so if the controller crashes, no more answers are
+// given than it had granted. The decisions are sequential hypothesis tests that stay valid
+// however often they are evaluated.
 package rollout
 
 import "math"
 
-// betFractions are the stakes of the tests; their wealth is averaged, which keeps a
-// test valid and makes it quick over a range of differences.
+// betFractions are the bet sizes of the tests. A test averages the evidence of all of them, which
+// keeps it valid and makes it fast over a range of differences between mean and floor.
 var betFractions = [...]float64{0.25, 0.5, 1, 1.5}
 
-// Evidence is what a gambler owns who bets that a version's mean rating is on one
-// side of a floor, for each stake. If it is not, the wealth exceeds 1/a with
-// probability a at the most, ever: this is the test.
+// Evidence holds, for each bet size, the test supermartingale (e-process) for the hypothesis
+// that a version's mean rating is on one side of the floor. If the hypothesis is false, the
+// evidence ever exceeds 1/a with a probability of at most a. The tests rest on this bound.
 type Evidence [len(betFractions)]float64
 
-// newEvidence is the wealth before the first bet.
+// newEvidence returns the evidence before the first rating.
 func newEvidence() Evidence {
-	var w Evidence
-	for i := range w {
-		w[i] = 1
+	var e Evidence
+	for i := range e {
+		e[i] = 1
 	}
-	return w
+	return e
 }
 
-// mean is the gambler's whole wealth.
-func (w Evidence) mean() float64 {
+// mean returns the average evidence over all bet sizes.
+func (e Evidence) mean() float64 {
 	sum := 0.0
-	for _, v := range w {
+	for _, v := range e {
 		sum += v
 	}
-	return sum / float64(len(w))
+	return sum / float64(len(e))
 }
 
-// update plays one rating: for is +1 to update that the mean is above the floor, -1
-// that it is below. A stake never risks more than all.
-func (w Evidence) update(rating, floor, direction float64) Evidence {
-	maxLoss := floor // largest loss per stake: rating 0 when betting above
+// update adds one rating. The direction is +1 to test whether the mean is above the floor and
+// -1 to test whether it is below. The bet is limited so that the evidence stays positive.
+func (e Evidence) update(rating, floor, direction float64) Evidence {
+	maxLoss := floor // largest loss per unit of bet: at rating 0 in the upward direction
 	if direction < 0 {
 		maxLoss = 1 - floor
 	}
 	for i, fraction := range betFractions {
 		bet := math.Min(fraction, maxLossPerRating/math.Max(maxLoss, minMaxLoss))
-		w[i] *= 1 + bet*direction*(rating-floor)
+		e[i] *= 1 + bet*direction*(rating-floor)
 	}
-	return w
+	return e
 }
 
-// Bounds of a stake.
+// Bounds of a bet.
 const (
-	maxLossPerRating = 0.9
-	minMaxLoss       = 0.05
+	maxLossPerRating = 0.9  // largest fraction of the evidence that one rating may take away
+	minMaxLoss       = 0.05 // lower bound of the divisor, for floors near 0 or 1
 )
 
-// ChangeDetector watches a version in service for a change to the bad: a gambler who
-// starts anew with one unit at every rating. Its sum crosses 1/a about once in
-// 1/a ratings of a good version at the most.
+// ChangeDetector detects a drop in the quality of a version in service. It sums the evidence
+// of tests that start at every rating, each with one unit (a Shiryaev-Roberts detector). With a
+// good version, the sum exceeds 1/a at most about once in 1/a ratings.
 type ChangeDetector Evidence
 
-// update plays one rating.
+// update adds one rating.
 func (d ChangeDetector) update(rating, floor float64) ChangeDetector {
-	w := Evidence(d)
-	for i := range w {
-		w[i]++
+	e := Evidence(d)
+	for i := range e {
+		e[i]++
 	}
-	return ChangeDetector(w.update(rating, floor, -1))
+	return ChangeDetector(e.update(rating, floor, -1))
 }
 
 func (d ChangeDetector) mean() float64 { return Evidence(d).mean() }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -14,7 +14,8 @@
 
 var plan = declare.Plan{Name: "p", Version: "m@2", Window: 10, Floor: 0.7, Ratings: 20}
 
-// applyRatings plays ratings of a version with a mean until a verdict or a bound.
+// applyRatings feeds random ratings with the given mean to a plan until a verdict or maxRatings.
+// It returns the number of ratings used.
 func applyRatings(s rollout.State, mean float64, random *rand.Rand, maxRatings int) (rollout.State, rollout.Action, int) {
 	now := time.Unix(0, 0)
 	for i := range maxRatings {
@@ -33,15 +34,15 @@
 var _ = Describe("a plan", func() {
 	seeds := 2000
 
-	// The bound of the test itself is one in ten at the floor; how much rarer it
-	// is for a version above it decides whether good versions are safe.
+	// The sequential test itself guarantees one in ten at the floor. How much rarer false
+	// withdrawals are above the floor decides whether good versions are safe.
 	falseWithdrawals := map[string]struct{ mean, maxShare float64 }{
-		"at the floor, one in ten":              {plan.Floor, 0.1},
-		"a little above it, three in a hundred": {plan.Floor + 0.1, 0.03},
-		"well above it, one in a hundred":       {plan.Floor + 0.2, 0.01},
+		"at the floor, 0.1":  {plan.Floor, 0.1},
+		"0.1 above it, 0.03": {plan.Floor + 0.1, 0.03},
+		"0.2 above it, 0.01": {plan.Floor + 0.2, 0.01},
 	}
 	for name, c := range falseWithdrawals {
-		It("stops a version by mistake, however often it looks, at most so often: "+name, func() {
+		It("withdraws a good version by mistake, however often it is evaluated, in less than this share of runs: "+name, func() {
 			withdrawn := 0
 			for seed := range seeds {
 				_, action, _ := applyRatings(rollout.NewState(plan, time.Unix(0, 0)), c.mean, rand.New(rand.NewPCG(uint64(seed), 1)), 2000)
@@ -56,12 +57,12 @@
 	verdicts := map[string]struct {
 		mean   float64
 		action rollout.Action
-		within int // ratings, for 95 in 100 seeds
+		within int // ratings, for 95% of the seeds
 	}{
-		"a good version is accepted":   {0.95, rollout.ActionAccept, 60},
-		"a bad version is withdrawn":   {0.3, rollout.ActionWithdraw, 40},
-		"an awful version is at once":  {0.0, rollout.ActionWithdraw, 15},
-		"a weak version is, in a time": {0.5, rollout.ActionWithdraw, 150},
+		"a good version is accepted":                       {0.95, rollout.ActionAccept, 60},
+		"a bad version is withdrawn":                       {0.3, rollout.ActionWithdraw, 40},
+		"a version with mean 0 is withdrawn at once":       {0.0, rollout.ActionWithdraw, 15},
+		"a version with mean 0.5 is withdrawn more slowly": {0.5, rollout.ActionWithdraw, 150},
 	}
 	for name, v := range verdicts {
 		It(name, func() {
@@ -76,7 +77,7 @@
 		})
 	}
 
-	It("catches a version that turns bad in service, and leaves a good one alone", func() {
+	It("withdraws a version whose quality drops in service, and keeps a good one", func() {
 		for seed := range 100 {
 			random := rand.New(rand.NewPCG(uint64(seed), 3))
 			s := rollout.NewState(plan, time.Unix(0, 0)).WithPhase(rollout.PhaseAccepted, "")
@@ -87,7 +88,7 @@
 		}
 	})
 
-	It("withdraws a version that fails on two hosts, or on the only one", func() {
+	It("withdraws a version that fails on two hosts, or on the only live host", func() {
 		s := rollout.NewState(plan, time.Unix(0, 0))
 		_, action := s.WithFailingHosts(1, 3)
 		Expect(action).To(Equal(rollout.ActionNone))
@@ -97,7 +98,7 @@
 		Expect(action).To(Equal(rollout.ActionWithdraw))
 	})
 
-	It("never has more answers out than its window, and never counts below zero", func() {
+	It("never has more outstanding answers than its window, and never a negative number", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			now := time.Unix(0, 0)
 			s := rollout.NewState(plan, now)
@@ -114,20 +115,20 @@
 					s = s.WithGrant(room, now)
 				}
 				if s.Outstanding() < 0 || float64(s.Outstanding()) > s.Window+1 && len(ratings) == 0 && s.GrantableCredits() > 0 {
-					t.Fatalf("%d answers out in a window of %v", s.Outstanding(), s.Window)
+					t.Fatalf("%d answers outstanding in a window of %v", s.Outstanding(), s.Window)
 				}
 				inBatches := int64(0)
 				for _, b := range s.Batches {
 					inBatches += b.Count
 				}
 				if inBatches+s.Settled != s.Granted {
-					t.Fatalf("batches hold %d, dropped %d, granted %d", inBatches, s.Settled, s.Granted)
+					t.Fatalf("batches contain %d credits, settled %d, granted %d", inBatches, s.Settled, s.Granted)
 				}
 			}
 		})
 	})
 
-	It("gives its credits to hosts as evenly as they go", func() {
+	It("divides its credits among hosts as evenly as possible", func() {
 		Expect(rollout.SplitCredits(7, 3, 0)).To(Equal([]int{3, 2, 2}))
 		Expect(rollout.SplitCredits(7, 3, 1)).To(Equal([]int{2, 3, 2}))
 		Expect(rollout.SplitCredits(1, 3, 2)).To(Equal([]int{0, 0, 1}))
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -7,7 +7,7 @@
 	"quaybarrow/internal/declare"
 )
 
-// Phase is how far a plan has come.
+// Phase is the phase of a plan.
 type Phase string
 
 // Phases of a plan.
@@ -18,58 +18,58 @@
 	PhaseWithdrawn Phase = "withdrawn"
 )
 
-// Action is what a step asks for.
+// Action is the change of the version's state that a step requires.
 type Action string
 
-// Actions of a step.
+// Actions returned by Step.
 const (
 	ActionNone     Action = ""
-	ActionAccept   Action = "accept"   // the version goes into service
-	ActionWithdraw Action = "withdraw" // it is bad
+	ActionAccept   Action = "accept"   // put the version into service
+	ActionWithdraw Action = "withdraw" // take the bad version out of use
 )
 
-// Error rates of the decisions.
+// Error rates of the decisions, and parameters of the window.
 const (
-	falseWithdrawRate    = 0.1
+	falseWithdrawRate    = 0.1   // of a version whose mean is not below the floor
 	falseAcceptRate      = 0.05  // of a version whose mean is below the floor
 	falseAlarmRate       = 0.001 // per rating, of a version in service
-	suspectEvidence      = 3     // wealth of the bet against it at which a version gets the least window
-	suspectWindowDivisor = 4     // part of the first window that it gets then
-	windowGrowth         = 2.0   // window added per rating in the version's favour
-	windowShrink         = 0.5   // of the window, per rating against it
+	suspectEvidence      = 3     // evidence of a mean below the floor that reduces the window to its minimum
+	suspectWindowDivisor = 4     // the minimum window is the initial window divided by this
+	windowGrowth         = 2.0   // added to the window per good rating
+	windowShrink         = 0.5   // fraction by which a bad rating shrinks the window, before division by the initial window
 	maxWindow            = 100_000
 )
 
-// State is a plan as stored; Step returns new ones.
+// State is the stored state of a plan. Step returns an updated copy.
 type State struct {
 	Plan         string         `json:"plan"`
 	Version      string         `json:"version"`
 	Phase        Phase          `json:"phase"`
 	Epoch        int64          `json:"epoch"` // of the controller that wrote it
 	Window       float64        `json:"window"`
-	Granted      int64          `json:"granted"`           // credits ever given to hosts
-	Rated        int64          `json:"rated"`             // ratings that came back
+	Granted      int64          `json:"granted"`           // total credits granted to hosts
+	Rated        int64          `json:"rated"`             // ratings received
 	FailingHosts int            `json:"failed"`            // hosts on which the version fails
-	Expired      int64          `json:"expired"`           // credits no longer waited for
-	Batches      []Batch        `json:"batches,omitempty"` // grants not settled, oldest first
-	Settled      int64          `json:"dropped"`           // credits of batches that are settled
+	Expired      int64          `json:"expired"`           // credits whose ratings are no longer expected
+	Batches      []Batch        `json:"batches,omitempty"` // unsettled grants, oldest first
+	Settled      int64          `json:"dropped"`           // credits of settled batches
 	AboveFloor   Evidence       `json:"good"`
 	BelowFloor   Evidence       `json:"bad"`
 	Change       ChangeDetector `json:"watch"`
 	Sum          float64        `json:"sum"`
-	Cursor       int64          `json:"cursor"` // of the ratings taken in
+	Cursor       int64          `json:"cursor"` // sequence number of the last rating read
 	Serial       int64          `json:"serial"` // of the last grant
 	Started      time.Time      `json:"started"`
 	Reason       string         `json:"reason,omitempty"`
 }
 
-// Batch is some credits granted at one moment.
+// Batch is a number of credits granted at one time.
 type Batch struct {
 	At    time.Time `json:"at"`
 	Count int64     `json:"count"`
 }
 
-// NewState starts a plan.
+// NewState returns the initial state of a plan.
 func NewState(plan declare.Plan, now time.Time) State {
 	return State{
 		Plan: plan.Name, Version: plan.Version, Phase: PhaseRunning,
@@ -85,10 +85,10 @@
 	return s.Sum / float64(s.Rated)
 }
 
-// Outstanding is how many answers may be out without a rating.
+// Outstanding returns the number of granted credits that are neither rated nor expired.
 func (s State) Outstanding() int64 { return max(s.Granted-s.Rated-s.Expired, 0) }
 
-// GrantableCredits is how many credits may be granted now.
+// GrantableCredits returns the number of credits that may be granted now.
 func (s State) GrantableCredits() int64 {
 	if s.Phase != PhaseRunning {
 		return 0
@@ -110,11 +110,12 @@
 	return s
 }
 
-// minFailingHosts is how many hosts must see a version fail before it is withdrawn
-// without ratings; one may have a fault of its own.
+// minFailingHosts is the number of hosts on which a version must fail before it is withdrawn
+// regardless of ratings. On a single host, the fault may be the host's own.
 const minFailingHosts = 2
 
-// WithFailingHosts returns the verdict on a version that fails on some of the live hosts.
+// WithFailingHosts records on how many of the live hosts the version fails, and withdraws the
+// version if they are enough.
 func (s State) WithFailingHosts(failing, live int) (State, Action) {
 	s.FailingHosts = failing
 	if s.Phase == PhaseWithdrawn || failing == 0 || failing < min(minFailingHosts, live) {
@@ -123,7 +124,8 @@
 	return s.WithPhase(PhaseWithdrawn, "the version fails"), ActionWithdraw
 }
 
-// Step takes in ratings of the plan's version, in order, and says what to do.
+// Step processes ratings of the plan's version in order and returns the new state and the action
+// to take.
 func Step(s State, plan declare.Plan, ratings []float64, now time.Time) (State, Action) {
 	s = s.expireCredits(now, plan.Timeout())
 	for _, r := range ratings {
@@ -135,7 +137,7 @@
 	return s, ActionNone
 }
 
-// withRating plays one rating.
+// withRating adds one rating to the evidence and adjusts the window.
 func (s State) withRating(r float64, plan declare.Plan) State {
 	s.Rated++
 	s.Sum += r
@@ -149,8 +151,9 @@
 	return s
 }
 
-// windowAfter opens the window with each good rating while the evidence is not
-// against the version, and closes it on bad ones.
+// windowAfter returns the window after a rating. It grows with each good rating and shrinks with
+// each bad one, but not below its initial size. While the evidence is against the version, it
+// stays at its initial size, or at the minimum if the evidence exceeds suspectEvidence.
 func (s State) windowAfter(r float64, plan declare.Plan) float64 {
 	initial := float64(plan.Window)
 	switch {
@@ -165,7 +168,7 @@
 	}
 }
 
-// verdict decides on the evidence so far.
+// verdict returns the action that the current evidence justifies.
 func (s State) verdict(plan declare.Plan) Action {
 	if s.Phase == PhaseAccepted {
 		if s.Change.mean() > 1/falseAlarmRate {
@@ -183,7 +186,7 @@
 	}
 }
 
-// withVerdict notes a verdict.
+// withVerdict returns the state after an accept or withdraw action.
 func (s State) withVerdict(a Action) State {
 	switch a {
 	case ActionAccept:
@@ -199,8 +202,8 @@
 	}
 }
 
-// expireCredits gives up on credits whose ratings will not come, as ratings are partial.
-// Ratings settle the oldest credits first.
+// expireCredits stops waiting for the ratings of credits older than the timeout, because not
+// every answer is rated. Ratings settle the oldest credits first.
 func (s State) expireCredits(now time.Time, timeout time.Duration) State {
 	settled := s.Rated + s.Expired
 	batches := s.Batches
