--- a/internal/session/named.go
+++ b/internal/session/named.go
@@ -11,32 +11,32 @@
 	"quaybarrow/internal/store"
 )
 
-// tableSessions holds the pins of sessions that callers name.
+// tableSessions is the table of the pins of sessions whose names callers choose.
 const tableSessions = "session"
 
-// maxCachedPins bounds the pins that a host remembers.
+// maxCachedPins bounds the pins that a host caches.
 const maxCachedPins = 10_000
 
-// maxClaimAttempts bounds how often an uncertain claim is tried again.
+// maxClaimAttempts bounds the attempts of a claim whose outcome is uncertain.
 const maxClaimAttempts = 3
 
-// NamedSessions keeps pins of sessions that callers name, one row for each. Rows are
-// never changed once written, so a remembered pin is as good as the row and
-// outlasts an outage of the store.
+// NamedSessions stores the pins of sessions whose names callers choose, one row for each. Rows
+// are immutable, so a cached pin is always valid and stays available during an outage of the
+// table service.
 type NamedSessions struct {
 	tables store.Tables
 
-	mu         sync.Mutex // guards known and order
+	mu         sync.Mutex // guards cache and cacheOrder
 	cache      map[string]Pin
 	cacheOrder []string // oldest first
 }
 
-// NewNamedSessions returns the names kept in the given tables.
+// NewNamedSessions returns the named sessions stored in the given tables.
 func NewNamedSessions(tables store.Tables) *NamedSessions {
 	return &NamedSessions{tables: tables, cache: map[string]Pin{}}
 }
 
-// Find returns the pin of a name; store.ErrNotFound if it is free.
+// Find returns the pin of a session name, or store.ErrNotFound if the name is not pinned.
 func (n *NamedSessions) Find(ctx context.Context, workspace, name string) (Pin, error) {
 	key := workspace + "/" + name
 	n.mu.Lock()
@@ -57,7 +57,7 @@
 	return pin, nil
 }
 
-// Claim pins a name, unless it is pinned: then it returns the pin it has.
+// Claim pins a session name. If the name is pinned already, it returns the existing pin.
 func (n *NamedSessions) Claim(ctx context.Context, name string, pin Pin) (Pin, error) {
 	data, err := codec.Encode(pin)
 	if err != nil {
@@ -76,7 +76,7 @@
 		if errors.Is(err, store.ErrThrottled) {
 			break
 		}
-		// Conflict, or a lost reply: the row tells who holds the name.
+		// After a conflict or a lost reply, the row shows which pin the name has.
 		found, findErr := n.Find(ctx, pin.Workspace, name)
 		if findErr == nil {
 			return found, nil
@@ -85,7 +85,7 @@
 	return Pin{}, fmt.Errorf("claim session %s: %w", name, err)
 }
 
-// addToCache keeps a pin, dropping the oldest past the bound.
+// addToCache caches a pin and evicts the oldest one at the limit.
 func (n *NamedSessions) addToCache(key string, pin Pin) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,13 +1,13 @@
-// Package session pins a conversation to one version for its whole life.
+// Package session pins a conversation to one model version for its whole duration.
 //
 // # Usage
 //
 //	token := keyring.Sign(session.Pin{Workspace: "clerks", ID: id, Version: ref})
 //	pin, err := keyring.Verify(token)
 //
-// The pin travels in a signed token that the caller brings back, so no host and
-// no store is needed to honour it. A caller that names its sessions itself has
-// the pin kept in a row of the table service instead: see Names.
+// The pin is encoded in a signed token that the caller sends with each request, so
+// any host can verify it without a lookup. If the caller names its sessions itself,
+// the pin is stored in a row of the table service instead: see NamedSessions.
 package session
 
 import (
@@ -23,40 +23,40 @@
 	"quaybarrow/internal/declare"
 )
 
-// Errors of verifying.
+// Errors returned by Verify.
 var (
-	// ErrToken means that a token is not one of ours, or was changed.
-	ErrToken = errors.New("session token is not valid")
-	// ErrKey means that a token was signed by a key that is no longer known.
-	ErrKey = errors.New("session token was signed by an unknown key")
+	// ErrInvalidToken means that a token is malformed or its signature does not match.
+	ErrInvalidToken = errors.New("session token is not valid")
+	// ErrUnknownKey means that a token was signed by a key that is not in the keyring (any more).
+	ErrUnknownKey = errors.New("session token was signed by an unknown key")
 )
 
-// Pin ties a session to a version.
+// Pin binds a session to a model version.
 type Pin struct {
 	Workspace string      `json:"w"`
 	ID        string      `json:"i"`
 	Version   declare.Ref `json:"v"`
-	Class     string      `json:"c,omitempty"` // task class or model asked for
+	Class     string      `json:"c,omitempty"` // requested task class or model
 	Opened    time.Time   `json:"o"`
 }
 
-// Key signs tokens.
+// Key is an HMAC key that signs tokens.
 type Key struct {
 	ID     string
 	Secret []byte
 }
 
-// Keyring signs with its first key and verifies with all of them, so that keys
-// rotate without ending sessions.
+// Keyring signs with its first key and verifies with all of them, so that key
+// rotation does not end sessions.
 type Keyring struct{ keys []Key }
 
 // NewKeyring returns a keyring; the first key signs.
 func NewKeyring(keys []Key) Keyring { return Keyring{keys: append([]Key(nil), keys...)} }
 
-// separator stands between key id, pin and signature; no part contains it.
+// separator separates key ID, pin and signature in a token; none of them contains it.
 const separator = "~"
 
-// Sign makes the token of a pin.
+// Sign returns a signed token that carries the pin.
 func (k Keyring) Sign(pin Pin) (string, error) {
 	data, err := codec.Encode(pin)
 	if err != nil {
@@ -67,27 +67,27 @@
 	return body + separator + base64.RawURLEncoding.EncodeToString(computeMAC(key, body)), nil
 }
 
-// Verify returns the pin of a token.
+// Verify checks the signature of a token and returns its pin.
 func (k Keyring) Verify(token string) (Pin, error) {
 	parts := strings.Split(token, separator)
 	if len(parts) != 3 {
-		return Pin{}, ErrToken
+		return Pin{}, ErrInvalidToken
 	}
 	key, ok := k.keyByID(parts[0])
 	if !ok {
-		return Pin{}, ErrKey
+		return Pin{}, ErrUnknownKey
 	}
 	signature, err := base64.RawURLEncoding.DecodeString(parts[2])
 	if err != nil || !hmac.Equal(signature, computeMAC(key, parts[0]+separator+parts[1])) {
-		return Pin{}, ErrToken
+		return Pin{}, ErrInvalidToken
 	}
 	data, err := base64.RawURLEncoding.DecodeString(parts[1])
 	if err != nil {
-		return Pin{}, ErrToken
+		return Pin{}, ErrInvalidToken
 	}
 	pin, err := codec.Decode[Pin](data)
 	if err != nil {
-		return Pin{}, ErrToken
+		return Pin{}, ErrInvalidToken
 	}
 	return pin, nil
 }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -17,21 +17,21 @@
 )
 
 var _ = Describe("a session token", func() {
-	It("brings its pin back", func() {
+	It("verifies to the pin that was signed", func() {
 		token, err := session.NewKeyring([]session.Key{oldKey}).Sign(pin)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(session.NewKeyring([]session.Key{oldKey}).Verify(token)).To(Equal(pin))
 	})
 
-	It("outlives the rotation of its key, until the key is gone", func() {
+	It("stays valid after key rotation until its key is removed", func() {
 		token, err := session.NewKeyring([]session.Key{oldKey}).Sign(pin)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(session.NewKeyring([]session.Key{newKey, oldKey}).Verify(token)).To(Equal(pin))
 		_, err = session.NewKeyring([]session.Key{newKey}).Verify(token)
-		Expect(err).To(MatchError(session.ErrKey))
+		Expect(err).To(MatchError(session.ErrUnknownKey))
 	})
 
-	It("is refused when any byte of it was changed", func() {
+	It("is rejected when any byte of it is changed", func() {
 		ring := session.NewKeyring([]session.Key{oldKey})
 		token, err := ring.Sign(pin)
 		Expect(err).NotTo(HaveOccurred())
@@ -40,7 +40,7 @@
 				changed := token[:i] + c + token[i+1:]
 				got, err := ring.Verify(changed)
 				if changed != token && err == nil {
-					Expect(got).To(Equal(pin), "only the unused bits of a last letter may differ")
+					Expect(got).To(Equal(pin), "only the unused bits of the last base64 character may differ")
 					Expect(strings.LastIndex(token, "~")).To(BeNumerically("<", i))
 				}
 			}
