--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -1,14 +1,15 @@
-// Package once lets a call that may not be repeated run at most once.
+// Package once dispatches a non-idempotent call at most once.
 //
 // # Usage
 //
 //	result, err := guard.Do(ctx, call, func(ctx context.Context) once.Attempt { ... })
 //
-// A durable claim is made before the first byte is sent, in a row named by the
-// caller's key. Whoever finds the claim there never dispatches: it replays the
-// recorded outcome, or says that the call is under way or that its outcome is
-// unknown. So a paused claimer, a repeat through another host and a lost reply
-// all come to at most one dispatch. A claim is never taken over.
+// Before the first byte is sent, a durable claim is written to a row identified by the
+// caller's idempotency key. A host that finds an existing claim never dispatches: it
+// replays the recorded outcome, or returns an error that says that the call is in
+// progress or that its outcome is unknown. Therefore a paused claimer, a retry through
+// another host and a lost reply all lead to at most one dispatch. A claim is never
+// taken over by another host.
 package once
 
 import (
@@ -27,78 +28,79 @@
 	"quaybarrow/internal/store"
 )
 
-// TableClaims holds the claims.
+// TableClaims is the table of claims.
 const TableClaims = "claim"
 
-// State is how far a claim has come.
+// State is the state of a claim.
 type State string
 
 // States of a claim.
 const (
-	StateClaimed State = "claimed" // by a host that may have dispatched it
-	StateDone    State = "done"    // with its outcome
-	StateUnknown State = "unknown" // dispatched, and nobody will learn the outcome
+	StateClaimed State = "claimed" // a host has claimed the call and may have dispatched it
+	StateDone    State = "done"    // the call ran and its outcome is recorded
+	StateUnknown State = "unknown" // the call was dispatched and its outcome can never be known
 )
 
-// Errors of Do. Nothing was dispatched for the asker with any of them, and only
+// Errors returned by Do. Do dispatched nothing when it returns one of them, but only
 // ErrNotClaimed means that the call did not run at all.
 var (
-	// ErrNotClaimed means that the claim could not be made durable.
-	ErrNotClaimed = errors.New("claim could not be made")
-	// ErrUnderWay means that an earlier call with the key is not finished.
+	// ErrNotClaimed means that the claim could not be written durably.
+	ErrNotClaimed = errors.New("claim could not be written")
+	// ErrUnderWay means that an earlier call with the same key is still in progress.
 	ErrUnderWay = errors.New("an earlier call with this key is under way")
-	// ErrOutcomeUnknown means that the outcome of an earlier call with the key is lost.
+	// ErrOutcomeUnknown means that an earlier call with the same key may have run and its outcome is
+	// lost.
 	ErrOutcomeUnknown = errors.New("an earlier call with this key may have run")
-	// ErrBodyMismatch means that the key was used before for another content.
-	ErrBodyMismatch = errors.New("the key was used for a different body")
+	// ErrBodyMismatch means that the key was used before with a different body.
+	ErrBodyMismatch = errors.New("the key was used with a different body")
 )
 
-// Call names a call that may not be repeated.
+// Call identifies a non-idempotent call.
 type Call struct {
 	Workspace string
 	Service   string
 	Name      string
-	Key       string // the caller's
+	Key       string // the caller's idempotency key
 	Body      []byte
 	RequestID string
 }
 
-// rowKey is where the claim stands.
+// rowKey returns the key of the claim in TableClaims.
 func (c Call) rowKey() string {
 	return c.Workspace + "/" + c.Service + "/" + c.Name + "/" + digest([]byte(c.Key))
 }
 
-// digest shortens a text of any length to a fixed one.
+// digest returns a hash of fixed length, truncated to 128 bits.
 func digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:16])
 }
 
-// Outcome is an endpoint's answer, kept to be replayed.
+// Outcome is an endpoint's response, recorded for replay.
 type Outcome struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
 }
 
-// Attempt is the result of the one dispatch.
+// Attempt is the result of the single dispatch of a call.
 type Attempt struct {
 	Run     problem.Run
 	Outcome Outcome
 }
 
-// Result is what Do tells.
+// Result is returned by Do.
 type Result struct {
 	Run      problem.Run
 	Outcome  Outcome
 	Replayed bool
 }
 
-// claim is the row.
+// claim is a row of TableClaims.
 type claim struct {
 	State       State     `json:"state"`
 	RequestID   string    `json:"request_id"`
-	Token       string    `json:"token"` // names the claimer's attempt
+	Token       string    `json:"token"` // unique ID of the claimer's attempt
 	BodyDigest  string    `json:"body_digest"`
 	Host        string    `json:"host"`
 	Incarnation string    `json:"incarnation"`
@@ -106,38 +108,38 @@
 	Outcome     *Outcome  `json:"outcome,omitempty"`
 }
 
-// Options set up a Guard.
+// Options configure a Guard.
 type Options struct {
 	Tables      store.Tables
 	Host        string
 	Incarnation string
-	// MayBeRunning reports whether the given start of a host may still be running.
+	// MayBeRunning reports whether the given incarnation of a host may still be running.
 	MayBeRunning func(ctx context.Context, host, incarnation string) bool
-	Limit        int // most records that wait for the table
+	Limit        int // maximum number of updates waiting for the table service
 }
 
-// Guard makes claims for one host.
+// Guard claims and dispatches calls on one host.
 type Guard struct {
 	options Options
 
-	mu      sync.Mutex // guards waiting
+	mu      sync.Mutex // guards pending
 	pending []claimUpdate
 }
 
-// claimUpdate is an end of a claim that the table does not have yet.
+// claimUpdate is the final state of a claim, not yet written to the table service.
 type claimUpdate struct {
 	key    string
 	claim  claim
-	remove bool // the claim goes: the call certainly did not run
+	remove bool // delete the claim, because the call certainly did not run
 }
 
-// NewGuard returns a guard without records.
+// NewGuard returns a guard without pending updates.
 func NewGuard(options Options) *Guard { return &Guard{options: options} }
 
-// Do claims a call and dispatches it, or tells what became of an earlier one.
+// Do claims a call and dispatches it, or returns the outcome of an earlier call with the same key.
 func (g *Guard) Do(ctx context.Context, c Call, dispatch func(context.Context) Attempt) (Result, error) {
 	if g.queueFull() {
-		return Result{}, fmt.Errorf("%w: too many outcomes wait for the table service", ErrNotClaimed)
+		return Result{}, fmt.Errorf("%w: too many claim updates are waiting for the table service", ErrNotClaimed)
 	}
 	own := claim{
 		State: StateClaimed, RequestID: c.RequestID, Token: uuid.NewString(), BodyDigest: digest(c.Body),
@@ -155,11 +157,11 @@
 	return Result{Run: attempt.Run, Outcome: attempt.Outcome}, nil
 }
 
-// maxClaimAttempts bounds how often a claim with a lost reply is looked up.
+// maxClaimAttempts bounds the attempts to write a claim or read an existing one.
 const maxClaimAttempts = 3
 
-// claimOrRead writes the claimOrRead or returns the one that is there. When it can't learn
-// which, it gives up, which is safe: it never dispatches after that.
+// claimOrRead writes the claim or returns the existing one. If it can't determine which of the
+// two applies, it returns an error. This is safe, because Do does not dispatch after an error.
 func (g *Guard) claimOrRead(ctx context.Context, key string, own claim) (claim, error) {
 	data, err := codec.Encode(own)
 	if err != nil {
@@ -201,7 +203,7 @@
 	return c, row, nil
 }
 
-// replay answers from a claim that another call made.
+// replay returns the result of the earlier call that made the existing claim.
 func (g *Guard) replay(ctx context.Context, c Call, existing claim) (Result, error) {
 	if existing.BodyDigest != digest(c.Body) {
 		return Result{}, ErrBodyMismatch
@@ -218,7 +220,8 @@
 	}
 }
 
-// recordResult records the end of a claim, now or when the table is back.
+// recordResult writes the final state of a claim, or enqueues it if the table service is
+// unavailable.
 func (g *Guard) recordResult(key string, own claim, attempt Attempt) {
 	update := claimUpdate{key: key, claim: own}
 	switch attempt.Run {
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -14,20 +14,20 @@
 	"quaybarrow/internal/standin/table"
 )
 
-// caller is a host's guard with a count of its dispatches.
-type caller struct {
+// testHost is a host's guard with a dispatch counter that hosts may share.
+type testHost struct {
 	guard      *once.Guard
 	dispatched *int
 }
 
-func newCaller(store *table.Store, host string, dispatched *int) caller {
-	lives := func(_ context.Context, host, _ string) bool { return host != "dead" }
-	return caller{once.NewGuard(once.Options{
-		Tables: store, Host: host, Incarnation: host + "-1", MayBeRunning: lives, Limit: 100,
+func newTestHost(store *table.Store, host string, dispatched *int) testHost {
+	mayBeRunning := func(_ context.Context, host, _ string) bool { return host != "dead" }
+	return testHost{once.NewGuard(once.Options{
+		Tables: store, Host: host, Incarnation: host + "-1", MayBeRunning: mayBeRunning, Limit: 100,
 	}), dispatched}
 }
 
-func (c caller) do(attempt once.Attempt) (once.Result, error) {
+func (c testHost) do(attempt once.Attempt) (once.Result, error) {
 	call := once.Call{Workspace: "w", Service: "payouts", Name: "pay", Key: "k", Body: []byte("100"), RequestID: "r"}
 	return c.guard.Do(context.Background(), call, func(context.Context) once.Attempt {
 		*c.dispatched++
@@ -37,11 +37,11 @@
 
 var ran = once.Attempt{Run: problem.Ran, Outcome: once.Outcome{Status: 200, Body: []byte("paid")}}
 
-var _ = Describe("a call that may not be repeated", func() {
-	It("is dispatched once and replayed to a repeat through another host", func() {
+var _ = Describe("a non-idempotent call", func() {
+	It("is dispatched once, and a retry through another host replays its outcome", func() {
 		suite.Paused(func() {
 			store, dispatched := table.New(table.Options{}), 0
-			first, second := newCaller(store, "a", &dispatched), newCaller(store, "b", &dispatched)
+			first, second := newTestHost(store, "a", &dispatched), newTestHost(store, "b", &dispatched)
 			r, err := first.do(ran)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(r.Replayed).To(BeFalse())
@@ -53,10 +53,10 @@
 		})
 	})
 
-	It("may run again after it certainly did not", func() {
+	It("is dispatched again if it certainly did not run", func() {
 		suite.Paused(func() {
 			store, dispatched := table.New(table.Options{}), 0
-			c := newCaller(store, "a", &dispatched)
+			c := newTestHost(store, "a", &dispatched)
 			r, err := c.do(once.Attempt{Run: problem.NotRun})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(r.Run).To(Equal(problem.NotRun))
@@ -67,10 +67,10 @@
 		})
 	})
 
-	It("never runs again once its outcome is unknown", func() {
+	It("is not dispatched again once its outcome is unknown", func() {
 		suite.Paused(func() {
 			store, dispatched := table.New(table.Options{}), 0
-			c := newCaller(store, "a", &dispatched)
+			c := newTestHost(store, "a", &dispatched)
 			_, err := c.do(once.Attempt{Run: problem.Unknown})
 			Expect(err).NotTo(HaveOccurred())
 			_, err = c.do(ran)
@@ -79,10 +79,10 @@
 		})
 	})
 
-	It("is refused for another body under the same key", func() {
+	It("is rejected if the same key is used with another body", func() {
 		suite.Paused(func() {
 			store, dispatched := table.New(table.Options{}), 0
-			c := newCaller(store, "a", &dispatched)
+			c := newTestHost(store, "a", &dispatched)
 			_, err := c.do(ran)
 			Expect(err).NotTo(HaveOccurred())
 			other := once.Call{Workspace: "w", Service: "payouts", Name: "pay", Key: "k", Body: []byte("200")}
@@ -91,10 +91,10 @@
 		})
 	})
 
-	It("is not dispatched when the claim's reply is lost and can't be read back, and may run later", func() {
+	It("is not dispatched if the reply to the claim is lost and the claim can't be read back, and may run later", func() {
 		suite.Paused(func() {
 			store, dispatched := table.New(table.Options{}), 0
-			c := newCaller(store, "a", &dispatched)
+			c := newTestHost(store, "a", &dispatched)
 			store.Inject(table.Fault{Kind: table.FaultLoseReply, Count: 1})
 			store.Inject(table.Fault{Kind: table.FaultDown})
 			_, err := c.do(ran)
@@ -112,10 +112,10 @@
 
 	hosts := map[string]error{"a": once.ErrUnderWay, "dead": once.ErrOutcomeUnknown}
 	for host, want := range hosts {
-		It(fmt.Sprintf("is %v while its claimer is host %s", want, host), func() {
+		It(fmt.Sprintf("returns \"%v\" while the claim belongs to host %s", want, host), func() {
 			suite.Paused(func() {
 				store, dispatched := table.New(table.Options{}), 0
-				first, second := newCaller(store, host, &dispatched), newCaller(store, "b", &dispatched)
+				first, second := newTestHost(store, host, &dispatched), newTestHost(store, "b", &dispatched)
 				call := once.Call{Workspace: "w", Service: "payouts", Name: "pay", Key: "k", Body: []byte("100")}
 				_, err := first.guard.Do(context.Background(), call, func(context.Context) once.Attempt {
 					dispatched++
@@ -129,10 +129,10 @@
 		})
 	}
 
-	It("keeps its outcome through an outage and replays it afterwards", func() {
+	It("queues its outcome during an outage of the table service and replays it afterwards", func() {
 		suite.Paused(func() {
 			store, dispatched := table.New(table.Options{}), 0
-			c := newCaller(store, "a", &dispatched)
+			c := newTestHost(store, "a", &dispatched)
 			call := once.Call{Workspace: "w", Service: "payouts", Name: "pay", Key: "k", Body: []byte("100")}
 			_, err := c.guard.Do(context.Background(), call, func(context.Context) once.Attempt {
 				store.Inject(table.Fault{Kind: table.FaultDown})
--- a/internal/once/updates.go
+++ b/internal/once/updates.go
@@ -11,7 +11,7 @@
 	"quaybarrow/internal/store"
 )
 
-// Times of recording ends of claims.
+// Timeout and retry delays of claim updates.
 const (
 	updateTimeout = 2 * time.Second
 	minRetryDelay = 500 * time.Millisecond
@@ -24,7 +24,7 @@
 	g.pending = append(g.pending, update)
 }
 
-// PendingUpdates counts the ends that the table does not have yet.
+// PendingUpdates returns the number of claim updates not yet written to the table service.
 func (g *Guard) PendingUpdates() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -33,7 +33,7 @@
 
 func (g *Guard) queueFull() bool { return g.PendingUpdates() >= g.options.Limit }
 
-// Run records what waits, until the context ends.
+// Run writes pending updates until the context is done.
 func (g *Guard) Run(ctx context.Context) {
 	delay := minRetryDelay
 	for {
@@ -48,7 +48,7 @@
 	}
 }
 
-// Flush tries every record that waits once; the error is the last one's.
+// Flush tries to write each pending update once. It returns the last error.
 func (g *Guard) Flush(ctx context.Context) error {
 	g.mu.Lock()
 	updates := g.pending
@@ -67,18 +67,18 @@
 	return lastErr
 }
 
-// applyUpdate records one end. Only a claim with the same token is touched, so a lost
-// reply and a second try do no harm.
+// applyUpdate writes one update. It changes only a claim with the same token, so it can be
+// repeated safely, for instance after a lost reply.
 func (g *Guard) applyUpdate(ctx context.Context, update claimUpdate) error {
 	current, row, err := g.read(ctx, update.key)
 	if errors.Is(err, store.ErrNotFound) {
 		if !update.remove {
-			return errors.WithMessage(store.ErrUnavailable, "claim is not there yet")
+			return errors.WithMessage(store.ErrUnavailable, "claim row does not exist yet")
 		}
-		// A write of the claim may still be on its way; a tombstone would be
-		// worse, as the caller may repeat a call that did not run.
+		// A write of the claim may still be in flight. A tombstone would be worse than
+		// waiting, because the caller may repeat a call that did not run.
 		if time.Since(update.claim.At) < maxClaimWriteDelay {
-			return errors.WithMessage(store.ErrUnavailable, "claim may still come")
+			return errors.WithMessage(store.ErrUnavailable, "a delayed write of the claim may still arrive")
 		}
 		return nil
 	}
@@ -101,5 +101,5 @@
 	return g.options.Tables.Commit(ctx, txn)
 }
 
-// maxClaimWriteDelay is how long a claim whose reply was lost may take to arrive.
+// maxClaimWriteDelay is how long the write of a claim whose reply was lost may be delayed.
 const maxClaimWriteDelay = 10 * time.Second
