--- a/internal/billing/bill.go
+++ b/internal/billing/bill.go
@@ -1,5 +1,5 @@
-// Package billing writes one bill for each request, through lost replies,
-// outages of the table service and the death of hosts.
+// Package billing writes exactly one bill for each request, despite lost replies,
+// outages of the table service and crashes of hosts.
 //
 // # Usage
 //
@@ -8,11 +8,11 @@
 //	entry.Progress(tokens)                 // while it runs
 //	entry.Settle(usage)                    // or entry.Void() if it did not run
 //
-// A bill's row is named by the request's id and written only if absent, so
-// there can't be two. The work is in not losing one: before a request runs, its
-// open bill is copied to two hosts in other data halls, or, where that can't
-// be, written as an intent to the table. When a host dies, whoever holds the
-// copy writes the bill with what was known last.
+// A bill's row is keyed by the request ID and written only if absent, so there
+// can't be two. To avoid losing a bill, the open bill is copied to two hosts in
+// other data halls before the request runs, or, if that is not possible, written
+// to the table service as an intent. When a host crashes, a host that holds a copy
+// writes the bill with the last known usage.
 package billing
 
 import (
@@ -27,31 +27,32 @@
 	TableIntents = "intent"
 )
 
-// Errors of opening a bill. Nothing has run when one is returned.
+// Errors returned by Open. The request has not run when one of them is returned.
 var (
 	// ErrFull means that too many bills wait for the table service.
 	ErrFull = errors.New("too many bills are unsettled")
-	// ErrNotReplicated means that no second place for the open bill could be had.
-	ErrNotReplicated = errors.New("open bill could not be kept in a second place")
+	// ErrNotReplicated means that the open bill could be stored neither on another host nor in
+	// the table service.
+	ErrNotReplicated = errors.New("open bill could not be stored on another host or in the table service")
 )
 
-// State is how far a bill has come.
+// State is the state of a bill.
 type State string
 
 // States of a bill.
 const (
 	StateOpen State = "open"
-	// StateFinal has the usage that the endpoint reported.
+	// StateFinal means that the bill has the usage that the endpoint reported.
 	StateFinal State = "final"
-	// StateInterrupted has the usage known when its host was lost. Its host
-	// may still replace it by a final one, should it come back.
+	// StateInterrupted means that the bill has the usage last known before its host was
+	// lost. If the host comes back, it may still replace the bill by a final one.
 	StateInterrupted State = "interrupted"
 )
 
-// Bill is what one request costs.
+// Bill records the usage and cost of one request.
 type Bill struct {
 	RequestID   string    `json:"request_id"` // the row's key
-	OpeningID   string    `json:"copy"`       // names this opening among repeats of the request
+	OpeningID   string    `json:"copy"`       // unique per call of Open, unlike RequestID
 	Workspace   string    `json:"workspace"`
 	Subject     string    `json:"subject"` // model@version, or service/call
 	Class       string    `json:"class,omitempty"`
@@ -62,19 +63,19 @@
 	Opened      time.Time `json:"opened"`
 	Settled     time.Time `json:"settled,omitzero"`
 	Usage       Usage     `json:"usage"`
-	// Intent is set when the table has, or may have, an intent of this opening.
+	// Intent is set when the table service has, or may have, an intent for this OpeningID.
 	Intent bool `json:"intent,omitempty"`
 }
 
-// Usage is what a bill charges for.
+// Usage is the billed usage.
 type Usage struct {
 	PromptTokens     int   `json:"prompt_tokens"`
 	CompletionTokens int   `json:"completion_tokens"`
-	Cost             int64 `json:"cost"` // micro-units of money
+	Cost             int64 `json:"cost"` // in millionths of the currency unit
 	Attempts         int   `json:"attempts"`
 }
 
-// Add joins the usage of two attempts of one request.
+// Add returns the sum of the usage of two attempts of one request.
 func (u Usage) Add(other Usage) Usage {
 	u.PromptTokens += other.PromptTokens
 	u.CompletionTokens += other.CompletionTokens
@@ -89,7 +90,7 @@
 	return b
 }
 
-// WithState returns the bill in another state, settled at a moment.
+// WithState returns the bill in another state, settled at the given time.
 func (b Bill) WithState(s State, at time.Time) Bill {
 	b.State = s
 	b.Settled = at
@@ -102,8 +103,8 @@
 	return b
 }
 
-// Replaces reports whether the bill takes the place of one in the table: only
-// the final word of the same opening over an interrupted one.
+// Replaces reports whether the bill replaces an existing one in the table: only a final bill
+// replaces an interrupted one, and only with the same OpeningID.
 func (b Bill) Replaces(existing Bill) bool {
 	return existing.State == StateInterrupted && b.State == StateFinal && existing.OpeningID == b.OpeningID
 }
--- a/internal/billing/copies.go
+++ b/internal/billing/copies.go
@@ -14,27 +14,27 @@
 	"quaybarrow/internal/peer"
 )
 
-// Limits of the messages to holders.
+// Limits of messages to holders.
 const (
 	maxBatch         = 100
 	holdTimeout      = 2 * time.Second
-	holderRetryDelay = 5 * time.Second // after it failed
+	holderRetryDelay = 5 * time.Second // before a holder that failed is chosen again
 )
 
 // holder is another host that keeps copies of this host's open bills.
 type holder struct {
 	member  membership.Member
 	batcher *batch.Batcher[*Entry]
-	sendMu  sync.Mutex // one message at a time, so that none overtakes another
+	sendMu  sync.Mutex // serializes messages, so that they arrive in order
 
 	// Guarded by Ledger.mu.
-	closedIDs      []string      // ids to tell as closed
-	expectedCopies int           // copies it should have
-	avoidUntil     clock.Instant // not to be chosen before
+	closedIDs      []string      // IDs of closed bills to report with the next message
+	expectedCopies int           // number of copies that it should have
+	avoidUntil     clock.Instant // not chosen before this time, after a failure
 }
 
-// ChooseHolders picks the hosts that keep copies of a host's bills: in other data
-// halls, and in two different ones where there are two.
+// ChooseHolders chooses the hosts that hold copies of this host's bills. It prefers other data
+// halls, and two different ones if possible.
 func ChooseHolders(view membership.View, avoided func(host string) bool) []membership.Member {
 	self, _ := view.Member(view.Self)
 	var otherHalls, sameHall []membership.Member
@@ -59,14 +59,13 @@
 	return chosen
 }
 
-// onePerDataHall takes the first member of each data hall, at most as many as
-// there are copies.
+// onePerDataHall returns the first member of each data hall, at most copiesPerBill in all.
 func onePerDataHall(members []membership.Member) []membership.Member {
 	var chosen []membership.Member
-	halls := map[string]bool{}
+	seen := map[string]bool{}
 	for _, m := range members {
-		if len(chosen) < copiesPerBill && !halls[m.DataHall] {
-			halls[m.DataHall] = true
+		if len(chosen) < copiesPerBill && !seen[m.DataHall] {
+			seen[m.DataHall] = true
 			chosen = append(chosen, m)
 		}
 	}
@@ -82,10 +81,11 @@
 	return false
 }
 
-// maxReplicationRounds bounds how often other holders are looked for when some fail.
+// maxReplicationRounds bounds the rounds of choosing other holders when some fail.
 const maxReplicationRounds = 3
 
-// replicate sends an open bill to hosts until two hold it; it returns how many do.
+// replicate sends an open bill to other hosts until copiesPerBill hold it or the rounds are used
+// up. It returns how many hold it.
 func (l *Ledger) replicate(ctx context.Context, e *Entry) int {
 	for range maxReplicationRounds {
 		holders := l.missingHolders(e)
@@ -103,7 +103,7 @@
 	return len(e.holders)
 }
 
-// missingHolders returns the hosts that should hold the entry and do not yet.
+// missingHolders returns the hosts that should hold a copy of the entry but do not yet.
 func (l *Ledger) missingHolders(e *Entry) []*holder {
 	e.mu.Lock()
 	current := append([]string(nil), e.holders...)
@@ -136,7 +136,7 @@
 	return false
 }
 
-// holderLocked finds or makes the holder of a member; the caller holds mu.
+// holderLocked returns the holder of a member and creates it if needed; the caller holds mu.
 func (l *Ledger) holderLocked(m membership.Member) *holder {
 	if h, ok := l.holders[m.Host]; ok {
 		h.member = m
@@ -150,7 +150,7 @@
 	return h
 }
 
-// sendUpdates sends entries, new or changed, and closed ids to a holder.
+// sendUpdates sends new or changed entries and the IDs of closed ones to a holder.
 func (l *Ledger) sendUpdates(ctx context.Context, h *holder, entries []*Entry) error {
 	h.sendMu.Lock()
 	defer h.sendMu.Unlock()
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// recordCopies notes that a holder has the entries. One that ended while the message
-// was under way is told as closed with the next.
+// recordCopies records that a holder has copies of the entries. An entry that was closed while
+// the message was in flight is reported as closed with the next message.
 func (l *Ledger) recordCopies(h *holder, entries []*Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -198,8 +198,8 @@
 	}
 }
 
-// recordHolderFailure notes that a holder could not be told. Its copies no longer count; what
-// it still has is put right when it answers again, or by its own sweep.
+// recordHolderFailure records that a message to a holder failed. Its copies no longer count.
+// Copies that it still has are corrected when it answers again, or by its own sweep.
 func (l *Ledger) recordHolderFailure(h *holder, closed []string, rejected bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -223,7 +223,7 @@
 	}
 }
 
-// syncHolders tells every holder what changed and finds new holders for entries
+// syncHolders sends every holder the entries that changed and finds new holders for entries
 // that lost one.
 func (l *Ledger) syncHolders(ctx context.Context) {
 	changed, underReplicated := l.entriesToSync()
@@ -246,8 +246,8 @@
 	wait.Wait()
 }
 
-// entriesToSync lists, by holder, the entries that changed since it was told, and the
-// entries with too few holders.
+// entriesToSync returns, by holder, the entries that changed since the last message to it, and
+// the entries with too few holders.
 func (l *Ledger) entriesToSync() (map[*holder][]*Entry, []*Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/billing/entry.go
+++ b/internal/billing/entry.go
@@ -9,28 +9,28 @@
 type Entry struct {
 	ledger *Ledger
 
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	bill    Bill
-	dirty   bool     // holders have an older state
+	dirty   bool     // the copies of the holders are out of date
 	holders []string // hosts that hold a copy
 	closed  bool
 }
 
-// update changes an entry under its lock.
+// update calls change with the lock of the entry held.
 func (e *Entry) update(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change()
 }
 
-// Bill returns the bill as it stands.
+// Bill returns the current bill.
 func (e *Entry) Bill() Bill {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.bill
 }
 
-// Progress notes what was used so far, for whoever may have to settle.
+// Progress records the usage so far, in case another host has to settle the bill.
 func (e *Entry) Progress(u Usage) {
 	e.update(func() {
 		e.bill = e.bill.WithUsage(u)
@@ -38,7 +38,7 @@
 	})
 }
 
-// Retarget notes the version that the request runs on now.
+// Retarget records the version on which the request runs now.
 func (e *Entry) Retarget(subject string) {
 	e.update(func() {
 		e.bill = e.bill.WithSubject(subject)
@@ -46,8 +46,8 @@
 	})
 }
 
-// Settle ends the bill with its usage and returns the final bill. The ledger
-// writes it before long; calls after the first change nothing.
+// Settle closes the bill with its final usage and returns it. The ledger writes it soon
+// afterwards (see Options.Settle). Calls after the first have no effect.
 func (e *Entry) Settle(u Usage) Bill {
 	e.mu.Lock()
 	if e.closed {
@@ -67,7 +67,7 @@
 	return bill
 }
 
-// Void ends the bill of a request that certainly did not run.
+// Void closes the bill of a request that certainly did not run, without writing a bill.
 func (e *Entry) Void() {
 	e.mu.Lock()
 	wasClosed, intent, id := e.closed, e.bill.Intent, e.bill.OpeningID
@@ -86,7 +86,7 @@
 	l.wake.Poke()
 }
 
-// forgetBill forgets a bill that needs nothing more, and has its holders told.
+// forgetBill removes a completed bill and notifies its holders with the next message.
 func (l *Ledger) forgetBill(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/billing/flush.go
+++ b/internal/billing/flush.go
@@ -13,19 +13,19 @@
 	"quaybarrow/internal/store"
 )
 
-// Limits of writing to the table.
+// Limits of writes to the table service.
 const (
 	flushTimeout       = 3 * time.Second
 	minBackoff         = 500 * time.Millisecond
 	maxBackoff         = 8 * time.Second
-	maxIntentsPerSweep = 1000 // rows of one sweep
+	maxIntentsPerSweep = 1000 // rows read by one sweep
 )
 
-// intentRange selects the intents of one sweep.
+// intentRange selects the intents read by one sweep.
 var intentRange = store.Range{Table: TableIntents, Limit: maxIntentsPerSweep}
 
-// Run writes bills, keeps holders told and settles the bills of lost hosts,
-// until the context ends.
+// Run writes bills, sends updates to holders and settles the bills of lost hosts,
+// until the context is done.
 func (l *Ledger) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	wait.Go(func() { l.flushLoop(ctx) })
@@ -38,8 +38,8 @@
 	wait.Wait()
 }
 
-// flushLoop writes pending bills, several at once, and backs off with jitter
-// while the table is away, so that a recovering one is not stormed.
+// flushLoop writes pending bills in batches. While the table service is unavailable, it backs
+// off with jitter, so that a recovering service is not overloaded.
 func (l *Ledger) flushLoop(ctx context.Context) {
 	backoff := time.Duration(0)
 	for {
@@ -60,7 +60,7 @@
 	}
 }
 
-// Flush writes everything that is pending now, in batches.
+// Flush writes all pending bills and deletes stale intents, in batches.
 func (l *Ledger) Flush(ctx context.Context) error {
 	for {
 		bills, staleIntents := l.nextBatch()
@@ -73,7 +73,7 @@
 	}
 }
 
-// nextBatch returns some pending bills and stray intents; they stay in the ledger
+// nextBatch returns some pending bills and stale intents. They stay in the ledger
 // until they are written.
 func (l *Ledger) nextBatch() ([]Bill, []string) {
 	l.mu.Lock()
@@ -90,8 +90,8 @@
 	return bills, append([]string(nil), staleIntents...)
 }
 
-// flushBatch writes bills in one transaction; when some were billed before, one
-// by one.
+// flushBatch writes bills in one transaction. If the transaction conflicts because some
+// requests are billed already, it writes the bills one by one.
 func (l *Ledger) flushBatch(ctx context.Context, bills []Bill, staleIntents []string) error {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
@@ -119,7 +119,8 @@
 	return nil
 }
 
-// newTransaction writes bills only if absent and removes their intents.
+// newTransaction returns a transaction that writes bills only if absent and deletes their intents
+// and the stale ones.
 func newTransaction(bills []Bill, staleIntents []string) (store.Transaction, error) {
 	var txn store.Transaction
 	seen := map[string]bool{}
@@ -128,7 +129,7 @@
 			txn.Writes = append(txn.Writes, store.Delete(TableIntents, b.OpeningID))
 		}
 		if seen[b.RequestID] {
-			continue // a repeat of the same request: billed once
+			continue // another bill of the same request, which is billed once
 		}
 		seen[b.RequestID] = true
 		data, err := codec.Encode(b)
@@ -144,7 +145,7 @@
 	return txn, nil
 }
 
-// writeBill writes one bill, or finds that the request is billed already.
+// writeBill writes one bill, unless the request is billed already.
 func (l *Ledger) writeBill(ctx context.Context, b Bill) error {
 	txn, err := newTransaction([]Bill{b}, nil)
 	if err != nil {
@@ -161,8 +162,8 @@
 	return nil
 }
 
-// resolveConflict replaces an interrupted bill of the same opening by its final word; any
-// other bill in the table stands, and only the intent goes.
+// resolveConflict replaces an interrupted bill with the same OpeningID by the final one. Any
+// other existing bill is kept, and only the intent is deleted.
 func (l *Ledger) resolveConflict(ctx context.Context, b Bill, txn store.Transaction) error {
 	row, err := l.options.Tables.Get(ctx, TableBills, b.RequestID)
 	if err != nil {
@@ -188,9 +189,9 @@
 	l.staleIntents = l.staleIntents[len(done):]
 }
 
-// Drain writes all bills before a stop. While the table is away it makes sure
-// that the holders have the final words, so that they settle them instead; the
-// error says how many have no second place.
+// Drain writes all bills before the host stops. If the table service is unavailable, it makes
+// sure that holders have the final bills, so that they write them instead. The error tells
+// how many bills have an up-to-date copy on no other host.
 func (l *Ledger) Drain(ctx context.Context) error {
 	for {
 		if err := l.Flush(ctx); err == nil {
@@ -201,12 +202,13 @@
 			return nil
 		}
 		if !clock.Sleep(ctx, minBackoff) {
-			return errors.Errorf("%d bills have no second place", l.unreplicatedCount())
+			return errors.Errorf("%d bills have no up-to-date copy on another host", l.unreplicatedCount())
 		}
 	}
 }
 
-// unreplicatedCount counts pending bills that nobody else has in their final state.
+// unreplicatedCount returns the number of own pending bills of which no other host has the final
+// state.
 func (l *Ledger) unreplicatedCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -214,7 +216,7 @@
 	for id := range l.pending {
 		e := l.open[id]
 		if e == nil {
-			continue // adopted: its other holder has it too
+			continue // taken over from another host: the other holder has a copy too
 		}
 		e.mu.Lock()
 		if len(e.holders) == 0 || e.dirty {
--- a/internal/billing/held.go
+++ b/internal/billing/held.go
@@ -10,23 +10,23 @@
 	"quaybarrow/internal/peer"
 )
 
-// ownerSilenceTimeout is how long an owner may say nothing before its holder looks whether
-// it is still there.
+// ownerSilenceTimeout is the time without a message from an owner after which a holder checks
+// whether the owner still runs.
 const ownerSilenceTimeout = 10 * time.Second
 
-// ownerKey names one start of an owner's process.
+// ownerKey identifies one incarnation of the host that owns the bills.
 type ownerKey struct{ host, incarnation string }
 
-// heldBills are the copies kept for one owner; guarded by Ledger.mu.
+// heldBills are the copies held for one owner; guarded by Ledger.mu.
 type heldBills struct {
 	address   string
-	lastHeard clock.Instant // when it was last heard
+	lastHeard clock.Instant // when the owner last sent a message or answered a ping
 	bills     map[string]Bill
-	ownerLost bool // its bills are being settled here
+	ownerLost bool // this host is settling its bills
 }
 
-// Hold takes in another host's message about its open bills. ErrRefused says
-// that copies the owner counts on are not here.
+// Hold applies another host's message about its open bills. It returns peer.ErrRefused if
+// this host lacks copies that the owner expects here, or if the ledger is at its limit.
 func (l *Ledger) Hold(_ context.Context, message peer.Hold) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,13 +59,13 @@
 	return nil
 }
 
-// silentOwner is an owner that has not been heard for long.
+// silentOwner is an owner that has sent no message for ownerSilenceTimeout.
 type silentOwner struct {
 	key     ownerKey
 	address string
 }
 
-// takeOverLostOwners settles the bills of owners that are gone.
+// takeOverLostOwners settles the bills of owners that no longer run.
 func (l *Ledger) takeOverLostOwners(ctx context.Context) {
 	for _, o := range l.silentOwners() {
 		if l.isRunning(ctx, o.key, o.address) {
@@ -88,7 +88,7 @@
 	return silent
 }
 
-// isRunning asks a host whether the given start of it still runs.
+// isRunning asks a host whether the given incarnation of it still runs.
 func (l *Ledger) isRunning(ctx context.Context, key ownerKey, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, holdTimeout)
 	defer cancel()
@@ -108,8 +108,8 @@
 	}
 }
 
-// takeOver makes the bills of a lost owner pending here. An open one is settled
-// with the usage known last.
+// takeOver makes the bills of a lost owner pending on this host. An open bill is settled as
+// interrupted, with the last known usage.
 func (l *Ledger) takeOver(key ownerKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,8 +127,8 @@
 	l.wake.Poke()
 }
 
-// SweepIntents settles intents whose hosts are gone; it is run by one host at a
-// time, though two would do no harm.
+// SweepIntents settles intents whose hosts no longer run. One host at a time runs it, though
+// concurrent runs are harmless.
 func (l *Ledger) SweepIntents(ctx context.Context) error {
 	rows, err := l.options.Tables.Scan(ctx, intentRange)
 	if err != nil {
@@ -153,8 +153,9 @@
 	return nil
 }
 
-// MayBeRunning reports whether a start of a host still runs, as far as can be told. A
-// listed host that can't be asked counts as living.
+// MayBeRunning reports whether an incarnation of a host may still run, as far as can be
+// determined. A host that can't be asked because the membership lists it as suspect counts as
+// running.
 func (l *Ledger) MayBeRunning(ctx context.Context, host, incarnation string) bool {
 	if host == l.options.Host {
 		return incarnation == l.options.Incarnation
--- a/internal/billing/ledger.go
+++ b/internal/billing/ledger.go
@@ -16,31 +16,32 @@
 	"quaybarrow/internal/wake"
 )
 
-// copiesPerBill is how many other hosts hold an open bill.
+// copiesPerBill is the number of other hosts that hold a copy of an open bill.
 const copiesPerBill = 2
 
-// Options set up a Ledger.
+// Options configure a Ledger.
 type Options struct {
 	Tables      store.Tables
 	Link        peer.Link
 	View        func() membership.View
 	Host        string
 	Incarnation string
-	Address     string        // this host's, for peers
-	Limit       int           // most bills kept here, own and held
-	Settle      time.Duration // longest wait of a finished bill
-	Keepalive   time.Duration // period of messages to holders
+	Address     string        // this host's address for peers
+	Limit       int           // maximum number of bills in memory, own and held for other hosts
+	Settle      time.Duration // maximum delay before a finished bill is written
+	Keepalive   time.Duration // interval of messages to holders
 }
 
-// Ledger is a host's bills that the table does not have yet.
+// Ledger holds a host's bills that are not yet in the table service, and copies of other hosts'
+// bills.
 type Ledger struct {
 	options Options
 	intents *batch.Batcher[Bill]
 
-	mu           sync.Mutex // guards all below
+	mu           sync.Mutex // guards the fields below
 	open         map[string]*Entry
-	pending      map[string]Bill // settled, not yet in the table; by Copy
-	staleIntents []string        // intents to delete: their request did not run
+	pending      map[string]Bill // settled, not yet in the table service; by OpeningID
+	staleIntents []string        // intents to delete, because their requests did not run
 	holders      map[string]*holder
 	held         map[ownerKey]*heldBills
 	wake         wake.Signal // tells Run that a bill is pending
@@ -60,7 +61,7 @@
 	return l
 }
 
-// Open keeps a bill in a second place before its request runs.
+// Open stores a bill on other hosts or in the table service before its request runs.
 func (l *Ledger) Open(ctx context.Context, bill Bill) (*Entry, error) {
 	bill.OpeningID = uuid.NewString()
 	bill.Host, bill.Incarnation = l.options.Host, l.options.Incarnation
@@ -76,7 +77,7 @@
 	return e, nil
 }
 
-// addEntry adds an entry unless the ledger is at its bound.
+// addEntry adds an entry unless the ledger is at its limit.
 func (l *Ledger) addEntry(e *Entry) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,14 +88,14 @@
 	return true
 }
 
-// makeDurable copies the open bill to two hosts, or writes its intent, or, with the
-// table away, makes do with one copy.
+// makeDurable copies the open bill to two hosts. If fewer hold a copy, it writes an intent to
+// the table service; if that fails too, one copy is sufficient.
 func (l *Ledger) makeDurable(ctx context.Context, e *Entry) error {
 	copied := l.replicate(ctx, e)
 	if copied >= copiesPerBill {
 		return nil
 	}
-	e.update(func() { // before the write: a lost reply may hide a row
+	e.update(func() { // set before the write, which may succeed although its reply is lost
 		e.bill.Intent, e.dirty = true, true
 	})
 	err := l.intents.Do(ctx, e.Bill())
@@ -104,7 +105,7 @@
 	return fmt.Errorf("%w: %w", ErrNotReplicated, err)
 }
 
-// writeIntents puts open bills into the table, all in one transaction.
+// writeIntents writes open bills as intents to the table service, all in one transaction.
 func (l *Ledger) writeIntents(ctx context.Context, bills []Bill) error {
 	var txn store.Transaction
 	for _, b := range bills {
@@ -120,14 +121,15 @@
 	return nil
 }
 
-// Size counts the bills kept here: own open, settled, held for others.
+// Size returns the numbers of bills in memory: own open ones, settled ones not yet written, and
+// copies held for other hosts.
 func (l *Ledger) Size() (open, pending, held int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open) - l.ownPendingLocked(), len(l.pending), l.heldCountLocked()
 }
 
-// ownPendingLocked counts entries that are settled; the caller holds mu.
+// ownPendingLocked returns the number of this host's own pending bills; the caller holds mu.
 func (l *Ledger) ownPendingLocked() int {
 	count := 0
 	for id := range l.pending {
@@ -146,5 +148,5 @@
 	return count
 }
 
-// sizeLocked counts everything kept; the caller holds mu.
+// sizeLocked returns the number of all bills in memory; the caller holds mu.
 func (l *Ledger) sizeLocked() int { return len(l.open) + len(l.pending) + l.heldCountLocked() }
