--- a/internal/rollout/credits.go
+++ b/internal/rollout/credits.go
@@ -47,7 +47,7 @@
 	stopped             bool // after too many consecutive failures
 }
 
-// creditBatch is the unspent part of a grant.
+// creditBatch holds the unspent credits of a grant until they expire.
 type creditBatch struct {
 	left    int
 	expires clock.Instant
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -42,7 +42,7 @@
 		"0.2 above it, 0.01": {plan.Floor + 0.2, 0.01},
 	}
 	for name, c := range falseWithdrawals {
-		It("withdraws a good version by mistake, however often it is evaluated, in less than this share of runs: "+name, func() {
+		It("withdraws a version by mistake, however often it is evaluated, in less than this share of runs: "+name, func() {
 			withdrawn := 0
 			for seed := range seeds {
 				_, action, _ := applyRatings(rollout.NewState(plan, time.Unix(0, 0)), c.mean, rand.New(rand.NewPCG(uint64(seed), 1)), 2000)
