--- a/internal/billing/entry.go
+++ b/internal/billing/entry.go
@@ -9,85 +9,85 @@
 type Entry struct {
 	ledger *Ledger
 
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	bill    Bill
-	dirty   bool     // holders have an older state
+	dirty   bool     // the copies of the holders are out of date
 	holders []string // hosts that hold a copy
-	ended   bool
+	closed  bool
 }
 
-// mark changes an entry under its lock.
-func (e *Entry) mark(change func()) {
+// update calls change with the lock of the entry held.
+func (e *Entry) update(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change()
 }
 
-// Bill returns the bill as it stands.
+// Bill returns the current bill.
 func (e *Entry) Bill() Bill {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.bill
 }
 
-// Progress notes what was used so far, for whoever may have to settle.
+// Progress records the usage so far, in case another host has to settle the bill.
 func (e *Entry) Progress(u Usage) {
-	e.mark(func() {
+	e.update(func() {
 		e.bill = e.bill.WithUsage(u)
 		e.dirty = true
 	})
 }
 
-// Retarget notes the version that the request runs on now.
+// Retarget records the version on which the request runs now.
 func (e *Entry) Retarget(subject string) {
-	e.mark(func() {
+	e.update(func() {
 		e.bill = e.bill.WithSubject(subject)
 		e.dirty = true
 	})
 }
 
-// Settle ends the bill with its usage and returns the final bill. The ledger
-// writes it before long; calls after the first change nothing.
+// Settle closes the bill with its final usage and returns it. The ledger writes it soon
+// afterwards (see Options.Settle). Calls after the first have no effect.
 func (e *Entry) Settle(u Usage) Bill {
 	e.mu.Lock()
-	if e.ended {
+	if e.closed {
 		defer e.mu.Unlock()
 		return e.bill
 	}
-	e.ended = true
+	e.closed = true
 	e.bill = e.bill.WithUsage(u).WithState(StateFinal, time.Now().UTC())
 	e.dirty = true
 	bill := e.bill
 	e.mu.Unlock()
 	l := e.ledger
 	l.mu.Lock()
-	l.pending[bill.Copy] = bill
+	l.pending[bill.OpeningID] = bill
 	l.mu.Unlock()
 	l.wake.Notify()
 	return bill
 }
 
-// Void ends the bill of a request that certainly did not run.
+// Void closes the bill of a request that certainly did not run, without writing a bill.
 func (e *Entry) Void() {
 	e.mu.Lock()
-	ended, intent, id := e.ended, e.bill.Intent, e.bill.Copy
-	e.ended = true
+	wasClosed, intent, id := e.closed, e.bill.Intent, e.bill.OpeningID
+	e.closed = true
 	e.mu.Unlock()
-	if ended {
+	if wasClosed {
 		return
 	}
 	l := e.ledger
 	l.mu.Lock()
 	if intent {
-		l.strays = append(l.strays, id)
+		l.staleIntents = append(l.staleIntents, id)
 	}
 	l.mu.Unlock()
-	l.closed(id)
+	l.forgetBill(id)
 	l.wake.Notify()
 }
 
-// closed forgets a bill that needs nothing more, and has its holders told.
-func (l *Ledger) closed(id string) {
+// forgetBill removes a completed bill and notifies its holders with the next message.
+func (l *Ledger) forgetBill(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.open[id]
@@ -95,7 +95,7 @@
 	delete(l.pending, id)
 	for key, h := range l.held {
 		delete(h.bills, id)
-		if len(h.bills) == 0 && h.gone {
+		if len(h.bills) == 0 && h.ownerLost {
 			delete(l.held, key)
 		}
 	}
@@ -106,8 +106,8 @@
 	defer e.mu.Unlock()
 	for _, name := range e.holders {
 		if h := l.holders[name]; h != nil {
-			h.closed = append(h.closed, id)
-			h.known--
+			h.closedIDs = append(h.closedIDs, id)
+			h.expectedCopies--
 		}
 	}
 }
--- a/internal/billing/flush.go
+++ b/internal/billing/flush.go
@@ -13,33 +13,33 @@
 	"quaybarrow/internal/store"
 )
 
-// Limits of writing to the table.
+// Limits of writes to the table service.
 const (
-	flushTimeout = 3 * time.Second
-	minBackoff   = 500 * time.Millisecond
-	maxBackoff   = 8 * time.Second
-	maxIntents   = 1000 // rows of one sweep
+	flushTimeout       = 3 * time.Second
+	minBackoff         = 500 * time.Millisecond
+	maxBackoff         = 8 * time.Second
+	maxIntentsPerSweep = 1000 // rows read by one sweep
 )
 
-// intentRange selects the intents of one sweep.
-var intentRange = store.Range{Table: TableIntents, Limit: maxIntents}
+// intentRange selects the intents read by one sweep.
+var intentRange = store.Range{Table: TableIntents, Limit: maxIntentsPerSweep}
 
-// Run writes bills, keeps holders told and settles the bills of lost hosts,
-// until the context ends.
+// Run writes bills, sends updates to holders and settles the bills of lost hosts,
+// until the context is done.
 func (l *Ledger) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	wait.Go(func() { l.flushLoop(ctx) })
 	wait.Go(func() {
 		for clock.Sleep(ctx, l.options.Keepalive) {
-			l.keepalive(ctx)
-			l.sweepHeld(ctx)
+			l.syncHolders(ctx)
+			l.takeOverLostOwners(ctx)
 		}
 	})
 	wait.Wait()
 }
 
-// flushLoop writes pending bills, several at once, and backs off with jitter
-// while the table is away, so that a recovering one is not stormed.
+// flushLoop writes pending bills in batches. While the table service is unavailable, it backs
+// off with jitter, so that a recovering service is not overloaded.
 func (l *Ledger) flushLoop(ctx context.Context) {
 	backoff := time.Duration(0)
 	for {
@@ -60,22 +60,22 @@
 	}
 }
 
-// Flush writes everything that is pending now, in batches.
+// Flush writes all pending bills and deletes stale intents, in batches.
 func (l *Ledger) Flush(ctx context.Context) error {
 	for {
-		bills, strays := l.take()
-		if len(bills) == 0 && len(strays) == 0 {
+		bills, staleIntents := l.nextBatch()
+		if len(bills) == 0 && len(staleIntents) == 0 {
 			return nil
 		}
-		if err := l.flushBatch(ctx, bills, strays); err != nil {
+		if err := l.flushBatch(ctx, bills, staleIntents); err != nil {
 			return err
 		}
 	}
 }
 
-// take returns some pending bills and stray intents; they stay in the ledger
+// nextBatch returns some pending bills and stale intents. They stay in the ledger
 // until they are written.
-func (l *Ledger) take() ([]Bill, []string) {
+func (l *Ledger) nextBatch() ([]Bill, []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	bills := make([]Bill, 0, min(len(l.pending), maxBatch))
@@ -85,17 +85,17 @@
 		}
 		bills = append(bills, b)
 	}
-	sort.Slice(bills, func(i, j int) bool { return bills[i].Copy < bills[j].Copy })
-	strays := l.strays[:min(len(l.strays), maxBatch)]
-	return bills, append([]string(nil), strays...)
+	sort.Slice(bills, func(i, j int) bool { return bills[i].OpeningID < bills[j].OpeningID })
+	staleIntents := l.staleIntents[:min(len(l.staleIntents), maxBatch)]
+	return bills, append([]string(nil), staleIntents...)
 }
 
-// flushBatch writes bills in one transaction; when some were billed before, one
-// by one.
-func (l *Ledger) flushBatch(ctx context.Context, bills []Bill, strays []string) error {
+// flushBatch writes bills in one transaction. If the transaction conflicts because some
+// requests are billed already, it writes the bills one by one.
+func (l *Ledger) flushBatch(ctx context.Context, bills []Bill, staleIntents []string) error {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	txn, err := transactionOf(bills, strays)
+	txn, err := newTransaction(bills, staleIntents)
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 	case err == nil:
 	case errors.Is(err, store.ErrConflict):
 		for _, b := range bills {
-			if err := l.writeOne(ctx, b); err != nil {
+			if err := l.writeBill(ctx, b); err != nil {
 				return err
 			}
 		}
@@ -112,23 +112,24 @@
 	default:
 		return err
 	}
-	l.dropStrays(strays)
+	l.removeStaleIntents(staleIntents)
 	for _, b := range bills {
-		l.closed(b.Copy)
+		l.forgetBill(b.OpeningID)
 	}
 	return nil
 }
 
-// transactionOf writes bills only if absent and removes their intents.
-func transactionOf(bills []Bill, strays []string) (store.Transaction, error) {
+// newTransaction returns a transaction that writes bills only if absent and deletes their intents
+// and the stale ones.
+func newTransaction(bills []Bill, staleIntents []string) (store.Transaction, error) {
 	var txn store.Transaction
 	seen := map[string]bool{}
 	for _, b := range bills {
 		if b.Intent {
-			txn.Writes = append(txn.Writes, store.Delete(TableIntents, b.Copy))
+			txn.Writes = append(txn.Writes, store.Delete(TableIntents, b.OpeningID))
 		}
 		if seen[b.RequestID] {
-			continue // a repeat of the same request: billed once
+			continue // another bill of the same request, which is billed once
 		}
 		seen[b.RequestID] = true
 		data, err := codec.Encode(b)
@@ -138,32 +139,32 @@
 		txn.Conditions = append(txn.Conditions, store.Absent(TableBills, b.RequestID))
 		txn.Writes = append(txn.Writes, store.Put(TableBills, b.RequestID, data))
 	}
-	for _, id := range strays {
+	for _, id := range staleIntents {
 		txn.Writes = append(txn.Writes, store.Delete(TableIntents, id))
 	}
 	return txn, nil
 }
 
-// writeOne writes one bill, or finds that the request is billed already.
-func (l *Ledger) writeOne(ctx context.Context, b Bill) error {
-	txn, err := transactionOf([]Bill{b}, nil)
+// writeBill writes one bill, unless the request is billed already.
+func (l *Ledger) writeBill(ctx context.Context, b Bill) error {
+	txn, err := newTransaction([]Bill{b}, nil)
 	if err != nil {
 		return err
 	}
 	err = l.options.Tables.Commit(ctx, txn)
 	if errors.Is(err, store.ErrConflict) {
-		err = l.amend(ctx, b, txn)
+		err = l.resolveConflict(ctx, b, txn)
 	}
 	if err != nil {
 		return err
 	}
-	l.closed(b.Copy)
+	l.forgetBill(b.OpeningID)
 	return nil
 }
 
-// amend replaces an interrupted bill of the same opening by its final word; any
-// other bill in the table stands, and only the intent goes.
-func (l *Ledger) amend(ctx context.Context, b Bill, txn store.Transaction) error {
+// resolveConflict replaces an interrupted bill with the same OpeningID by the final one. Any
+// other existing bill is kept, and only the intent is deleted.
+func (l *Ledger) resolveConflict(ctx context.Context, b Bill, txn store.Transaction) error {
 	row, err := l.options.Tables.Get(ctx, TableBills, b.RequestID)
 	if err != nil {
 		return err
@@ -177,44 +178,45 @@
 		if !b.Intent {
 			return nil
 		}
-		txn.Writes = []store.Write{store.Delete(TableIntents, b.Copy)}
+		txn.Writes = []store.Write{store.Delete(TableIntents, b.OpeningID)}
 	}
 	return l.options.Tables.Commit(ctx, txn)
 }
 
-func (l *Ledger) dropStrays(done []string) {
+func (l *Ledger) removeStaleIntents(done []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.strays = l.strays[len(done):]
+	l.staleIntents = l.staleIntents[len(done):]
 }
 
-// Drain writes all bills before a stop. While the table is away it makes sure
-// that the holders have the final words, so that they settle them instead; the
-// error says how many have no second place.
+// Drain writes all bills before the host stops. If the table service is unavailable, it makes
+// sure that holders have the final bills, so that they write them instead. The error tells
+// how many bills have an up-to-date copy on no other host.
 func (l *Ledger) Drain(ctx context.Context) error {
 	for {
 		if err := l.Flush(ctx); err == nil {
 			return nil
 		}
-		l.keepalive(ctx)
-		if left := l.unheld(); left == 0 {
+		l.syncHolders(ctx)
+		if count := l.unreplicatedCount(); count == 0 {
 			return nil
 		}
 		if !clock.Sleep(ctx, minBackoff) {
-			return errors.Errorf("%d bills have no second place", l.unheld())
+			return errors.Errorf("%d bills have no up-to-date copy on another host", l.unreplicatedCount())
 		}
 	}
 }
 
-// unheld counts pending bills that nobody else has in their final state.
-func (l *Ledger) unheld() int {
+// unreplicatedCount returns the number of own pending bills of which no other host has the final
+// state.
+func (l *Ledger) unreplicatedCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	count := 0
 	for id := range l.pending {
 		e := l.open[id]
 		if e == nil {
-			continue // adopted: its other holder has it too
+			continue // taken over from another host: the other holder has a copy too
 		}
 		e.mu.Lock()
 		if len(e.holders) == 0 || e.dirty {
--- a/internal/billing/held.go
+++ b/internal/billing/held.go
@@ -10,23 +10,23 @@
 	"quaybarrow/internal/peer"
 )
 
-// silence is how long an owner may say nothing before its holder looks whether
-// it is still there.
-const silence = 10 * time.Second
+// ownerSilenceTimeout is the time without a message from an owner after which a holder checks
+// whether the owner still runs.
+const ownerSilenceTimeout = 10 * time.Second
 
-// ownerKey names one start of an owner's process.
+// ownerKey identifies one incarnation of the host that owns the bills.
 type ownerKey struct{ host, incarnation string }
 
-// heldBills are the copies kept for one owner; guarded by Ledger.mu.
+// heldBills are the copies held for one owner; guarded by Ledger.mu.
 type heldBills struct {
-	address string
-	last    clock.Instant // when it was last heard
-	bills   map[string]Bill
-	gone    bool // its bills are being settled here
+	address   string
+	lastHeard clock.Instant // when the owner last sent a message or answered a ping
+	bills     map[string]Bill
+	ownerLost bool // this host is settling its bills
 }
 
-// Hold takes in another host's message about its open bills. ErrRefused says
-// that copies the owner counts on are not here.
+// Hold applies another host's message about its open bills. It returns peer.ErrRefused if
+// this host lacks copies that the owner expects here, or if the ledger is at its limit.
 func (l *Ledger) Hold(_ context.Context, message peer.Hold) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +41,7 @@
 	if l.sizeLocked()+len(message.Open) > l.options.Limit {
 		return peer.ErrRefused
 	}
-	h.address, h.last, h.gone = message.Address, clock.Now(), false
+	h.address, h.lastHeard, h.ownerLost = message.Address, clock.Now(), false
 	for _, id := range message.Closed {
 		delete(h.bills, id)
 	}
@@ -50,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		h.bills[bill.Copy] = bill
+		h.bills[bill.OpeningID] = bill
 	}
 	l.held[key] = h
 	if len(h.bills) == 0 {
@@ -59,20 +59,20 @@
 	return nil
 }
 
-// silentOwner is an owner that has not been heard for long.
+// silentOwner is an owner that has sent no message for ownerSilenceTimeout.
 type silentOwner struct {
 	key     ownerKey
 	address string
 }
 
-// sweepHeld settles the bills of owners that are gone.
-func (l *Ledger) sweepHeld(ctx context.Context) {
+// takeOverLostOwners settles the bills of owners that no longer run.
+func (l *Ledger) takeOverLostOwners(ctx context.Context) {
 	for _, o := range l.silentOwners() {
-		if l.alive(ctx, o.key, o.address) {
-			l.heard(o.key)
+		if l.isRunning(ctx, o.key, o.address) {
+			l.markHeard(o.key)
 			continue
 		}
-		l.adopt(o.key)
+		l.takeOver(o.key)
 	}
 }
 
@@ -81,43 +81,43 @@
 	defer l.mu.Unlock()
 	var silent []silentOwner
 	for key, h := range l.held {
-		if clock.Since(h.last) >= silence {
+		if clock.Since(h.lastHeard) >= ownerSilenceTimeout {
 			silent = append(silent, silentOwner{key, h.address})
 		}
 	}
 	return silent
 }
 
-// alive asks a host whether the given start of it still runs.
-func (l *Ledger) alive(ctx context.Context, key ownerKey, address string) bool {
+// isRunning asks a host whether the given incarnation of it still runs.
+func (l *Ledger) isRunning(ctx context.Context, key ownerKey, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, holdTimeout)
 	defer cancel()
 	self := peer.Status{Host: l.options.Host, Incarnation: l.options.Incarnation, Address: l.options.Address}
-	if me, ok := l.options.View().Member(l.options.Host); ok {
-		self = me.Status
+	if member, ok := l.options.View().Member(l.options.Host); ok {
+		self = member.Status
 	}
 	status, err := l.options.Link.Ping(ctx, address, self)
 	return err == nil && status.Host == key.host && status.Incarnation == key.incarnation
 }
 
-func (l *Ledger) heard(key ownerKey) {
+func (l *Ledger) markHeard(key ownerKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if h := l.held[key]; h != nil {
-		h.last = clock.Now()
+		h.lastHeard = clock.Now()
 	}
 }
 
-// adopt makes the bills of a lost owner pending here. An open one is settled
-// with the usage known last.
-func (l *Ledger) adopt(key ownerKey) {
+// takeOver makes the bills of a lost owner pending on this host. An open bill is settled as
+// interrupted, with the last known usage.
+func (l *Ledger) takeOver(key ownerKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.held[key]
 	if h == nil {
 		return
 	}
-	h.gone = true
+	h.ownerLost = true
 	for id, b := range h.bills {
 		if b.State == StateOpen {
 			b = b.WithState(StateInterrupted, time.Now().UTC())
@@ -127,35 +127,36 @@
 	l.wake.Notify()
 }
 
-// SweepIntents settles intents whose hosts are gone; it is run by one host at a
-// time, though two would do no harm.
+// SweepIntents settles intents whose hosts no longer run. One host at a time runs it, though
+// concurrent runs are harmless.
 func (l *Ledger) SweepIntents(ctx context.Context) error {
 	rows, err := l.options.Tables.Scan(ctx, intentRange)
 	if err != nil {
 		return err
 	}
-	asked := map[ownerKey]bool{}
+	runningByOwner := map[ownerKey]bool{}
 	for _, row := range rows {
 		b, err := codec.Decode[Bill](row.Value)
-		if err != nil || time.Since(b.Opened) < silence {
+		if err != nil || time.Since(b.Opened) < ownerSilenceTimeout {
 			continue
 		}
 		key := ownerKey{b.Host, b.Incarnation}
-		alive, known := asked[key]
-		if !known {
-			alive = l.Lives(ctx, key.host, key.incarnation)
-			asked[key] = alive
+		running, checked := runningByOwner[key]
+		if !checked {
+			running = l.MayBeRunning(ctx, key.host, key.incarnation)
+			runningByOwner[key] = running
 		}
-		if !alive {
-			l.adoptIntent(b)
+		if !running {
+			l.takeOverIntent(b)
 		}
 	}
 	return nil
 }
 
-// Lives reports whether a start of a host still runs, as far as can be told. A
-// listed host that can't be asked counts as living.
-func (l *Ledger) Lives(ctx context.Context, host, incarnation string) bool {
+// MayBeRunning reports whether an incarnation of a host may still run, as far as can be
+// determined. A host that can't be asked because the membership lists it as suspect counts as
+// running.
+func (l *Ledger) MayBeRunning(ctx context.Context, host, incarnation string) bool {
 	if host == l.options.Host {
 		return incarnation == l.options.Incarnation
 	}
@@ -163,14 +164,14 @@
 	if !ok {
 		return false
 	}
-	return m.State == membership.StateSuspect || l.alive(ctx, ownerKey{host, incarnation}, m.Address)
+	return m.State == membership.StateSuspect || l.isRunning(ctx, ownerKey{host, incarnation}, m.Address)
 }
 
-func (l *Ledger) adoptIntent(b Bill) {
+func (l *Ledger) takeOverIntent(b Bill) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, ok := l.pending[b.Copy]; !ok {
-		l.pending[b.Copy] = b.WithState(StateInterrupted, time.Now().UTC())
+	if _, ok := l.pending[b.OpeningID]; !ok {
+		l.pending[b.OpeningID] = b.WithState(StateInterrupted, time.Now().UTC())
 	}
 	l.wake.Notify()
 }
--- a/internal/billing/ledger.go
+++ b/internal/billing/ledger.go
@@ -16,34 +16,35 @@
 	"quaybarrow/internal/wake"
 )
 
-// copies is how many other hosts hold an open bill.
-const copies = 2
+// copiesPerBill is the number of other hosts that hold a copy of an open bill.
+const copiesPerBill = 2
 
-// Options set up a Ledger.
+// Options configure a Ledger.
 type Options struct {
 	Tables      store.Tables
 	Link        peer.Link
 	View        func() membership.View
 	Host        string
 	Incarnation string
-	Address     string        // this host's, for peers
-	Limit       int           // most bills kept here, own and held
-	Settle      time.Duration // longest wait of a finished bill
-	Keepalive   time.Duration // period of messages to holders
+	Address     string        // this host's address for peers
+	Limit       int           // maximum number of bills in memory, own and held for other hosts
+	Settle      time.Duration // maximum delay before a finished bill is written
+	Keepalive   time.Duration // interval of messages to holders
 }
 
-// Ledger is a host's bills that the table does not have yet.
+// Ledger holds a host's bills that are not yet in the table service, and copies of other hosts'
+// bills.
 type Ledger struct {
 	options Options
 	intents *batch.Batcher[Bill]
 
-	mu      sync.Mutex // guards all below
-	open    map[string]*Entry
-	pending map[string]Bill // settled, not yet in the table; by Copy
-	strays  []string        // intents to delete: their request did not run
-	holders map[string]*holder
-	held    map[ownerKey]*heldBills
-	wake    wake.Signal // tells Run that a bill is pending
+	mu           sync.Mutex // guards the fields below
+	open         map[string]*Entry
+	pending      map[string]Bill // settled, not yet in the table service; by OpeningID
+	staleIntents []string        // intents to delete, because their requests did not run
+	holders      map[string]*holder
+	held         map[ownerKey]*heldBills
+	wake         wake.Signal // tells Run that a bill is pending
 }
 
 // New returns an empty ledger.
@@ -60,51 +61,51 @@
 	return l
 }
 
-// Open keeps a bill in a second place before its request runs.
+// Open stores a bill on other hosts or in the table service before its request runs.
 func (l *Ledger) Open(ctx context.Context, bill Bill) (*Entry, error) {
-	bill.Copy = uuid.NewString()
+	bill.OpeningID = uuid.NewString()
 	bill.Host, bill.Incarnation = l.options.Host, l.options.Incarnation
 	bill.State, bill.Opened = StateOpen, time.Now().UTC()
 	e := &Entry{ledger: l, bill: bill}
-	if !l.admit(e) {
+	if !l.addEntry(e) {
 		return nil, ErrFull
 	}
-	if err := l.secure(ctx, e); err != nil {
+	if err := l.makeDurable(ctx, e); err != nil {
 		e.Void()
 		return nil, err
 	}
 	return e, nil
 }
 
-// admit adds an entry unless the ledger is at its bound.
-func (l *Ledger) admit(e *Entry) bool {
+// addEntry adds an entry unless the ledger is at its limit.
+func (l *Ledger) addEntry(e *Entry) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.sizeLocked() >= l.options.Limit {
 		return false
 	}
-	l.open[e.bill.Copy] = e
+	l.open[e.bill.OpeningID] = e
 	return true
 }
 
-// secure copies the open bill to two hosts, or writes its intent, or, with the
-// table away, makes do with one copy.
-func (l *Ledger) secure(ctx context.Context, e *Entry) error {
-	kept := l.copyOut(ctx, e)
-	if kept >= copies {
+// makeDurable copies the open bill to two hosts. If fewer hold a copy, it writes an intent to
+// the table service; if that fails too, one copy is sufficient.
+func (l *Ledger) makeDurable(ctx context.Context, e *Entry) error {
+	copied := l.replicate(ctx, e)
+	if copied >= copiesPerBill {
 		return nil
 	}
-	e.mark(func() { // before the write: a lost reply may hide a row
+	e.update(func() { // set before the write, which may succeed although its reply is lost
 		e.bill.Intent, e.dirty = true, true
 	})
 	err := l.intents.Do(ctx, e.Bill())
-	if err == nil || kept > 0 {
+	if err == nil || copied > 0 {
 		return nil
 	}
-	return fmt.Errorf("%w: %w", ErrUnsafe, err)
+	return fmt.Errorf("%w: %w", ErrNotReplicated, err)
 }
 
-// writeIntents puts open bills into the table, all in one transaction.
+// writeIntents writes open bills as intents to the table service, all in one transaction.
 func (l *Ledger) writeIntents(ctx context.Context, bills []Bill) error {
 	var txn store.Transaction
 	for _, b := range bills {
@@ -112,7 +113,7 @@
 		if err != nil {
 			return err
 		}
-		txn.Writes = append(txn.Writes, store.Put(TableIntents, b.Copy, data))
+		txn.Writes = append(txn.Writes, store.Put(TableIntents, b.OpeningID, data))
 	}
 	if err := l.options.Tables.Commit(ctx, txn); err != nil {
 		return fmt.Errorf("write intents: %w", err)
@@ -120,14 +121,15 @@
 	return nil
 }
 
-// Size counts the bills kept here: own open, settled, held for others.
+// Size returns the numbers of bills in memory: own open ones, settled ones not yet written, and
+// copies held for other hosts.
 func (l *Ledger) Size() (open, pending, held int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.open) - l.ownPendingLocked(), len(l.pending), l.heldLocked()
+	return len(l.open) - l.ownPendingLocked(), len(l.pending), l.heldCountLocked()
 }
 
-// ownPendingLocked counts entries that are settled; the caller holds mu.
+// ownPendingLocked returns the number of this host's own pending bills; the caller holds mu.
 func (l *Ledger) ownPendingLocked() int {
 	count := 0
 	for id := range l.pending {
@@ -138,7 +140,7 @@
 	return count
 }
 
-func (l *Ledger) heldLocked() int {
+func (l *Ledger) heldCountLocked() int {
 	count := 0
 	for _, h := range l.held {
 		count += len(h.bills)
@@ -146,5 +148,5 @@
 	return count
 }
 
-// sizeLocked counts everything kept; the caller holds mu.
-func (l *Ledger) sizeLocked() int { return len(l.open) + len(l.pending) + l.heldLocked() }
+// sizeLocked returns the number of all bills in memory; the caller holds mu.
+func (l *Ledger) sizeLocked() int { return len(l.open) + len(l.pending) + l.heldCountLocked() }
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -92,7 +92,7 @@
 			newLogger, newPlatform, newTelemetry, newTLS, newLink, newTransport, newConns,
 			config.NewHolder, config.NewLog, newKeyrings, newState, newMembership, newSpreader,
 			newWatch, clock.NewDeadlines, newQuarantine, newDispatcher, newAdmission, newLeases, newLedger, newGuard,
-			session.NewNames, job.NewQueue, newCredits, newTraffic, estimate.NewAggregator,
+			session.NewNamedSessions, job.NewQueue, newCredits, newTraffic, estimate.NewAggregator,
 			newPipeline, newWorker, operator.NewCommands, newQueries, newRollout, newOrders, newHost,
 		),
 		fx.Invoke(func(lc fx.Lifecycle, h *Host) {
@@ -242,11 +242,11 @@
 
 func newGuard(id identity, tables store.Tables, ledger *billing.Ledger) *once.Guard {
 	return once.NewGuard(once.Options{
-		Tables: tables, Host: id.host, Incarnation: id.incarnation, Lives: ledger.Lives, Limit: outcomesWaiting,
+		Tables: tables, Host: id.host, Incarnation: id.incarnation, MayBeRunning: ledger.MayBeRunning, Limit: outcomesWaiting,
 	})
 }
 
-func newPipeline(s settings.Settings, h *config.Holder, a *admission.Controller, k *keyrings, n *session.Names, f *fleet.Fleet,
+func newPipeline(s settings.Settings, h *config.Holder, a *admission.Controller, k *keyrings, n *session.NamedSessions, f *fleet.Fleet,
 	d *dispatch.Dispatcher, q *quarantine.Tracker, l *billing.Ledger, g *once.Guard, c *rollout.Credits, e *estimate.Aggregator,
 	tel *telemetry.Telemetry, tr *traffic.Log, deadlines *clock.Deadlines,
 ) *pipeline.Pipeline {
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -18,21 +18,21 @@
 	"quaybarrow/internal/store"
 )
 
-// TablePlans holds the states of plans.
+// TablePlans is the table of plan states.
 const TablePlans = "plan"
 
-// Bounds of a controller's work.
+// Interval and limits of a controller's steps.
 const (
-	stepEvery    = time.Second
-	ratingsAtOne = 500
-	grantTimeout = time.Second
+	stepInterval      = time.Second
+	maxRatingsPerStep = 500
+	grantTimeout      = time.Second
 )
 
-// Mover changes a version's state in the configuration, for a reason. Moving a
-// version to where it is already is no error.
-type Mover func(ctx context.Context, ref declare.Ref, to declare.State, commandID, reason string) error
+// MoveFunc changes a version's state in the configuration and records the reason. It returns
+// no error if the version is in that state already.
+type MoveFunc func(ctx context.Context, ref declare.Ref, to declare.State, commandID, reason string) error
 
-// Options set up a Controller.
+// Options configure a Controller.
 type Options struct {
 	Tables  store.Tables
 	Ratings store.Ratings
@@ -40,34 +40,34 @@
 	Leases  *lease.Manager
 	Link    peer.Link
 	View    func() membership.View
-	Move    Mover
-	// GrantSelf takes the credits meant for this host.
+	Move    MoveFunc
+	// GrantSelf delivers the credits granted to this host.
 	GrantSelf func(peer.Grant)
-	// Ready reports whether some endpoint serves a version.
+	// Ready reports whether at least one endpoint serves a version.
 	Ready func(declare.Ref) bool
 }
 
-// Controller runs the plans that this host owns.
+// Controller runs the plans whose leases this host holds.
 type Controller struct{ options Options }
 
 // NewController returns a controller.
 func NewController(options Options) *Controller { return &Controller{options: options} }
 
-// Run competes for every declared plan until the context ends.
+// Run competes for the lease of every active plan until the context is done.
 func (c *Controller) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	running := map[string]context.CancelFunc{}
 	for ctx.Err() == nil {
-		wanted := c.plans()
+		wanted := c.activePlans()
 		for name := range wanted {
 			if _, ok := running[name]; ok {
 				continue
 			}
-			planContext, cancel := context.WithCancel(ctx)
+			planCtx, cancel := context.WithCancel(ctx)
 			running[name] = cancel
 			wait.Go(func() {
-				c.options.Leases.Run(planContext, "rollout/"+name, func(ctx context.Context, l *lease.Lease) {
-					c.control(ctx, l, name)
+				c.options.Leases.Run(planCtx, "rollout/"+name, func(ctx context.Context, l *lease.Lease) {
+					c.runPlan(ctx, l, name)
 				})
 			})
 		}
@@ -77,7 +77,7 @@
 				delete(running, name)
 			}
 		}
-		clock.Sleep(ctx, stepEvery)
+		clock.Sleep(ctx, stepInterval)
 	}
 	for _, cancel := range running {
 		cancel()
@@ -85,8 +85,8 @@
 	wait.Wait()
 }
 
-// plans names the plans whose version is in roll-out or in service.
-func (c *Controller) plans() map[string]bool {
+// activePlans returns the names of the plans whose version is being rolled out or in service.
+func (c *Controller) activePlans() map[string]bool {
 	snapshot := c.options.Config.Current()
 	names := map[string]bool{}
 	if snapshot == nil {
@@ -101,17 +101,17 @@
 	return names
 }
 
-// control steps a plan while the lease is held.
-func (c *Controller) control(ctx context.Context, l *lease.Lease, name string) {
+// runPlan runs the steps of a plan while the lease is held.
+func (c *Controller) runPlan(ctx context.Context, l *lease.Lease, name string) {
 	for l.Valid() && ctx.Err() == nil {
 		if err := c.Step(ctx, l, name); errors.Is(err, store.ErrConflict) {
-			return // the fence or the row says that another controls the plan
+			return // the fencing token or the row shows that another host controls the plan
 		}
-		clock.Sleep(ctx, stepEvery)
+		clock.Sleep(ctx, stepInterval)
 	}
 }
 
-// Step takes one step of a plan: ratings in, verdict, credits out.
+// Step runs one step of a plan: it reads ratings, applies the verdict and grants credits.
 func (c *Controller) Step(ctx context.Context, l *lease.Lease, name string) error {
 	snapshot := c.options.Config.Current()
 	plan, ok := snapshot.Revision().Declarations.Plan(name)
@@ -123,44 +123,45 @@
 		return err
 	}
 	ref := declare.ParseRef(plan.Version)
-	state = follow(state, snapshot.State(ref))
+	state = applyOperatorChange(state, snapshot.State(ref))
 	if state.Phase == PhaseWithdrawn {
 		return nil
 	}
-	ratings, cursor, err := c.ratings(ctx, state)
+	ratings, cursor, err := c.newRatings(ctx, state)
 	if err != nil {
 		return err
 	}
-	failed, err := c.troubles(ctx, plan.Version)
+	failingHosts, err := c.failingHostCount(ctx, plan.Version)
 	if err != nil {
 		return err
 	}
 	next, action := Step(state, plan, ratings, time.Now().UTC())
 	if action == ActionNone {
-		next, action = next.Failing(failed, len(c.options.View().Live()))
+		next, action = next.WithFailingHosts(failingHosts, len(c.options.View().Live()))
 	}
 	next.Cursor, next.Epoch = cursor, l.Epoch()
-	if err := c.act(ctx, ref, next, action); err != nil {
+	if err := c.applyAction(ctx, ref, next, action); err != nil {
 		return err
 	}
-	room := int64(0)
+	grantable := int64(0)
 	if !plan.Held && c.options.Ready(ref) {
-		room = next.Room()
+		grantable = next.GrantableCredits()
 	}
-	if room > 0 {
-		next = next.WithGrant(room, time.Now().UTC())
+	if grantable > 0 {
+		next = next.WithGrant(grantable, time.Now().UTC())
 	}
 	if err := c.save(ctx, l, row, next); err != nil {
 		return err
 	}
-	if room > 0 {
-		c.grant(ctx, l, next, int(room), plan.Timeout())
+	if grantable > 0 {
+		c.sendGrants(ctx, l, next, int(grantable), plan.Timeout())
 	}
 	return nil
 }
 
-// follow takes over what an operator did to the version meanwhile.
-func follow(s State, now declare.State) State {
+// applyOperatorChange adapts the state to a change that an operator made to the version since
+// the last step.
+func applyOperatorChange(s State, now declare.State) State {
 	switch {
 	case now == declare.StateServing && s.Phase == PhaseRunning:
 		return s.WithPhase(PhaseAccepted, "an operator put the version into service")
@@ -171,7 +172,7 @@
 	}
 }
 
-// load reads a plan's state, or starts it.
+// load reads a plan's state, or returns the initial state if there is none.
 func (c *Controller) load(ctx context.Context, plan declare.Plan) (State, store.Row, error) {
 	row, err := c.options.Tables.Get(ctx, TablePlans, plan.Name)
 	if errors.Is(err, store.ErrNotFound) {
@@ -185,12 +186,12 @@
 		return State{}, store.Row{}, fmt.Errorf("load plan %s: %w", plan.Name, err)
 	}
 	if s.Version != plan.Version {
-		s = NewState(plan, time.Now().UTC()) // the plan was declared anew
+		s = NewState(plan, time.Now().UTC()) // the plan was redeclared for another version
 	}
 	return s, row, nil
 }
 
-// save writes a plan's state under the lease's fence.
+// save writes a plan's state, fenced by the lease.
 func (c *Controller) save(ctx context.Context, l *lease.Lease, row store.Row, s State) error {
 	data, err := codec.Encode(s)
 	if err != nil {
@@ -206,15 +207,15 @@
 	return nil
 }
 
-// ratings reads the ratings of the plan's version past its cursor.
-func (c *Controller) ratings(ctx context.Context, s State) ([]float64, int64, error) {
-	all, err := c.options.Ratings.After(ctx, s.Cursor, ratingsAtOne)
+// newRatings reads the ratings of the plan's version after the cursor, and returns the new cursor.
+func (c *Controller) newRatings(ctx context.Context, s State) ([]float64, int64, error) {
+	page, err := c.options.Ratings.After(ctx, s.Cursor, maxRatingsPerStep)
 	if err != nil {
 		return nil, 0, fmt.Errorf("read ratings: %w", err)
 	}
 	cursor := s.Cursor
 	var scores []float64
-	for _, r := range all {
+	for _, r := range page {
 		cursor = r.Sequence
 		if r.Version == s.Version {
 			scores = append(scores, r.Score)
@@ -223,18 +224,18 @@
 	return scores, cursor, nil
 }
 
-// troubles counts the hosts on which a version fails.
-func (c *Controller) troubles(ctx context.Context, version string) (int, error) {
-	rows, err := c.options.Tables.Scan(ctx, store.Range{Table: TableTroubles, Prefix: troublePrefix(version), Limit: failingHosts})
+// failingHostCount returns the number of hosts on which a version fails, at most minFailingHosts.
+func (c *Controller) failingHostCount(ctx context.Context, version string) (int, error) {
+	rows, err := c.options.Tables.Scan(ctx, store.Range{Table: TableFailingHosts, Prefix: failingHostPrefix(version), Limit: minFailingHosts})
 	if err != nil {
-		return 0, fmt.Errorf("read troubles: %w", err)
+		return 0, fmt.Errorf("read failing hosts: %w", err)
 	}
 	return len(rows), nil
 }
 
-// act carries a verdict out before the state is saved: if this host dies in
-// between, the next one comes to the same verdict and finds it carried out.
-func (c *Controller) act(ctx context.Context, ref declare.Ref, s State, a Action) error {
+// applyAction applies an action before the state is saved. If this host crashes in between,
+// the next controller reaches the same verdict and finds it applied already.
+func (c *Controller) applyAction(ctx context.Context, ref declare.Ref, s State, a Action) error {
 	id := fmt.Sprintf("plan/%s/%s/%s", s.Plan, s.Version, a)
 	switch a {
 	case ActionAccept:
@@ -246,9 +247,9 @@
 	}
 }
 
-// Split divides credits over hosts as evenly as they go; the serial decides who
-// gets one more, so that the rest wanders.
-func Split(credits, hosts int, serial int64) []int {
+// SplitCredits divides credits among hosts as evenly as possible. The grant's serial number
+// selects the hosts that get the remainder, so that it rotates among them.
+func SplitCredits(credits, hosts int, serial int64) []int {
 	shares := make([]int, hosts)
 	for i := range shares {
 		shares[i] = credits / hosts
@@ -259,9 +260,9 @@
 	return shares
 }
 
-// grant sends credits to the live hosts. What does not arrive is not granted
-// again: it expires like an answer that is never rated.
-func (c *Controller) grant(ctx context.Context, l *lease.Lease, s State, credits int, timeout time.Duration) {
+// sendGrants sends credits to the live hosts. Credits lost on the way are not granted again:
+// they expire like the credit of an answer that is never rated.
+func (c *Controller) sendGrants(ctx context.Context, l *lease.Lease, s State, credits int, timeout time.Duration) {
 	hosts := c.options.View().Live()
 	if len(hosts) == 0 {
 		return
@@ -269,7 +270,7 @@
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	var wait sync.WaitGroup
-	for i, share := range Split(credits, len(hosts), s.Serial) {
+	for i, share := range SplitCredits(credits, len(hosts), s.Serial) {
 		if share == 0 {
 			continue
 		}
--- a/internal/rollout/credits.go
+++ b/internal/rollout/credits.go
@@ -14,21 +14,21 @@
 	"quaybarrow/internal/store"
 )
 
-// TableTroubles holds a row for each host on which a version fails.
-const TableTroubles = "trouble"
+// TableFailingHosts is the table with a row for each version and host on which it fails.
+const TableFailingHosts = "trouble"
 
-// failuresToStop is how many failures in a row make a host stop using a version
-// in roll-out, on its own evidence.
-const failuresToStop = 3
+// maxConsecutiveFailures is the number of consecutive failures after which a host stops using
+// a version in rollout, whatever other hosts observe.
+const maxConsecutiveFailures = 3
 
-// troubleTimeout bounds writing a trouble row.
-const troubleTimeout = 2 * time.Second
+// failingHostWriteTimeout limits the write of a failing-host row.
+const failingHostWriteTimeout = 2 * time.Second
 
-// validShare is the part of a rating timeout for which a host may use a credit;
-// the controller waits for the whole of it.
-const validShare = 0.8
+// creditValidityFraction is the fraction of the rating timeout during which a host may use a
+// credit. The controller waits for the whole timeout before it expires the credit.
+const creditValidityFraction = 0.8
 
-// Credits are what this host may still answer with versions in roll-out.
+// Credits are the answers that this host may still give with versions in rollout.
 type Credits struct {
 	config *config.Holder
 	tables store.Tables
@@ -40,20 +40,20 @@
 
 // planCredits are the credits of one plan.
 type planCredits struct {
-	epoch    int64
-	serial   int64 // of the last grant taken in
-	batches  []creditBatch
-	failures int  // in a row
-	stopped  bool // by failures in a row
+	epoch               int64
+	serial              int64 // of the last accepted grant
+	batches             []creditBatch
+	consecutiveFailures int  // since the last success
+	stopped             bool // after too many consecutive failures
 }
 
-// creditBatch is a grant, until it is spent or expires.
+// creditBatch holds the unspent credits of a grant until they expire.
 type creditBatch struct {
 	left    int
 	expires clock.Instant
 }
 
-// left counts the credits that can be spent at a moment.
+// left returns the number of credits that can be spent at the given time.
 func (p planCredits) left(now clock.Instant) int {
 	if p.stopped {
 		return 0
@@ -67,7 +67,7 @@
 	return count
 }
 
-// spend takes a credit, the oldest first, and drops what is used up.
+// spend uses one credit of the oldest valid batch and removes spent and expired batches.
 func (p planCredits) spend(now clock.Instant) planCredits {
 	spent := false
 	var kept []creditBatch
@@ -87,12 +87,12 @@
 	return p
 }
 
-// NewCredits returns no credits.
+// NewCredits returns an empty set of credits.
 func NewCredits(holder *config.Holder, tables store.Tables, host string) *Credits {
 	return &Credits{config: holder, tables: tables, host: host, plans: map[string]planCredits{}}
 }
 
-// Grant takes in credits, each grant once, and none of an older controller.
+// Grant adds the credits of a grant. It ignores duplicates and grants of an older controller.
 func (c *Credits) Grant(g peer.Grant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,13 +101,14 @@
 		return
 	}
 	p.epoch, p.serial = g.Epoch, g.Serial
-	valid := time.Duration(float64(g.Timeout) * validShare)
+	valid := time.Duration(float64(g.Timeout) * creditValidityFraction)
 	p.batches = append(p.batches, creditBatch{left: g.Credits, expires: clock.Now().Add(valid)})
 	c.plans[g.Plan] = p
 }
 
-// plan finds the running plan of a version.
-func (c *Credits) plan(ref declare.Ref) (string, bool) {
+// activeGrantName returns the grant name of the version's plan, and whether there is a plan that
+// is not on hold.
+func (c *Credits) activeGrantName(ref declare.Ref) (string, bool) {
 	snapshot := c.config.Current()
 	if snapshot == nil {
 		return "", false
@@ -116,16 +117,16 @@
 	return grantName(p.Name, p.Version), ok && !p.Held
 }
 
-// grantName names the credits of a plan for one version: a plan that is declared
-// anew for another version starts without any.
+// grantName identifies the credits of a plan for one version. A plan that is redeclared for
+// another version starts without credits.
 func grantName(plan, version string) string { return plan + "=" + version }
 
-// Available reports whether a credit for the version is left.
+// Available reports whether a credit is left for a version.
 func (c *Credits) Available(ref declare.Ref) bool { return c.Left(ref) > 0 }
 
-// Left returns the credits left for a version.
+// Left returns the number of credits left for a version.
 func (c *Credits) Left(ref declare.Ref) int {
-	name, ok := c.plan(ref)
+	name, ok := c.activeGrantName(ref)
 	if !ok {
 		return 0
 	}
@@ -134,9 +135,9 @@
 	return c.plans[name].left(clock.Now())
 }
 
-// Spend takes a credit. A pinned session goes on even if none is left.
+// Spend uses one credit if any is left. A pinned session continues even without credits.
 func (c *Credits) Spend(ref declare.Ref) {
-	name, ok := c.plan(ref)
+	name, ok := c.activeGrantName(ref)
 	if !ok {
 		return
 	}
@@ -145,54 +146,56 @@
 	c.plans[name] = c.plans[name].spend(clock.Now())
 }
 
-// Report tells how an attempt on a version in roll-out went. After a few failures
-// in a row this host uses it no more, and tells the plan's controller why.
+// Report records whether an attempt on a version in rollout failed. After
+// maxConsecutiveFailures, this host stops using the version and reports that it fails to the
+// plan's controller.
 func (c *Credits) Report(ctx context.Context, ref declare.Ref, failed bool) {
-	name, ok := c.plan(ref)
+	name, ok := c.activeGrantName(ref)
 	if !ok {
 		return
 	}
-	if c.note(name, failed) {
-		_ = c.writeTrouble(ctx, ref) // at worst the window's credits expire unused
+	if c.countFailure(name, failed) {
+		_ = c.writeFailingHost(ctx, ref) // if this fails, at worst the window's credits expire unused
 	}
 }
 
-// note counts failures in a row; true when they have just become too many.
-func (c *Credits) note(name string, failed bool) bool {
+// countFailure counts consecutive failures. It returns true when they reach the limit for the
+// first time.
+func (c *Credits) countFailure(name string, failed bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.plans[name]
-	p.failures++
+	p.consecutiveFailures++
 	if !failed {
-		p.failures = 0
+		p.consecutiveFailures = 0
 	}
-	stops := p.failures >= failuresToStop && !p.stopped
-	p.stopped = p.stopped || stops
+	mustStop := p.consecutiveFailures >= maxConsecutiveFailures && !p.stopped
+	p.stopped = p.stopped || mustStop
 	c.plans[name] = p
-	return stops
+	return mustStop
 }
 
-// troublePrefix is where a version's troubles stand.
-func troublePrefix(version string) string { return version + "/" }
+// failingHostPrefix returns the key prefix of a version's rows in TableFailingHosts.
+func failingHostPrefix(version string) string { return version + "/" }
 
-// trouble is a row of TableTroubles.
-type trouble struct {
+// failingHost is a row of TableFailingHosts.
+type failingHost struct {
 	Host string    `json:"host"`
 	At   time.Time `json:"at"`
 }
 
-func (c *Credits) writeTrouble(ctx context.Context, ref declare.Ref) error {
-	data, err := codec.Encode(trouble{Host: c.host, At: time.Now().UTC()})
+func (c *Credits) writeFailingHost(ctx context.Context, ref declare.Ref) error {
+	data, err := codec.Encode(failingHost{Host: c.host, At: time.Now().UTC()})
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), troubleTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), failingHostWriteTimeout)
 	defer cancel()
 	err = c.tables.Commit(ctx, store.Transaction{
-		Writes: []store.Write{store.Put(TableTroubles, troublePrefix(ref.String())+c.host, data)},
+		Writes: []store.Write{store.Put(TableFailingHosts, failingHostPrefix(ref.String())+c.host, data)},
 	})
 	if err != nil {
-		return fmt.Errorf("write trouble: %w", err)
+		return fmt.Errorf("write failing host: %w", err)
 	}
 	return nil
 }
