--- a/internal/gatewayd/crashrig_test.go
+++ b/internal/gatewayd/crashrig_test.go
@@ -23,20 +23,21 @@
 	"quaybarrow/platform/standin"
 )
 
-// Sizes of a crash rig.
+// Sizes and bounds of a crashRig.
 const (
 	crashHosts    = 4
-	crashMachines = 12 // of each service
+	crashMachines = 12 // per service
 	crashCallers  = 16
-	// crashTime is a crashing request's at an endpoint, from its arrival on.
-	crashTime = 60 * time.Millisecond
-	// toldWithin is how long after the third crash hosts may still send a request that
-	// crashes endpoints, and lateMost how often they may later, all together, as the users tell.
-	toldWithin = 3 * time.Second
-	lateMost   = 3
+	// crashDelay is the time from a crashing request's arrival at an endpoint to the crash.
+	crashDelay = 60 * time.Millisecond
+	// quarantineWithin is how long after the third crash hosts may still send a request that
+	// crashes endpoints, and maxLateSends how often all hosts together may send it later. Both are
+	// the users' requirements.
+	quarantineWithin = 3 * time.Second
+	maxLateSends     = 3
 )
 
-// crashRig is hosts before endpoints that crash, with callers.
+// crashRig is a set of hosts with callers and with endpoints that can crash.
 type crashRig struct {
 	net      *memnet.Network
 	store    *standin.Store
@@ -47,12 +48,12 @@
 	running  sync.WaitGroup // machines, and hosts that were killed
 	server   *http.Server
 	duties   *standin.Duties // nil where there are none
-	// dutiesServer serves them.
+	// dutiesServer serves duties.
 	dutiesServer *http.Server
 	log          safeBuffer
 
-	mu       sync.Mutex // guards all below
-	serial   int
+	mu       sync.Mutex // guards the fields below
+	lastID   int
 	outcomes []crashOutcome
 }
 
@@ -61,51 +62,51 @@
 	rig    *crashRig
 	number int
 	app    *fx.App
-	dead   *lifeline
+	conns  *hostConns
 }
 
-// crashOutcome is how a request went.
+// crashOutcome is the outcome of a request.
 type crashOutcome struct {
-	began  time.Time // when the caller asked
-	sent   time.Time
-	path   string
-	status int // 0 if there was no whole answer
-	later  bool
+	began      time.Time // when the caller sent the request
+	sent       time.Time
+	path       string
+	status     int // 0 if no complete response arrived
+	secondHalf bool
 }
 
-// crashDay is what happens on a day.
-type crashDay struct {
-	path   string        // of the crashing request; none comes if it is empty
-	every  time.Duration // between its copies
-	once   int           // copies at the same moment, at different hosts
-	head   bool          // endpoints crash after the head of their answer
-	by     time.Duration // endpoints crash by themselves, one each so long; 0 for none
-	shared bool          // half of the other callers' requests are one and the same
-	killAt time.Duration // all hosts are killed then; 0 for never
-	away   bool          // the store is silent from shortly after the start on
-	duties bool          // the platform has duties for one host
-	// killHolderAt is when the host is killed that has the duties; 0 for never.
+// crashScenario describes a run.
+type crashScenario struct {
+	path                string        // of the crashing request; if empty, there is none
+	interval            time.Duration // between its copies
+	copies              int           // sent at the same moment, to different hosts
+	afterHead           bool          // endpoints crash after sending the response head
+	randomCrashInterval time.Duration // one endpoint crashes at random per interval; 0 for none
+	identical           bool          // half of the other callers' requests are identical
+	killAt              time.Duration // when all hosts are killed; 0 for never
+	storeSilent         bool          // the store does not answer from shortly after the start on
+	duties              bool          // the platform has duties for one host to perform
+	// killHolderAt is when the host that holds the duties is killed; 0 for never.
 	killHolderAt time.Duration
-	lasts        time.Duration
-	hosts        int // as many as usual if it is 0
+	duration     time.Duration
+	hosts        int // crashHosts if 0
 }
 
-// playCrashes plays a day.
-func playCrashes(t *testing.T, d crashDay, check func(r *crashRig)) {
+// runCrashScenario runs a scenario under a fake clock and then calls check.
+func runCrashScenario(t *testing.T, d crashScenario, check func(r *crashRig)) {
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
 		r := newCrashRig(d)
 		defer r.stop()
-		ctx, cancel := context.WithTimeout(context.Background(), d.lasts)
+		ctx, cancel := context.WithTimeout(context.Background(), d.duration)
 		defer cancel()
 		for i := range crashCallers {
 			r.calling.Go(func() { r.call(ctx, i, d) })
 		}
 		if d.path != "" {
-			r.calling.Go(func() { r.comeAgain(ctx, d) })
+			r.calling.Go(func() { r.sendCrashing(ctx, d) })
 		}
-		if d.by > 0 {
-			r.calling.Go(func() { r.crashByChance(ctx, d.by) })
+		if d.randomCrashInterval > 0 {
+			r.calling.Go(func() { r.crashAtRandom(ctx, d.randomCrashInterval) })
 		}
 		if d.killAt > 0 {
 			r.calling.Go(func() { r.killAll(ctx, d.killAt) })
@@ -113,7 +114,7 @@
 		if d.killHolderAt > 0 {
 			r.calling.Go(func() { r.killHolder(ctx, d.killHolderAt) })
 		}
-		if d.away {
+		if d.storeSilent {
 			r.store.Break(standin.Silent)
 		}
 		r.calling.Wait()
@@ -122,7 +123,7 @@
 	})
 }
 
-func newCrashRig(d crashDay) *crashRig {
+func newCrashRig(d crashScenario) *crashRig {
 	r := &crashRig{net: memnet.New(), store: standin.NewStore(), random: rand.New(rand.NewPCG(1, 2))}
 	r.server = &http.Server{Handler: r.store}
 	l := r.net.Listen(storeAddress)
@@ -136,7 +137,7 @@
 	r.store.Put(standin.TableOperator, standin.KeyDeclaration, standin.Declaration(1))
 	for i := range crashMachines {
 		for n, service := range []string{"plain", "model"} {
-			m := standin.NewMachine(service, "ikeja", fmt.Sprintf("10.%d.1.%d:80", n+1, i+1), r.store, r.net.Listen, crashScript(service, d))
+			m := standin.NewMachine(service, "ikeja", fmt.Sprintf("10.%d.1.%d:80", n+1, i+1), r.store, r.net.Listen, endpointScript(service, d))
 			r.machines = append(r.machines, m)
 			r.running.Go(m.Run)
 		}
@@ -150,20 +151,19 @@
 	return r
 }
 
-// Bodies that endpoints know: of requests under which they crash, and of those that they never
-// answer.
+// Request bodies that make endpoints crash, or not answer while a test runs.
 const (
-	crashBody = "crash"
-	muteBody  = "mute"
+	crashBody      = "crash"
+	unansweredBody = "mute"
 )
 
-// crashScript is what endpoints of a service do.
-func crashScript(service string, d crashDay) func(int, *http.Request) standin.Script {
+// endpointScript returns how endpoints of a service respond.
+func endpointScript(service string, d crashScenario) func(int, *http.Request) standin.Script {
 	return func(_ int, r *http.Request) standin.Script {
 		switch {
 		case r.Header.Get("X-Body") == crashBody:
-			return standin.Crash{After: crashTime, Head: d.head && service == "model"}
-		case r.Header.Get("X-Body") == muteBody:
+			return standin.Crash{After: crashDelay, Head: d.afterHead && service == "model"}
+		case r.Header.Get("X-Body") == unansweredBody:
 			return standin.Reply{Status: http.StatusOK, Delay: time.Minute}
 		case service == "model":
 			return standin.Stream{Events: 8, Gap: 80 * time.Millisecond, Confidence: 100}
@@ -175,9 +175,9 @@
 
 func (h *crashHost) address(port int) string { return fmt.Sprintf("10.0.0.%d:%d", h.number+1, port) }
 
-// start starts the host, also again after it was killed.
+// start starts the host, or restarts it after a kill.
 func (h *crashHost) start() {
-	life := &lifeline{}
+	conns := &hostConns{}
 	s := hostSettings()
 	s.Host = fmt.Sprint("front-", h.number)
 	s.Gateway.First = h.app == nil
@@ -187,21 +187,21 @@
 		s.Gateway.Duties, s.Gateway.DutyTurns, s.Gateway.UsageWindow = dutiesAddress, dutyTurns, usageWindow
 	}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-		return life.wrap(h.rig.net.Dial(ctx, network, address))
+		return conns.track(h.rig.net.Dial(ctx, network, address))
 	}
-	h.dead = life
+	h.conns = conns
 	h.app = fx.New(gatewayd.Module(s, gatewayd.Ports{
 		Store: platform.NewStore(storeAddress, dial), LogTo: &h.rig.log, Dial: dial,
 		Listen: func(_ context.Context, address string) (net.Listener, error) {
-			return lifeListener{h.rig.net.Listen(address), life}, nil
+			return trackedListener{h.rig.net.Listen(address), conns}, nil
 		},
 	}))
 	Expect(h.app.Start(context.Background())).To(Succeed())
 }
 
-// kill ends the host: from this moment on it reaches nobody, and nobody it.
+// kill cuts all connections of the host, and stops it in the background.
 func (h *crashHost) kill() {
-	h.dead.cut()
+	h.conns.closeAll()
 	app := h.app
 	h.rig.running.Go(func() { _ = app.Stop(context.Background()) })
 }
@@ -219,7 +219,7 @@
 	}
 }
 
-// killHolder kills the host that made the last call that is one host's duty.
+// killHolder kills and restarts the host that made the last call to the platform's duties service.
 func (r *crashRig) killHolder(ctx context.Context, at time.Duration) {
 	if !sleepFor(ctx, at) {
 		return
@@ -258,71 +258,71 @@
 	}
 }
 
-// draw is a number below n.
-func (r *crashRig) draw(n int) int {
+// randomInt returns a random number from 0 to n-1.
+func (r *crashRig) randomInt(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.random.IntN(n)
 }
 
-// call sends ordinary requests until the day ends.
-func (r *crashRig) call(ctx context.Context, caller int, d crashDay) {
+// call sends ordinary requests until ctx ends.
+func (r *crashRig) call(ctx context.Context, caller int, d crashScenario) {
 	began := time.Now()
 	for ctx.Err() == nil {
-		path, body := "/stream/x", fmt.Sprintf("of caller %d, request %d", caller, r.draw(1<<30))
+		path, body := "/stream/x", fmt.Sprintf("of caller %d, request %d", caller, r.randomInt(1<<30))
 		if caller%4 == 0 {
 			path = "/again/x"
 		}
-		if d.shared && caller%2 == 1 {
+		if d.identical && caller%2 == 1 {
 			path, body = "/stream/x", "the same"
 		}
 		asked := time.Now()
-		status := r.ask(ctx, r.draw(len(r.hosts)), path, body)
-		if ctx.Err() == nil { // else the day has ended in the middle of it
-			r.note(asked, path, status, time.Since(began) > d.lasts/2)
+		status := r.send(ctx, r.randomInt(len(r.hosts)), path, body)
+		if ctx.Err() == nil { // otherwise the run ended during the request
+			r.record(asked, path, status, time.Since(began) > d.duration/2)
 		}
-		sleepFor(ctx, time.Duration(r.draw(200))*time.Millisecond)
+		sleepFor(ctx, time.Duration(r.randomInt(200))*time.Millisecond)
 	}
 }
 
-// comeAgain sends the request under which endpoints crash, again and again, at any host.
-func (r *crashRig) comeAgain(ctx context.Context, d crashDay) {
+// sendCrashing repeatedly sends the request that crashes endpoints, to random hosts.
+func (r *crashRig) sendCrashing(ctx context.Context, d crashScenario) {
 	var under sync.WaitGroup
 	defer under.Wait()
 	for ctx.Err() == nil {
-		first := r.draw(len(r.hosts))
-		for i := range max(d.once, 1) {
+		first := r.randomInt(len(r.hosts))
+		for i := range max(d.copies, 1) {
 			under.Go(func() {
-				r.note(time.Now(), crashBody, r.ask(ctx, (first+i)%len(r.hosts), d.path+"x", crashBody), false)
+				r.record(time.Now(), crashBody, r.send(ctx, (first+i)%len(r.hosts), d.path+"x", crashBody), false)
 			})
 		}
-		sleepFor(ctx, d.every)
+		sleepFor(ctx, d.interval)
 	}
 }
 
-// crashByChance ends endpoints that are up, one after the other.
-func (r *crashRig) crashByChance(ctx context.Context, every time.Duration) {
-	for sleepFor(ctx, every) {
+// crashAtRandom crashes a random endpoint of the model service per interval.
+func (r *crashRig) crashAtRandom(ctx context.Context, interval time.Duration) {
+	for sleepFor(ctx, interval) {
 		models := make([]*standin.Machine, 0, crashMachines)
 		for _, m := range r.machines {
 			if m.Service == "model" {
 				models = append(models, m)
 			}
 		}
-		models[r.draw(len(models))].Crash()
+		models[r.randomInt(len(models))].Crash()
 	}
 }
 
-// ask sends a request to a host; 0 if no whole answer came.
-func (r *crashRig) ask(ctx context.Context, host int, path, body string) int {
+// send sends a request to a host and returns the status, or 0 if no complete response arrived.
+func (r *crashRig) send(ctx context.Context, host int, path, body string) int {
 	c, err := r.net.Dial(ctx, "tcp", r.hosts[host].address(80))
 	if err != nil {
 		return 0
 	}
 	defer func() { _ = c.Close() }()
 	r.mu.Lock()
-	r.serial++
-	q := standin.NewRequest(http.MethodPost, path, body).WithID(fmt.Sprint("r", r.serial)).With("X-Body: " + body)
+	r.lastID++
+	q := standin.NewRequest(http.MethodPost, path, body).WithID(fmt.Sprint("r", r.lastID)).With("X-Body: " + body)
 	r.mu.Unlock()
 	if path == "/stream/x" {
 		q = q.WithPrompt()
@@ -337,18 +337,18 @@
 	return a.Status
 }
 
-func (r *crashRig) note(began time.Time, path string, status int, later bool) {
+func (r *crashRig) record(began time.Time, path string, status int, secondHalf bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.outcomes = append(r.outcomes, crashOutcome{began: began, sent: time.Now(), path: path, status: status, later: later})
+	r.outcomes = append(r.outcomes, crashOutcome{began: began, sent: time.Now(), path: path, status: status, secondHalf: secondHalf})
 }
 
-// served is the part of the ordinary requests that got an answer, in the second half of the
-// day.
+// served returns the fraction of the ordinary requests that succeeded in the second half of the
+// run.
 func (r *crashRig) served() float64 {
 	all, good := 0, 0
 	for _, o := range r.outcomes {
-		if o.path == crashBody || !o.later {
+		if o.path == crashBody || !o.secondHalf {
 			continue
 		}
 		all++
@@ -359,9 +359,9 @@
 	return float64(good) / float64(max(all, 1))
 }
 
-// crashing returns the moments at which the request reached endpoints, and those at which
-// endpoints crashed under it.
-func (r *crashRig) crashing() (sends, crashes []time.Time) {
+// crashTimes returns the times at which the crashing request reached endpoints, and the times at which
+// endpoints that had received it crashed.
+func (r *crashRig) crashTimes() (sends, crashes []time.Time) {
 	for _, m := range r.machines {
 		for _, e := range m.Starts() {
 			under := false
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -21,52 +21,53 @@
 	"quaybarrow/platform"
 )
 
-// leasePart of the time in which hosts must not act in turns is how long the lease on the duties
-// lasts: who takes one that has lapsed has then waited that time out.
-const leasePart = 4.0 / 3
+// leaseFactor times the DutyTurns setting is the length of the lease on the duties. Two hosts must not
+// act alternately within DutyTurns; a host that takes over a lapsed lease has then waited that long.
+const leaseFactor = 4.0 / 3
 
-// lifetime names this life of the host.
-type lifetime string
+// incarnation identifies this start of the host.
+type incarnation string
 
-func newLifetime() lifetime { return lifetime(uuid.NewString()) }
+func newIncarnation() incarnation { return incarnation(uuid.NewString()) }
 
-// newUsage returns the counter of requests that begin; nil where nobody asks for it.
-func newUsage(s settings.Settings, life lifetime) *usage.Counter {
+// newUsage returns the counter of requests that begin, or nil if usage is not reported.
+func newUsage(s settings.Settings, incarnationID incarnation) *usage.Counter {
 	if s.Gateway.Duties == "" || s.Gateway.UsageWindow <= 0 {
 		return nil
 	}
-	return usage.NewCounter(string(life))
+	return usage.NewCounter(string(incarnationID))
 }
 
-func newDuties(s settings.Settings, life lifetime, p Ports, tables store.Tables, w *spread.Watcher, a *advice.Advisor, f *fleet.Fleet, u *upgrade.Tracker,
+func newDuties(s settings.Settings, incarnationID incarnation, p Ports, tables store.Tables, w *spread.Watcher, a *advice.Advisor, f *fleet.Fleet, u *upgrade.Tracker,
 	h *route.Holder, g *gateway.Gateway, counter *usage.Counter, l *log.Logger,
 ) *duty.Keeper {
 	o := duty.Options{
-		Host: s.Host, Lifetime: string(life), Tables: tables, Counter: counter, Asker: duty.NewAsker(w.Conn),
-		Members: func() []duty.Member { return peersOf(w) }, Next: w.After, Running: g.Running, Stocks: stocksOf(f, u), Away: f.Evacuated,
-		Services: func() []duty.Service { return scaled(h.Table()) }, Logger: l,
+		Host: s.Host, Lifetime: string(incarnationID), Tables: tables, Counter: counter, Asker: duty.NewAsker(w.Conn),
+		Members: func() []duty.Member { return dutyMembers(w) }, Next: w.After, Running: g.Running, Stocks: endpointCounts(f, u), Away: f.Evacuated,
+		Services: func() []duty.Service { return scaledServices(h.Table()) }, Logger: l,
 	}
 	if s.Gateway.Duties != "" {
 		o.Window = s.Gateway.UsageWindow
 		o.Platform = platform.NewDuties(s.Gateway.Duties, p.Dial)
 		o.Leases = lease.NewManager(lease.Options{
-			Tables: tables, Host: s.Host, Incarnation: string(life), Length: time.Duration(leasePart * float64(s.Gateway.DutyTurns)),
+			Tables: tables, Host: s.Host, Incarnation: string(incarnationID), Length: time.Duration(leaseFactor * float64(s.Gateway.DutyTurns)),
 			Place: a.Rank, Turns: s.Gateway.DutyTurns,
 		})
 	}
 	return duty.New(o)
 }
 
-// stocksOf counts the endpoints of services, those that an upgrade brings in apart.
-func stocksOf(f *fleet.Fleet, u *upgrade.Tracker) func(service string) (map[string]capacity.EndpointCounts, bool) {
+// endpointCounts returns a function that counts a service's endpoints, with those of an upgrade's new
+// version counted separately.
+func endpointCounts(f *fleet.Fleet, u *upgrade.Tracker) func(service string) (map[string]capacity.EndpointCounts, bool) {
 	return func(service string) (map[string]capacity.EndpointCounts, bool) {
 		from, upgrading := u.InProgress(service)
 		return f.Stocks(service, from), upgrading
 	}
 }
 
-// peersOf are the other hosts, to be asked for what they count.
-func peersOf(w *spread.Watcher) []duty.Member {
+// dutyMembers returns the other hosts, which are asked for their usage counts.
+func dutyMembers(w *spread.Watcher) []duty.Member {
 	var list []duty.Member
 	for _, m := range w.Members() {
 		list = append(list, duty.Member(m))
@@ -74,8 +75,8 @@
 	return list
 }
 
-// scaled are the services whose endpoints are ordered.
-func scaled(t *route.Table) []duty.Service {
+// scaledServices returns the services whose endpoints this installation orders from the platform.
+func scaledServices(t *route.Table) []duty.Service {
 	if t == nil {
 		return nil
 	}
--- a/internal/gatewayd/duties_test.go
+++ b/internal/gatewayd/duties_test.go
@@ -13,18 +13,18 @@
 	"quaybarrow/internal/usage"
 )
 
-// What the platform tells of its duties.
+// Settings of the platform's duties, and bounds of the checks.
 const (
 	dutiesAddress = "10.9.0.2:80"
 	dutyTurns     = 3 * time.Second
 	usageWindow   = 5 * time.Second
-	// usageOff is how far a count may be from the truth, and usageDue how long after its end a
-	// window is to be reported.
-	usageOff = 0.05
-	usageDue = 10 * time.Second
+	// maxUsageError is the largest relative error of a reported count, and reportWithin the time after
+	// the end of a window within which it has to be reported.
+	maxUsageError = 0.05
+	reportWithin  = 10 * time.Second
 )
 
-// holders asks all hosts which of them have the duties.
+// holders returns the hosts that report holding the duties.
 func (r *crashRig) holders() []string {
 	client := &http.Client{Transport: r.net.Transport()}
 	defer client.CloseIdleConnections()
@@ -42,13 +42,13 @@
 	return found
 }
 
-// TestDutiesOfOneHost plays a day of hosts with callers: usage is reported as it was, by one host
-// at a time, also where the one that reports is killed.
+// TestDutiesOfOneHost checks that usage is reported correctly, by one host at a time, also when the
+// reporting host is killed.
 func TestDutiesOfOneHost(t *testing.T) {
-	for name, killed := range map[string]bool{"calm": false, "its holder is killed": true} {
+	for name, killed := range map[string]bool{"calm": false, "the holder is killed": true} {
 		t.Run(name, func(t *testing.T) {
-			playCrashes(t, crashDay{duties: true, lasts: 30 * time.Second, killHolderAt: map[bool]time.Duration{true: 12 * time.Second}[killed]}, func(r *crashRig) {
-				time.Sleep(usageDue)
+			runCrashScenario(t, crashScenario{duties: true, duration: 30 * time.Second, killHolderAt: map[bool]time.Duration{true: 12 * time.Second}[killed]}, func(r *crashRig) {
+				time.Sleep(reportWithin)
 				Expect(r.duties.Violations()).To(BeEmpty())
 				Expect(r.holders()).To(HaveLen(1))
 				served := map[int64]int64{}
@@ -60,13 +60,13 @@
 						served[w]++
 					}
 				}
-				// Callers came in a part of the first and the last window only, and what was in
-				// hand at the end is not among the outcomes.
+				// Callers sent requests in only a part of the first and the last window, and requests that
+				// were in flight at the end are not among the outcomes.
 				delete(served, first)
 				delete(served, last)
 				reports := r.duties.Reports()
 				for w, truth := range served {
-					if off := float64(reports[w]["weavers"]-truth) / float64(truth); off > usageOff || off < -usageOff {
+					if off := float64(reports[w]["weavers"]-truth) / float64(truth); off > maxUsageError || off < -maxUsageError {
 						t.Errorf("window %d: %d reported of %d", w, reports[w]["weavers"], truth)
 					}
 				}
--- a/internal/gatewayd/dutiesview.go
+++ b/internal/gatewayd/dutiesview.go
@@ -9,42 +9,43 @@
 	"quaybarrow/internal/duty"
 )
 
-// PathDuties is where a host tells at its control address whether it does what one host does for
-// all, and what it has ordered.
+// PathDuties is the path at a host's control address that shows whether the host holds the duties
+// that one host performs for all, and which endpoints it has ordered.
 const PathDuties = "/duties"
 
-// DutiesView is what a host knows of the duties, for operators.
+// DutiesView is the operators' view of the duties, as one host knows them.
 type DutiesView struct {
 	Host   string          `json:"host"`
 	Holds  bool            `json:"holds"`
-	Orders []duty.Standing `json:"orders"` // in force, by service, data hall and kind
-	// CostAMinute is what the ordered endpoints cost, in prices of a second as they are declared.
+	Orders []duty.Standing `json:"orders"` // in force, sorted by service, data hall and kind
+	// CostAMinute is the cost of the ordered endpoints per minute, in the unit of the declared
+	// prices, which are per second.
 	CostAMinute float64 `json:"cost_a_minute"`
 }
 
-// viewDuties answers with what the host does for all.
-func (h *Host) viewDuties(w http.ResponseWriter, _ *http.Request) {
+// serveDuties answers with the DutiesView.
+func (h *Host) serveDuties(w http.ResponseWriter, _ *http.Request) {
 	view := DutiesView{Host: h.Settings.Host}
 	view.Orders, view.Holds = h.Duties.Orders()
 	slices.SortFunc(view.Orders, func(a, b duty.Standing) int {
-		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Hall, b.Hall), cmp.Compare(kindOf(a), kindOf(b)))
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Hall, b.Hall), cmp.Compare(spotOrder(a), spotOrder(b)))
 	})
 	if t := h.Holder.Table(); t != nil {
 		for _, o := range view.Orders {
 			s, _ := t.Service(o.Service)
-			view.CostAMinute += s.Scaling.Cost(o.Hall, o.Spot) * float64(o.Count) * secondsAMinute
+			view.CostAMinute += s.Scaling.Cost(o.Hall, o.Spot) * float64(o.Count) * secondsPerMinute
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(view); err != nil {
-		h.Logger.Debug("view of duties not written", "error", err)
+		h.Logger.Debug("writing the duties view failed", "error", err)
 	}
 }
 
-const secondsAMinute = 60
+const secondsPerMinute = 60
 
-// kindOf sorts ordinary endpoints before spot ones.
-func kindOf(s duty.Standing) int {
+// spotOrder is the sort key that puts ordinary endpoints before spot ones.
+func spotOrder(s duty.Standing) int {
 	if s.Spot {
 		return 1
 	}
--- a/internal/gatewayd/endpoints.go
+++ b/internal/gatewayd/endpoints.go
@@ -14,79 +14,79 @@
 	"quaybarrow/platform"
 )
 
-// errNoHall tells that an entry names a data hall that nobody has.
-var errNoHall = errors.New("the data hall is not known")
+// errUnknownHall means that an entry names a data hall that the settings don't list.
+var errUnknownHall = errors.New("unknown data hall")
 
-// endpoints takes in the endpoints' entries.
-type endpoints struct {
+// endpointTable takes in the endpointTable' entries.
+type endpointTable struct {
 	fleet      *fleet.Fleet
 	pool       *conn.Pool
 	quarantine *quarantine.Tracker
 	upgrades   *upgrade.Tracker
-	halls      map[string]string // all that there are; empty if that is not known
+	halls      map[string]string // regions of all data halls, by hall; empty if the halls are not known
 	logger     *log.Logger
 }
 
 // Reset implements follow.Picture.
-func (e *endpoints) Reset(rows []store.Row, away bool) {
+func (e *endpointTable) Reset(rows []store.Row, storeWasAway bool) {
 	var list []fleet.Endpoint
 	services := map[string]bool{}
 	for _, row := range rows {
 		decoded, err := e.decode(row)
 		if err != nil {
-			e.strange(row, err, services)
+			e.rejectEntry(row, err, services)
 			continue
 		}
 		list = append(list, decoded)
 		services[decoded.Service] = true
 	}
-	e.fleet.Reset(list, away)
-	e.settle(services)
-	e.logger.Info("endpoints read", "count", len(list), "rows", len(rows), "store_was_away", away)
+	e.fleet.Reset(list, storeWasAway)
+	e.updateUpgrades(services)
+	e.logger.Info("endpoints read", "count", len(list), "rows", len(rows), "store_was_away", storeWasAway)
 }
 
 // Change implements follow.Picture.
-func (e *endpoints) Change(changes []store.Change, away bool) {
+func (e *endpointTable) Change(changes []store.Change, storeWasAway bool) {
 	services := map[string]bool{}
 	for _, c := range changes {
-		e.change(c, away, services)
+		e.applyChange(c, storeWasAway, services)
 	}
-	e.settle(services)
+	e.updateUpgrades(services)
 }
 
 // Confirm implements follow.Picture.
-func (e *endpoints) Confirm() {}
+func (e *endpointTable) Confirm() {}
 
-func (e *endpoints) change(c store.Change, away bool, services map[string]bool) {
+func (e *endpointTable) applyChange(c store.Change, storeWasAway bool, services map[string]bool) {
 	if c.Deleted {
-		e.gone(c, away, services)
+		e.removeEntry(c, storeWasAway, services)
 		return
 	}
 	decoded, err := e.decode(c.Row)
 	if err != nil {
-		e.strange(c.Row, err, services)
+		e.rejectEntry(c.Row, err, services)
 		return
 	}
 	old, known := e.fleet.Listed(c.Key)
-	again := e.fleet.Put(decoded)
+	restarted := e.fleet.Put(decoded)
 	services[decoded.Service] = true
 	e.quarantine.EndpointListed(decoded.ID, decoded.Address)
-	if again {
-		// A request that is sent on a connection to the start before may run nowhere.
+	if restarted {
+		// A request sent on a connection to the previous start of the endpoint may never run.
 		e.pool.Forget(old.Address)
 	}
-	if !known || again || old.Draining != decoded.Draining || old.Cold != decoded.Cold {
+	if !known || restarted || old.Draining != decoded.Draining || old.Cold != decoded.Cold {
 		e.logger.Info("endpoint listed", "endpoint", decoded.ID, "service", decoded.Service, "version", decoded.Version, "hall", decoded.Hall,
-			"draining", decoded.Draining, "cold_ms", decoded.Cold.Milliseconds(), "again", again, "row_version", c.Version)
+			"draining", decoded.Draining, "cold_ms", decoded.Cold.Milliseconds(), "again", restarted, "row_version", c.Version)
 	}
 }
 
-func (e *endpoints) gone(c store.Change, away bool, services map[string]bool) {
+func (e *endpointTable) removeEntry(c store.Change, storeWasAway bool, services map[string]bool) {
 	old, known := e.fleet.Listed(c.Key)
 	if !known {
 		return
 	}
-	if away {
+	if storeWasAway {
 		e.fleet.Lapse(c.Key)
 	} else {
 		e.fleet.Remove(c.Key)
@@ -95,24 +95,24 @@
 		}
 	}
 	services[old.Service] = true
-	e.logger.Info("endpoint gone", "endpoint", old.ID, "service", old.Service, "store_was_away", away, "row_version", c.Version)
+	e.logger.Info("endpoint gone", "endpoint", old.ID, "service", old.Service, "store_was_away", storeWasAway, "row_version", c.Version)
 }
 
-func (e *endpoints) decode(row store.Row) (fleet.Endpoint, error) {
+func (e *endpointTable) decode(row store.Row) (fleet.Endpoint, error) {
 	decoded, err := platform.DecodeEndpoint(row)
 	if err != nil {
 		return fleet.Endpoint{}, err
 	}
 	if _, ok := e.halls[decoded.Hall]; !ok && len(e.halls) > 0 {
-		return fleet.Endpoint{}, errors.WithMessagef(errNoHall, "hall %s", decoded.Hall)
+		return fleet.Endpoint{}, errors.WithMessagef(errUnknownHall, "hall %s", decoded.Hall)
 	}
 	return decoded, nil
 }
 
-// strange takes in an entry that names no endpoint to use. One that stood there before is
-// gone at once: others than the endpoint write there, and nobody knows who answers at its
-// address.
-func (e *endpoints) strange(row store.Row, err error, services map[string]bool) {
+// rejectEntry handles an entry that describes no usable endpoint. An endpoint listed under the same
+// key is removed at once: something other than the endpoint writes there, so it is unknown what answers
+// at its address.
+func (e *endpointTable) rejectEntry(row store.Row, err error, services map[string]bool) {
 	if old, known := e.fleet.Listed(row.Key); known {
 		services[old.Service] = true
 		e.fleet.Remove(row.Key)
@@ -120,8 +120,8 @@
 	e.logger.Error("entry names no endpoint to use", "row", row.Key, "row_version", row.Version, "error", err)
 }
 
-// settle tells the upgrades which versions the services have.
-func (e *endpoints) settle(services map[string]bool) {
+// updateUpgrades passes the versions that the services' endpoints have to the upgrade tracker.
+func (e *endpointTable) updateUpgrades(services map[string]bool) {
 	for name := range services {
 		e.upgrades.SetVersions(name, e.fleet.Versions(name))
 	}
--- a/internal/gatewayd/endpointsview.go
+++ b/internal/gatewayd/endpointsview.go
@@ -8,10 +8,10 @@
 	"quaybarrow/internal/fleet"
 )
 
-// PathEndpoints is where a host tells at its control address what it knows of endpoints.
+// PathEndpoints is the path at a host's control address that shows the state of the endpoints.
 const PathEndpoints = "/endpoints"
 
-// EndpointsView is what a host knows of endpoints, for operators.
+// EndpointsView is the operators' view of the endpoints, as one host knows them.
 type EndpointsView struct {
 	Host      string          `json:"host"`
 	Evacuated []EvacuatedView `json:"evacuated"`
@@ -21,10 +21,10 @@
 // EvacuatedView is an evacuated data hall.
 type EvacuatedView struct {
 	Hall  string    `json:"hall"`
-	Since time.Time `json:"since"` // when this host heard of it
+	Since time.Time `json:"since"` // when this host learned of it
 }
 
-// EndpointView is an endpoint as a host knows it.
+// EndpointView is the state of an endpoint, as one host knows it.
 type EndpointView struct {
 	ID        string     `json:"id"`
 	Service   string     `json:"service"`
@@ -33,19 +33,20 @@
 	Ready     bool       `json:"ready"` // not draining and not ejected
 	Draining  bool       `json:"draining"`
 	Evacuated bool       `json:"evacuated"`
-	ColdMs    int64      `json:"cold_ms"`              // for how much longer it is taken to be cold
-	ColdSince *time.Time `json:"cold_since,omitempty"` // since when; nil if it is warm
+	ColdMs    int64      `json:"cold_ms"`              // remaining time for which the host treats it as cold
+	ColdSince *time.Time `json:"cold_since,omitempty"` // nil if it is warm
 	Flying    int        `json:"flying"`               // this host's requests there
-	// Limit is how many requests a second it takes from all hosts, by its own word; 0 if it names
-	// none. InHand of them this host may send now, and Wanted have lately found none in hand.
+	// Limit is the rate limit that the endpoint announces for all hosts together, in requests per second;
+	// 0 if it announces none. Available is how many requests this host may send now, and Unmet how many
+	// recently found none available.
 	Limit        float64 `json:"limit"`
-	LimitSinceMs int64   `json:"limit_since_ms"` // for how long this host has known it
+	LimitSinceMs int64   `json:"limit_since_ms"` // time since this host learned of it
 	InHand       int     `json:"in_hand"`
 	Wanted       int     `json:"wanted"`
 }
 
-// viewEndpoints answers with what the host knows of endpoints.
-func (h *Host) viewEndpoints(w http.ResponseWriter, _ *http.Request) {
+// serveEndpoints answers with the EndpointsView.
+func (h *Host) serveEndpoints(w http.ResponseWriter, _ *http.Request) {
 	view := EndpointsView{Host: h.Settings.Host, Evacuated: []EvacuatedView{}, Endpoints: []EndpointView{}}
 	for _, e := range h.Fleet.Evacuations() {
 		view.Evacuated = append(view.Evacuated, EvacuatedView{Hall: e.Hall, Since: e.Since.Time()})
@@ -55,7 +56,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(view); err != nil {
-		h.Logger.Debug("view of endpoints not written", "error", err)
+		h.Logger.Debug("writing the endpoints view failed", "error", err)
 	}
 }
 
--- a/internal/gatewayd/heap.go
+++ b/internal/gatewayd/heap.go
@@ -8,60 +8,59 @@
 	"quaybarrow/internal/clock"
 )
 
-// Bounds of the memory that a host has beyond what it uses. With a heap of a few MB, which may
-// double and triple between collections, that is little, and collections are dear on a fifth of a
-// core; with a list of ten thousand endpoints it would be tens of MB on each of a thousand hosts.
+// Bounds of the memory that a host holds beyond its live heap. A heap of a few MB may double or triple
+// between collections: that is little memory, and collections are expensive on a fifth of a core. With
+// ten thousand endpoints listed, the same growth would be tens of MB on each of a thousand hosts.
 const (
-	// garbageMost is about how much the heap grows between collections, in bytes.
-	garbageMost = 8 << 20
-	// collectLeast and collectPercent bound the growth as a part of what is in use, in parts
-	// of a hundred.
-	collectLeast   = 40
-	collectPercent = 200
-	// freeMost is how much free memory a host keeps, in bytes: a whole list that is read takes
-	// several times what is left of it, and the runtime gives that back slowly.
-	freeMost = 8 << 20
-	// freeEvery is how often memory is given back at most; each time is a whole collection.
-	freeEvery = 20 * time.Second
+	// maxHeapGrowth is the approximate growth of the heap between collections, in bytes.
+	maxHeapGrowth = 8 << 20
+	// minGCPercent and maxGCPercent bound the growth, in percent of the live heap.
+	minGCPercent = 40
+	maxGCPercent = 200
+	// maxFreeBytes is how much free heap memory a host keeps: reading the whole list of endpoints takes
+	// several times the memory that the list then occupies, and the runtime returns the rest slowly.
+	maxFreeBytes = 8 << 20
+	// freeInterval is the shortest time between returns of memory to the operating system; each one runs a
+	// full collection.
+	freeInterval = 20 * time.Second
 )
 
-// Names of the runtime's figures, in bytes.
+// Names of the runtime metrics, in bytes.
 const (
-	figureLive = "/gc/heap/live:bytes"
-	figureFree = "/memory/classes/heap/free:bytes"
+	metricHeapLive = "/gc/heap/live:bytes"
+	metricHeapFree = "/memory/classes/heap/free:bytes"
 )
 
-// heap keeps a host's memory near what it uses.
-type heap struct {
-	figures []metrics.Sample
-	percent int
-	freed   clock.Instant
+// heapTuner keeps a host's memory close to its live heap.
+type heapTuner struct {
+	samples   []metrics.Sample
+	percent   int
+	lastFreed clock.Instant
 }
 
-func newHeap() *heap {
-	return &heap{figures: []metrics.Sample{{Name: figureLive}, {Name: figureFree}}, percent: collectPercent}
+func newHeapTuner() *heapTuner {
+	return &heapTuner{samples: []metrics.Sample{{Name: metricHeapLive}, {Name: metricHeapFree}}, percent: maxGCPercent}
 }
 
-// tend has the runtime collect as often as suits what is in use, and give back what is not.
-func (h *heap) tend() {
-	metrics.Read(h.figures)
-	live, free := h.figures[0].Value.Uint64(), h.figures[1].Value.Uint64()
-	if percent := percentFor(live); percent != h.percent {
+// tune sets the GC percentage that suits the live heap, and returns free memory to the operating system.
+func (h *heapTuner) tune() {
+	metrics.Read(h.samples)
+	live, free := h.samples[0].Value.Uint64(), h.samples[1].Value.Uint64()
+	if percent := gcPercentFor(live); percent != h.percent {
 		h.percent = percent
 		debug.SetGCPercent(percent)
 	}
-	if free > freeMost && clock.Since(h.freed) > freeEvery {
-		h.freed = clock.Now()
+	if free > maxFreeBytes && clock.Since(h.lastFreed) > freeInterval {
+		h.lastFreed = clock.Now()
 		debug.FreeOSMemory()
 	}
 }
 
-// percentStep is the grain of the growth: it follows what is in use in steps.
-const percentStep = 20
+// gcPercentStep is the granularity of the GC percentage.
+const gcPercentStep = 20
 
-// percentFor is how much the heap may grow between collections, in parts of a hundred of what is
-// in use.
-func percentFor(live uint64) int {
-	percent := int(garbageMost * 100 / max(live, 1))
-	return min(max(percent/percentStep*percentStep, collectLeast), collectPercent)
+// gcPercentFor returns how much the heap may grow between collections, in percent of the live heap.
+func gcPercentFor(live uint64) int {
+	percent := int(maxHeapGrowth * 100 / max(live, 1))
+	return min(max(percent/gcPercentStep*gcPercentStep, minGCPercent), maxGCPercent)
 }
--- a/internal/gatewayd/heap_test.go
+++ b/internal/gatewayd/heap_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// growths are heaps in use, in MB, and by how much they may grow, in parts of a hundred.
-var growths = map[string]struct {
+// gcPercentCases are sizes of the live heap, in MB, and the growth that they allow, in percent.
+var gcPercentCases = map[string]struct {
 	live    uint64
 	percent int
 }{
@@ -15,9 +15,9 @@
 }
 
 func TestGrowthOfTheHeap(t *testing.T) {
-	for name, c := range growths {
+	for name, c := range gcPercentCases {
 		t.Run(name, func(t *testing.T) {
-			if got := percentFor(c.live << 20); got != c.percent {
+			if got := gcPercentFor(c.live << 20); got != c.percent {
 				t.Errorf("%d, expected %d", got, c.percent)
 			}
 		})
--- a/internal/gatewayd/host.go
+++ b/internal/gatewayd/host.go
@@ -33,17 +33,17 @@
 	"quaybarrow/platform"
 )
 
-// Times of a host's life.
+// Timing of a host's periodic work and of its shutdown.
 const (
-	// leaveTime is how long a stopping host still takes requests: the platform
-	// asks every second and passes over a host after two refusals. A request
-	// that is taken later may not be done by the end of the grace.
-	leaveTime = 2500 * time.Millisecond
-	// stopMargin before the end by force is kept for closing down.
-	stopMargin  = 500 * time.Millisecond
-	sweepEvery  = 500 * time.Millisecond
-	logTimeout  = 200 * time.Millisecond
-	headTimeout = 2 * time.Second
+	// drainDelay is how long a stopping host still accepts requests: the platform probes
+	// readiness every second and takes a host out of rotation after two failures. A request
+	// accepted later may not finish within the grace period.
+	drainDelay = 2500 * time.Millisecond
+	// stopMargin is the part of the grace period, at its end, that is reserved for closing down.
+	stopMargin      = 500 * time.Millisecond
+	sweepInterval   = 500 * time.Millisecond
+	logFlushTimeout = 200 * time.Millisecond
+	headerTimeout   = 2 * time.Second
 )
 
 // parts are the components of a host.
@@ -72,30 +72,30 @@
 // Host is a running host.
 type Host struct {
 	*parts
-	callers *http.Server
-	probes  *http.Server
-	control *http.Server
-	peers   *grpc.Server
-	now     atomic.Pointer[settings.Settings] // in force
-	cancel  context.CancelFunc
-	working sync.WaitGroup
+	callers    *http.Server
+	probes     *http.Server
+	control    *http.Server
+	peers      *grpc.Server
+	current    atomic.Pointer[settings.Settings] // settings in force
+	cancel     context.CancelFunc
+	background sync.WaitGroup
 }
 
 func newHost(p parts) *Host {
 	h := &Host{parts: &p, callers: p.Gateway.Server()}
-	h.now.Store(&p.Settings)
-	h.probes = &http.Server{Handler: h.readiness(), ReadHeaderTimeout: headTimeout}
+	h.current.Store(&p.Settings)
+	h.probes = &http.Server{Handler: h.readinessHandler(), ReadHeaderTimeout: headerTimeout}
 	h.peers = p.Spread.Server(p.TLS.ServerCredentials())
 	p.Advice.Register(h.peers)
 	quarantine.Register(h.peers, p.Quarantine.HandleUpdate)
 	ratelimit.Register(h.peers, p.Limits)
 	p.Duties.Register(h.peers)
-	h.control = &http.Server{Handler: h.figures(), ReadHeaderTimeout: headTimeout}
+	h.control = &http.Server{Handler: h.controlHandler(), ReadHeaderTimeout: headerTimeout}
 	return h
 }
 
-// readiness tells the platform whether the host takes callers.
-func (h *Host) readiness() http.Handler {
+// readinessHandler serves the platform's readiness probe.
+func (h *Host) readinessHandler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(platform.PathReady, func(w http.ResponseWriter, _ *http.Request) {
 		ready, reason := h.Gateway.Ready()
@@ -108,25 +108,25 @@
 	return router
 }
 
-// figures serves the host's metrics and what it knows of endpoints and of requests that they
-// crash under.
-func (h *Host) figures() http.Handler {
+// controlHandler serves the host's metrics, the operators' views of endpoints, quarantine and duties,
+// and the release of requests from quarantine.
+func (h *Host) controlHandler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
-		h.gauges()
+		h.updateGauges()
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 		if err := h.Telemetry.WriteText(w); err != nil {
-			h.Logger.Debug("metrics not written", "error", err)
+			h.Logger.Debug("writing the metrics failed", "error", err)
 		}
 	}).Methods(http.MethodGet)
-	router.HandleFunc(PathEndpoints, h.viewEndpoints).Methods(http.MethodGet)
-	router.HandleFunc(PathQuarantine, h.viewQuarantine).Methods(http.MethodGet)
-	router.HandleFunc(PathDuties, h.viewDuties).Methods(http.MethodGet)
+	router.HandleFunc(PathEndpoints, h.serveEndpoints).Methods(http.MethodGet)
+	router.HandleFunc(PathQuarantine, h.serveQuarantine).Methods(http.MethodGet)
+	router.HandleFunc(PathDuties, h.serveDuties).Methods(http.MethodGet)
 	router.HandleFunc(PathRelease, h.release).Methods(http.MethodPost)
 	return router
 }
 
-func (h *Host) gauges() {
+func (h *Host) updateGauges() {
 	h.Telemetry.Gauge("requests_in_flight", float64(h.Gateway.InFlight()))
 	h.Telemetry.Gauge("endpoints", float64(h.Fleet.Size()))
 	h.Telemetry.Gauge("endpoints_limited", float64(h.Fleet.LimitedCount()))
@@ -138,7 +138,7 @@
 	}
 }
 
-// Start opens the addresses and starts the background work.
+// Start listens on the host's addresses and starts the background tasks.
 func (h *Host) Start(context.Context) error {
 	limitMemory(h.Settings.Gateway.MemoryMB)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -161,19 +161,19 @@
 	if err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	h.working.Go(func() {
+	h.background.Go(func() {
 		if err := h.peers.Serve(peers); err != nil {
-			h.Logger.Error("server for other hosts ended", "error", err)
+			h.Logger.Error("peer server ended", "error", err)
 		}
 	})
-	for _, work := range h.work() {
-		h.working.Go(func() { work(ctx) })
+	for _, work := range h.backgroundTasks() {
+		h.background.Go(func() { work(ctx) })
 	}
 	h.Logger.Info("started", "callers", h.Settings.Gateway.Callers, "store", h.Settings.Gateway.Store)
 	return nil
 }
 
-// listen opens an address.
+// listen listens on an address, through Ports.Listen if that is set.
 func (h *Host) listen(ctx context.Context, address string) (net.Listener, error) {
 	if h.Ports.Listen != nil {
 		return h.Ports.Listen(ctx, address)
@@ -182,51 +182,52 @@
 }
 
 func (h *Host) serve(server *http.Server, listener net.Listener) {
-	h.working.Go(func() {
+	h.background.Go(func() {
 		if err := server.Serve(listener); err != http.ErrServerClosed {
 			h.Logger.Error("server ended", "address", listener.Addr().String(), "error", err)
 		}
 	})
 }
 
-// work lists what runs in the background.
-func (h *Host) work() []func(context.Context) {
+// backgroundTasks returns the functions that run in the background until the host stops.
+func (h *Host) backgroundTasks() []func(context.Context) {
 	table := func(name string, p follow.Picture) func(context.Context) {
 		return func(ctx context.Context) {
 			follow.Run(ctx, follow.Options{Watch: h.Watch, Table: name, Logger: h.Logger}, p)
 		}
 	}
 	return []func(context.Context){
-		table(platform.TableOperator, &operators{holder: h.Holder, fleet: h.Fleet, upgrades: h.Upgrades, logger: h.Logger}),
-		table(platform.TableEndpoints, &endpoints{fleet: h.Fleet, pool: h.Pool, quarantine: h.Quarantine, upgrades: h.Upgrades, halls: h.Settings.Gateway.Halls, logger: h.Logger}),
-		h.Spread.Run, h.Upgrades.Run, h.Quarantine.Run, h.Limits.Run, h.Duties.Run, h.sweep, h.reload,
+		table(platform.TableOperator, &operatorTable{holder: h.Holder, fleet: h.Fleet, upgrades: h.Upgrades, logger: h.Logger}),
+		table(platform.TableEndpoints, &endpointTable{fleet: h.Fleet, pool: h.Pool, quarantine: h.Quarantine, upgrades: h.Upgrades, halls: h.Settings.Gateway.Halls, logger: h.Logger}),
+		h.Spread.Run, h.Upgrades.Run, h.Quarantine.Run, h.Limits.Run, h.Duties.Run, h.sweep, h.watchSettings,
 		func(ctx context.Context) { telemetry.WatchSuspensions(ctx, h.Deadlines, h.Telemetry, h.Logger) },
 	}
 }
 
-// sweep closes connections at rest, drops endpoints that stayed away and tends the heap.
+// sweep periodically tunes the heap, closes idle connections and drops endpoints that were not listed
+// again after a store outage.
 func (h *Host) sweep(ctx context.Context) {
-	memory := newHeap()
-	for clock.Sleep(ctx, sweepEvery) {
-		memory.tend()
+	tuner := newHeapTuner()
+	for clock.Sleep(ctx, sweepInterval) {
+		tuner.tune()
 		h.Pool.Sweep()
 		for _, id := range h.Fleet.Sweep() {
-			h.Logger.Info("endpoint gone", "endpoint", id, "reason", "not listed again after the store was away")
+			h.Logger.Info("endpoint gone", "endpoint", id, "reason", "not listed again after the store was unavailable")
 		}
 	}
 }
 
-// Stop drains the host: no longer ready at once; after a while no connection
-// takes another request; then requests in flight finish. What is not done by the
-// end of the grace is cut.
+// Stop drains the host. It reports not ready at once; after drainDelay its connections accept no further
+// requests; then requests in flight finish. Requests that are unfinished at the end of the grace period
+// are cut off.
 func (h *Host) Stop(ctx context.Context) error {
 	started := clock.Now()
 	h.Gateway.Drain()
 	h.Logger.Info("draining", "in_flight", h.Gateway.InFlight())
 	h.Spread.Stop()
-	h.working.Go(func() { h.Duties.Leave(ctx) })
-	clock.Sleep(ctx, leaveTime-clock.Since(started))
-	h.finish(ctx, started.Add(h.now.Load().Gateway.Grace-stopMargin))
+	h.background.Go(func() { h.Duties.Leave(ctx) })
+	clock.Sleep(ctx, drainDelay-clock.Since(started))
+	h.shutdownCallers(ctx, started.Add(h.current.Load().Gateway.Grace-stopMargin))
 	h.cancel()
 	h.peers.Stop()
 	h.Spread.Close()
@@ -235,13 +236,12 @@
 	}
 	h.Pool.Close()
 	h.Logger.Info("stopped", "took_ms", clock.Since(started).Milliseconds())
-	h.Lines.Close(logTimeout)
+	h.Lines.Close(logFlushTimeout)
 	return nil
 }
 
-// finish closes connections at rest and waits for requests in flight, until a
-// moment at most.
-func (h *Host) finish(ctx context.Context, end clock.Instant) {
+// shutdownCallers closes idle connections and waits for requests in flight, until end at the latest.
+func (h *Host) shutdownCallers(ctx context.Context, end clock.Instant) {
 	ctx, cancel := h.Deadlines.With(ctx, end)
 	defer cancel()
 	if err := h.callers.Shutdown(ctx); err != nil {
--- a/internal/gatewayd/host_test.go
+++ b/internal/gatewayd/host_test.go
@@ -40,7 +40,7 @@
 const declaration = `{"version":1,"routes":[{"name":"r","host":"a.example","path_prefix":"/x/","kind":"non_idempotent","timeout_ms":20000,
 "target_latency_ms":300,"service":"s","max_attempts":1,"public":true}],"services":[{"name":"s","max_conns":96}],"limits":{"idle_timeout_ms":15000}}`
 
-// system is a host with its store and an endpoint.
+// system is a host with its network, a store and an endpoint.
 type system struct {
 	net   *memnet.Network
 	store *standin.Store
@@ -57,8 +57,8 @@
 	return s
 }
 
-// running runs a body beside a host, under the paused clock.
-func running(script standin.Script, body func(s *system)) {
+// withHost runs body with a started host, under a paused clock.
+func withHost(script standin.Script, body func(s *system)) {
 	suite.Paused(func() {
 		s := &system{net: memnet.New(), store: standin.NewStore()}
 		server := &http.Server{Handler: s.store}
@@ -78,15 +78,15 @@
 	})
 }
 
-func (s *system) declare() {
+func (s *system) putDeclaration() {
 	s.store.Put("op", "config", []byte(declaration))
 }
 
-func (s *system) list() {
+func (s *system) listEndpoint() {
 	s.store.Put("servers", "e-1", standin.EndpointValue("s", endpointAddress, "ikeja", "v1", false))
 }
 
-// get asks an address; 0 if it does not answer.
+// get sends a GET request and returns status and body, or 0 and the error if there is no response.
 func (s *system) get(address, path string) (int, string) {
 	client := &http.Client{Transport: s.net.Transport()}
 	defer client.CloseIdleConnections()
@@ -108,30 +108,30 @@
 	return c, bufio.NewReader(c)
 }
 
-var good = standin.Reply{Status: 200, Body: "done"}
+var okReply = standin.Reply{Status: 200, Body: "done"}
 
 var _ = Describe("a host", func() {
 	It("is ready once it knows a configuration and endpoints", func() {
-		running(good, func(s *system) {
+		withHost(okReply, func(s *system) {
 			status, reason := s.get(readyAddress, "/-/readiness")
 			Expect(status).To(Equal(503))
 			Expect(reason).To(ContainSubstring("no configuration"))
-			s.declare()
+			s.putDeclaration()
 			time.Sleep(10 * time.Millisecond)
 			status, reason = s.get(readyAddress, "/-/readiness")
 			Expect(status).To(Equal(503))
 			Expect(reason).To(ContainSubstring("no endpoints"))
-			s.list()
+			s.listEndpoint()
 			time.Sleep(10 * time.Millisecond)
 			status, _ = s.get(readyAddress, "/-/readiness")
 			Expect(status).To(Equal(200))
 		})
 	})
 
-	It("serves, and shows its figures", func() {
-		running(good, func(s *system) {
-			s.declare()
-			s.list()
+	It("serves requests and exposes its metrics", func() {
+		withHost(okReply, func(s *system) {
+			s.putDeclaration()
+			s.listEndpoint()
 			time.Sleep(10 * time.Millisecond)
 			c, reader := s.connect()
 			defer func() { _ = c.Close() }()
@@ -140,23 +140,23 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(r.StatusCode).To(Equal(200))
 			_, _ = io.ReadAll(r.Body)
-			_, figures := s.get(controlAddress, "/metrics")
-			Expect(figures).To(ContainSubstring("quaybarrow_config_version 1"))
-			Expect(figures).To(ContainSubstring("routed_request"))
+			_, metrics := s.get(controlAddress, "/metrics")
+			Expect(metrics).To(ContainSubstring("quaybarrow_config_version 1"))
+			Expect(metrics).To(ContainSubstring("routed_request"))
 		})
 	})
 
-	It("that stops takes no request on a kept connection in the last seconds of the grace", func() {
-		running(good, func(s *system) {
-			s.declare()
-			s.list()
+	It("closes idle connections within the grace period when it stops", func() {
+		withHost(okReply, func(s *system) {
+			s.putDeclaration()
+			s.listEndpoint()
 			time.Sleep(10 * time.Millisecond)
 			c, reader := s.connect()
 			defer func() { _ = c.Close() }()
 			stopping := make(chan error)
 			go func() { stopping <- s.app.Stop(context.Background()) }()
 			start := time.Now()
-			synctest.Wait() // until the stop has begun; no time passes
+			synctest.Wait() // waits until the stop has begun; the clock does not advance
 			status, _ := s.get(readyAddress, "/-/readiness")
 			Expect(status).To(Equal(503))
 			_, err := reader.Peek(1)
@@ -166,11 +166,11 @@
 		})
 	})
 
-	It("that stops finishes what is in flight", func() {
+	It("finishes requests in flight when it stops", func() {
 		slow := standin.Reply{Status: 200, Body: "late", Delay: 5 * time.Second}
-		running(slow, func(s *system) {
-			s.declare()
-			s.list()
+		withHost(slow, func(s *system) {
+			s.putDeclaration()
+			s.listEndpoint()
 			time.Sleep(10 * time.Millisecond)
 			c, reader := s.connect()
 			defer func() { _ = c.Close() }()
@@ -188,7 +188,7 @@
 })
 
 var _ = Describe("changed settings", func() {
-	It("come into force at a signal and without one; bad ones do not", func() {
+	It("are applied with and without a signal, and invalid ones are not", func() {
 		var next atomic.Pointer[settings.Settings]
 		var failing atomic.Bool
 		change := func(to func(s *settings.Settings)) {
@@ -237,7 +237,7 @@
 	})
 })
 
-// safeBuffer is a buffer for use at once.
+// safeBuffer is a buffer that is safe for concurrent use.
 type safeBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -1,15 +1,15 @@
-// Package gatewayd wires a host that serves routed requests on the users'
-// platform, and runs its life.
+// Package gatewayd wires and runs a host that serves routed requests on the users'
+// platform.
 //
 // # Usage
 //
 //	app := fx.New(gatewayd.Module(settings, gatewayd.Ports{}))
 //	app.Run()
 //
-// The host follows the operators' table and the endpoints' table, serves callers
-// through a gateway, and tells at two further addresses whether it is ready and
-// what its figures are. It keeps nothing: what must last is in the platform's
-// store.
+// The host follows the operators' table and the endpoints table, serves callers
+// through a gateway, and serves a readiness probe and a control API with its metrics
+// at two further addresses. It keeps no durable state of its own: that is in the
+// platform's store.
 package gatewayd
 
 import (
@@ -42,23 +42,23 @@
 	"quaybarrow/platform"
 )
 
-// memoryShare of a host's memory is what the runtime is told to keep to; the
-// rest is for stacks of threads, socket buffers and the program itself.
+// memoryShare is the part of a host's memory that is set as the Go runtime's memory limit;
+// the rest is for thread stacks, socket buffers and the program itself.
 const memoryShare = 0.6
 
-// Ports are the ways to the outside. What is nil is made from the settings.
+// Ports are the host's connections to its environment. Fields that are nil are built from the settings.
 type Ports struct {
 	Store  storeClient
 	LogTo  io.Writer
 	Dial   platform.Dialer
 	Listen func(ctx context.Context, address string) (net.Listener, error)
-	// Reload reads the settings again; nil if they never change.
+	// Reload reads the settings again; nil if the settings never change.
 	Reload func() (settings.Settings, error)
-	// Hangup tells that the settings have changed.
+	// Hangup receives a signal when the settings have changed.
 	Hangup <-chan os.Signal
 }
 
-// dialPeer is the way to endpoints and other hosts; nil is the network's.
+// dialPeer returns the function that connects to endpoints and other hosts, or nil for the default dialer.
 func (p Ports) dialPeer() func(ctx context.Context, address string) (net.Conn, error) {
 	if p.Dial == nil {
 		return nil
@@ -72,7 +72,7 @@
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 		fx.Supply(s, ports),
 		fx.Provide(
-			newLines, newLogger, newTelemetry, newTLS, newStore, newWatcher, clock.NewDeadlines, route.NewHolder, newFleet, newPool, newTracker, newAdvisor, newLimits, newQuarantine, newLifetime, newUsage, newDuties, newGateway, newHost,
+			newLines, newLogger, newTelemetry, newTLS, newStore, newWatcher, clock.NewDeadlines, route.NewHolder, newFleet, newPool, newUpgradeTracker, newAdvisor, newLimits, newQuarantine, newIncarnation, newUsage, newDuties, newGateway, newHost,
 		),
 		fx.Invoke(func(lc fx.Lifecycle, h *Host) {
 			lc.Append(fx.Hook{OnStart: h.Start, OnStop: h.Stop})
@@ -80,10 +80,10 @@
 	)
 }
 
-// limitMemory keeps the runtime within the host's memory.
+// limitMemory sets the runtime's memory limit from the host's memory, and the initial GC percentage.
 func limitMemory(megabytes int) {
 	debug.SetMemoryLimit(int64(memoryShare * float64(megabytes) * (1 << 20)))
-	debug.SetGCPercent(collectPercent)
+	debug.SetGCPercent(maxGCPercent)
 }
 
 func newLines(p Ports) *telemetry.Lines {
@@ -95,7 +95,7 @@
 
 func newLogger(s settings.Settings, lines *telemetry.Lines) *log.Logger {
 	logger := log.NewWithOptions(lines, log.Options{ReportTimestamp: true, Formatter: log.JSONFormatter, TimeFormat: time.RFC3339Nano})
-	// The settings' check has refused every other word.
+	// The check of the settings has already refused invalid levels.
 	if level, err := log.ParseLevel(s.Telemetry.LogLevel); err == nil {
 		logger.SetLevel(level)
 	}
@@ -106,7 +106,7 @@
 
 func newTLS(s settings.Settings) (*tlsfiles.Files, error) { return tlsfiles.Open(s.TLS) }
 
-// storeClient is the platform's store as this host reaches it.
+// storeClient is the interface of the client for the platform's store.
 type storeClient interface {
 	store.Tables
 	store.Watcher
@@ -126,26 +126,26 @@
 func newWatcher(s settings.Settings, p Ports, c storeClient, files *tlsfiles.Files, l *log.Logger) (*spread.Watcher, store.Watcher) {
 	w := spread.NewWatcher(spread.Options{
 		Host: s.Host, Hall: s.DataHall, Regions: s.Gateway.Halls, Address: s.Gateway.Peers, Cores: s.Gateway.Cores, Seeds: s.Gateway.SeedPeers(), First: s.Gateway.First,
-		Wait: time.Duration(waitPart * float64(s.Gateway.Bound())), Tables: c, Store: c, Logger: l,
+		Wait: time.Duration(waitFraction * float64(s.Gateway.Bound())), Tables: c, Store: c, Logger: l,
 		Credentials: files.ClientCredentials(), Dial: p.dialPeer(),
 	})
 	return w, w
 }
 
-// waitPart of the time in which a change has to be in force is one wait for changes
-// at the store. A feed that falls silent is given up a quarter of a second after
-// it, and then there is time to ask four others, a fifth of a second each.
-const waitPart = 0.45
+// waitFraction is the length of one wait for changes at the store, as a fraction of the time within
+// which a change has to be in force. A silent feed is abandoned a quarter of a second after the wait,
+// which leaves time to ask four others, a fifth of a second each.
+const waitFraction = 0.45
 
 func newFleet(s settings.Settings, h *route.Holder, w *spread.Watcher) *fleet.Fleet {
 	return fleet.New(fleet.Options{
 		Hall: s.DataHall, Regions: s.Gateway.Halls, Choosers: w.Choosers,
-		WarmUp: func(service string) fleet.WarmUp { return warming(s.Gateway, h.Table(), service) },
+		WarmUp: func(service string) fleet.WarmUp { return declaredWarmUp(s.Gateway, h.Table(), service) },
 	})
 }
 
-// warming is what operators declare of cold endpoints of a service.
-func warming(s settings.Gateway, t *route.Table, service string) fleet.WarmUp {
+// declaredWarmUp returns the warm-up that operators declare for cold endpoints of a service.
+func declaredWarmUp(s settings.Gateway, t *route.Table, service string) fleet.WarmUp {
 	if t == nil {
 		return fleet.WarmUp{}
 	}
@@ -162,7 +162,7 @@
 	})
 }
 
-func newTracker(s settings.Settings, tables store.Tables, w *spread.Watcher, f *fleet.Fleet, l *log.Logger) *upgrade.Tracker {
+func newUpgradeTracker(s settings.Settings, tables store.Tables, w *spread.Watcher, f *fleet.Fleet, l *log.Logger) *upgrade.Tracker {
 	return upgrade.NewTracker(upgrade.Options{
 		Host: s.Host, Tables: tables, Watch: w, Fleet: f, Logger: l, Status: platform.StatusWrite, Hosts: w.Hosts,
 		Exposure: s.Gateway.Exposure,
@@ -187,11 +187,11 @@
 func newQuarantine(s settings.Settings, tables store.Tables, w *spread.Watcher, p *conn.Pool, f *fleet.Fleet, l *log.Logger) *quarantine.Tracker {
 	return quarantine.NewTracker(quarantine.Options{
 		Host: s.Host, Probe: p.Reach, CountEndpoints: f.Count, Members: func() []quarantine.Member { return members[quarantine.Member](w) }, IsFirstHost: w.Leads,
-		Peers: quarantine.NewPeerClient(w.Conn), FreshStart: s.Gateway.First, Tables: tables, SharedNow: sharedClock(w), Logger: l,
+		Peers: quarantine.NewPeerClient(w.Conn), FreshStart: s.Gateway.First, Tables: tables, SharedNow: storeClock(w), Logger: l,
 	})
 }
 
-// members are the other hosts, as a package knows them.
+// members returns the other hosts, converted to the member type of a package.
 func members[M quarantine.Member | ratelimit.Member](w *spread.Watcher) []M {
 	var list []M
 	for _, m := range w.Members() {
@@ -200,8 +200,8 @@
 	return list
 }
 
-// sharedClock is the store's as this host knows it.
-func sharedClock(w *spread.Watcher) func() (time.Duration, bool) {
+// storeClock returns a function that estimates the time of the store's clock.
+func storeClock(w *spread.Watcher) func() (time.Duration, bool) {
 	return func() (time.Duration, bool) {
 		bounds, known := w.Now()
 		return (bounds.Earliest + bounds.Latest) / 2, known
@@ -213,10 +213,10 @@
 ) *gateway.Gateway {
 	return gateway.New(gateway.Options{
 		Holder: h, Fleet: f, Pool: p, Upgrades: u, Codec: platform.Heads{}, Advice: a, Quarantine: q, Limits: limits, Deadlines: d, Telemetry: t, Logger: l, Usage: counter, Hosts: w.Hosts,
-		RetryRatio: retryPart * s.Gateway.RetryRatio,
+		RetryRatio: retryFraction * s.Gateway.RetryRatio,
 	})
 }
 
-// retryPart of the ratio that all hosts may repeat is what this one keeps to:
-// the window of those who count need not be this host's.
-const retryPart = 0.92
+// retryFraction is the part of the configured retry ratio that this host uses. The margin is needed
+// because the ratio may be measured over other time windows than this host's.
+const retryFraction = 0.92
--- a/internal/gatewayd/operators.go
+++ b/internal/gatewayd/operators.go
@@ -13,17 +13,17 @@
 	"quaybarrow/platform"
 )
 
-// operators takes in what operators declare and order.
-type operators struct {
-	holder   *route.Holder
-	fleet    *fleet.Fleet
-	upgrades *upgrade.Tracker
-	logger   *log.Logger
-	halls    map[string]bool // that are evacuated, by the rows
+// operatorTable takes in what operatorTable declare and order.
+type operatorTable struct {
+	holder    *route.Holder
+	fleet     *fleet.Fleet
+	upgrades  *upgrade.Tracker
+	logger    *log.Logger
+	evacuated map[string]bool // evacuated data halls, as the rows list them
 }
 
 // Reset implements follow.Picture.
-func (o *operators) Reset(rows []store.Row, _ bool) {
+func (o *operatorTable) Reset(rows []store.Row, _ bool) {
 	halls := map[string]bool{}
 	for _, row := range rows {
 		if hall, ok := platform.EvacuatedHall(row.Key); ok {
@@ -32,21 +32,21 @@
 		}
 		o.apply(row)
 	}
-	o.evacuate(halls)
+	o.setEvacuated(halls)
 }
 
 // Change implements follow.Picture.
-func (o *operators) Change(changes []store.Change, _ bool) {
+func (o *operatorTable) Change(changes []store.Change, _ bool) {
 	for _, c := range changes {
 		hall, ok := platform.EvacuatedHall(c.Key)
 		switch {
 		case ok:
 			halls := map[string]bool{hall: true}
-			maps.Copy(halls, o.halls)
+			maps.Copy(halls, o.evacuated)
 			if c.Deleted {
 				delete(halls, hall)
 			}
-			o.evacuate(halls)
+			o.setEvacuated(halls)
 		case !c.Deleted:
 			o.apply(c.Row)
 		}
@@ -54,23 +54,23 @@
 }
 
 // Confirm implements follow.Picture.
-func (o *operators) Confirm() { o.holder.Confirm() }
+func (o *operatorTable) Confirm() { o.holder.Confirm() }
 
-// evacuate takes in which data halls are evacuated.
-func (o *operators) evacuate(halls map[string]bool) {
-	if maps.Equal(halls, o.halls) {
+// setEvacuated replaces the set of evacuated data halls.
+func (o *operatorTable) setEvacuated(halls map[string]bool) {
+	if maps.Equal(halls, o.evacuated) {
 		return
 	}
 	now := slices.Sorted(maps.Keys(halls))
 	o.fleet.Evacuate(now)
-	o.logger.Info("data halls evacuated", "halls", now, "before", slices.Sorted(maps.Keys(o.halls)))
-	o.halls = halls
+	o.logger.Info("data halls evacuated", "halls", now, "before", slices.Sorted(maps.Keys(o.evacuated)))
+	o.evacuated = halls
 }
 
-func (o *operators) apply(row store.Row) {
+func (o *operatorTable) apply(row store.Row) {
 	switch {
 	case row.Key == platform.KeyDeclaration:
-		o.declare(row)
+		o.applyDeclaration(row)
 	case platform.IsOrder(row.Key):
 		order, err := platform.DecodeOrder(row)
 		if err != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (o *operators) declare(row store.Row) {
+func (o *operatorTable) applyDeclaration(row store.Row) {
 	d, err := platform.DecodeDeclaration(row.Value)
 	if err != nil {
 		o.logger.Error("configuration can't be read; the old one stays in force", "row_version", row.Version, "error", err)
--- a/internal/gatewayd/quarantineview.go
+++ b/internal/gatewayd/quarantineview.go
@@ -9,32 +9,32 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// PathQuarantine is where a host tells at its control address which requests it knows that
-// endpoints crash under; a POST to PathRelease below it lets one out.
+// PathQuarantine is the path at a host's control address that shows the requests that crash endpoints;
+// a POST to PathRelease releases one from quarantine.
 const (
 	PathQuarantine = "/quarantine"
 	PathRelease    = PathQuarantine + "/{request}/release"
 )
 
-// QuarantineView is what a host knows of requests that endpoints crash under, for operators.
+// QuarantineView is the operators' view of the requests that crash endpoints, as one host knows them.
 type QuarantineView struct {
 	Host     string              `json:"host"`
-	Requests []QuarantineRequest `json:"requests"` // the latest crash first
+	Requests []QuarantineRequest `json:"requests"` // sorted by last crash, the latest first
 }
 
-// QuarantineRequest is a request in quarantine, or one that a crash more may bring there.
+// QuarantineRequest is a request that is in quarantine, or may be after another crash.
 type QuarantineRequest struct {
 	Request     quarantine.Fingerprint `json:"request"` // its fingerprint
 	Of          string                 `json:"of"`      // workspace and route
 	Quarantined bool                   `json:"quarantined"`
-	Crashes     int                    `json:"crashes"` // of endpoints that ran it, since it last came to a good end
-	Chance      float64                `json:"chance"`  // that it was beside them by chance
+	Crashes     int                    `json:"crashes"` // of endpoints that ran it, since it last succeeded
+	Chance      float64                `json:"chance"`  // probability that it ran during these crashes by chance
 	FirstMsAgo  int64                  `json:"first_ms_ago"`
 	LastMsAgo   int64                  `json:"last_ms_ago"`
 }
 
-// viewQuarantine answers with the requests that endpoints crash under.
-func (h *Host) viewQuarantine(w http.ResponseWriter, _ *http.Request) {
+// serveQuarantine answers with the QuarantineView.
+func (h *Host) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	view := QuarantineView{Host: h.Settings.Host, Requests: []QuarantineRequest{}}
 	for _, l := range h.Quarantine.List() {
 		view.Requests = append(view.Requests, QuarantineRequest{
@@ -44,11 +44,11 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(view); err != nil {
-		h.Logger.Debug("view of the quarantine not written", "error", err)
+		h.Logger.Debug("writing the quarantine view failed", "error", err)
 	}
 }
 
-// release lets a request out of quarantine, on all hosts.
+// release releases a request from quarantine, on all hosts.
 func (h *Host) release(w http.ResponseWriter, r *http.Request) {
 	var f quarantine.Fingerprint
 	if err := f.UnmarshalText([]byte(mux.Vars(r)["request"])); err != nil {
--- a/internal/gatewayd/quarantineview_test.go
+++ b/internal/gatewayd/quarantineview_test.go
@@ -14,7 +14,7 @@
 	"quaybarrow/internal/standin/suite"
 )
 
-// post sends an empty body to an address; 0 if it does not answer.
+// post sends a POST request with an empty body and returns the status, or 0 if there is no response.
 func (r *crashRig) post(address, path string) int {
 	client := &http.Client{Transport: r.net.Transport()}
 	defer client.CloseIdleConnections()
@@ -26,8 +26,8 @@
 	return answer.StatusCode
 }
 
-// view asks a host what it knows of requests that endpoints crash under.
-func (r *crashRig) view(host int) gatewayd.QuarantineView {
+// quarantineView fetches a host's view of requests that crash endpoints.
+func (r *crashRig) quarantineView(host int) gatewayd.QuarantineView {
 	client := &http.Client{Transport: r.net.Transport()}
 	defer client.CloseIdleConnections()
 	answer, err := client.Get("http://" + r.hosts[host].address(82) + gatewayd.PathQuarantine)
@@ -40,40 +40,40 @@
 	return view
 }
 
-var _ = Describe("operators of hosts whose endpoints crash under a request", func() {
-	It("see it on every host, and let it out on all of them through one", func() {
+var _ = Describe("operators, when a request crashes endpoints", func() {
+	It("see it on every host, and release it on all hosts through one", func() {
 		suite.Paused(func() {
-			r := newCrashRig(crashDay{path: "/once/"})
+			r := newCrashRig(crashScenario{path: "/once/"})
 			defer r.stop()
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
 			for i := range 5 {
-				r.ask(ctx, i%crashHosts, "/once/x", crashBody)
+				r.send(ctx, i%crashHosts, "/once/x", crashBody)
 				time.Sleep(500 * time.Millisecond)
 			}
 			for host := range crashHosts {
-				view := r.view(host)
+				view := r.quarantineView(host)
 				Expect(view.Requests).To(HaveLen(1))
 				Expect(view.Requests[0].Quarantined).To(BeTrue())
 				Expect(view.Requests[0].Of).To(Equal("weavers /once/"))
 				Expect(view.Requests[0].Crashes).To(Equal(3))
 			}
-			_, figures := r.get(0, "/metrics")
-			Expect(figures).To(ContainSubstring("quaybarrow_requests_quarantined 1"))
-			print := r.view(1).Requests[0].Request
+			_, metrics := r.get(0, "/metrics")
+			Expect(metrics).To(ContainSubstring("quaybarrow_requests_quarantined 1"))
+			fingerprint := r.quarantineView(1).Requests[0].Request
 			address := r.hosts[1].address(82)
 			Expect(r.post(address, "/quarantine/0011/release")).To(Equal(http.StatusBadRequest))
 			Expect(r.post(address, "/quarantine/00112233445566778899aabbccddeeff/release")).To(Equal(http.StatusNotFound))
-			Expect(r.post(address, "/quarantine/"+print.String()+"/release")).To(Equal(http.StatusNoContent))
+			Expect(r.post(address, "/quarantine/"+fingerprint.String()+"/release")).To(Equal(http.StatusNoContent))
 			time.Sleep(500 * time.Millisecond)
 			for host := range crashHosts {
-				Expect(r.view(host).Requests).To(BeEmpty())
+				Expect(r.quarantineView(host).Requests).To(BeEmpty())
 			}
 		})
 	})
 })
 
-// get asks a host at its control address.
+// get sends a GET request to a host's control address.
 func (r *crashRig) get(host int, path string) (int, string) {
 	s := &system{net: r.net}
 	return s.get(r.hosts[host].address(82), path)
--- a/internal/gatewayd/reload.go
+++ b/internal/gatewayd/reload.go
@@ -10,16 +10,16 @@
 	"quaybarrow/internal/settings"
 )
 
-// settingsEvery is how often the settings file is looked at: it may change
+// settingsInterval is how often the settings file is read again: it may change
 // without a signal.
-const settingsEvery = 5 * time.Second
+const settingsInterval = 5 * time.Second
 
-// reload takes in changed settings, at a signal and now and then.
-func (h *Host) reload(ctx context.Context) {
+// watchSettings reloads the settings at each signal and every settingsInterval.
+func (h *Host) watchSettings(ctx context.Context) {
 	if h.Ports.Reload == nil {
 		return
 	}
-	ticker := time.NewTicker(settingsEvery)
+	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
 	for {
 		signalled := false
@@ -30,36 +30,36 @@
 			signalled = true
 		case <-ticker.C:
 		}
-		h.reloadOnce(signalled)
+		h.reloadSettings(signalled)
 	}
 }
 
-// reloadOnce reads the settings and applies what can change while the host runs.
-// Settings that can't be read leave the old ones in force.
-func (h *Host) reloadOnce(signalled bool) {
+// reloadSettings reads the settings and applies those that can change while the host runs.
+// If they can't be read, the old ones stay in force.
+func (h *Host) reloadSettings(signalled bool) {
 	next, err := h.Ports.Reload()
 	if err != nil {
 		h.Logger.Error("settings can't be read; the old ones stay in force", "signal", signalled, "error", err)
 		return
 	}
-	now := h.now.Load()
-	if reflect.DeepEqual(*now, next) {
+	current := h.current.Load()
+	if reflect.DeepEqual(*current, next) {
 		if signalled {
 			h.Logger.Info("settings read again; nothing changed", "signal", signalled)
 		}
 		return
 	}
-	h.now.Store(&next)
+	h.current.Store(&next)
 	limitMemory(next.Gateway.MemoryMB)
-	h.Gateway.SetRetryRatio(retryPart * next.Gateway.RetryRatio)
-	// The settings' check has refused every other word.
+	h.Gateway.SetRetryRatio(retryFraction * next.Gateway.RetryRatio)
+	// The check of the settings has already refused invalid levels.
 	if level, err := log.ParseLevel(next.Telemetry.LogLevel); err == nil {
 		h.Logger.SetLevel(level)
 	}
-	h.Logger.Info("settings changed", "signal", signalled, "restart_needed", needsRestart(*now, next))
+	h.Logger.Info("settings changed", "signal", signalled, "restart_needed", needsRestart(*current, next))
 }
 
-// needsRestart reports whether settings differ in what only a start takes in.
+// needsRestart reports whether settings differ in fields that apply only at a start.
 func needsRestart(a, b settings.Settings) bool {
 	for _, s := range []*settings.Settings{&a, &b} {
 		s.Gateway.MemoryMB, s.Gateway.RetryRatio, s.Gateway.Grace = 0, 0, 0
--- a/internal/gatewayd/suspended_test.go
+++ b/internal/gatewayd/suspended_test.go
@@ -15,15 +15,15 @@
 	"quaybarrow/platform/standin"
 )
 
-var _ = Describe("hosts that were suspended", func() {
-	It("answer requests whose time is over as soon as they are back, and say that they were", func() {
+var _ = Describe("hosts after a suspension of their machine", func() {
+	It("answer expired requests as soon as they resume, and log the suspension", func() {
 		suite.Paused(func() {
-			r := newCrashRig(crashDay{})
+			r := newCrashRig(crashScenario{})
 			defer r.stop()
 			c, err := r.net.Dial(context.Background(), "tcp", r.hosts[0].address(80))
 			Expect(err).NotTo(HaveOccurred())
 			defer func() { _ = c.Close() }()
-			q := standin.NewRequest(http.MethodPost, "/once/x", muteBody).With("X-Body: " + muteBody)
+			q := standin.NewRequest(http.MethodPost, "/once/x", unansweredBody).With("X-Body: " + unansweredBody)
 			q.DeadlineMs = 5000
 			go func() { _, _ = io.WriteString(c, q.Text()) }()
 			time.Sleep(time.Second)
@@ -34,7 +34,7 @@
 			Expect(a.Status).To(Equal(http.StatusGatewayTimeout))
 			Expect(time.Since(began)).To(BeNumerically("<", 500*time.Millisecond))
 			Expect(r.log.text()).To(ContainSubstring(`"machine was suspended"`))
-			Expect(r.ask(context.Background(), 0, "/once/x", "afterwards")).To(Equal(http.StatusOK))
+			Expect(r.send(context.Background(), 0, "/once/x", "afterwards")).To(Equal(http.StatusOK))
 		})
 	})
 })
--- a/internal/gatewayd/pictures_test.go
+++ b/internal/gatewayd/tables_test.go
@@ -22,35 +22,35 @@
 	"quaybarrow/platform/standin"
 )
 
-// seenWithin is how soon a host follows the store.
-const seenWithin = 2 * time.Second
+// followWithin is the time within which a host applies changes of the store.
+const followWithin = 2 * time.Second
 
-// site is a host, its store and an endpoint in each of two data halls.
-type site struct {
+// twoHallSystem is a host with its store and an endpoint in each of two data halls.
+type twoHallSystem struct {
 	*system
 	endpoints map[string]*standin.Endpoint
 	log       *safeBuffer
 }
 
-// onSite runs a body beside a host of two data halls.
-func onSite(body func(s *site)) {
+// withTwoHalls runs body with a host that knows two data halls.
+func withTwoHalls(body func(s *twoHallSystem)) {
 	suite.Paused(func() {
-		s := &site{system: &system{net: memnet.New(), store: standin.NewStore()}, endpoints: map[string]*standin.Endpoint{}, log: &safeBuffer{}}
+		s := &twoHallSystem{system: &system{net: memnet.New(), store: standin.NewStore()}, endpoints: map[string]*standin.Endpoint{}, log: &safeBuffer{}}
 		server := &http.Server{Handler: s.store}
 		storeListener := s.net.Listen(storeAddress)
 		go func() { _ = server.Serve(storeListener) }()
 		for _, hall := range []string{"ikeja", "lekki"} {
-			e := standin.NewEndpoint("of-"+hall, standin.Always(good))
+			e := standin.NewEndpoint("of-"+hall, standin.Always(okReply))
 			s.endpoints[hall] = e
 			l := s.net.Listen(addressIn(hall))
 			defer func() { _ = l.Close() }()
 			go e.Serve(l)
 		}
 		s.start(hostSettings())
-		s.declare()
-		s.put("ikeja")
-		s.put("lekki")
-		time.Sleep(seenWithin)
+		s.putDeclaration()
+		s.listEndpointIn("ikeja")
+		s.listEndpointIn("lekki")
+		time.Sleep(followWithin)
 		body(s)
 		Expect(s.app.Stop(context.Background())).To(Succeed())
 		_ = server.Close()
@@ -62,7 +62,7 @@
 	return map[string]string{"ikeja": "10.0.1.1:80", "lekki": "10.0.2.1:80"}[hall]
 }
 
-func (s *site) start(o settings.Settings) {
+func (s *twoHallSystem) start(o settings.Settings) {
 	o.Gateway.Halls = map[string]string{"ikeja": "lagos", "lekki": "lagos"}
 	s.app = fx.New(gatewayd.Module(o, gatewayd.Ports{
 		Store: platform.NewStore(storeAddress, s.net.Dial), LogTo: s.log, Dial: s.net.Dial,
@@ -71,18 +71,18 @@
 	Expect(s.app.Start(context.Background())).To(Succeed())
 }
 
-func (s *site) restart() {
+func (s *twoHallSystem) restart() {
 	Expect(s.app.Stop(context.Background())).To(Succeed())
 	s.start(hostSettings())
-	time.Sleep(seenWithin)
+	time.Sleep(followWithin)
 }
 
-func (s *site) put(hall string) {
+func (s *twoHallSystem) listEndpointIn(hall string) {
 	s.store.Put("servers", "of-"+hall, standin.EndpointValue("s", addressIn(hall), hall, "v1", false))
 }
 
-// served asks some times and counts the answers by data hall; "none" counts refusals.
-func (s *site) served() map[string]int {
+// served sends 12 requests and counts those that arrive, by data hall; "none" counts other statuses than 200.
+func (s *twoHallSystem) served() map[string]int {
 	before := map[string]int{}
 	for hall, e := range s.endpoints {
 		before[hall] = len(e.Seen())
@@ -107,56 +107,58 @@
 	return counts
 }
 
-func (s *site) evacuate(hall string) { s.store.Put("op", standin.EvacuationKey(hall), []byte("{}")) }
-func (s *site) takeBack(hall string) { s.store.Drop("op", standin.EvacuationKey(hall)) }
+func (s *twoHallSystem) evacuate(hall string) {
+	s.store.Put("op", standin.EvacuationKey(hall), []byte("{}"))
+}
+func (s *twoHallSystem) endEvacuation(hall string) { s.store.Drop("op", standin.EvacuationKey(hall)) }
 
 var _ = Describe("a host whose operators evacuate data halls", func() {
-	elsewhere := map[string]int{"lekki": 12}
-	near := map[string]int{"ikeja": 12}
+	onlyLekki := map[string]int{"lekki": 12}
+	onlyIkeja := map[string]int{"ikeja": 12}
 	cases := map[string]struct {
-		do   func(s *site)
+		do   func(s *twoHallSystem)
 		want map[string]int
 	}{
-		"one":                  {func(s *site) { s.evacuate("ikeja") }, elsewhere},
-		"one that nobody has":  {func(s *site) { s.evacuate("nowhere") }, near},
-		"all":                  {func(s *site) { s.evacuate("ikeja"); s.evacuate("lekki") }, map[string]int{"none": 12}},
-		"both, one taken back": {func(s *site) { s.evacuate("ikeja"); s.evacuate("lekki"); s.takeBack("lekki") }, elsewhere},
-		"one, taken back":      {func(s *site) { s.evacuate("ikeja"); time.Sleep(time.Second); s.takeBack("ikeja") }, near},
-		"again within a second": {func(s *site) {
+		"one":                 {func(s *twoHallSystem) { s.evacuate("ikeja") }, onlyLekki},
+		"an unknown one":      {func(s *twoHallSystem) { s.evacuate("nowhere") }, onlyIkeja},
+		"all":                 {func(s *twoHallSystem) { s.evacuate("ikeja"); s.evacuate("lekki") }, map[string]int{"none": 12}},
+		"both, one withdrawn": {func(s *twoHallSystem) { s.evacuate("ikeja"); s.evacuate("lekki"); s.endEvacuation("lekki") }, onlyLekki},
+		"one, then withdrawn": {func(s *twoHallSystem) { s.evacuate("ikeja"); time.Sleep(time.Second); s.endEvacuation("ikeja") }, onlyIkeja},
+		"again within a second": {func(s *twoHallSystem) {
 			s.evacuate("ikeja")
-			s.takeBack("ikeja")
+			s.endEvacuation("ikeja")
 			time.Sleep(300 * time.Millisecond)
 			s.evacuate("ikeja")
-		}, elsewhere},
-		"before the host starts": {func(s *site) { s.evacuate("ikeja"); s.restart() }, elsewhere},
-		"and take it back while the host is down": {func(s *site) {
+		}, onlyLekki},
+		"before the host starts": {func(s *twoHallSystem) { s.evacuate("ikeja"); s.restart() }, onlyLekki},
+		"and withdraw it while the host is down": {func(s *twoHallSystem) {
 			s.evacuate("ikeja")
 			time.Sleep(time.Second)
 			Expect(s.app.Stop(context.Background())).To(Succeed())
-			s.takeBack("ikeja")
+			s.endEvacuation("ikeja")
 			s.start(hostSettings())
-		}, near},
-		"and take it back unheard": {func(s *site) {
+		}, onlyIkeja},
+		"and withdraw it during a store outage": {func(s *twoHallSystem) {
 			s.evacuate("ikeja")
-			time.Sleep(seenWithin)
+			time.Sleep(followWithin)
 			s.store.Break(standin.Silent)
 			time.Sleep(time.Second)
-			s.takeBack("ikeja")
+			s.endEvacuation("ikeja")
 			s.store.Forget()
 			s.store.Break(standin.Healthy)
-			time.Sleep(seenWithin)
-		}, near},
-		"and add an endpoint there": {func(s *site) {
+			time.Sleep(followWithin)
+		}, onlyIkeja},
+		"and add an endpoint there": {func(s *twoHallSystem) {
 			s.evacuate("ikeja")
 			time.Sleep(time.Second)
-			s.put("ikeja")
-		}, elsewhere},
+			s.listEndpointIn("ikeja")
+		}, onlyLekki},
 	}
 	for name, c := range cases {
-		It("follows: "+name, func() {
-			onSite(func(s *site) {
+		It("follows an evacuation: "+name, func() {
+			withTwoHalls(func(s *twoHallSystem) {
 				c.do(s)
-				time.Sleep(seenWithin)
+				time.Sleep(followWithin)
 				Expect(s.served()).To(Equal(c.want))
 			})
 		})
@@ -164,13 +166,13 @@
 })
 
 var _ = Describe("a host's view of endpoints", func() {
-	It("tells which data halls are evacuated and which endpoints are cold, and since when", func() {
-		onSite(func(s *site) {
+	It("shows which data halls are evacuated and which endpoints are cold, and since when", func() {
+		withTwoHalls(func(s *twoHallSystem) {
 			s.evacuate("ikeja")
 			s.store.Put("servers", "of-lekki", standin.Entry{
 				Service: "s", Address: addressIn("lekki"), Hall: "lekki", Version: "v1", Cold: 5 * time.Second, Born: 1000,
 			}.Value())
-			time.Sleep(seenWithin)
+			time.Sleep(followWithin)
 			status, text := s.get(controlAddress, gatewayd.PathEndpoints)
 			Expect(status).To(Equal(http.StatusOK))
 			var view gatewayd.EndpointsView
@@ -178,7 +180,7 @@
 			Expect(view.Host).To(Equal("front-1"))
 			Expect(view.Evacuated).To(HaveLen(1))
 			Expect(view.Evacuated[0].Hall).To(Equal("ikeja"))
-			Expect(time.Since(view.Evacuated[0].Since)).To(BeNumerically("~", seenWithin, time.Second))
+			Expect(time.Since(view.Evacuated[0].Since)).To(BeNumerically("~", followWithin, time.Second))
 			Expect(view.Endpoints).To(HaveLen(2))
 			Expect(view.Endpoints[0].Evacuated).To(BeTrue())
 			Expect(view.Endpoints[0].ColdSince).To(BeNil())
@@ -188,63 +190,63 @@
 	})
 })
 
-var _ = Describe("a host among whose endpoints others write", func() {
+var _ = Describe("a host with invalid entries in the endpoints table", func() {
 	for name, text := range map[string]string{
 		"bytes that can't be read": "\xff{",
-		"a state nobody knows":     `{"service":"s","address":"10.0.1.1:80","zone":"ikeja","version":"v1","slots":8,"state":"well","cold_left_ms":0,"seq":1}`,
+		"an unknown state":         `{"service":"s","address":"10.0.1.1:80","zone":"ikeja","version":"v1","slots":8,"state":"well","cold_left_ms":0,"seq":1}`,
 		"a field of another type":  `{"service":"s","address":"10.0.1.1:80","zone":"ikeja","version":"v1","slots":"8","state":"ready","cold_left_ms":0,"seq":1}`,
-		"a hall that nobody has":   `{"service":"s","address":"10.0.1.1:80","zone":"nowhere","version":"v1","slots":8,"state":"ready","cold_left_ms":0,"seq":1}`,
+		"an unknown hall":          `{"service":"s","address":"10.0.1.1:80","zone":"nowhere","version":"v1","slots":8,"state":"ready","cold_left_ms":0,"seq":1}`,
 		"an unknown service":       `{"service":"t","address":"10.0.1.1:80","zone":"ikeja","version":"v1","slots":8,"state":"ready","cold_left_ms":0,"seq":1}`,
 	} {
-		It("uses no endpoint of theirs, also where a good entry stood: "+name, func() {
-			onSite(func(s *site) {
+		It("uses no endpoint with an invalid entry, nor one whose valid entry was overwritten: "+name, func() {
+			withTwoHalls(func(s *twoHallSystem) {
 				s.store.Put("servers", "stranger", []byte(text))
 				s.store.Put("servers", "of-ikeja", []byte(text))
-				time.Sleep(seenWithin)
+				time.Sleep(followWithin)
 				Expect(s.served()).To(Equal(map[string]int{"lekki": 12}))
 				s.restart()
-				Expect(s.served()).To(Equal(map[string]int{"lekki": 12}), "read whole")
-				s.put("ikeja")
-				time.Sleep(seenWithin)
+				Expect(s.served()).To(Equal(map[string]int{"lekki": 12}), "after reading the whole table")
+				s.listEndpointIn("ikeja")
+				time.Sleep(followWithin)
 				Expect(s.served()).To(Equal(map[string]int{"ikeja": 12}), "the endpoint writes again")
 			})
 		})
 	}
 
-	It("says so once a change", func() {
-		onSite(func(s *site) {
+	It("logs each invalid change once", func() {
+		withTwoHalls(func(s *twoHallSystem) {
 			for n := range 3 {
 				s.store.Put("servers", "stranger", []byte(fmt.Sprint(n)))
-				time.Sleep(seenWithin)
+				time.Sleep(followWithin)
 			}
 			Expect(strings.Count(s.log.text(), "names no endpoint to use")).To(Equal(3))
 		})
 	})
 
-	It("keeps its configuration when one comes that can't be read", func() {
-		onSite(func(s *site) {
+	It("keeps its configuration when the new one can't be read", func() {
+		withTwoHalls(func(s *twoHallSystem) {
 			s.store.Put("op", "config", []byte(`{"version":9,"routes":7}`))
 			s.store.Put("op", "rollout/s", []byte(`[]`))
-			time.Sleep(seenWithin)
+			time.Sleep(followWithin)
 			Expect(s.served()).To(Equal(map[string]int{"ikeja": 12}))
 		})
 	})
 })
 
-var _ = Describe("a host whose endpoint starts again under its name", func() {
-	It("sends to the new start on new connections, by the same name", func() {
-		onSite(func(s *site) {
+var _ = Describe("a host whose endpoint restarts under the same name", func() {
+	It("sends to the restarted endpoint on new connections, under the same name", func() {
+		withTwoHalls(func(s *twoHallSystem) {
 			s.store.Drop("servers", "of-lekki")
 			at := func(born int64) {
 				s.store.Put("servers", "of-ikeja", standin.Entry{Service: "s", Address: addressIn("ikeja"), Hall: "ikeja", Version: "v1", Born: born}.Value())
-				time.Sleep(seenWithin)
+				time.Sleep(followWithin)
 			}
 			at(1000)
 			Expect(s.served()).To(Equal(map[string]int{"ikeja": 12}))
 			e := s.endpoints["ikeja"]
 			before := e.Connections()
 			Expect(s.served()).To(Equal(map[string]int{"ikeja": 12}))
-			Expect(e.Connections()).To(Equal(before), "kept ones are used")
+			Expect(e.Connections()).To(Equal(before), "idle connections are reused")
 			at(2000)
 			Expect(s.served()).To(Equal(map[string]int{"ikeja": 12}))
 			Expect(e.Connections()).To(BeNumerically(">", before))
