--- a/internal/gatewayd/crashrig_test.go
+++ b/internal/gatewayd/crashrig_test.go
@@ -47,7 +47,7 @@
 	calling  sync.WaitGroup
 	running  sync.WaitGroup // machines, and hosts that were killed
 	server   *http.Server
-	duties   *standin.Duties // nil where there are none
+	duties   *standin.Duties // nil if the scenario has none
 	// dutiesServer serves duties.
 	dutiesServer *http.Server
 	log          safeBuffer
--- a/internal/gatewayd/endpoints.go
+++ b/internal/gatewayd/endpoints.go
@@ -17,7 +17,7 @@
 // errUnknownHall means that an entry names a data hall that the settings don't list.
 var errUnknownHall = errors.New("unknown data hall")
 
-// endpointTable takes in the endpointTable' entries.
+// endpointTable applies the rows of the endpoints table to the fleet, the quarantine and the upgrades.
 type endpointTable struct {
 	fleet      *fleet.Fleet
 	pool       *conn.Pool
--- a/internal/gatewayd/limits_test.go
+++ b/internal/gatewayd/limits_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// endpointsOf returns endpointsOf endpoints of a service.
+// endpointsOf returns up to n endpoints of a service, each at its latest start.
 func (r *crashRig) endpointsOf(service string, n int) []*standin.Endpoint {
 	var found []*standin.Endpoint
 	for _, m := range r.machines {
--- a/internal/gatewayd/operators.go
+++ b/internal/gatewayd/operators.go
@@ -13,7 +13,7 @@
 	"quaybarrow/platform"
 )
 
-// operatorTable takes in what operatorTable declare and order.
+// operatorTable applies the rows of the operators' table: the configuration, upgrade orders and evacuations.
 type operatorTable struct {
 	holder    *route.Holder
 	fleet     *fleet.Fleet
