--- a/internal/cli/duties.go
+++ b/internal/cli/duties.go
@@ -62,6 +62,6 @@
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("write duties: %w", err)
 	}
-	_, err := fmt.Fprintf(out, "cost a minute: %.0f\n", view.CostAMinute)
+	_, err := fmt.Fprintf(out, "cost a minute: %.0f\n", view.CostPerMinute)
 	return err
 }
--- a/internal/cli/duties_test.go
+++ b/internal/cli/duties_test.go
@@ -16,7 +16,7 @@
 	reads []string
 }{
 	"another host has them": {gatewayd.DutiesView{Host: "front-2"}, []string{"front-2 does not have the duties"}},
-	"orders in force": {gatewayd.DutiesView{Host: "front-1", Holds: true, CostAMinute: 612, Orders: []duty.Standing{
+	"orders in force": {gatewayd.DutiesView{Host: "front-1", Holds: true, CostPerMinute: 612, Orders: []duty.Standing{
 		{Service: "model", Hall: "ikeja", Count: 4, Peak: 280}, {Service: "model", Hall: "ikeja", Spot: true, Count: 8, Peak: 280},
 	}}, []string{"ordinary", "spot", "280", "cost a minute: 612"}},
 }
--- a/internal/cli/endpoints.go
+++ b/internal/cli/endpoints.go
@@ -63,7 +63,7 @@
 	}
 	for _, e := range view.Endpoints {
 		if state := stateOf(e); state != "" || c.all {
-			lines = append(lines, fmt.Sprintf("%s\t%s\t%s\t%s\t%d requests\t%s", e.ID, e.Service, e.Hall, e.Version, e.Flying, state))
+			lines = append(lines, fmt.Sprintf("%s\t%s\t%s\t%s\t%d requests\t%s", e.ID, e.Service, e.Hall, e.Version, e.InFlight, state))
 		}
 	}
 	if _, err := io.WriteString(w, strings.Join(lines, "\n")+"\n"); err != nil {
@@ -87,7 +87,7 @@
 	case e.ColdSince != nil:
 		return fmt.Sprintf("cold since %s, for %d ms more", e.ColdSince.Format(time.TimeOnly), e.ColdMs)
 	case e.Limit > 0:
-		return fmt.Sprintf("names a limit of %.3g a second since %d ms, %d in hand, %d wanted", e.Limit, e.LimitSinceMs, e.InHand, e.Wanted)
+		return fmt.Sprintf("names a limit of %.3g a second since %d ms, %d in hand, %d wanted", e.Limit, e.LimitSinceMs, e.Available, e.Unmet)
 	default:
 		return ""
 	}
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -73,7 +73,7 @@
 			state = "quarantined"
 		}
 		last := time.Duration(r.LastMsAgo) * time.Millisecond
-		lines = append(lines, fmt.Sprintf("%s\t%s\t%s\t%d crashes, the last %s ago\tby chance %.2g", r.Request, state, r.Of, r.Crashes, last.Round(time.Second), r.Chance))
+		lines = append(lines, fmt.Sprintf("%s\t%s\t%s\t%d crashes, the last %s ago\tby chance %.2g", r.Request, state, r.Label, r.Crashes, last.Round(time.Second), r.Chance))
 	}
 	if _, err := io.WriteString(w, strings.Join(lines, "\n")+"\n"); err != nil {
 		return fmt.Errorf("write quarantine: %w", err)
--- a/internal/cli/quarantine_test.go
+++ b/internal/cli/quarantine_test.go
@@ -18,7 +18,7 @@
 var _ = Describe("the command quarantine", func() {
 	print := quarantine.Identity{Workspace: "weavers", Target: "POST a.example /x"}.Fingerprint()
 	view := gatewayd.QuarantineView{Host: "front-1", Requests: []gatewayd.QuarantineRequest{
-		{Request: print, Of: "weavers again", Quarantined: true, Crashes: 3, Chance: 1e-6, LastMsAgo: 4000}, {Of: "dyers once", Crashes: 2, Chance: 0.01},
+		{Request: print, Label: "weavers again", Quarantined: true, Crashes: 3, Chance: 1e-6, LastMsAgo: 4000}, {Label: "dyers once", Crashes: 2, Chance: 0.01},
 	}}
 
 	// run asks a host that answers so.
--- a/internal/gatewayd/dutiesview.go
+++ b/internal/gatewayd/dutiesview.go
@@ -18,9 +18,9 @@
 	Host   string          `json:"host"`
 	Holds  bool            `json:"holds"`
 	Orders []duty.Standing `json:"orders"` // in force, sorted by service, data hall and kind
-	// CostAMinute is the cost of the ordered endpoints per minute, in the unit of the declared
+	// CostPerMinute is the cost of the ordered endpoints per minute, in the unit of the declared
 	// prices, which are per second.
-	CostAMinute float64 `json:"cost_a_minute"`
+	CostPerMinute float64 `json:"cost_a_minute"`
 }
 
 // serveDuties answers with the DutiesView.
@@ -33,7 +33,7 @@
 	if t := h.Holder.Table(); t != nil {
 		for _, o := range view.Orders {
 			s, _ := t.Service(o.Service)
-			view.CostAMinute += s.Scaling.Cost(o.Hall, o.Spot) * float64(o.Count) * secondsPerMinute
+			view.CostPerMinute += s.Scaling.Cost(o.Hall, o.Spot) * float64(o.Count) * secondsPerMinute
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/gatewayd/endpointsview.go
+++ b/internal/gatewayd/endpointsview.go
@@ -35,14 +35,14 @@
 	Evacuated bool       `json:"evacuated"`
 	ColdMs    int64      `json:"cold_ms"`              // remaining time for which the host treats it as cold
 	ColdSince *time.Time `json:"cold_since,omitempty"` // nil if it is warm
-	Flying    int        `json:"flying"`               // this host's requests there
+	InFlight  int        `json:"flying"`               // this host's requests there
 	// Limit is the rate limit that the endpoint announces for all hosts together, in requests per second;
 	// 0 if it announces none. Available is how many requests this host may send now, and Unmet how many
 	// recently found none available.
 	Limit        float64 `json:"limit"`
 	LimitSinceMs int64   `json:"limit_since_ms"` // time since this host learned of it
-	InHand       int     `json:"in_hand"`
-	Wanted       int     `json:"wanted"`
+	Available    int     `json:"in_hand"`
+	Unmet        int     `json:"wanted"`
 }
 
 // serveEndpoints answers with the EndpointsView.
@@ -63,8 +63,8 @@
 func endpointView(s fleet.Status) EndpointView {
 	v := EndpointView{
 		ID: s.ID, Service: s.Service, Hall: s.Hall, Version: s.Version, Ready: s.Ready, Draining: s.Draining,
-		Evacuated: s.Evacuated, ColdMs: s.ColdFor.Milliseconds(), Flying: s.InFlight,
-		Limit: s.Limit.Rate, LimitSinceMs: s.Limit.Since.Milliseconds(), InHand: s.Limit.Available, Wanted: s.Limit.Unmet,
+		Evacuated: s.Evacuated, ColdMs: s.ColdFor.Milliseconds(), InFlight: s.InFlight,
+		Limit: s.Limit.Rate, LimitSinceMs: s.Limit.Since.Milliseconds(), Available: s.Limit.Available, Unmet: s.Limit.Unmet,
 	}
 	if !s.ColdSince.IsZero() {
 		since := s.ColdSince.Time()
--- a/internal/gatewayd/quarantineview.go
+++ b/internal/gatewayd/quarantineview.go
@@ -25,7 +25,7 @@
 // QuarantineRequest is a request that is in quarantine, or may be after another crash.
 type QuarantineRequest struct {
 	Request     quarantine.Fingerprint `json:"request"` // its fingerprint
-	Of          string                 `json:"of"`      // workspace and route
+	Label       string                 `json:"of"`      // workspace and route
 	Quarantined bool                   `json:"quarantined"`
 	Crashes     int                    `json:"crashes"` // of endpoints that ran it, since it last succeeded
 	Chance      float64                `json:"chance"`  // probability that it ran during these crashes by chance
@@ -38,7 +38,7 @@
 	view := QuarantineView{Host: h.Settings.Host, Requests: []QuarantineRequest{}}
 	for _, l := range h.Quarantine.List() {
 		view.Requests = append(view.Requests, QuarantineRequest{
-			Request: l.Request, Of: l.Label, Quarantined: l.Quarantined, Crashes: l.Crashes, Chance: l.Chance,
+			Request: l.Request, Label: l.Label, Quarantined: l.Quarantined, Crashes: l.Crashes, Chance: l.Chance,
 			FirstMsAgo: l.First.Milliseconds(), LastMsAgo: l.Last.Milliseconds(),
 		})
 	}
--- a/internal/gatewayd/quarantineview_test.go
+++ b/internal/gatewayd/quarantineview_test.go
@@ -55,7 +55,7 @@
 				view := r.quarantineView(host)
 				Expect(view.Requests).To(HaveLen(1))
 				Expect(view.Requests[0].Quarantined).To(BeTrue())
-				Expect(view.Requests[0].Of).To(Equal("weavers /once/"))
+				Expect(view.Requests[0].Label).To(Equal("weavers /once/"))
 				Expect(view.Requests[0].Crashes).To(Equal(3))
 			}
 			_, metrics := r.get(0, "/metrics")
