--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -11,35 +11,36 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// dutySweep is the lease under which intents and expired jobs are swept.
-const dutySweep = "sweep"
+// sweepLease is the name of the lease under which one host settles intents and deletes expired jobs.
+const sweepLease = "sweep"
 
-// Periods of background work.
+// Parameters of the background tasks.
 const (
-	sweepEvery     = 10 * time.Second
-	expireEvery    = 60 // sweeps
-	housekeepEvery = 5 * time.Second
-	warnExpiry     = 14 * 24 * time.Hour
-	expireRows     = 1000
+	sweepInterval        = 10 * time.Second
+	sweepsPerExpiry      = 60 // in sweeps
+	housekeepingInterval = 5 * time.Second
+	certificateWarning   = 14 * 24 * time.Hour
+	maxExpiredRows       = 1000
 )
 
-// sweep settles the intents of lost hosts and drops old job results.
+// sweep periodically settles the intents of lost hosts and deletes expired job results while the lease
+// is valid.
 func (h *Host) sweep(ctx context.Context, l *lease.Lease) {
 	for n := 0; l.Valid() && ctx.Err() == nil; n++ {
 		if err := h.Ledger.SweepIntents(ctx); err != nil {
 			h.Logger.Debug("sweep of intents failed", "error", err)
 		}
-		if n%expireEvery == 0 {
-			if err := h.Jobs.Expire(ctx, expireRows); err != nil {
+		if n%sweepsPerExpiry == 0 {
+			if err := h.Jobs.Expire(ctx, maxExpiredRows); err != nil {
 				h.Logger.Debug("expiry of jobs failed", "error", err)
 			}
 		}
-		clock.Sleep(ctx, sweepEvery)
+		clock.Sleep(ctx, sweepInterval)
 	}
 }
 
-// ordersOfHalls competes for the orders of every data hall that has hosts.
-func (h *Host) ordersOfHalls(ctx context.Context) {
+// runHallOrders starts a candidate for the order lease of every data hall that has hosts.
+func (h *Host) runHallOrders(ctx context.Context) {
 	running := map[string]bool{}
 	for ctx.Err() == nil {
 		for _, listed := range h.Membership.Listed() {
@@ -48,17 +49,17 @@
 			}
 			running[listed.DataHall] = true
 			hall := listed.DataHall
-			h.working.Go(func() { h.Leases.Run(ctx, order.Duty(hall), h.Orders.Run(hall)) })
+			h.background.Go(func() { h.Leases.Run(ctx, order.Duty(hall), h.Orders.Run(hall)) })
 		}
-		clock.Sleep(ctx, housekeepEvery)
+		clock.Sleep(ctx, housekeepingInterval)
 	}
 }
 
-// housekeeping updates gauges, reads changed keys and closes links to hosts that
-// are gone.
+// housekeeping periodically updates gauges, reloads changed keys, checks the certificate
+// and closes links to hosts that are no longer members.
 func (h *Host) housekeeping(ctx context.Context) {
-	for clock.Sleep(ctx, housekeepEvery) {
-		h.gauges()
+	for clock.Sleep(ctx, housekeepingInterval) {
+		h.updateGauges()
 		if err := h.Keyrings.reload(); err != nil {
 			h.Logger.Error("session keys can't be read; the old ones stay in use", "error", err)
 		}
@@ -78,14 +79,14 @@
 	return false
 }
 
-func (h *Host) gauges() {
+func (h *Host) updateGauges() {
 	t := h.Telemetry
 	open, pending, held := h.Ledger.Size()
 	t.Gauge("bills", float64(open), telemetry.Label("state", "open"))
 	t.Gauge("bills", float64(pending), telemetry.Label("state", "pending"))
 	t.Gauge("bills", float64(held), telemetry.Label("state", "held"))
-	flying, waiting := h.Admission.InFlight()
-	t.Gauge("requests_in_flight", float64(flying))
+	inFlight, waiting := h.Admission.InFlight()
+	t.Gauge("requests_in_flight", float64(inFlight))
 	t.Gauge("requests_waiting", float64(waiting))
 	t.Gauge("config_revision", float64(h.Config.Number()))
 	if age, ok := h.Config.Age(); ok {
@@ -104,7 +105,7 @@
 	}
 	left := time.Until(expiry)
 	h.Telemetry.Gauge("certificate_seconds_left", left.Seconds())
-	if left < warnExpiry {
+	if left < certificateWarning {
 		h.Logger.Warn("certificate expires soon", "at", expiry)
 	}
 }
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -38,13 +38,13 @@
 	"quaybarrow/internal/traffic"
 )
 
-// Limits of the HTTP servers.
+// Limits of the HTTP servers, the interval of connection sweeps and the bound of a shutdown.
 const (
-	headerTimeout  = 10 * time.Second
-	connSweep      = 500 * time.Millisecond
-	idleTimeout    = 2 * time.Minute
-	maxHeaderBytes = 64 << 10
-	stopTimeout    = 5 * time.Second
+	headerTimeout     = 10 * time.Second
+	connSweepInterval = 500 * time.Millisecond
+	idleTimeout       = 2 * time.Minute
+	maxHeaderBytes    = 64 << 10
+	stopTimeout       = 5 * time.Second
 )
 
 // parts are the components of a host.
@@ -90,10 +90,10 @@
 	operators *http.Server
 	peers     *grpc.Server
 
-	cancel  context.CancelFunc // ends the background work
-	working sync.WaitGroup     // background work
-	jobs    sync.WaitGroup     // job workers
-	serving sync.WaitGroup     // servers
+	cancel     context.CancelFunc // cancels the background tasks
+	background sync.WaitGroup     // background tasks
+	jobs       sync.WaitGroup     // job workers
+	serving    sync.WaitGroup     // servers
 }
 
 func newHost(p parts) *Host {
@@ -107,7 +107,7 @@
 	h.callers = newServer(api.Handler())
 	console := operator.New(operator.Options{
 		Commands: p.Commands, Queries: p.Queries, Config: p.Config, Telemetry: p.Telemetry,
-		Bootstrap: p.Settings.Bootstrap.OperatorHash, Ready: h.notReady, Status: h.statusPage(),
+		Bootstrap: p.Settings.Bootstrap.OperatorHash, Ready: h.notReadyReason, Status: h.statusPage(),
 	})
 	h.operators = newServer(console.Handler())
 	return h
@@ -119,8 +119,8 @@
 	}
 }
 
-// notReady tells why the host takes no work.
-func (h *Host) notReady() string {
+// notReadyReason returns why the host accepts no work, or "" if it does.
+func (h *Host) notReadyReason() string {
 	switch {
 	case h.State.draining.Load():
 		return "draining"
@@ -131,7 +131,7 @@
 	}
 }
 
-// Start opens the servers and starts the background work.
+// Start starts the servers and the background tasks.
 func (h *Host) Start(context.Context) error {
 	if err := h.servePeers(); err != nil {
 		return err
@@ -144,29 +144,28 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
-	for _, work := range h.work() {
-		h.working.Go(func() { work(ctx) })
+	for _, work := range h.backgroundTasks() {
+		h.background.Go(func() { work(ctx) })
 	}
 	h.jobs.Go(func() { h.Worker.Run(ctx) })
 	h.Logger.Info("started", "callers", h.Settings.Callers, "operators", h.Settings.Operators, "peers", h.Settings.Peers)
 	return nil
 }
 
-// work lists what runs in the background.
-func (h *Host) work() []func(context.Context) {
+// backgroundTasks returns the functions that run in the background until the host stops.
+func (h *Host) backgroundTasks() []func(context.Context) {
 	return []func(context.Context){
 		h.Membership.Run, h.Spreader.Run, h.Watch.Run, h.Ledger.Run, h.Guard.Run, h.Estimates.Run, h.Rollout.Run,
 		func(ctx context.Context) { h.Leases.Run(ctx, estimate.LeaseName, h.Estimates.Sum) },
-		func(ctx context.Context) { h.Leases.Run(ctx, dutySweep, h.sweep) },
-		h.ordersOfHalls, h.housekeeping, h.sweepConns, h.Quarantine.Run,
+		func(ctx context.Context) { h.Leases.Run(ctx, sweepLease, h.sweep) },
+		h.runHallOrders, h.housekeeping, h.sweepConns, h.Quarantine.Run,
 		func(ctx context.Context) { telemetry.WatchSuspensions(ctx, h.Deadlines, h.Telemetry, h.Logger) },
 	}
 }
 
-// sweepConns closes connections to endpoints that have rested for as long as they
-// may.
+// sweepConns periodically closes connections to endpoints that exceed their idle time.
 func (h *Host) sweepConns(ctx context.Context) {
-	for clock.Sleep(ctx, connSweep) {
+	for clock.Sleep(ctx, connSweepInterval) {
 		h.Conns.Sweep()
 	}
 }
@@ -195,8 +194,8 @@
 	return nil
 }
 
-// Stop drains the host: out of the balancer, no new work, requests in flight
-// finish, bills settle, leases are given up, then the servers close.
+// Stop drains the host: it leaves the load balancer, accepts no new work, finishes the
+// requests in flight, settles bills, releases leases and then closes the servers.
 func (h *Host) Stop(ctx context.Context) error {
 	h.Logger.Info("draining")
 	h.State.draining.Store(true)
@@ -220,18 +219,18 @@
 		h.Logger.Error("bills were left behind", "error", err)
 	}
 	if err := h.Guard.Flush(stopping); err != nil {
-		h.Logger.Error("outcomes of calls were left behind", "error", err)
+		h.Logger.Error("outcomes of calls were not written", "error", err)
 	}
 	h.Kill()
 	h.Logger.Info("stopped")
 	return h.Telemetry.Shutdown(stopping)
 }
 
-// Kill ends everything at once, as the death of the process would, but for
-// leases, which are released.
+// Kill stops everything at once, as if the process died, except that leases are
+// released.
 func (h *Host) Kill() {
 	h.cancel()
-	h.working.Wait()
+	h.background.Wait()
 	h.Conns.Close()
 	h.jobs.Wait()
 	_ = h.callers.Close()
--- a/internal/daemon/keyrings.go
+++ b/internal/daemon/keyrings.go
@@ -8,7 +8,7 @@
 	"quaybarrow/internal/settings"
 )
 
-// keyrings holds the present session keys; files that change are read again.
+// keyrings holds the current session keys, which reload reads again from their files.
 type keyrings struct {
 	settings []settings.SessionKey
 	ring     atomic.Pointer[session.Keyring]
@@ -19,7 +19,7 @@
 	return k, k.reload()
 }
 
-// reload reads all keys; on an error the old ones stay.
+// reload reads all keys; on an error the old ones stay in use.
 func (k *keyrings) reload() error {
 	var keys []session.Key
 	for _, key := range k.settings {
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -1,13 +1,13 @@
-// Package daemon wires a host of the router together and runs its life.
+// Package daemon wires and runs a host of the router.
 //
 // # Usage
 //
 //	app := fx.New(daemon.Module(settings, daemon.Ports{}))
 //	app.Run()
 //
-// Module provides one constructor for each component; Ports replaces the ways
-// to the outside, which is how tests and the demonstration run several hosts in
-// one process. Host holds what is running and stops it in an order that cuts
+// Module provides one constructor for each component. Ports replaces the connections
+// to the environment, which lets tests and the demonstration run several hosts in
+// one process. Host holds the running components and stops them in an order that cuts
 // off no request.
 package daemon
 
@@ -54,30 +54,30 @@
 	"quaybarrow/internal/traffic"
 )
 
-// Sizes of what a host remembers or keeps open.
+// Sizes of a host's buffers and connection pools.
 const (
 	trafficRecords  = 10_000
-	idlePerEndpoint = 16 // for reports and orders
+	idlePerEndpoint = 16 // connections for load reports and orders
 	outcomesWaiting = 10_000
 )
 
-// dialTimeout is ample for a connection between data halls.
+// dialTimeout bounds connecting; it is ample between data halls.
 const dialTimeout = 2 * time.Second
 
-// Ports are the ways to the outside. What is nil is made from the settings.
+// Ports are the host's connections to its environment. Fields that are nil are built from the settings.
 type Ports struct {
 	Tables    store.Tables
 	Hosts     store.Hosts
 	Ratings   store.Ratings
 	Link      peer.Link
-	ServePeer func(address string, h peer.Handler) // in place of a gRPC server
-	Transport http.RoundTripper                    // for reports and orders of engines
+	ServePeer func(address string, h peer.Handler) // replaces the gRPC server
+	Transport http.RoundTripper                    // for load reports of engines and orders to them
 	Dial      func(ctx context.Context, address string) (net.Conn, error)
 	Listen    func(address string) (net.Listener, error)
 	Logger    *log.Logger
 }
 
-// identity names this start of the process.
+// identity identifies this start of the process.
 type identity struct {
 	host        string
 	incarnation string
@@ -112,7 +112,7 @@
 	return logger.With("host", s.Host)
 }
 
-// platformPorts are the ports to the platform.
+// platformPorts are the clients of the platform.
 type platformPorts struct {
 	fx.Out
 	Tables  store.Tables
@@ -143,7 +143,7 @@
 	return rpc.NewLink(files.ClientCredentials())
 }
 
-// newTransport returns the way of reports and orders.
+// newTransport returns the HTTP transport for load reports and orders.
 func newTransport(p Ports) http.RoundTripper {
 	if p.Transport != nil {
 		return p.Transport
@@ -154,7 +154,7 @@
 	}
 }
 
-// newConns returns the connections that requests are sent on.
+// newConns returns the pool of connections on which requests are sent to endpoints.
 func newConns(p Ports) *conn.Pool { return conn.NewPool(conn.Options{Dial: p.Dial}) }
 
 func newCredits(s settings.Settings, h *config.Holder, tables store.Tables) *rollout.Credits {
@@ -188,17 +188,17 @@
 
 func newQuarantine(s settings.Settings, f *fleet.Fleet, conns *conn.Pool, m *membership.Membership, link peer.Link, tables store.Tables, l *log.Logger) *quarantine.Tracker {
 	return quarantine.NewTracker(quarantine.Options{
-		Host: s.Host, Probe: conns.Reach, CountEndpoints: f.Count, Members: func() []quarantine.Member { return ring(m.View()) },
-		Peers: link, IsFirstHost: func() bool { return leads(m.View()) }, Tables: tables, Logger: l,
+		Host: s.Host, Probe: conns.Reach, CountEndpoints: f.Count, Members: func() []quarantine.Member { return otherMembers(m.View()) },
+		Peers: link, IsFirstHost: func() bool { return isFirstHost(m.View()) }, Tables: tables, Logger: l,
 	})
 }
 
-// crashDuty is the name by which hosts rank themselves for what is kept of crashes.
-const crashDuty = "crashes"
+// quarantineRankKey is the key by which hosts are ranked for the storage of crash records.
+const quarantineRankKey = "crashes"
 
-// ring lists the other live hosts from the next one on.
-func ring(v membership.View) []quarantine.Member {
-	ranked := membership.Rank(v.Live(), crashDuty)
+// otherMembers returns the other live hosts in rank order, starting after this host and wrapping around.
+func otherMembers(v membership.View) []quarantine.Member {
+	ranked := membership.Rank(v.Live(), quarantineRankKey)
 	self := slices.IndexFunc(ranked, func(m membership.Member) bool { return m.Host == v.Self })
 	var members []quarantine.Member
 	for _, m := range slices.Concat(ranked[self+1:], ranked[:max(self, 0)]) {
@@ -207,9 +207,9 @@
 	return members
 }
 
-// leads reports whether this host is the first of the live ones.
-func leads(v membership.View) bool {
-	ranked := membership.Rank(v.Live(), crashDuty)
+// isFirstHost reports whether this host ranks first among the live hosts.
+func isFirstHost(v membership.View) bool {
+	ranked := membership.Rank(v.Live(), quarantineRankKey)
 	return len(ranked) > 0 && ranked[0].Host == v.Self
 }
 
@@ -217,8 +217,8 @@
 	return dispatch.New(dispatch.Options{Fleet: f, Conns: conns, FirstToken: s.Times.FirstToken, Telemetry: tel, Quarantine: q})
 }
 
-// ready tells whether some endpoint serves a version and takes new work.
-func ready(f *fleet.Fleet) func(declare.Ref) bool {
+// modelReady returns a function that reports whether an endpoint serves a version and accepts new work.
+func modelReady(f *fleet.Fleet) func(declare.Ref) bool {
 	return func(ref declare.Ref) bool { return f.HasModel(endpoint.Engines, ref.String()) }
 }
 
@@ -251,7 +251,7 @@
 	tel *telemetry.Telemetry, tr *traffic.Log, deadlines *clock.Deadlines,
 ) *pipeline.Pipeline {
 	return pipeline.New(pipeline.Options{
-		Host: s.Host, Config: h, Admission: a, Keyring: k.current, Names: n, Ready: ready(f), Dispatcher: d, Quarantine: q, Ledger: l,
+		Host: s.Host, Config: h, Admission: a, Keyring: k.current, Names: n, Ready: modelReady(f), Dispatcher: d, Quarantine: q, Ledger: l,
 		Guard: g, Credits: c, Estimates: e.Current, Telemetry: tel, Traffic: tr, Deadlines: deadlines,
 		Stale: s.Times.Stale, Proven: s.Times.Proven, Longest: s.Times.Request,
 	})
@@ -263,10 +263,10 @@
 }
 
 func newQueries(h *config.Holder, l *config.Log, tables store.Tables, m *membership.Membership, link peer.Link,
-	f *fleet.Fleet, tr *traffic.Log, tel *telemetry.Telemetry, c *rollout.Credits, book *quarantine.Tracker,
+	f *fleet.Fleet, tr *traffic.Log, tel *telemetry.Telemetry, c *rollout.Credits, tracker *quarantine.Tracker,
 ) *operator.Queries {
 	return operator.NewQueries(operator.QueryOptions{
-		Config: h, Log: l, Tables: tables, View: m.View, Link: link, Fleet: f, Traffic: tr, Telemetry: tel, Credits: c, Quarantine: book,
+		Config: h, Log: l, Tables: tables, View: m.View, Link: link, Fleet: f, Traffic: tr, Telemetry: tel, Credits: c, Quarantine: tracker,
 	})
 }
 
@@ -275,7 +275,7 @@
 ) *rollout.Controller {
 	return rollout.NewController(rollout.Options{
 		Tables: tables, Ratings: ratings, Config: h, Leases: leases, Link: link, View: m.View,
-		Move: commands.MoveFor, GrantSelf: credits.Grant, Ready: ready(f),
+		Move: commands.MoveFor, GrantSelf: credits.Grant, Ready: modelReady(f),
 	})
 }
 
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -8,7 +8,7 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// peerHandler answers other hosts; it implements peer.Handler.
+// peerHandler handles calls from other hosts; it implements peer.Handler.
 type peerHandler struct{ host *Host }
 
 // Ping implements peer.Handler.
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -24,14 +24,14 @@
 	exitUsage  = 2
 )
 
-// startTimeout bounds a host's start.
+// startTimeout bounds the start of a host.
 const startTimeout = 15 * time.Second
 
-// stopMargin is what a stop may take beyond the drain limit.
+// stopMargin is the time that a stop may take beyond Times.Leave and Times.Drain.
 const stopMargin = 30 * time.Second
 
-// Run is the daemon: it reads its settings, serves until the context ends and
-// drains. It returns the exit code.
+// Run runs the daemon: it reads the settings, serves until ctx is done, drains and
+// returns the exit code.
 func Run(ctx context.Context, args []string, stderr io.Writer) int {
 	flags := flag.NewFlagSet("quaybarrowd", flag.ContinueOnError)
 	flags.SetOutput(stderr)
@@ -46,7 +46,7 @@
 		return exitFailed
 	}
 	if *check {
-		_, _ = fmt.Fprintln(stderr, "settings are in order")
+		_, _ = fmt.Fprintln(stderr, "settings are valid")
 		return exitOK
 	}
 	app := newApp(loaded, *file)
@@ -57,7 +57,8 @@
 	return exitOK
 }
 
-// defaultSettings is the file that the platform names, or one in this folder.
+// defaultSettings returns the settings file that the platform names, or quaybarrow.yaml in the working
+// directory.
 func defaultSettings() string {
 	if file := platform.SettingsFile(); file != "" {
 		return file
@@ -65,7 +66,7 @@
 	return "quaybarrow.yaml"
 }
 
-// newApp wires the host that the settings describe.
+// newApp wires a gateway host if the settings enable the gateway, and a host of the router otherwise.
 func newApp(s settings.Settings, file string) *fx.App {
 	if !s.Gateway.Enabled() {
 		return fx.New(Module(s, Ports{}), fx.StartTimeout(startTimeout), fx.StopTimeout(s.Times.Leave+s.Times.Drain+stopMargin))
@@ -78,7 +79,7 @@
 	return fx.New(gatewayd.Module(s, ports), fx.StartTimeout(startTimeout), fx.StopTimeout(s.Gateway.Grace))
 }
 
-// serve runs an app until the context ends.
+// serve runs an app until ctx is done.
 func serve(ctx context.Context, app *fx.App) error {
 	starting, cancel := context.WithTimeout(ctx, app.StartTimeout())
 	defer cancel()
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -9,7 +9,7 @@
 	"quaybarrow/internal/settings"
 )
 
-// State is what this host tells the others of itself.
+// State provides the status that this host reports to the others, and receives theirs.
 type State struct {
 	settings settings.Settings
 	identity identity
@@ -22,7 +22,7 @@
 	return &State{settings: s, identity: id, holder: h}
 }
 
-// Status describes this host at the moment.
+// Status returns the current status of this host.
 func (s *State) Status() peer.Status {
 	age, confirmed := s.holder.Age()
 	return peer.Status{
@@ -32,7 +32,7 @@
 	}
 }
 
-// observe passes on what another host said of its configuration.
+// observe passes the status of another host to the configuration spreader.
 func (s *State) observe(status peer.Status, at clock.Instant) {
 	if spreader := s.spreader.Load(); spreader != nil {
 		spreader.Observe(status, at)
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -9,8 +9,8 @@
 	"quaybarrow/internal/declare"
 )
 
-// statusSince is how far back the status page looks at traffic.
-const statusSince = 5 * time.Minute
+// statusWindow is the period of traffic that the status page covers.
+const statusWindow = 5 * time.Minute
 
 // statusSection is a table of the status page.
 type statusSection struct {
@@ -19,7 +19,7 @@
 	Lines  [][]string
 }
 
-// statusView is what the status page shows.
+// statusView is the data of the status page.
 type statusView struct {
 	Host     string
 	Ready    string
@@ -40,13 +40,13 @@
 </body></html>
 `))
 
-// statusQueries are the page's tables; none names a caller or a request.
+// statusQueries are the page's tables; none contains names of callers or requests.
 var statusQueries = []struct {
 	title string
 	show  console.Show
 }{
-	{"Traffic by version, last five minutes", console.Show{Subject: console.SubjectRequests, Since: statusSince, By: "version"}},
-	{"Outcomes, last five minutes", console.Show{Subject: console.SubjectRequests, Since: statusSince, By: "outcome"}},
+	{"Traffic by version, last five minutes", console.Show{Subject: console.SubjectRequests, Since: statusWindow, By: "version"}},
+	{"Outcomes, last five minutes", console.Show{Subject: console.SubjectRequests, Since: statusWindow, By: "outcome"}},
 	{"Versions", console.Show{Subject: console.SubjectVersions}},
 	{"Roll-outs", console.Show{Subject: console.SubjectRollouts}},
 	{"Hosts", console.Show{Subject: console.SubjectHosts}},
@@ -54,10 +54,10 @@
 	{"Requests under which endpoints crash", console.Show{Subject: console.SubjectQuarantine}},
 }
 
-// statusPage serves a read-only page about this host's view of the system.
+// statusPage serves a read-only page with this host's view of the system.
 func (h *Host) statusPage() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		view := statusView{Host: h.Settings.Host, Ready: h.notReady(), Revision: h.Config.Number(), Age: "never"}
+		view := statusView{Host: h.Settings.Host, Ready: h.notReadyReason(), Revision: h.Config.Number(), Age: "never"}
 		if age, ok := h.Config.Age(); ok {
 			view.Age = age.Round(time.Millisecond).String()
 		}
@@ -65,7 +65,7 @@
 			rows, _, err := h.Queries.Show(r.Context(), declare.Operator{Role: declare.RoleViewer}, q.show)
 			section := sectionOf(q.title, rows)
 			if err != nil {
-				section = statusSection{Title: q.title + " (not to be had now: " + err.Error() + ")"}
+				section = statusSection{Title: q.title + " (not available: " + err.Error() + ")"}
 			}
 			view.Sections = append(view.Sections, section)
 		}
