--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -126,7 +126,7 @@
 func newWatcher(s settings.Settings, p Ports, c storeClient, files *tlsfiles.Files, l *log.Logger) (*spread.Watcher, store.Watcher) {
 	w := spread.NewWatcher(spread.Options{
 		Host: s.Host, Hall: s.DataHall, Regions: s.Gateway.Halls, Address: s.Gateway.Peers, Cores: s.Gateway.Cores, Seeds: s.Gateway.SeedPeers(), First: s.Gateway.First,
-		Wait: time.Duration(waitFraction * float64(s.Gateway.Bound())), Tables: c, Store: c, Logger: l,
+		Wait: time.Duration(waitFraction * float64(s.Gateway.MaxStoreLag())), Tables: c, Store: c, Logger: l,
 		Credentials: files.ClientCredentials(), Dial: p.dialPeer(),
 	})
 	return w, w
@@ -153,7 +153,7 @@
 	if !ok {
 		return fleet.WarmUp{}
 	}
-	return fleet.WarmUp{Duration: declared.ColdFor, MaxRate: s.ColdMost(declared.ColdRate)}
+	return fleet.WarmUp{Duration: declared.ColdFor, MaxRate: s.ColdRateLimit(declared.ColdRate)}
 }
 
 func newPool(p Ports, t *telemetry.Telemetry) *conn.Pool {
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -59,19 +59,19 @@
 	Grace time.Duration `yaml:"grace"`
 }
 
-// Bound is the time in which what the store says has to be followed.
-func (g Gateway) Bound() time.Duration { return min(g.InForce, g.Leaving) }
+// MaxStoreLag is the time in which what the store says has to be followed.
+func (g Gateway) MaxStoreLag() time.Duration { return min(g.InForce, g.Leaving) }
 
-// ColdMost is how many requests a second a cold endpoint may get that bears so many.
-func (g Gateway) ColdMost(bears float64) float64 {
-	if bears <= 0 {
+// ColdRateLimit is how many requests a second a cold endpoint may get that bears so many.
+func (g Gateway) ColdRateLimit(declaredRate float64) float64 {
+	if declaredRate <= 0 {
 		return 0
 	}
 	overshoot := g.ColdOvershoot
 	if overshoot == 0 {
 		overshoot = 1
 	}
-	return bears*overshoot + g.ColdSlack
+	return declaredRate*overshoot + g.ColdSlack
 }
 
 // SeedPeers are the addresses at which the seeds serve other hosts.
