--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -17,10 +17,10 @@
 // Parameters of the background tasks.
 const (
 	sweepInterval        = 10 * time.Second
-	sweepsPerExpiry      = 60 // in sweeps
+	sweepsPerExpiry      = 60 // jobs expire at every 60th sweep
 	housekeepingInterval = 5 * time.Second
 	certificateWarning   = 14 * 24 * time.Hour
-	maxExpiredRows       = 1000
+	maxExpiredRows       = 1000 // per expiry
 )
 
 // sweep periodically settles the intents of lost hosts and deletes expired job results while the lease
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -6,63 +6,64 @@
 	"time"
 )
 
-// Gateway is what a host needs to serve routed requests.
+// Gateway holds the settings of a host that serves routed requests.
 type Gateway struct {
-	// Callers is the address, ip:port, for routed requests; empty serves none.
+	// Callers is the address, ip:port, for routed requests; if empty, none are served.
 	Callers string `yaml:"callers"`
-	// Ready is the address, ip:port, that tells whether the host is ready.
+	// Ready is the address, ip:port, of the readiness probe.
 	Ready string `yaml:"ready"`
 	// Control is the address, ip:port, for metrics and operators' tools.
 	Control string `yaml:"control"`
-	// Peers is the address, ip:port, for the other hosts, which pass on what they
-	// read from the store.
+	// Peers is the address, ip:port, for the other hosts; hosts forward to each other
+	// what they read from the store.
 	Peers string `yaml:"peers"`
 	// Seeds are addresses, ip:port, of hosts that may be asked while the store is
-	// away; only the IP numbers count, since all hosts' ports are the same.
+	// unavailable; only the IP addresses are used, since all hosts have the same ports.
 	Seeds []string `yaml:"seeds"`
 	// Store is the address, ip:port, of the platform's table store.
 	Store string `yaml:"store"`
 	// MemoryMB is the memory that the host may use, in MB.
 	MemoryMB int `yaml:"memory_mb"`
-	// RetryRatio is the most repeats of requests, as a part of first sends, that
-	// all hosts together may make.
+	// RetryRatio is the highest ratio of retries to first attempts that all hosts
+	// together may reach.
 	RetryRatio float64 `yaml:"retry_ratio"`
-	// Exposure is the most that a new version which turns out bad may get of a service's
-	// requests during its upgrade, as a part of them; 0 takes 0.15.
+	// Exposure is the largest fraction of a service's requests that a new version which
+	// turns out bad may receive during its upgrade; 0 means 0.15.
 	Exposure float64 `yaml:"exposure"`
-	// InForce is the time in which a configuration has to be in force after its
+	// InForce is the time within which a configuration has to be in force after its
 	// acknowledgement.
 	InForce time.Duration `yaml:"in_force"`
-	// Leaving is the time after which an endpoint that is leaving gets nothing new.
+	// Leaving is the time after which an endpoint that is leaving gets no new requests.
 	Leaving time.Duration `yaml:"leaving"`
-	// Cores is what the host may use of a processor, in cores; hosts with most of
-	// it read the store for the others.
+	// Cores is the CPU that the host may use, in cores; the hosts with the most cores
+	// read the store for the others.
 	Cores float64 `yaml:"cores"`
-	// First tells that all hosts start for the first time.
+	// First is true if all hosts start for the first time.
 	First bool `yaml:"first"`
-	// ColdOvershoot is how many times what a cold endpoint bears it may get in a second,
-	// from all hosts together; 0 takes 1.
+	// ColdOvershoot multiplies the request rate declared for a cold endpoint to give the
+	// highest rate that it may get from all hosts together; 0 means 1.
 	ColdOvershoot float64 `yaml:"cold_overshoot"`
-	// ColdSlack is how many requests it may get in a second beyond that.
+	// ColdSlack is the number of requests per second that a cold endpoint may get beyond that.
 	ColdSlack float64 `yaml:"cold_slack"`
-	// Halls are the regions of all data halls, by hall; an endpoint in any other is not
-	// used. None are known where it is empty.
+	// Halls maps each data hall to its region; an endpoint in any other hall is not
+	// used. If empty, the halls are not known.
 	Halls map[string]string `yaml:"halls"`
-	// Duties is the address, ip:port, of the platform's service for what one host does for
-	// all; empty where there are no such duties.
+	// Duties is the address, ip:port, of the platform's service for the duties that one host
+	// performs for all; empty if there are none.
 	Duties string `yaml:"duties"`
-	// DutyTurns is the time in which hosts must not do a duty in turns.
+	// DutyTurns is the time within which hosts must not perform a duty alternately.
 	DutyTurns time.Duration `yaml:"duty_turns"`
-	// UsageWindow is the length of the windows in which usage is reported; 0 reports none.
+	// UsageWindow is the length of the windows for which usage is reported; 0 means no reports.
 	UsageWindow time.Duration `yaml:"usage_window"`
-	// Grace is how long after the order to stop the host is ended by force.
+	// Grace is the time after the stop signal at which the platform kills the host.
 	Grace time.Duration `yaml:"grace"`
 }
 
-// MaxStoreLag is the time in which what the store says has to be followed.
+// MaxStoreLag returns the time within which the host has to apply changes of the store.
 func (g Gateway) MaxStoreLag() time.Duration { return min(g.InForce, g.Leaving) }
 
-// ColdRateLimit is how many requests a second a cold endpoint may get that bears so many.
+// ColdRateLimit returns the requests per second that a cold endpoint may get for which operators declare
+// declaredRate.
 func (g Gateway) ColdRateLimit(declaredRate float64) float64 {
 	if declaredRate <= 0 {
 		return 0
@@ -74,7 +75,7 @@
 	return declaredRate*overshoot + g.ColdSlack
 }
 
-// SeedPeers are the addresses at which the seeds serve other hosts.
+// SeedPeers returns the addresses at which the seeds serve other hosts.
 func (g Gateway) SeedPeers() []string {
 	_, port, _ := net.SplitHostPort(g.Peers)
 	var peers []string
@@ -88,7 +89,7 @@
 // Enabled reports whether the host serves routed requests.
 func (g Gateway) Enabled() bool { return g.Callers != "" }
 
-// check returns every problem of the gateway's settings.
+// check returns all problems of the gateway's settings.
 func (g Gateway) check() []problem {
 	var problems []problem
 	for _, a := range []struct{ field, value string }{
--- a/internal/settings/secrets.go
+++ b/internal/settings/secrets.go
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-// ErrSecret means that a session key could not be used.
+// ErrSecret means that a session key is unusable.
 var ErrSecret = errors.New("bad session key")
 
-// Bytes returns the secret, from its file if it has one.
+// Bytes returns Secret if it is set, and the content of SecretFile without surrounding space otherwise.
 func (k SessionKey) Bytes() ([]byte, error) {
 	if k.Secret != "" {
 		return []byte(k.Secret), nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,12 +1,12 @@
-// Package settings reads a host's own settings: its addresses, its data hall,
-// where the platform is and which files hold its keys.
+// Package settings reads a host's own settings, such as its addresses, its data hall,
+// the address of the platform and the files with its keys.
 //
 // # Usage
 //
 //	s, err := settings.Load("host.yaml")
 //
 // Every problem is reported with file, line and field. The struct Settings is
-// the one place where settings are declared; docs/SETTINGS.md is made from it.
+// the only place where settings are declared; docs/SETTINGS.md is generated from it.
 package settings
 
 import (
@@ -23,11 +23,11 @@
 	"quaybarrow/internal/yamlfile"
 )
 
-// Settings is everything a host is told at its start.
+// Settings holds all settings of a host.
 type Settings struct {
 	// Host is this host's name, as the platform lists it.
 	Host string `yaml:"host"`
-	// DataHall is the data hall the host stands in.
+	// DataHall is the data hall that the host runs in.
 	DataHall string `yaml:"data_hall"`
 	// Region is the region of the data hall.
 	Region string `yaml:"region"`
@@ -39,37 +39,37 @@
 	Peers string `yaml:"peers"`
 	// Platform is the base URL of the platform's service.
 	Platform string `yaml:"platform"`
-	// Bootstrap lets the first operator in before any is declared.
+	// Bootstrap authenticates the first operator before any is declared.
 	Bootstrap Bootstrap `yaml:"bootstrap"`
-	// SessionKeys sign session tokens; the first signs, all verify.
+	// SessionKeys sign and verify session tokens; the first one signs, all verify.
 	SessionKeys []SessionKey `yaml:"session_keys"`
-	// TLS secures the traffic between hosts; without it hosts talk in the clear.
+	// TLS encrypts the traffic between hosts; without it the traffic is unencrypted.
 	TLS TLS `yaml:"tls"`
-	// Limits bound what one host takes on.
+	// Limits bound the work that one host accepts.
 	Limits Limits `yaml:"limits"`
-	// Times are the host's periods and time-outs.
+	// Times are the host's intervals and timeouts.
 	Times Times `yaml:"times"`
-	// Telemetry says where traces go and how much is logged.
+	// Telemetry configures the destination of traces and the log level.
 	Telemetry Telemetry `yaml:"telemetry"`
-	// Gateway makes the host serve routed requests on the users' platform, in
-	// place of the API for callers.
+	// Gateway makes the host serve routed requests on the users' platform,
+	// instead of the API for callers.
 	Gateway Gateway `yaml:"gateway"`
 }
 
 // Bootstrap is the operator of an empty installation.
 type Bootstrap struct {
-	// OperatorHash is sha256:<hex> of the first operator's key. It counts only
+	// OperatorHash is sha256:<hex> of the first operator's key. It is accepted only
 	// while no operator is declared.
 	OperatorHash string `yaml:"operator_hash"`
 }
 
 // SessionKey is a key that signs session tokens.
 type SessionKey struct {
-	// ID names the key in tokens.
+	// ID identifies the key in tokens.
 	ID string `yaml:"id"`
-	// SecretFile holds the secret, 32 bytes or more.
+	// SecretFile is the file with the secret, 32 bytes or more.
 	SecretFile string `yaml:"secret_file"`
-	// Secret is the secret itself; for trials only.
+	// Secret is the secret itself; for testing only.
 	Secret string `yaml:"secret"`
 }
 
@@ -79,71 +79,74 @@
 	Certificate string `yaml:"certificate"`
 	// Key is the certificate's private key, a PEM file.
 	Key string `yaml:"key"`
-	// Authority is a PEM file of the authorities that sign hosts.
+	// Authority is a PEM file of the certificate authorities that sign hosts' certificates.
 	Authority string `yaml:"authority"`
 }
 
 // Enabled reports whether TLS is set.
 func (t TLS) Enabled() bool { return t.Certificate != "" }
 
-// Limits bound what one host takes on.
+// Limits bound the work that one host accepts.
 type Limits struct {
-	// Requests is the most requests in flight on the host.
+	// Requests is the maximum number of requests in flight on the host.
 	Requests int `yaml:"requests"`
-	// Queue is the most requests that wait for a place.
+	// Queue is the maximum number of requests that wait for admission.
 	Queue int `yaml:"queue"`
-	// BodyBytes is the longest body of a request.
+	// BodyBytes is the maximum size of a request body, in bytes.
 	BodyBytes int64 `yaml:"body_bytes"`
-	// Jobs is how many deferred jobs the host runs at once.
+	// Jobs is the number of deferred jobs that the host runs at once.
 	Jobs int `yaml:"jobs"`
-	// OpenBills is the most bills that the table does not have yet, of this
-	// host and held for others; past it new work is refused.
+	// OpenBills is the maximum number of bills that are not yet written to the table,
+	// of this host and held for others; above it new work is refused.
 	OpenBills int `yaml:"open_bills"`
 }
 
-// Times are periods and time-outs.
+// Times are intervals and timeouts.
 type Times struct {
-	// Poll is how often a designated host reads the configuration's head.
+	// Poll is the interval at which a designated host reads the configuration's head.
 	Poll time.Duration `yaml:"poll"`
-	// Backstop is how often every other host reads it.
+	// Backstop is the interval at which the hosts that are not designated read the
+	// configuration's head.
 	Backstop time.Duration `yaml:"backstop"`
-	// Ping is how often a host pings the hosts it watches.
+	// Ping is the interval at which a host pings the hosts it monitors.
 	Ping time.Duration `yaml:"ping"`
-	// Stale is the age of the configuration past which versions in roll-out
-	// take no new work.
+	// Stale is the age of the configuration above which versions in roll-out
+	// accept no new work.
 	Stale time.Duration `yaml:"stale"`
-	// Proven is how long a version must have served to be used when stale.
+	// Proven is how long a version must have served to be used while the configuration
+	// is stale.
 	Proven time.Duration `yaml:"proven"`
-	// Lease is how long a duty's lease lasts without renewal.
+	// Lease is the duration of a duty's lease without renewal.
 	Lease time.Duration `yaml:"lease"`
-	// Settle is the longest a finished bill waits for others to share a write.
+	// Settle is the maximum time that a finished bill waits to be written in one batch
+	// with others.
 	Settle time.Duration `yaml:"settle"`
-	// Request is the longest a request may take.
+	// Request is the maximum duration of a request.
 	Request time.Duration `yaml:"request"`
-	// FirstToken is the longest an engine may take to begin its answer.
+	// FirstToken is the maximum time until an engine begins its answer.
 	FirstToken time.Duration `yaml:"first_token"`
-	// Leave is how long a stopping host still takes new requests, so that the
-	// balancer can notice.
+	// Leave is how long a stopping host still accepts new requests, so that the
+	// load balancer can notice.
 	Leave time.Duration `yaml:"leave"`
-	// Drain is the longest a stop waits for requests in flight.
+	// Drain is the maximum time that a stop waits for requests in flight.
 	Drain time.Duration `yaml:"drain"`
-	// HostList is how often the platform's list of hosts is read.
+	// HostList is the interval at which the platform's list of hosts is read.
 	HostList time.Duration `yaml:"host_list"`
-	// Load is how often an engine's load report is read.
+	// Load is the interval at which an engine's load report is read.
 	Load time.Duration `yaml:"load"`
 }
 
-// Telemetry says where traces go and how much is logged.
+// Telemetry configures the destination of traces and the log level.
 type Telemetry struct {
-	// OTLP is the URL of a collector for traces; empty keeps them on the host.
+	// OTLP is the URL of a collector for traces; if empty, traces stay on the host.
 	OTLP string `yaml:"otlp"`
-	// Traces is how many traces the host remembers.
+	// Traces is the number of traces that the host keeps.
 	Traces int `yaml:"traces"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"log_level"`
 }
 
-// Default returns the settings that hold where a file says nothing.
+// Default returns the default settings, which hold for fields that a file does not set.
 func Default() Settings {
 	return Settings{
 		Callers:   "127.0.0.1:7100",
@@ -160,7 +163,7 @@
 	}
 }
 
-// Load reads and checks a file.
+// Load reads and checks a settings file.
 func Load(name string) (Settings, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -169,7 +172,7 @@
 	return Parse(name, data)
 }
 
-// Parse reads and checks the text of a file.
+// Parse reads and checks the text of a settings file.
 func Parse(name string, data []byte) (Settings, error) {
 	s := Default()
 	doc, err := yamlfile.Decode(name, data, &s)
@@ -186,16 +189,16 @@
 	return s, nil
 }
 
-// problem is one bad field.
+// problem describes one invalid field.
 type problem struct{ field, text string }
 
-// namePattern is the form of names of hosts, data halls and regions.
+// namePattern matches valid names of hosts, data halls, regions and session keys.
 var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$`)
 
-// minSecretBytes is the least length of a session key.
+// minSecretBytes is the minimum length of a session key's secret.
 const minSecretBytes = 32
 
-// check returns every problem of the settings.
+// check returns all problems of the settings.
 func (s Settings) check() []problem {
 	var problems []problem
 	add := func(field, text string) { problems = append(problems, problem{field, text}) }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,7 +17,7 @@
 session_keys: [{id: k1, secret: 0123456789abcdef0123456789abcdef}]
 `
 
-// bad are lines added to good settings, and what the error has to say.
+// bad maps invalid lines, which are appended to good settings, to texts that the error has to contain.
 var bad = map[string]struct {
 	line string
 	want []string
@@ -32,7 +32,7 @@
 }
 
 var _ = Describe("settings", func() {
-	It("are read, with defaults for the rest", func() {
+	It("are read, with defaults for unset fields", func() {
 		s, err := settings.Parse("host.yaml", []byte(good))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Host).To(Equal("entry-1"))
@@ -40,7 +40,7 @@
 	})
 
 	for name, b := range bad {
-		It("with "+name+" are refused with line and field", func() {
+		It("with "+name+" are rejected with line and field", func() {
 			_, err := settings.Parse("host.yaml", []byte(good+b.line+"\n"))
 			Expect(err).To(HaveOccurred())
 			for _, want := range b.want {
@@ -49,7 +49,7 @@
 		})
 	}
 
-	It("of a gateway need no session keys, and name its bad fields", func() {
+	It("of a gateway need no session keys, and errors name its invalid fields", func() {
 		const gateway = "host: h\ndata_hall: d\nregion: r\ngateway: {callers: 10.0.0.1:1, ready: 10.0.0.1:2, control: 10.0.0.1:3, peers: 10.0.0.1:5, store: 10.9.0.1:4, memory_mb: 284, retry_ratio: 0.9, grace: 8s, in_force: 2s, leaving: 2s, cores: 0.4}\n"
 		s, err := settings.Parse("host.yaml", []byte(gateway))
 		Expect(err).NotTo(HaveOccurred())
@@ -59,7 +59,7 @@
 		Expect(err).To(MatchError(ContainSubstring("$.gateway.memory_mb")))
 	})
 
-	It("name every bad field at once", func() {
+	It("are rejected with all invalid fields in one error", func() {
 		_, err := settings.Parse("host.yaml", []byte("host: \"\"\nplatform: nowhere\n"))
 		for _, field := range []string{"$.host", "$.data_hall", "$.platform", "$.session_keys"} {
 			Expect(err).To(MatchError(ContainSubstring(field)))
--- a/internal/settings/source.go
+++ b/internal/settings/source.go
@@ -1,8 +1,8 @@
 package settings
 
-import _ "embed" // for the texts of sources
+import _ "embed" // embeds the source files
 
-// Texts in which Settings and its parts are declared; the reference page is made
+// Source files that declare Settings and its parts; the reference page is generated
 // from their comments.
 var (
 	//go:embed settings.go
@@ -11,5 +11,5 @@
 	gatewayText []byte
 )
 
-// SourceTexts returns the texts in which Settings and its parts are declared.
+// SourceTexts returns the source files that declare Settings and its parts.
 func SourceTexts() [][]byte { return [][]byte{settingsText, gatewayText} }
