--- a/internal/gatewayd/crashrig_test.go
+++ b/internal/gatewayd/crashrig_test.go
@@ -68,7 +68,7 @@
 // crashOutcome is the outcome of a request.
 type crashOutcome struct {
 	began      time.Time // when the caller sent the request
-	sent       time.Time
+	ended      time.Time // when the response was complete or the request failed
 	path       string
 	status     int // 0 if no complete response arrived
 	secondHalf bool
@@ -276,10 +276,10 @@
 		if d.identical && caller%2 == 1 {
 			path, body = "/stream/x", "the same"
 		}
-		asked := time.Now()
+		sentAt := time.Now()
 		status := r.send(ctx, r.randomInt(len(r.hosts)), path, body)
 		if ctx.Err() == nil { // otherwise the run ended during the request
-			r.record(asked, path, status, time.Since(began) > d.duration/2)
+			r.record(sentAt, path, status, time.Since(began) > d.duration/2)
 		}
 		sleepFor(ctx, time.Duration(r.randomInt(200))*time.Millisecond)
 	}
@@ -340,7 +340,7 @@
 func (r *crashRig) record(began time.Time, path string, status int, secondHalf bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.outcomes = append(r.outcomes, crashOutcome{began: began, sent: time.Now(), path: path, status: status, secondHalf: secondHalf})
+	r.outcomes = append(r.outcomes, crashOutcome{began: began, ended: time.Now(), path: path, status: status, secondHalf: secondHalf})
 }
 
 // served returns the fraction of the ordinary requests that succeeded in the second half of the
--- a/internal/gatewayd/hostconns_test.go
+++ b/internal/gatewayd/hostconns_test.go
@@ -9,32 +9,32 @@
 // hostConns tracks a host's connections, and cuts them all off when the host is killed. Later
 // connections of that host fail.
 type hostConns struct {
-	mu    sync.Mutex // guards the fields below
-	ended bool
-	conns []net.Conn
+	mu     sync.Mutex // guards the fields below
+	closed bool
+	conns  []net.Conn
 }
 
 var errHostKilled = errors.New("the host was killed")
 
-func (l *hostConns) track(c net.Conn, err error) (net.Conn, error) {
+func (h *hostConns) track(c net.Conn, err error) (net.Conn, error) {
 	if err != nil {
 		return nil, err
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ended {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.closed {
 		_ = c.Close()
 		return nil, errHostKilled
 	}
-	l.conns = append(l.conns, c)
+	h.conns = append(h.conns, c)
 	return c, nil
 }
 
-func (l *hostConns) closeAll() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.ended = true
-	for _, c := range l.conns {
+func (h *hostConns) closeAll() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.closed = true
+	for _, c := range h.conns {
 		_ = c.Close()
 	}
 }
--- a/internal/gatewayd/limits_test.go
+++ b/internal/gatewayd/limits_test.go
@@ -14,13 +14,13 @@
 
 // limitScenario describes a run in which endpoints announce rate limits.
 type limitScenario struct {
-	service     string
-	limited     int     // number of endpoints that announce a limit
-	rate        float64 // requests a second
-	withdrawnAt time.Duration
-	kill        time.Duration // interval at which hosts are killed in turn; 0 for never
-	minServed   float64       // least fraction of the requests to the service that must be served
-	belowLimit  bool          // the limit is far above the load
+	service      string
+	limited      int     // number of endpoints that announce a limit
+	rate         float64 // requests a second
+	withdrawnAt  time.Duration
+	killInterval time.Duration // interval at which hosts are killed in turn; 0 for never
+	minServed    float64       // least fraction of the requests to the service that must be served
+	belowLimit   bool          // the limit is far above the load
 }
 
 // limitScenarios are runs in which endpoints announce limits, from limitsStart on.
@@ -34,8 +34,8 @@
 	"all endpoints, prompts":                 {service: "model", limited: 12, rate: 0.5, minServed: 0.2},
 	"all endpoints, plain":                   {service: "plain", limited: 12, rate: 1, minServed: 0.2},
 	"far above the load":                     {service: "plain", limited: 12, rate: 50, minServed: 0.99, belowLimit: true},
-	"while hosts are killed in turn":         {service: "model", limited: 4, rate: 1, kill: 3 * time.Second, minServed: 0.85},
-	"plain, while hosts are killed in turn":  {service: "plain", limited: 4, rate: 1, kill: 3 * time.Second, minServed: 0.9},
+	"while hosts are killed in turn":         {service: "model", limited: 4, rate: 1, killInterval: 3 * time.Second, minServed: 0.85},
+	"plain, while hosts are killed in turn":  {service: "plain", limited: 4, rate: 1, killInterval: 3 * time.Second, minServed: 0.9},
 	"a limit that is withdrawn, all prompts": {service: "model", limited: 12, rate: 0.4, withdrawnAt: 10 * time.Second, minServed: 0.3},
 	"a limit that is withdrawn, plain":       {service: "plain", limited: 6, rate: 0.25, withdrawnAt: 10 * time.Second, minServed: 0.99},
 }
@@ -50,7 +50,7 @@
 	fullShareWithin = 3 * time.Second
 )
 
-func TestEndpointsGetNoMoreThanTheirLimit(t *testing.T) {
+func TestEndpointsGetNoMoreThanTheLimitTheyName(t *testing.T) {
 	for name, d := range limitScenarios {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -63,8 +63,8 @@
 				for i := range limitCallers {
 					r.calling.Go(func() { r.call(ctx, i, crashScenario{duration: limitsDuration}) })
 				}
-				if d.kill > 0 {
-					r.calling.Go(func() { r.killInTurn(ctx, d.kill) })
+				if d.killInterval > 0 {
+					r.calling.Go(func() { r.killInTurn(ctx, d.killInterval) })
 				}
 				limited := r.endpointsOf(d.service, d.limited)
 				time.Sleep(limitsStart)
@@ -133,8 +133,8 @@
 }
 
 // killInTurn kills and restarts one host after the other.
-func (r *crashRig) killInTurn(ctx context.Context, every time.Duration) {
-	for i := 0; sleepFor(ctx, every); i++ {
+func (r *crashRig) killInTurn(ctx context.Context, interval time.Duration) {
+	for i := 0; sleepFor(ctx, interval); i++ {
 		h := r.hosts[i%len(r.hosts)]
 		h.kill()
 		time.Sleep(500 * time.Millisecond)
--- a/internal/gatewayd/operators.go
+++ b/internal/gatewayd/operators.go
@@ -61,9 +61,9 @@
 	if maps.Equal(halls, o.evacuated) {
 		return
 	}
-	now := slices.Sorted(maps.Keys(halls))
-	o.fleet.Evacuate(now)
-	o.logger.Info("data halls evacuated", "halls", now, "before", slices.Sorted(maps.Keys(o.evacuated)))
+	sorted := slices.Sorted(maps.Keys(halls))
+	o.fleet.Evacuate(sorted)
+	o.logger.Info("data halls evacuated", "halls", sorted, "before", slices.Sorted(maps.Keys(o.evacuated)))
 	o.evacuated = halls
 }
 
