--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -19,8 +19,8 @@
 // cancelTimeout bounds telling an engine that nobody waits any more.
 const cancelTimeout = 2 * time.Second
 
-// cancelAt tells an engine to stop an attempt.
-func (d *Dispatcher) cancelAt(address, attemptID string) {
+// cancelAttempt tells an engine to stop an attempt.
+func (d *Dispatcher) cancelAttempt(address, attemptID string) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+address+"/v1/streams/"+attemptID, nil)
@@ -33,7 +33,7 @@
 	}
 	stop := context.AfterFunc(ctx, c.Interrupt)
 	response, err := c.Send(request, func(http.Header) bool { return true }) //nolint:bodyclose // a closed connection ends its body
-	c.Release(stop() && err == nil && drained(response))
+	c.Release(stop() && err == nil && drain(response))
 }
 
 // Call is a request to a plain service.
@@ -70,11 +70,11 @@
 		if clock.Over(ctx) {
 			break
 		}
-		standing := d.standing(call.Fingerprint)
-		if standing.Quarantined {
+		status := d.quarantineStatus(call.Fingerprint)
+		if status.Quarantined {
 			return Answer{}, Quarantined(run)
 		}
-		if !standing.HostMayRetry(crashes) {
+		if !status.HostMayRetry(crashes) {
 			break
 		}
 		if attempt > 0 && !d.budgets.TakeRetry(call.Service, 1) {
@@ -85,12 +85,12 @@
 			break
 		}
 		sent := clock.Now()
-		answer, err := d.callOnce(ctx, call, hold)
+		answer, err := d.attemptCall(ctx, call, hold)
 		if err == nil {
-			d.finished(call.Fingerprint)
+			d.recordCompleted(call.Fingerprint)
 			return answer, nil
 		}
-		if d.crashed(ctx, hold, call.asked(), quarantine.Run{Lasted: clock.Since(sent)}, err) {
+		if d.recordFailure(ctx, hold, call.info(), quarantine.Run{Lasted: clock.Since(sent)}, err) {
 			crashes++
 		}
 		last = err
@@ -103,14 +103,14 @@
 			break
 		}
 	}
-	return Answer{}, d.failed(ctx, run, last)
+	return Answer{}, d.finalProblem(ctx, run, last)
 }
 
-// callOnce makes one attempt at one endpoint.
-func (d *Dispatcher) callOnce(ctx context.Context, call Call, hold *fleet.Hold) (Answer, error) {
+// attemptCall makes one attempt at one endpoint.
+func (d *Dispatcher) attemptCall(ctx context.Context, call Call, hold *fleet.Hold) (Answer, error) {
 	ctx, span := d.options.Telemetry.Start(ctx, "attempt "+hold.Endpoint.ID)
 	defer span.End()
-	answer, err := d.exchangeCall(ctx, call, hold)
+	answer, err := d.sendCall(ctx, call, hold)
 	telemetry.Fail(span, err)
 	if err != nil {
 		hold.Done(fleet.Result{Outcome: outcomeOf(ctx, err)})
@@ -120,7 +120,7 @@
 	return answer, nil
 }
 
-func (d *Dispatcher) exchangeCall(ctx context.Context, call Call, hold *fleet.Hold) (Answer, error) {
+func (d *Dispatcher) sendCall(ctx context.Context, call Call, hold *fleet.Hold) (Answer, error) {
 	header := http.Header{}
 	if call.ContentType != "" {
 		header.Set("Content-Type", call.ContentType)
@@ -132,8 +132,8 @@
 	if err != nil {
 		return Answer{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
-	a.release(err == nil && len(body) < maxAnswerBytes)
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
+	a.release(err == nil && len(body) < maxResponseBytes)
 	if err != nil {
 		return Answer{}, &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("read the answer: %w", err)}
 	}
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -10,8 +10,8 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// standing is what is known of a request when it came before.
-func (d *Dispatcher) standing(fingerprint func() quarantine.Fingerprint) quarantine.Status {
+// quarantineStatus is what is known of a request when it came before.
+func (d *Dispatcher) quarantineStatus(fingerprint func() quarantine.Fingerprint) quarantine.Status {
 	if !d.options.Quarantine.HasEvidence() {
 		return quarantine.Status{}
 	}
@@ -24,27 +24,27 @@
 		"endpoints crash under this request, so it is not sent to any; change it, or ask the operators to let it out")
 }
 
-// asked is a request as it is known when it comes again.
-type asked struct {
+// requestInfo is a request as it is known when it comes again.
+type requestInfo struct {
 	fingerprint func() quarantine.Fingerprint
-	of          string // its workspace and what it asks for, for operators
+	label          string // its workspace and what it asks for, for operators
 }
 
-func (r Request) asked() asked { return asked{r.Fingerprint, r.Of} }
-func (c Call) asked() asked    { return asked{c.Fingerprint, c.Of} }
+func (r Request) info() requestInfo { return requestInfo{r.Fingerprint, r.Of} }
+func (c Call) info() requestInfo    { return requestInfo{c.Fingerprint, c.Of} }
 
-// crashed takes in that an attempt failed, and reports whether its endpoint has crashed.
-func (d *Dispatcher) crashed(ctx context.Context, hold *fleet.Hold, request asked, run quarantine.Run, err error) bool {
+// recordFailure takes in that an attempt failed, and reports whether its endpoint has recordFailure.
+func (d *Dispatcher) recordFailure(ctx context.Context, hold *fleet.Hold, request requestInfo, run quarantine.Run, err error) bool {
 	e := hold.Endpoint
-	run.Label = request.of
+	run.Label = request.label
 	if !conn.BrokeOff(err) || ctx.Err() != nil || !d.options.Fleet.Serves(e.ID) {
 		return false
 	}
 	return d.options.Quarantine.ConnectionBroke(ctx, quarantine.BrokenAttempt{Endpoint: e.ID, Address: e.Address, Service: e.Service, Request: request.fingerprint(), Run: run})
 }
 
-// finished takes in that a request came to a good end.
-func (d *Dispatcher) finished(fingerprint func() quarantine.Fingerprint) {
+// recordCompleted takes in that a request came to a good end.
+func (d *Dispatcher) recordCompleted(fingerprint func() quarantine.Fingerprint) {
 	if d.options.Quarantine.HasEvidence() {
 		d.options.Quarantine.RequestCompleted(fingerprint())
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -41,11 +41,11 @@
 // Limits of attempts.
 const (
 	MaxAttempts    = 3 // of one request
-	maxAnswerBytes = 32 << 20
+	maxResponseBytes = 32 << 20
 	retryAfter     = time.Second // told to callers that find no endpoint
-	// usualFirst is the time to a first token that is taken for good where nobody
+	// defaultObjective is the time to a first token that is taken for good where nobody
 	// declares one; it weighs bytes between data halls against waiting.
-	usualFirst = 1500 * time.Millisecond
+	defaultObjective = 1500 * time.Millisecond
 )
 
 // DefaultRetries bounds repeats where nobody declares a bound: a tenth of the first
@@ -95,11 +95,11 @@
 	Judged func(failed bool)
 }
 
-// ask is what the choice of an engine goes by.
-func (r Request) ask(avoid []string) fleet.Request {
+// fleetRequest is what the choice of an engine goes by.
+func (r Request) fleetRequest(avoid []string) fleet.Request {
 	return fleet.Request{
 		Service: endpoint.Engines, Model: r.Version.String(), Avoid: avoid, Key: r.Prefix,
-		Tokens: r.Tokens, SharedTokens: r.Shared, Objective: usualFirst,
+		Tokens: r.Tokens, SharedTokens: r.Shared, Objective: defaultObjective,
 	}
 }
 
@@ -118,50 +118,50 @@
 		if err := request.Allowed(); err != nil {
 			return nil, problem.Of(err).WithRun(run)
 		}
-		standing := d.standing(request.Fingerprint)
-		if standing.Quarantined {
+		status := d.quarantineStatus(request.Fingerprint)
+		if status.Quarantined {
 			return nil, Quarantined(run)
 		}
-		if !standing.HostMayRetry(crashes) {
+		if !status.HostMayRetry(crashes) {
 			break
 		}
 		if attempt > 0 && !d.budgets.TakeRetry(endpoint.Engines, 1) {
 			break
 		}
-		hold, ok := d.options.Fleet.Pick(request.ask(avoid))
+		hold, ok := d.options.Fleet.Pick(request.fleetRequest(avoid))
 		if !ok {
 			break
 		}
 		sent := clock.Now()
 		stream, err := d.attempt(ctx, request, hold)
 		if err == nil {
-			request.judge(false)
+			request.reportVersionResult(false)
 			return stream, nil
 		}
-		if d.crashed(ctx, hold, request.asked(), quarantine.Run{Lasted: clock.Since(sent)}, err) {
+		if d.recordFailure(ctx, hold, request.info(), quarantine.Run{Lasted: clock.Since(sent)}, err) {
 			crashes++
 		}
 		last = err
 		avoid = append(avoid, hold.Endpoint.ID)
 		if errors.Is(err, errVersionFailed) {
-			request.judge(true)
+			request.reportVersionResult(true)
 		}
 		if runOf(err) != problem.NotRun {
 			run = problem.Unknown
 			request.Attempted()
 		}
 	}
-	return nil, d.failed(ctx, run, last)
+	return nil, d.finalProblem(ctx, run, last)
 }
 
-func (r Request) judge(failed bool) {
+func (r Request) reportVersionResult(failed bool) {
 	if r.Judged != nil {
 		r.Judged(failed)
 	}
 }
 
-// failed is the problem of a request that got no answer.
-func (d *Dispatcher) failed(ctx context.Context, run problem.Run, last error) error {
+// finalProblem is the problem of a request that got no answer.
+func (d *Dispatcher) finalProblem(ctx context.Context, run problem.Run, last error) error {
 	switch {
 	case clock.Over(ctx):
 		return problem.New(http.StatusGatewayTimeout, problem.CodeDeadline, run, "no answer came in time").WithCause(last)
@@ -218,7 +218,7 @@
 
 // attempt sends a completion to one endpoint and waits for its first byte.
 func (d *Dispatcher) attempt(ctx context.Context, request Request, hold *fleet.Hold) (*Stream, error) {
-	caller := ctx
+	callerCtx := ctx
 	ctx, span := d.options.Telemetry.Start(ctx, "attempt "+hold.Endpoint.ID)
 	defer span.End()
 	ctx, cancel := context.WithCancel(ctx)
@@ -230,12 +230,12 @@
 	header.Set("Content-Type", "application/json")
 	header.Set(chat.HeaderPriority, string(request.Priority))
 	header.Set(chat.HeaderResumable, "1")
-	answer, err := d.send(ctx, exchange{
+	response, err := d.send(ctx, exchange{
 		method: http.MethodPost, address: hold.Endpoint.Address, path: "/v1/chat/completions", header: header,
 		body: request.Body, requestID: request.ID, attemptID: s.attemptID,
 	})
 	if err == nil {
-		s.take(answer)
+		s.setResponse(response)
 		_, err = s.reader.Peek(1)
 		if err != nil {
 			err = &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("wait for the answer: %w", err)}
@@ -243,12 +243,12 @@
 	}
 	if err != nil {
 		telemetry.Fail(span, err)
-		s.fail(outcomeOf(caller, err))
+		s.abort(outcomeOf(callerCtx, err))
 		return nil, err
 	}
 	hold.Head(fleet.Load{})
-	s.sent, s.begun = sent, clock.Now()
-	s.going = d.options.Quarantine.BeginResponse(request.Fingerprint)
+	s.sentAt, s.responseStarted = sent, clock.Now()
+	s.ongoing = d.options.Quarantine.BeginResponse(request.Fingerprint)
 	return s, nil
 }
 
@@ -263,19 +263,19 @@
 	attemptID string
 }
 
-// answer is an endpoint's answer on the connection that it comes by.
-type answer struct {
+// endpointResponse is an endpoint's endpointResponse on the connection that it comes by.
+type endpointResponse struct {
 	*http.Response
 	conn *conn.Conn
-	stop func() bool // ends the watch on the context
+	stopWatch func() bool // ends the watch on the context
 }
 
 // release gives the connection back; it is kept if the answer was read whole.
-func (a *answer) release(whole bool) { a.conn.Release(a.stop() && whole) }
+func (a *endpointResponse) release(readToEnd bool) { a.conn.Release(a.stopWatch() && readToEnd) }
 
 // send makes one exchange and returns the answer if it is one to it. Errors are
 // *attemptError.
-func (d *Dispatcher) send(ctx context.Context, x exchange) (*answer, error) {
+func (d *Dispatcher) send(ctx context.Context, x exchange) (*endpointResponse, error) {
 	request, err := http.NewRequestWithContext(ctx, x.method, "http://"+x.address+x.path, bytes.NewReader(x.body))
 	if err != nil {
 		return nil, &attemptError{run: problem.NotRun, outcome: fleet.OutcomeNeutral, cause: fmt.Errorf("build request: %w", err)}
@@ -290,13 +290,13 @@
 	}
 	stop := context.AfterFunc(ctx, c.Interrupt)
 	response, err := c.Send(request, x.accepts) //nolint:bodyclose // a closed connection ends its body
-	a := &answer{Response: response, conn: c, stop: stop}
+	a := &endpointResponse{Response: response, conn: c, stopWatch: stop}
 	if err == nil {
-		err = x.check(response)
+		err = x.checkStatus(response)
 		if err == nil {
 			return a, nil
 		}
-		a.release(drained(response))
+		a.release(drain(response))
 		return nil, err
 	}
 	a.release(false)
@@ -314,11 +314,11 @@
 // accepts reports whether an answer is one to this exchange; endpoints that do not
 // echo the ids are believed.
 func (x exchange) accepts(h http.Header) bool {
-	return echoes(h, chat.HeaderRequestID, x.requestID) && echoes(h, chat.HeaderAttempt, x.attemptID)
+	return echoMatches(h, chat.HeaderRequestID, x.requestID) && echoMatches(h, chat.HeaderAttempt, x.attemptID)
 }
 
-// check tells an answer from a refusal and a failure.
-func (x exchange) check(response *http.Response) error {
+// checkStatus tells an answer from a refusal and a failure.
+func (x exchange) checkStatus(response *http.Response) error {
 	refused := response.Header.Get(chat.HeaderRun) == chat.NotRun
 	switch {
 	case refused && response.StatusCode >= http.StatusBadRequest:
@@ -333,15 +333,15 @@
 	}
 }
 
-// echoes reports whether an echoed header, if there is one, has our value.
-func echoes(h http.Header, name, value string) bool {
+// echoMatches reports whether an echoed header, if there is one, has our value.
+func echoMatches(h http.Header, name, value string) bool {
 	got := h.Get(name)
 	return got == "" || got == value
 }
 
-// drained reads what is left of a short answer; true if it was read to its end.
-func drained(response *http.Response) bool {
-	const most = 4 << 10
-	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, most))
-	return err == nil && n < most
+// drain reads what is left of a short answer; true if it was read to its end.
+func drain(response *http.Response) bool {
+	const limit = 4 << 10
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, limit))
+	return err == nil && n < limit
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -28,26 +28,26 @@
 
 const address = "10.0.0.9:80"
 
-// breaker breaks a connection after a count of bytes in one direction.
-type breaker struct {
+// breakingConn breaks a connection after a count of bytes in one direction.
+type breakingConn struct {
 	net.Conn
 	mu      sync.Mutex // guards all below
 	armed   bool
-	written int // bytes that may still be written; -1 means any
-	read    int // bytes that may still be read; -1 means any
+	writeLimit int // bytes that may still be written; -1 means any
+	readLimit    int // bytes that may still be read; -1 means any
 }
 
 var errBroken = errors.New("connection broken")
 
 // Write implements net.Conn.
-func (b *breaker) Write(p []byte) (int, error) {
+func (b *breakingConn) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.armed || b.written < 0 {
+	if !b.armed || b.writeLimit < 0 {
 		return b.Conn.Write(p)
 	}
-	n := min(len(p), b.written)
-	b.written -= n
+	n := min(len(p), b.writeLimit)
+	b.writeLimit -= n
 	if n > 0 {
 		if _, err := b.Conn.Write(p[:n]); err != nil {
 			return 0, err
@@ -61,9 +61,9 @@
 }
 
 // Read implements net.Conn.
-func (b *breaker) Read(p []byte) (int, error) {
+func (b *breakingConn) Read(p []byte) (int, error) {
 	b.mu.Lock()
-	limit := b.read
+	limit := b.readLimit
 	armed := b.armed
 	b.mu.Unlock()
 	if !armed || limit < 0 {
@@ -75,13 +75,13 @@
 	}
 	n, err := b.Conn.Read(p[:min(len(p), limit)])
 	b.mu.Lock()
-	b.read -= n
+	b.readLimit -= n
 	b.mu.Unlock()
 	return n, err
 }
 
-// rig is a dispatcher before one plain service.
-type rig struct {
+// fixture is a dispatcher before one plain service.
+type fixture struct {
 	service    *service.Service
 	server     *http.Server
 	transport  *http.Transport // of the library, for comparison
@@ -89,12 +89,12 @@
 	dispatcher *dispatch.Dispatcher
 
 	mu   sync.Mutex // guards all below
-	open []*breaker
-	plan breaker
+	open []*breakingConn
+	plan breakingConn
 }
 
-func newRig() *rig {
-	r := &rig{service: service.New("payouts", 0)}
+func newFixture() *fixture {
+	r := &fixture{service: service.New("payouts", 0)}
 	n := memnet.New()
 	r.server = &http.Server{Handler: r.service.Handler()}
 	listener := n.Listen(address)
@@ -106,7 +106,7 @@
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		b := &breaker{Conn: c, armed: r.plan.armed, written: r.plan.written, read: r.plan.read}
+		b := &breakingConn{Conn: c, armed: r.plan.armed, writeLimit: r.plan.writeLimit, readLimit: r.plan.readLimit}
 		r.open = append(r.open, b)
 		return b, nil
 	}
@@ -129,7 +129,7 @@
 	return r
 }
 
-func (r *rig) close() {
+func (r *fixture) close() {
 	r.transport.CloseIdleConnections()
 	r.conns.Close()
 	_ = r.server.Close()
@@ -137,18 +137,18 @@
 
 // breakAfter breaks all connections, those that are kept and new ones, after
 // some bytes; -1 never does.
-func (r *rig) breakAfter(written, read int) {
+func (r *fixture) breakAfter(written, read int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.plan = breaker{armed: true, written: written, read: read}
+	r.plan = breakingConn{armed: true, writeLimit: written, readLimit: read}
 	for _, c := range r.open {
 		c.mu.Lock()
-		c.armed, c.written, c.read = true, written, read
+		c.armed, c.writeLimit, c.readLimit = true, written, read
 		c.mu.Unlock()
 	}
 }
 
-func (r *rig) call(repeatable bool, body string) error {
+func (r *fixture) call(repeatable bool, body string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	_, err := r.dispatcher.Call(ctx, dispatch.Call{
@@ -160,7 +160,7 @@
 }
 
 // runs counts the calls with a body that the service ran.
-func (r *rig) runs(body string) int {
+func (r *fixture) runs(body string) int {
 	count := 0
 	for _, run := range r.service.Runs() {
 		if run.Body == body {
@@ -172,13 +172,13 @@
 
 var _ = Describe("a call that may not be repeated", func() {
 	// The request is about 250 bytes long, the answer about 250.
-	const longest = 400
+	const maxBytes = 400
 
 	It("is sent at most once when its connection breaks at any byte of the request or the answer", func() {
 		suite.Paused(func() {
-			for after := range longest {
+			for after := range maxBytes {
 				for direction, limits := range map[string][2]int{"request": {after, -1}, "answer": {-1, after}} {
-					r := newRig()
+					r := newFixture()
 					err := r.call(true, "warm") // leaves a kept connection behind
 					Expect(err).NotTo(HaveOccurred())
 					r.breakAfter(limits[0], limits[1])
@@ -196,7 +196,7 @@
 
 	It("is tried elsewhere only while it certainly did not run", func() {
 		suite.Paused(func() {
-			r := newRig()
+			r := newFixture()
 			defer r.close()
 			r.service.CutReplies(1)
 			err := r.call(false, "payout")
@@ -212,7 +212,7 @@
 var _ = Describe("net/http by itself", func() {
 	It("would send a call again, which is why the dispatcher takes precautions", func() {
 		suite.Paused(func() {
-			r := newRig()
+			r := newFixture()
 			defer r.close()
 			send := func() error {
 				request, err := http.NewRequest(http.MethodPost, "http://"+address+"/pay", http.NoBody)
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -25,9 +25,9 @@
 	readBuffer = 16 << 10
 	maxEvent   = 4 << 20
 	maxResumes = 3
-	// endPatience is how long the end of an answer is waited for after its end
+	// endTimeout is how long the end of an answer is waited for after its end
 	// mark; it comes in the same packet, or the connection is closed.
-	endPatience = 50 * time.Millisecond
+	endTimeout = 50 * time.Millisecond
 )
 
 // Stream is the answer of one attempt.
@@ -39,10 +39,10 @@
 	request    Request
 	attemptID  string
 
-	sent    clock.Instant // to the endpoint
-	begun   clock.Instant // the answer
-	going   *quarantine.OngoingResponse
-	answer  *answer
+	sentAt    clock.Instant // to the endpoint
+	responseStarted   clock.Instant // the answer
+	ongoing   *quarantine.OngoingResponse
+	response  *endpointResponse
 	reader  *bufio.Reader
 	event   []byte // the last event; reused
 	events  int    // data events read so far
@@ -50,24 +50,24 @@
 	usage   *chat.Usage
 	ended   bool // the end mark was read
 	failed  bool
-	over    bool // everything was given back
+	released    bool // everything was given back
 }
 
-// take starts to read an answer.
-func (s *Stream) take(a *answer) {
-	s.answer = a
+// setResponse starts to read an answer.
+func (s *Stream) setResponse(a *endpointResponse) {
+	s.response = a
 	s.reader = bufio.NewReaderSize(a.Body, readBuffer)
 }
 
 // Status returns the endpoint's HTTP status, which is below 500.
-func (s *Stream) Status() int { return s.answer.StatusCode }
+func (s *Stream) Status() int { return s.response.StatusCode }
 
 // ContentType returns the answer's content type.
-func (s *Stream) ContentType() string { return s.answer.Header.Get("Content-Type") }
+func (s *Stream) ContentType() string { return s.response.Header.Get("Content-Type") }
 
 // Confidence returns the engine's confidence in its answer; 1 if it says none.
 func (s *Stream) Confidence() float64 {
-	text := s.answer.Header.Get(chat.HeaderConfidence)
+	text := s.response.Header.Get(chat.HeaderConfidence)
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return 1
@@ -109,24 +109,24 @@
 		return Event{}, io.EOF
 	}
 	for {
-		event, err := s.read()
+		event, err := s.readEvent()
 		if err == nil {
 			return event, nil
 		}
 		if resumeErr := s.resume(err); resumeErr != nil {
 			s.failed = true
-			s.broke(err)
+			s.recordBroken(err)
 			return Event{}, problem.New(http.StatusBadGateway, problem.CodeCut, problem.Ran,
 				"the answer broke off and could not be resumed").WithCause(resumeErr)
 		}
 	}
 }
 
-// errCut means that a stream ended without its end mark.
-var errCut = errors.New("stream ended early")
+// errTruncated means that a stream ended without its end mark.
+var errTruncated = errors.New("stream ended early")
 
-// read returns the next whole event of the present response.
-func (s *Stream) read() (Event, error) {
+// readEvent returns the next whole event of the present response.
+func (s *Stream) readEvent() (Event, error) {
 	s.event = s.event[:0]
 	var data []byte
 	for {
@@ -136,7 +136,7 @@
 			line, err = s.reader.ReadSlice('\n')
 		}
 		if err != nil {
-			return Event{}, fmt.Errorf("%w: %w", errCut, err)
+			return Event{}, fmt.Errorf("%w: %w", errTruncated, err)
 		}
 		blank := len(bytes.TrimRight(line, "\r\n")) == 0
 		if !blank && !bytes.HasPrefix(line, []byte("id:")) || blank && len(s.event) > 0 {
@@ -147,20 +147,20 @@
 			break
 		}
 	}
-	s.going.DataArrived(clock.Now())
-	event := s.eventOf(data)
-	event.More = s.hasWhole()
+	s.ongoing.DataArrived(clock.Now())
+	event := s.parseEvent(data)
+	event.More = s.hasBufferedEvent()
 	return event, nil
 }
 
-// hasWhole reports whether another whole event was read from the connection.
-func (s *Stream) hasWhole() bool {
+// hasBufferedEvent reports whether another whole event was read from the connection.
+func (s *Stream) hasBufferedEvent() bool {
 	buffered, err := s.reader.Peek(s.reader.Buffered())
 	return err == nil && bytes.Contains(buffered, blankLine)
 }
 
-// eventOf looks for the few things in an event that the router reads.
-func (s *Stream) eventOf(block []byte) Event {
+// parseEvent looks for the few things in an event that the router reads.
+func (s *Stream) parseEvent(block []byte) Event {
 	event := Event{Data: block}
 	payload := bytes.TrimSpace(bytes.TrimPrefix(block, dataPrefix))
 	if bytes.Equal(payload, doneMarker) {
@@ -184,7 +184,7 @@
 		return cause
 	}
 	s.resumes++
-	s.answer.release(false)
+	s.response.release(false)
 	a, err := s.dispatcher.send(s.context, exchange{
 		method: http.MethodGet, address: s.hold.Endpoint.Address, path: fmt.Sprintf("/v1/streams/%s?from=%d", s.attemptID, s.events),
 		header: http.Header{}, requestID: s.request.ID, attemptID: s.attemptID,
@@ -193,40 +193,40 @@
 		return err
 	}
 	if a.StatusCode != http.StatusOK {
-		a.release(drained(a.Response))
+		a.release(drain(a.Response))
 		return cause
 	}
-	s.take(a)
+	s.setResponse(a)
 	return nil
 }
 
 // Whole reads an answer that is not streamed.
 func (s *Stream) Whole() ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(s.reader, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(s.reader, maxResponseBytes))
 	if err != nil {
 		s.failed = true
-		s.broke(err)
+		s.recordBroken(err)
 		return nil, problem.New(http.StatusBadGateway, problem.CodeCut, problem.Ran, "the answer broke off").WithCause(err)
 	}
 	s.ended = true
-	var answer chat.Completion
-	if err := json.Unmarshal(body, &answer); err == nil {
-		s.usage = answer.Usage
+	var completion chat.Completion
+	if err := json.Unmarshal(body, &completion); err == nil {
+		s.usage = completion.Usage
 	}
 	return body, nil
 }
 
-// broke takes in that the answer broke off.
-func (s *Stream) broke(err error) {
-	run := quarantine.Run{Lasted: clock.Since(s.sent), ResponseLasted: clock.Since(s.begun)}
-	s.dispatcher.crashed(s.context, s.hold, s.request.asked(), run, err)
+// recordBroken takes in that the answer recordBroken off.
+func (s *Stream) recordBroken(err error) {
+	run := quarantine.Run{Lasted: clock.Since(s.sentAt), ResponseLasted: clock.Since(s.responseStarted)}
+	s.dispatcher.recordFailure(s.context, s.hold, s.request.info(), run, err)
 }
 
-// fail ends a stream that never began.
-func (s *Stream) fail(outcome fleet.Outcome) {
-	s.end(outcome, false)
+// abort ends a stream that never began.
+func (s *Stream) abort(outcome fleet.Outcome) {
+	s.release(outcome, false)
 	if outcome != fleet.OutcomeRefused {
-		go s.dispatcher.cancelAt(s.hold.Endpoint.Address, s.attemptID)
+		go s.dispatcher.cancelAttempt(s.hold.Endpoint.Address, s.attemptID)
 	}
 }
 
@@ -235,34 +235,34 @@
 func (s *Stream) Close() {
 	switch {
 	case s.failed:
-		s.fail(fleet.OutcomeFailed)
+		s.abort(fleet.OutcomeFailed)
 	case s.ended:
-		s.dispatcher.finished(s.request.Fingerprint)
-		s.end(fleet.OutcomeGood, s.atEnd())
+		s.dispatcher.recordCompleted(s.request.Fingerprint)
+		s.release(fleet.OutcomeGood, s.reachedEOF())
 	default:
-		s.fail(fleet.OutcomeNeutral)
+		s.abort(fleet.OutcomeNeutral)
 	}
 }
 
-// atEnd reads what follows the mark that ends a stream: nothing, if the connection
+// reachedEOF reads what follows the mark that ends a stream: nothing, if the connection
 // can be used again.
-func (s *Stream) atEnd() bool {
-	s.answer.conn.SetReadDeadline(clock.Now().Add(endPatience).Time())
+func (s *Stream) reachedEOF() bool {
+	s.response.conn.SetReadDeadline(clock.Now().Add(endTimeout).Time())
 	n, err := io.Copy(io.Discard, io.LimitReader(s.reader, 1))
 	return err == nil && n == 0
 }
 
-// end gives everything back; calls after the first do nothing.
-func (s *Stream) end(outcome fleet.Outcome, whole bool) {
-	if s.over {
+// release gives everything back; calls after the first do nothing.
+func (s *Stream) release(outcome fleet.Outcome, readToEnd bool) {
+	if s.released {
 		return
 	}
-	s.over = true
-	if s.going != nil {
-		s.dispatcher.options.Quarantine.EndResponse(s.going)
+	s.released = true
+	if s.ongoing != nil {
+		s.dispatcher.options.Quarantine.EndResponse(s.ongoing)
 	}
-	if s.answer != nil {
-		s.answer.release(whole)
+	if s.response != nil {
+		s.response.release(readToEnd)
 	}
 	s.cancel()
 	s.hold.Done(fleet.Result{Outcome: outcome})
