--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -40,8 +40,8 @@
 	// ErrBusy means that the host holds as many connections to the endpoint as
 	// it may.
 	ErrBusy = errors.New("no connection is free")
-	// ErrStray means that the endpoint sent bytes that belong to no request.
-	ErrStray = errors.New("stray bytes from the endpoint")
+	// ErrUnexpectedData means that the endpoint sent bytes that belong to no request.
+	ErrUnexpectedData = errors.New("stray bytes from the endpoint")
 )
 
 // Bounds of connections.
@@ -51,19 +51,19 @@
 	dialTimeout = 1500 * time.Millisecond
 	// userTimeout ends a connection whose bytes nobody acknowledges.
 	userTimeout = 2 * time.Second
-	// probeAfter and probeEvery find a silent peer on a connection at rest, in
+	// keepAliveIdle and probeEvery find a silent peer on a connection at rest, in
 	// about three seconds; the kernel counts in whole seconds.
-	probeAfter = time.Second
-	probeEvery = time.Second
-	probeCount = 2
-	// keepMargin is taken off what an endpoint says of keeping connections, so
+	keepAliveIdle = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount = 2
+	// idleTimeoutMargin is taken off what an endpoint says of keeping connections, so
 	// that it does not close one as a request is sent on it.
-	keepMargin = 800 * time.Millisecond
-	// keepUnsaid is how long a connection rests where the endpoint says nothing.
-	keepUnsaid = 4 * time.Second
-	// strayAnswers is how many answers to earlier requests are passed over
+	idleTimeoutMargin = 800 * time.Millisecond
+	// defaultIdleTimeout is how long a connection rests where the endpoint says nothing.
+	defaultIdleTimeout = 4 * time.Second
+	// maxUnexpectedResponses is how many answers to earlier requests are passed over
 	// before a connection is given up.
-	strayAnswers = 3
+	maxUnexpectedResponses = 3
 	// readBuffer holds the head of an answer.
 	readBuffer = 4 << 10
 )
@@ -103,7 +103,7 @@
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 		Control:         SetUserTimeout,
 	}
 	return d.DialContext(ctx, "tcp4", address)
@@ -111,15 +111,15 @@
 
 // SetUserTimeout bounds how long bytes may stay unacknowledged on a socket.
 func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return fmt.Errorf("reach socket: %w", err)
 	}
-	if failed != nil {
-		return fmt.Errorf("set user timeout: %w", failed)
+	if setErr != nil {
+		return fmt.Errorf("set user timeout: %w", setErr)
 	}
 	return nil
 }
@@ -129,7 +129,7 @@
 // and ErrNotSent when none can be made.
 func (p *Pool) Get(ctx context.Context, address string, limit int) (*Conn, error) {
 	for {
-		c, err := p.take(address, limit)
+		c, err := p.takeIdle(address, limit)
 		if err != nil {
 			return nil, err
 		}
@@ -143,8 +143,8 @@
 	}
 }
 
-// take returns a connection at rest, or nil after counting one to be opened.
-func (p *Pool) take(address string, limit int) (*Conn, error) {
+// takeIdle returns a connection at rest, or nil after counting one to be opened.
+func (p *Pool) takeIdle(address string, limit int) (*Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.peers[address]
@@ -168,7 +168,7 @@
 func (p *Pool) open(ctx context.Context, address string) (*Conn, error) {
 	raw, err := p.options.Dial(ctx, address)
 	if err != nil {
-		p.closed(address)
+		p.uncount(address)
 		return nil, fmt.Errorf("connect to %s: %w: %w", address, ErrNotSent, err)
 	}
 	if p.options.Opened != nil {
@@ -177,8 +177,8 @@
 	return &Conn{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
-// closed takes a connection out of the count.
-func (p *Pool) closed(address string) {
+// uncount takes a connection out of the count.
+func (p *Pool) uncount(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.peers[address]
@@ -188,8 +188,8 @@
 	}
 }
 
-// rest puts a connection among those at rest.
-func (p *Pool) rest(c *Conn) {
+// putIdle puts a connection among those at putIdle.
+func (p *Pool) putIdle(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if known := p.peers[c.address]; known != nil {
@@ -198,7 +198,7 @@
 }
 
 // Sweep closes connections that have rested for as long as they may.
-func (p *Pool) Sweep() { p.closeRested(clock.Now()) }
+func (p *Pool) Sweep() { p.closeIdleUntil(clock.Now()) }
 
 // Forget closes the connections at rest to an address: another process answers there
 // now, and what is written on them is lost.
@@ -215,25 +215,25 @@
 }
 
 // Close closes all connections at rest.
-func (p *Pool) Close() { p.closeRested(clock.Now().Add(idleForEver)) }
+func (p *Pool) Close() { p.closeIdleUntil(clock.Now().Add(beyondIdleTimeout)) }
 
-// idleForEver is longer than any connection rests.
-const idleForEver = 24 * time.Hour
+// beyondIdleTimeout is longer than any connection rests.
+const beyondIdleTimeout = 24 * time.Hour
 
-func (p *Pool) closeRested(now clock.Instant) {
-	for _, c := range p.expired(now) {
+func (p *Pool) closeIdleUntil(now clock.Instant) {
+	for _, c := range p.takeExpired(now) {
 		c.Release(false)
 	}
 }
 
-func (p *Pool) expired(now clock.Instant) []*Conn {
+func (p *Pool) takeExpired(now clock.Instant) []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var old []*Conn
 	for _, known := range p.peers {
 		kept := known.idle[:0]
 		for _, c := range known.idle {
-			if now.Before(c.until) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
 				old = append(old, c)
@@ -251,14 +251,14 @@
 	address string
 	raw     net.Conn
 	reader  *bufio.Reader
-	until   clock.Instant // at rest no longer than this
+	idleUntil   clock.Instant // at rest no longer than this
 	close   sync.Once
-	answer  *http.Response
+	response  *http.Response
 }
 
 // alive reports whether a connection that rested can be used.
 func (c *Conn) alive() bool {
-	if !clock.Now().Before(c.until) || c.reader.Buffered() > 0 {
+	if !clock.Now().Before(c.idleUntil) || c.reader.Buffered() > 0 {
 		return false
 	}
 	s, ok := c.raw.(syscall.Conn)
@@ -269,14 +269,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, readErr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(readErr, syscall.EAGAIN)
+		noData = errors.Is(readErr, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
 // Accept judges whether an answer belongs to the request that was sent.
@@ -285,7 +285,7 @@
 // Send writes a request and reads the head of its answer. Answers that belong
 // to earlier requests are passed over.
 func (c *Conn) Send(request *http.Request, accept Accept) (*http.Response, error) {
-	counted := &countingWriter{to: c.raw}
+	counted := &countingWriter{writer: c.raw}
 	buffered := bufio.NewWriterSize(counted, readBuffer)
 	err := request.Write(buffered)
 	if err == nil {
@@ -294,9 +294,9 @@
 	if err != nil && counted.sent == 0 {
 		return nil, fmt.Errorf("send to %s: %w: %w", c.address, ErrNotSent, err)
 	}
-	// An endpoint may answer before it has read the whole request, so an answer
+	// An endpoint may response before it has read the whole request, so an response
 	// is looked for even if the request could not be written to its end.
-	answer, readErr := c.head(request, accept)
+	response, readErr := c.readHead(request, accept)
 	if readErr != nil {
 		if err != nil {
 			return nil, fmt.Errorf("send to %s: %w", c.address, err)
@@ -304,30 +304,30 @@
 		return nil, fmt.Errorf("answer of %s: %w", c.address, readErr)
 	}
 	if err != nil {
-		answer.Close = true
+		response.Close = true
 	}
-	c.answer = answer
-	return answer, nil
+	c.response = response
+	return response, nil
 }
 
-// head reads heads until one is accepted.
-func (c *Conn) head(request *http.Request, accept Accept) (*http.Response, error) {
-	for range strayAnswers {
-		answer, err := http.ReadResponse(c.reader, request)
+// readHead reads heads until one is accepted.
+func (c *Conn) readHead(request *http.Request, accept Accept) (*http.Response, error) {
+	for range maxUnexpectedResponses {
+		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode >= http.StatusContinue && answer.StatusCode < http.StatusOK {
+		if response.StatusCode >= http.StatusContinue && response.StatusCode < http.StatusOK {
 			continue
 		}
-		if accept(answer.Header) {
-			return answer, nil
+		if accept(response.Header) {
+			return response, nil
 		}
-		if _, err := io.Copy(io.Discard, answer.Body); err != nil || answer.Close {
-			return nil, ErrStray
+		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
+			return nil, ErrUnexpectedData
 		}
 	}
-	return nil, ErrStray
+	return nil, ErrUnexpectedData
 }
 
 // Interrupt makes reads and writes under way fail.
@@ -341,37 +341,37 @@
 
 // Release ends the use of a connection. It is kept if the answer was read to its
 // end and the peer keeps it too, and closed otherwise.
-func (c *Conn) Release(whole bool) {
-	if whole && c.reusable() {
-		c.answer = nil
+func (c *Conn) Release(readToEnd bool) {
+	if readToEnd && c.reusable() {
+		c.response = nil
 		c.SetDeadline(time.Time{})
-		c.pool.rest(c)
+		c.pool.putIdle(c)
 		return
 	}
 	c.close.Do(func() {
 		_ = c.raw.Close()
-		c.pool.closed(c.address)
+		c.pool.uncount(c.address)
 	})
 }
 
 // reusable reports whether the peer keeps the connection, and notes for how long.
 func (c *Conn) reusable() bool {
-	if c.answer == nil || c.answer.Close || c.reader.Buffered() > 0 {
+	if c.response == nil || c.response.Close || c.reader.Buffered() > 0 {
 		return false
 	}
-	if c.answer.ContentLength < 0 && len(c.answer.TransferEncoding) == 0 {
+	if c.response.ContentLength < 0 && len(c.response.TransferEncoding) == 0 {
 		return false
 	}
-	keep := keepUnsaid
-	if said, ok := keepAlive(c.answer.Header); ok {
-		keep = said - keepMargin
+	timeout := defaultIdleTimeout
+	if stated, ok := parseKeepAlive(c.response.Header); ok {
+		timeout = stated - idleTimeoutMargin
 	}
-	c.until = clock.Now().Add(keep)
-	return keep > 0
+	c.idleUntil = clock.Now().Add(timeout)
+	return timeout > 0
 }
 
-// keepAlive reads how long the peer keeps an idle connection.
-func keepAlive(h http.Header) (time.Duration, bool) {
+// parseKeepAlive reads how long the peer keeps an idle connection.
+func parseKeepAlive(h http.Header) (time.Duration, bool) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -386,13 +386,13 @@
 
 // countingWriter counts what the network took.
 type countingWriter struct {
-	to   io.Writer
+	writer   io.Writer
 	sent int
 }
 
 // Write implements io.Writer.
 func (w *countingWriter) Write(p []byte) (int, error) {
-	n, err := w.to.Write(p)
+	n, err := w.writer.Write(p)
 	w.sent += n
 	return n, err
 }
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -42,12 +42,12 @@
 
 // exchange sends a request and reads its answer.
 func exchange(c *conn.Conn) (string, error) {
-	answer, err := c.Send(&http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/"}, Host: "a.example", Header: http.Header{}}, accept)
+	response, err := c.Send(&http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/"}, Host: "a.example", Header: http.Header{}}, accept)
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	body, err := io.ReadAll(answer.Body)
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
 	return string(body), err
 }
 
@@ -56,19 +56,19 @@
 
 	It("forgets the connections at rest to an address, and leaves those in use", func() {
 		withEndpoint(standin.Reply{Status: 200, Body: "x"}, func(p *conn.Pool, e *standin.Endpoint) {
-			resting, err := p.Get(ctx, address, 2)
+			idle, err := p.Get(ctx, address, 2)
 			Expect(err).NotTo(HaveOccurred())
-			_, err = exchange(resting)
+			_, err = exchange(idle)
 			Expect(err).NotTo(HaveOccurred())
-			using, err := p.Get(ctx, address, 2)
+			inUse, err := p.Get(ctx, address, 2)
 			Expect(err).NotTo(HaveOccurred())
-			resting.Release(true)
+			idle.Release(true)
 			p.Forget(address)
 			p.Forget("10.9.9.9:80")
-			body, err := exchange(using)
+			body, err := exchange(inUse)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(body).To(Equal("x"))
-			using.Release(true)
+			inUse.Release(true)
 			before := e.Connections()
 			for range 2 { // the one in use, and a new one in the place of the other
 				c, err := p.Get(ctx, address, 2)
@@ -83,8 +83,8 @@
 
 	It("uses a connection again, until it has rested too long", func() {
 		withEndpoint(standin.Reply{Status: 200, Body: "x"}, func(p *conn.Pool, e *standin.Endpoint) {
-			for _, rest := range []time.Duration{0, time.Second, 10 * time.Second} {
-				time.Sleep(rest)
+			for _, idleFor := range []time.Duration{0, time.Second, 10 * time.Second} {
+				time.Sleep(idleFor)
 				c, err := p.Get(ctx, address, 1)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(exchange(c)).To(Equal("x"))
@@ -96,8 +96,8 @@
 
 	It("uses none again that rested too long while the machine was suspended", func() {
 		withEndpoint(standin.Reply{Status: 200, Body: "x"}, func(p *conn.Pool, e *standin.Endpoint) {
-			for _, away := range []time.Duration{0, time.Second, 10 * time.Second} {
-				clock.Suspend(away)
+			for _, suspended := range []time.Duration{0, time.Second, 10 * time.Second} {
+				clock.Suspend(suspended)
 				c, err := p.Get(ctx, address, 1)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(exchange(c)).To(Equal("x"))
--- a/internal/conn/reach.go
+++ b/internal/conn/reach.go
@@ -21,14 +21,14 @@
 	if err != nil {
 		return false, fmt.Errorf("reach %s: %w", address, err)
 	}
-	c := &Conn{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBuffer), until: clock.Now().Add(keepUnsaid)}
+	c := &Conn{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBuffer), idleUntil: clock.Now().Add(defaultIdleTimeout)}
 	p.count(address)
 	clock.Sleep(ctx, after)
 	if !c.alive() {
 		c.Release(false)
 		return false, nil
 	}
-	p.rest(c)
+	p.putIdle(c)
 	return true, nil
 }
 
