--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -30,7 +30,7 @@
 	label          string // its workspace and what it asks for, for operators
 }
 
-func (r Request) info() requestInfo { return requestInfo{r.Fingerprint, r.Of} }
+func (r Request) info() requestInfo { return requestInfo{r.Fingerprint, r.Label} }
 func (c Call) info() requestInfo    { return requestInfo{c.Fingerprint, c.Of} }
 
 // recordFailure takes in that an attempt failed, and reports whether its endpoint has recordFailure.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -84,7 +84,7 @@
 	Shared   int    // of them, those that others share
 	// Fingerprint is that by which the request is known when it comes again.
 	Fingerprint func() quarantine.Fingerprint
-	Of          string // workspace and what is asked for, for operators
+	Label          string // workspace and what is asked for, for operators
 	// Allowed is asked right before each attempt, so that a version withdrawn
 	// meanwhile gets nothing new.
 	Allowed func() error
