--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -48,7 +48,7 @@
 	Attempted   func() // told of each attempt that may have run
 	// Fingerprint is that by which the call is known when it comes again.
 	Fingerprint func() quarantine.Fingerprint
-	Of          string // workspace and what is called, for operators
+	Label          string // workspace and what is called, for operators
 }
 
 // Answer is a plain service's reply.
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -31,7 +31,7 @@
 }
 
 func (r Request) info() requestInfo { return requestInfo{r.Fingerprint, r.Label} }
-func (c Call) info() requestInfo    { return requestInfo{c.Fingerprint, c.Of} }
+func (c Call) info() requestInfo    { return requestInfo{c.Fingerprint, c.Label} }
 
 // recordFailure takes in that an attempt failed, and reports whether its endpoint has recordFailure.
 func (d *Dispatcher) recordFailure(ctx context.Context, hold *fleet.Hold, request requestInfo, run quarantine.Run, err error) bool {
