--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -88,8 +88,8 @@
 	// Allowed is asked right before each attempt, so that a version withdrawn
 	// meanwhile gets nothing new.
 	Allowed func() error
-	// Attempted is told of each attempt that may have run.
-	Attempted func()
+	// OnAttempt is told of each attempt that may have run.
+	OnAttempt func()
 	// Judged is told whether the version itself failed an attempt, as opposed
 	// to its endpoint; nil if nobody asks.
 	Judged func(failed bool)
@@ -148,7 +148,7 @@
 		}
 		if runOf(err) != problem.NotRun {
 			run = problem.Unknown
-			request.Attempted()
+			request.OnAttempt()
 		}
 	}
 	return nil, d.finalProblem(ctx, run, last)
