--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -45,7 +45,7 @@
 	ContentType string
 	Body        []byte
 	Repeatable  bool
-	Attempted   func() // told of each attempt that may have run
+	OnAttempt   func() // told of each attempt that may have run
 	// Fingerprint is that by which the call is known when it comes again.
 	Fingerprint func() quarantine.Fingerprint
 	Label          string // workspace and what is called, for operators
@@ -97,7 +97,7 @@
 		avoid = append(avoid, hold.Endpoint.ID)
 		if runOf(err) != problem.NotRun {
 			run = problem.Unknown
-			call.Attempted()
+			call.OnAttempt()
 		}
 		if run != problem.NotRun && !call.Repeatable {
 			break
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -153,7 +153,7 @@
 	defer cancel()
 	_, err := r.dispatcher.Call(ctx, dispatch.Call{
 		ID: "r1", Service: "payouts", Name: "pay", Method: http.MethodPost, Body: []byte(body),
-		Repeatable: repeatable, Attempted: func() {},
+		Repeatable: repeatable, OnAttempt: func() {},
 		Fingerprint: quarantine.Identity{Target: "pay", Body: []byte(body)}.Fingerprint,
 	})
 	return err
--- a/internal/pipeline/call.go
+++ b/internal/pipeline/call.go
@@ -57,7 +57,7 @@
 	answer, err := p.options.Dispatcher.Call(ctx, dispatch.Call{
 		ID: in.requestID, Service: in.service.Name, Name: in.operation.Name, Method: in.in.Method,
 		ContentType: in.in.ContentType, Body: in.in.Body, Repeatable: in.operation.Repeatable,
-		Attempted: in.attempted, Fingerprint: in.fingerprint, Label: in.of(),
+		OnAttempt: in.attempted, Fingerprint: in.fingerprint, Label: in.of(),
 	})
 	if err != nil {
 		return once.Outcome{}, err
