--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -90,9 +90,9 @@
 	Allowed func() error
 	// OnAttempt is told of each attempt that may have run.
 	OnAttempt func()
-	// Judged is told whether the version itself failed an attempt, as opposed
+	// OnVersionResult is told whether the version itself failed an attempt, as opposed
 	// to its endpoint; nil if nobody asks.
-	Judged func(failed bool)
+	OnVersionResult func(failed bool)
 }
 
 // fleetRequest is what the choice of an engine goes by.
@@ -155,8 +155,8 @@
 }
 
 func (r Request) reportVersionResult(failed bool) {
-	if r.Judged != nil {
-		r.Judged(failed)
+	if r.OnVersionResult != nil {
+		r.OnVersionResult(failed)
 	}
 }
 
--- a/internal/pipeline/answer.go
+++ b/internal/pipeline/answer.go
@@ -88,7 +88,7 @@
 		ID: in.requestID, Version: decision.Candidate.Ref, Body: body, Priority: in.priority,
 		Prefix: in.prefix, Tokens: in.promptly, Shared: in.shared, Fingerprint: in.fingerprint, Label: in.of(),
 		Allowed:   func() error { return p.allowed(in.workspace.Name, decision.Candidate, hasSession) },
-		OnAttempt: in.attempted, Judged: judged,
+		OnAttempt: in.attempted, OnVersionResult: judged,
 	})
 }
 
