--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -85,9 +85,9 @@
 	// Fingerprint is that by which the request is known when it comes again.
 	Fingerprint func() quarantine.Fingerprint
 	Label          string // workspace and what is asked for, for operators
-	// Allowed is asked right before each attempt, so that a version withdrawn
+	// CheckAllowed is asked right before each attempt, so that a version withdrawn
 	// meanwhile gets nothing new.
-	Allowed func() error
+	CheckAllowed func() error
 	// OnAttempt is told of each attempt that may have run.
 	OnAttempt func()
 	// OnVersionResult is told whether the version itself failed an attempt, as opposed
@@ -115,7 +115,7 @@
 		if clock.Over(ctx) {
 			break
 		}
-		if err := request.Allowed(); err != nil {
+		if err := request.CheckAllowed(); err != nil {
 			return nil, problem.Of(err).WithRun(run)
 		}
 		status := d.quarantineStatus(request.Fingerprint)
