--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -79,7 +79,7 @@
 	Version  declare.Ref
 	Body     []byte // with the version as its model
 	Priority declare.Priority
-	Prefix   uint64 // hash of what the prompt shares with others; 0 for nothing
+	PrefixHash   uint64 // hash of what the prompt shares with others; 0 for nothing
 	Tokens   int    // of the prompt, estimated
 	Shared   int    // of them, those that others share
 	// Fingerprint is that by which the request is known when it comes again.
@@ -98,7 +98,7 @@
 // fleetRequest is what the choice of an engine goes by.
 func (r Request) fleetRequest(avoid []string) fleet.Request {
 	return fleet.Request{
-		Service: endpoint.Engines, Model: r.Version.String(), Avoid: avoid, Key: r.Prefix,
+		Service: endpoint.Engines, Model: r.Version.String(), Avoid: avoid, Key: r.PrefixHash,
 		Tokens: r.Tokens, SharedTokens: r.Shared, Objective: defaultObjective,
 	}
 }
