--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -80,7 +80,7 @@
 	Body     []byte // with the version as its model
 	Priority declare.Priority
 	PrefixHash   uint64 // hash of what the prompt shares with others; 0 for nothing
-	Tokens   int    // of the prompt, estimated
+	PromptTokens   int    // of the prompt, estimated
 	Shared   int    // of them, those that others share
 	// Fingerprint is that by which the request is known when it comes again.
 	Fingerprint func() quarantine.Fingerprint
@@ -99,7 +99,7 @@
 func (r Request) fleetRequest(avoid []string) fleet.Request {
 	return fleet.Request{
 		Service: endpoint.Engines, Model: r.Version.String(), Avoid: avoid, Key: r.PrefixHash,
-		Tokens: r.Tokens, SharedTokens: r.Shared, Objective: defaultObjective,
+		Tokens: r.PromptTokens, SharedTokens: r.Shared, Objective: defaultObjective,
 	}
 }
 
