--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -81,7 +81,7 @@
 	Priority declare.Priority
 	PrefixHash   uint64 // hash of what the prompt shares with others; 0 for nothing
 	PromptTokens   int    // of the prompt, estimated
-	Shared   int    // of them, those that others share
+	SharedTokens   int    // of them, those that others share
 	// Fingerprint is that by which the request is known when it comes again.
 	Fingerprint func() quarantine.Fingerprint
 	Label          string // workspace and what is asked for, for operators
@@ -99,7 +99,7 @@
 func (r Request) fleetRequest(avoid []string) fleet.Request {
 	return fleet.Request{
 		Service: endpoint.Engines, Model: r.Version.String(), Avoid: avoid, Key: r.PrefixHash,
-		Tokens: r.PromptTokens, SharedTokens: r.Shared, Objective: defaultObjective,
+		Tokens: r.PromptTokens, SharedTokens: r.SharedTokens, Objective: defaultObjective,
 	}
 }
 
