--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -214,7 +214,7 @@
 }
 
 func newDispatcher(s settings.Settings, f *fleet.Fleet, conns *conn.Pool, q *quarantine.Tracker, tel *telemetry.Telemetry) *dispatch.Dispatcher {
-	return dispatch.New(dispatch.Options{Fleet: f, Conns: conns, FirstToken: s.Times.FirstToken, Telemetry: tel, Quarantine: q})
+	return dispatch.New(dispatch.Options{Fleet: f, Conns: conns, FirstTokenTimeout: s.Times.FirstToken, Telemetry: tel, Quarantine: q})
 }
 
 // ready tells whether some endpoint serves a version and takes new work.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -56,7 +56,7 @@
 type Options struct {
 	Fleet      *fleet.Fleet
 	Conns      *conn.Pool
-	FirstToken time.Duration
+	FirstTokenTimeout time.Duration
 	Telemetry  *telemetry.Telemetry
 	// Quarantine knows requests under which endpoints crash.
 	Quarantine *quarantine.Tracker
@@ -223,7 +223,7 @@
 	defer span.End()
 	ctx, cancel := context.WithCancel(ctx)
 	sent := clock.Now()
-	timer := time.AfterFunc(d.options.FirstToken, cancel)
+	timer := time.AfterFunc(d.options.FirstTokenTimeout, cancel)
 	defer timer.Stop()
 	s := &Stream{dispatcher: d, hold: hold, cancel: cancel, context: ctx, request: request, attemptID: uuid.NewString()}
 	header := http.Header{}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -123,7 +123,7 @@
 	t, err := telemetry.New(context.Background(), telemetry.Options{Traces: 1})
 	Expect(err).NotTo(HaveOccurred())
 	r.dispatcher = dispatch.New(dispatch.Options{
-		Fleet: watch.Fleet(), Conns: r.conns, FirstToken: time.Second, Telemetry: t,
+		Fleet: watch.Fleet(), Conns: r.conns, FirstTokenTimeout: time.Second, Telemetry: t,
 		Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: r.conns.Reach, CountEndpoints: watch.Fleet().Count, Logger: log.New(io.Discard)}),
 	})
 	return r
