--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// Whole reads an answer that is not streamed.
-func (s *Stream) Whole() ([]byte, error) {
+// ReadAll reads an answer that is not streamed.
+func (s *Stream) ReadAll() ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(s.reader, maxResponseBytes))
 	if err != nil {
 		s.failed = true
--- a/internal/pipeline/answer.go
+++ b/internal/pipeline/answer.go
@@ -56,7 +56,7 @@
 		return answered{}, err
 	}
 	defer stream.Close()
-	body, err := stream.Whole()
+	body, err := stream.ReadAll()
 	in.charge(usageOf(in.first.Candidate.Version, stream.Usage(), in.promptly, 0))
 	if err != nil {
 		return answered{}, err
@@ -120,7 +120,7 @@
 }
 
 func (p *Pipeline) relayWhole(in answered, sink Sink, head Head) error {
-	body, err := in.stream.Whole()
+	body, err := in.stream.ReadAll()
 	in.charge(usageOf(in.decision.Candidate.Version, in.stream.Usage(), in.promptly, 0))
 	if err != nil {
 		return err
