--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -87,7 +87,7 @@
 // Event is one event of a stream, as it goes to the caller.
 type Event struct {
 	Data  []byte // the block with its blank line; valid until the next call
-	Usage bool   // carries only the usage, for those who asked for it
+	UsageOnly bool   // carries only the usage, for those who asked for it
 	Done  bool   // the mark that ends the stream
 	More  bool   // the next event is here already, so this one need not be flushed
 }
@@ -173,7 +173,7 @@
 		if err := json.Unmarshal(payload, &chunk); err == nil {
 			s.usage = chunk.Usage
 		}
-		event.Usage = bytes.Contains(payload, noChoices)
+		event.UsageOnly = bytes.Contains(payload, noChoices)
 	}
 	return event
 }
--- a/internal/pipeline/answer.go
+++ b/internal/pipeline/answer.go
@@ -150,7 +150,7 @@
 			}
 			return err
 		}
-		if event.Usage && !in.chat.WantsUsage() {
+		if event.UsageOnly && !in.chat.WantsUsage() {
 			continue
 		}
 		if err := sink.Event(event.Data, event.More); err != nil {
