--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -89,7 +89,7 @@
 	Data  []byte // the block with its blank line; valid until the next call
 	UsageOnly bool   // carries only the usage, for those who asked for it
 	Done  bool   // the mark that ends the stream
-	More  bool   // the next event is here already, so this one need not be flushed
+	NextBuffered  bool   // the next event is here already, so this one need not be flushed
 }
 
 // Markers in the data of events.
@@ -149,7 +149,7 @@
 	}
 	s.ongoing.DataArrived(clock.Now())
 	event := s.parseEvent(data)
-	event.More = s.hasBufferedEvent()
+	event.NextBuffered = s.hasBufferedEvent()
 	return event, nil
 }
 
--- a/internal/pipeline/answer.go
+++ b/internal/pipeline/answer.go
@@ -153,7 +153,7 @@
 		if event.UsageOnly && !in.chat.WantsUsage() {
 			continue
 		}
-		if err := sink.Event(event.Data, event.More); err != nil {
+		if err := sink.Event(event.Data, event.NextBuffered); err != nil {
 			return told(err)
 		}
 		if now := clock.Now(); now.Sub(reported) >= progressEvery {
