--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -51,8 +51,8 @@
 	Label          string // workspace and what is called, for operators
 }
 
-// Answer is a plain service's reply.
-type Answer struct {
+// Response is a plain service's reply.
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -60,7 +60,7 @@
 
 // Call sends a call to a plain service. A call that may not be repeated goes to
 // another endpoint only while it is certain that none has run it.
-func (d *Dispatcher) Call(ctx context.Context, call Call) (Answer, error) {
+func (d *Dispatcher) Call(ctx context.Context, call Call) (Response, error) {
 	d.budgets.RecordFirst(call.Service)
 	run := problem.NotRun
 	var avoid []string
@@ -72,7 +72,7 @@
 		}
 		status := d.quarantineStatus(call.Fingerprint)
 		if status.Quarantined {
-			return Answer{}, Quarantined(run)
+			return Response{}, Quarantined(run)
 		}
 		if !status.HostMayRetry(crashes) {
 			break
@@ -103,24 +103,24 @@
 			break
 		}
 	}
-	return Answer{}, d.finalProblem(ctx, run, last)
+	return Response{}, d.finalProblem(ctx, run, last)
 }
 
 // attemptCall makes one attempt at one endpoint.
-func (d *Dispatcher) attemptCall(ctx context.Context, call Call, hold *fleet.Hold) (Answer, error) {
+func (d *Dispatcher) attemptCall(ctx context.Context, call Call, hold *fleet.Hold) (Response, error) {
 	ctx, span := d.options.Telemetry.Start(ctx, "attempt "+hold.Endpoint.ID)
 	defer span.End()
 	answer, err := d.sendCall(ctx, call, hold)
 	telemetry.Fail(span, err)
 	if err != nil {
 		hold.Done(fleet.Result{Outcome: outcomeOf(ctx, err)})
-		return Answer{}, err
+		return Response{}, err
 	}
 	hold.Done(fleet.Result{Outcome: fleet.OutcomeGood})
 	return answer, nil
 }
 
-func (d *Dispatcher) sendCall(ctx context.Context, call Call, hold *fleet.Hold) (Answer, error) {
+func (d *Dispatcher) sendCall(ctx context.Context, call Call, hold *fleet.Hold) (Response, error) {
 	header := http.Header{}
 	if call.ContentType != "" {
 		header.Set("Content-Type", call.ContentType)
@@ -130,12 +130,12 @@
 		body: call.Body, requestID: call.ID, attemptID: uuid.NewString(),
 	})
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
 	a.release(err == nil && len(body) < maxResponseBytes)
 	if err != nil {
-		return Answer{}, &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("read the answer: %w", err)}
+		return Response{}, &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("read the answer: %w", err)}
 	}
-	return Answer{Status: a.StatusCode, ContentType: a.Header.Get("Content-Type"), Body: body}, nil
+	return Response{Status: a.StatusCode, ContentType: a.Header.Get("Content-Type"), Body: body}, nil
 }
