--- a/internal/conn/reach.go
+++ b/internal/conn/reach.go
@@ -13,10 +13,10 @@
 	"quaybarrow/internal/clock"
 )
 
-// Reach opens a new connection to an address, whatever is at rest, and reports whether the
+// Probe opens a new connection to an address, whatever is at rest, and reports whether the
 // peer still has it open after a while; the error is that of the dial. The connection is kept
 // at rest for the next request.
-func (p *Pool) Reach(ctx context.Context, address string, after time.Duration) (open bool, err error) {
+func (p *Pool) Probe(ctx context.Context, address string, after time.Duration) (open bool, err error) {
 	raw, err := p.options.Dial(ctx, address)
 	if err != nil {
 		return false, fmt.Errorf("reach %s: %w", address, err)
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -188,7 +188,7 @@
 
 func newQuarantine(s settings.Settings, f *fleet.Fleet, conns *conn.Pool, m *membership.Membership, link peer.Link, tables store.Tables, l *log.Logger) *quarantine.Tracker {
 	return quarantine.NewTracker(quarantine.Options{
-		Host: s.Host, Probe: conns.Reach, CountEndpoints: f.Count, Members: func() []quarantine.Member { return ring(m.View()) },
+		Host: s.Host, Probe: conns.Probe, CountEndpoints: f.Count, Members: func() []quarantine.Member { return ring(m.View()) },
 		Peers: link, IsFirstHost: func() bool { return leads(m.View()) }, Tables: tables, Logger: l,
 	})
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -124,7 +124,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	r.dispatcher = dispatch.New(dispatch.Options{
 		Fleet: watch.Fleet(), Conns: r.conns, FirstTokenTimeout: time.Second, Telemetry: t,
-		Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: r.conns.Reach, CountEndpoints: watch.Fleet().Count, Logger: log.New(io.Discard)}),
+		Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: r.conns.Probe, CountEndpoints: watch.Fleet().Count, Logger: log.New(io.Discard)}),
 	})
 	return r
 }
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -186,7 +186,7 @@
 
 func newQuarantine(s settings.Settings, tables store.Tables, w *spread.Watcher, p *conn.Pool, f *fleet.Fleet, l *log.Logger) *quarantine.Tracker {
 	return quarantine.NewTracker(quarantine.Options{
-		Host: s.Host, Probe: p.Reach, CountEndpoints: f.Count, Members: func() []quarantine.Member { return members[quarantine.Member](w) }, IsFirstHost: w.Leads,
+		Host: s.Host, Probe: p.Probe, CountEndpoints: f.Count, Members: func() []quarantine.Member { return members[quarantine.Member](w) }, IsFirstHost: w.Leads,
 		Peers: quarantine.NewPeerClient(w.Conn), FreshStart: s.Gateway.First, Tables: tables, SharedNow: sharedClock(w), Logger: l,
 	})
 }
