--- a/internal/conn/reach.go
+++ b/internal/conn/reach.go
@@ -44,9 +44,9 @@
 	known.open++
 }
 
-// BrokeOff reports whether an error of an exchange is its connection's: the peer closed or reset
+// IsDisconnect reports whether an error of an exchange is its connection's: the peer closed or reset
 // it. Time that runs out and answers that are no good are others.
-func BrokeOff(err error) bool {
+func IsDisconnect(err error) bool {
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
 			return true
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -37,7 +37,7 @@
 func (d *Dispatcher) recordFailure(ctx context.Context, hold *fleet.Hold, request requestInfo, run quarantine.Run, err error) bool {
 	e := hold.Endpoint
 	run.Label = request.label
-	if !conn.BrokeOff(err) || ctx.Err() != nil || !d.options.Fleet.Serves(e.ID) {
+	if !conn.IsDisconnect(err) || ctx.Err() != nil || !d.options.Fleet.Serves(e.ID) {
 		return false
 	}
 	return d.options.Quarantine.ConnectionBroke(ctx, quarantine.BrokenAttempt{Endpoint: e.ID, Address: e.Address, Service: e.Service, Request: request.fingerprint(), Run: run})
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -98,7 +98,7 @@
 	a.endFailed()
 	x := a.x
 	e := a.hold.Endpoint
-	if !conn.BrokeOff(err) || x.ctx.Err() != nil || !x.g.Fleet.Serves(e.ID) {
+	if !conn.IsDisconnect(err) || x.ctx.Err() != nil || !x.g.Fleet.Serves(e.ID) {
 		return
 	}
 	if !x.g.Quarantine.ConnectionBroke(x.ctx, quarantine.BrokenAttempt{Endpoint: e.ID, Address: e.Address, Service: x.service, Request: x.fingerprint(), Run: run}) {
