--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -200,9 +200,9 @@
 // Sweep closes connections that have rested for as long as they may.
 func (p *Pool) Sweep() { p.closeIdleUntil(clock.Now()) }
 
-// Forget closes the connections at rest to an address: another process answers there
+// CloseIdle closes the connections at rest to an address: another process answers there
 // now, and what is written on them is lost.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	var old []*Conn
 	if known := p.peers[address]; known != nil {
--- a/internal/gatewayd/endpoints.go
+++ b/internal/gatewayd/endpoints.go
@@ -73,7 +73,7 @@
 	e.quarantine.EndpointListed(decoded.ID, decoded.Address)
 	if again {
 		// A request that is sent on a connection to the start before may run nowhere.
-		e.pool.Forget(old.Address)
+		e.pool.CloseIdle(old.Address)
 	}
 	if !known || again || old.Draining != decoded.Draining || old.Cold != decoded.Cold {
 		e.logger.Info("endpoint listed", "endpoint", decoded.ID, "service", decoded.Service, "version", decoded.Version, "hall", decoded.Hall,
