--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -197,8 +197,8 @@
 	}
 }
 
-// Sweep closes connections that have rested for as long as they may.
-func (p *Pool) Sweep() { p.closeIdleUntil(clock.Now()) }
+// CloseExpired closes connections that have rested for as long as they may.
+func (p *Pool) CloseExpired() { p.closeIdleUntil(clock.Now()) }
 
 // CloseIdle closes the connections at rest to an address: another process answers there
 // now, and what is written on them is lost.
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -167,7 +167,7 @@
 // may.
 func (h *Host) sweepConns(ctx context.Context) {
 	for clock.Sleep(ctx, connSweep) {
-		h.Conns.Sweep()
+		h.Conns.CloseExpired()
 	}
 }
 
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -174,7 +174,7 @@
 		_ = l.Close()
 	}
 	time.Sleep(time.Minute)
-	r.pool.Sweep()
+	r.pool.CloseExpired()
 	time.Sleep(time.Minute)
 }
 
--- a/internal/gatewayd/host.go
+++ b/internal/gatewayd/host.go
@@ -209,7 +209,7 @@
 	memory := newHeap()
 	for clock.Sleep(ctx, sweepEvery) {
 		memory.tend()
-		h.Pool.Sweep()
+		h.Pool.CloseExpired()
 		for _, id := range h.Fleet.Sweep() {
 			h.Logger.Info("endpoint gone", "endpoint", id, "reason", "not listed again after the store was away")
 		}
