--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -72,8 +72,8 @@
 type Options struct {
 	// Dial replaces the network in tests.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Opened is called for each new connection.
-	Opened func(address string)
+	// OnOpen is called for each new connection.
+	OnOpen func(address string)
 }
 
 // Pool keeps idle connections and counts open ones, by endpoint address; safe
@@ -171,8 +171,8 @@
 		p.uncount(address)
 		return nil, fmt.Errorf("connect to %s: %w: %w", address, ErrNotSent, err)
 	}
-	if p.options.Opened != nil {
-		p.options.Opened(address)
+	if p.options.OnOpen != nil {
+		p.options.OnOpen(address)
 	}
 	return &Conn{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -158,7 +158,7 @@
 
 func newPool(p Ports, t *telemetry.Telemetry) *conn.Pool {
 	return conn.NewPool(conn.Options{
-		Opened: func(string) { t.Count("endpoint_connections", 1) }, Dial: p.dialPeer(),
+		OnOpen: func(string) { t.Count("endpoint_connections", 1) }, Dial: p.dialPeer(),
 	})
 }
 
