--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -37,9 +37,9 @@
 var (
 	// ErrNotSent means that the endpoint has seen nothing of the request.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrBusy means that the host holds as many connections to the endpoint as
+	// ErrConnLimit means that the host holds as many connections to the endpoint as
 	// it may.
-	ErrBusy = errors.New("no connection is free")
+	ErrConnLimit = errors.New("no connection is free")
 	// ErrUnexpectedData means that the endpoint sent bytes that belong to no request.
 	ErrUnexpectedData = errors.New("stray bytes from the endpoint")
 )
@@ -158,7 +158,7 @@
 		return c, nil
 	}
 	if limit > 0 && known.open >= limit {
-		return nil, ErrBusy
+		return nil, ErrConnLimit
 	}
 	known.open++
 	return nil, nil
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -112,7 +112,7 @@
 			c, err := p.Get(ctx, address, 1)
 			Expect(err).NotTo(HaveOccurred())
 			_, err = p.Get(ctx, address, 1)
-			Expect(err).To(MatchError(conn.ErrBusy))
+			Expect(err).To(MatchError(conn.ErrConnLimit))
 			c.Release(false)
 			c, err = p.Get(ctx, address, 1)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -218,7 +218,7 @@
 func (x *exchange) recordUnreachable(hold *fleet.Hold, err error) {
 	x.tried = append(x.tried, hold.Endpoint.ID)
 	outcome := fleet.OutcomeLost
-	if errors.Is(err, conn.ErrBusy) || x.ctx.Err() != nil {
+	if errors.Is(err, conn.ErrConnLimit) || x.ctx.Err() != nil {
 		outcome = fleet.OutcomeNeutral
 	}
 	hold.Done(fleet.Result{Outcome: outcome})
