--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -67,7 +67,7 @@
 	Models     []string      // smallest first; empty where the request names its model
 	Regions    []string      // whose endpoints may run its requests; empty for all
 	Targets    []Target
-	TotalShare int // sum of the targets' weights
+	TotalWeight int // sum of the targets' weights
 }
 
 // Repeatable reports whether the request may run again after a failure.
@@ -77,7 +77,7 @@
 
 // Target picks the service for a point between 0 and 1.
 func (r Route) Target(point float64) string {
-	left := point * float64(r.TotalShare)
+	left := point * float64(r.TotalWeight)
 	for _, t := range r.Targets {
 		left -= float64(t.Weight)
 		if left < 0 {
@@ -151,9 +151,9 @@
 		byHost: map[string][]Route{}, services: map[string]Service{}, byKey: map[string]Workspace{},
 	}
 	for _, r := range d.Routes {
-		r.TotalShare = 0
+		r.TotalWeight = 0
 		for _, target := range r.Targets {
-			r.TotalShare += target.Weight
+			r.TotalWeight += target.Weight
 		}
 		host := canonicalHost(r.Host)
 		t.byHost[host] = append(t.byHost[host], r)
