--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -216,6 +216,6 @@
 		"tokens", x.header.TokensIn, "read", x.expected.PrefillTokens, "work_ms", x.expected.PrefillTime.Milliseconds(), "price", x.expected.Price,
 		"first_ms", x.headerDelay.Milliseconds(), "objective_ms", x.route.Objective.Milliseconds(),
 		"head_ms", x.lastHeaderDelay.Milliseconds(), "expected_ms", x.expected.Head.Milliseconds(), "queue_ms", x.expected.Queue.Milliseconds(),
-		"events", x.events, "pause_ms", x.longestPause.Milliseconds(), "gap_ms", x.route.Gap.Milliseconds(), "shortest_us", x.shortestPause.Microseconds(),
+		"events", x.events, "pause_ms", x.longestPause.Milliseconds(), "gap_ms", x.route.MaxEventGap.Milliseconds(), "shortest_us", x.shortestPause.Microseconds(),
 		"took_ms", took.Milliseconds(), "outcome", x.outcome)
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -196,7 +196,7 @@
 
 // callerSilenceLimit returns how long a stream may be silent before the caller disconnects.
 func (x *exchange) callerSilenceLimit() time.Duration {
-	return max(minSilenceLimit, silenceLimitObjectives*x.route.Objective, silenceLimitGaps*x.route.Gap)
+	return max(minSilenceLimit, silenceLimitObjectives*x.route.Objective, silenceLimitGaps*x.route.MaxEventGap)
 }
 
 func (x *exchange) countAdvice(outcome string) {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -59,7 +59,7 @@
 	Kind       Kind
 	Timeout    time.Duration // longest that a request is held
 	Objective  time.Duration // answers within it are worth most
-	Gap        time.Duration // longest pause between events that is in time
+	MaxEventGap        time.Duration // longest pause between events that is in time
 	Attempts   int           // most endpoints that one request is sent to
 	Priority   int           // 0 is most urgent
 	Public     bool          // needs no key
