--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -153,7 +153,7 @@
 	if !ok {
 		return fleet.WarmUp{}
 	}
-	return fleet.WarmUp{Duration: declared.ColdFor, MaxRate: s.ColdMost(declared.ColdRate)}
+	return fleet.WarmUp{Duration: declared.ColdDuration, MaxRate: s.ColdMost(declared.ColdRate)}
 }
 
 func newPool(p Ports, t *telemetry.Telemetry) *conn.Pool {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -103,7 +103,7 @@
 	Slots       int // requests an engine runs at once; 0 if not an engine
 	CacheTokens int // tokens an engine's memory holds
 	Models      []Model
-	ColdFor     time.Duration // after its start an endpoint is cold so long
+	ColdDuration     time.Duration // after its start an endpoint is cold so long
 	ColdRate    float64       // requests a second that a cold endpoint bears; 0 where it bears as many as others
 	// Scaling is how many endpoints may be ordered; zero where none are.
 	Scaling capacity.Scaling
