--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -83,7 +83,7 @@
 	only := func(service string) []route.Target { return []route.Target{{Service: service, Weight: 1}} }
 	return route.Declaration{
 		Version: 1,
-		Limits:  route.Limits{HeaderBytes: 4096, BodyBytes: 1000, Idle: 10 * time.Second},
+		Limits:  route.Limits{HeaderBytes: 4096, BodyBytes: 1000, IdleTimeout: 10 * time.Second},
 		Routes: []route.Route{
 			{Name: "once", Host: "a.example", Prefix: "/once/", Kind: route.KindOnce, Timeout: 2 * time.Second,
 				Objective: 300 * time.Millisecond, Attempts: 2, Targets: only("plain")},
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -56,7 +56,7 @@
 // idleTimeout returns how long a caller's connection may be idle.
 func (g *Gateway) idleTimeout() time.Duration {
 	if t := g.Holder.Table(); t != nil {
-		return t.Limits().Idle
+		return t.Limits().IdleTimeout
 	}
 	return 0
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -122,7 +122,7 @@
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout time.Duration
-	Idle          time.Duration
+	IdleTimeout          time.Duration
 }
 
 // Declaration is a whole configuration of routed requests.
