--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -69,7 +69,7 @@
 func (x *exchange) awaitStartup() {
 	ctx, cancel := context.WithTimeout(x.ctx, clock.Until(x.g.startedAt.Add(x.g.startupWait())))
 	defer cancel()
-	for _, known := range []<-chan struct{}{x.g.Holder.Known(), x.g.Fleet.Populated()} {
+	for _, known := range []<-chan struct{}{x.g.Holder.Loaded(), x.g.Fleet.Populated()} {
 		select {
 		case <-known:
 		case <-ctx.Done():
--- a/internal/route/holder.go
+++ b/internal/route/holder.go
@@ -22,8 +22,8 @@
 // NewHolder returns a holder without a table.
 func NewHolder() *Holder { return &Holder{known: make(chan struct{})} }
 
-// Known returns a channel that is closed once there is a table.
-func (h *Holder) Known() <-chan struct{} { return h.known }
+// Loaded returns a channel that is closed once there is a table.
+func (h *Holder) Loaded() <-chan struct{} { return h.known }
 
 // Table returns the table in force, nil if there is none yet.
 func (h *Holder) Table() *Table {
