--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -25,12 +25,12 @@
 	send  func(context.Context, []T) error
 
 	mu    sync.Mutex // guards all below
-	queue []call[T]
-	busy  bool
+	queue []pendingItem[T]
+	sending  bool
 }
 
-// call is an item with the channel that takes its result.
-type call[T any] struct {
+// pendingItem is an item with the channel that takes its result.
+type pendingItem[T any] struct {
 	item T
 	done chan error
 }
@@ -43,12 +43,12 @@
 // Do sends an item, perhaps with others, and returns the send's error. When ctx
 // ends first the item may still be sent.
 func (b *Batcher[T]) Do(ctx context.Context, item T) error {
-	c := call[T]{item: item, done: make(chan error, 1)}
+	c := pendingItem[T]{item: item, done: make(chan error, 1)}
 	b.mu.Lock()
 	b.queue = append(b.queue, c)
-	if !b.busy {
-		b.busy = true
-		go b.drain()
+	if !b.sending {
+		b.sending = true
+		go b.sendQueued()
 	}
 	b.mu.Unlock()
 	select {
@@ -59,10 +59,10 @@
 	}
 }
 
-// drain sends until the queue is empty.
-func (b *Batcher[T]) drain() {
+// sendQueued sends until the queue is empty.
+func (b *Batcher[T]) sendQueued() {
 	for {
-		calls := b.take()
+		calls := b.dequeue()
 		if len(calls) == 0 {
 			return
 		}
@@ -79,15 +79,15 @@
 	}
 }
 
-// take removes the next calls; none makes the batcher idle.
-func (b *Batcher[T]) take() []call[T] {
+// dequeue removes the next calls; none makes the batcher idle.
+func (b *Batcher[T]) dequeue() []pendingItem[T] {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	count := min(len(b.queue), b.limit)
 	calls := b.queue[:count:count]
 	b.queue = b.queue[count:]
 	if count == 0 {
-		b.busy = false
+		b.sending = false
 		b.queue = nil
 	}
 	return calls
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -97,9 +97,9 @@
 
 // Bounds of the histograms, in microseconds.
 const (
-	leastMicros = 1
-	mostMicros  = int64(10 * time.Minute / time.Microsecond)
-	digits      = 3
+	minMicros = 1
+	maxMicros  = int64(10 * time.Minute / time.Microsecond)
+	significantDigits      = 3
 )
 
 // Report is what a load met.
@@ -112,7 +112,7 @@
 	First    []Quantile  `json:"first_ms"`   // to the first token
 	Between  []Quantile  `json:"between_ms"` // between two tokens
 	Total    []Quantile  `json:"total_ms"`
-	Errors   []ErrorLine `json:"errors,omitempty"`
+	Errors   []ErrorCount `json:"errors,omitempty"`
 }
 
 // Quantile is one quantile of a latency, in milliseconds.
@@ -121,8 +121,8 @@
 	Value    float64 `json:"value"`
 }
 
-// ErrorLine counts one kind of error.
-type ErrorLine struct {
+// ErrorCount counts one kind of error.
+type ErrorCount struct {
 	Text  string `json:"text"`
 	Count int    `json:"count"`
 }
@@ -139,140 +139,140 @@
 	report                Report
 	first, between, total *hdrhistogram.Histogram
 	errors                map[string]int
-	tokens                map[int][]string // session tokens at hand, by caller
+	sessionTokens                map[int][]string // session tokens at hand, by caller
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(leastMicros, mostMicros, digits) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(minMicros, maxMicros, significantDigits) }
 
 // Run sends the load and returns the report when every answer has come.
 func Run(ctx context.Context, d Description, transport http.RoundTripper) (Report, error) {
 	r := &runner{
 		description: d, client: &http.Client{Transport: transport},
 		first: newHistogram(), between: newHistogram(), total: newHistogram(),
-		errors: map[string]int{}, tokens: map[int][]string{},
+		errors: map[string]int{}, sessionTokens: map[int][]string{},
 	}
 	started := time.Now()
 	var wait sync.WaitGroup
-	for next := started; next.Sub(started) < r.length(); next = next.Add(r.gap(next.Sub(started))) {
+	for next := started; next.Sub(started) < r.duration(); next = next.Add(r.nextGap(next.Sub(started))) {
 		if !clock.Sleep(ctx, time.Until(next)) {
 			break
 		}
-		wait.Go(func() { r.request(ctx) })
+		wait.Go(func() { r.sendRequest(ctx) })
 	}
 	wait.Wait()
-	return r.finish(time.Since(started)), ctx.Err()
+	return r.finalReport(time.Since(started)), ctx.Err()
 }
 
-func (r *runner) length() time.Duration {
+func (r *runner) duration() time.Duration {
 	return time.Duration(r.description.Seconds * float64(time.Second))
 }
 
-// gap draws the time to the next arrival.
-func (r *runner) gap(at time.Duration) time.Duration {
+// nextGap draws the time to the next arrival.
+func (r *runner) nextGap(elapsed time.Duration) time.Duration {
 	rate := r.description.Rate
-	third := r.length() / 3
-	if r.description.Burst > 0 && at > third && at < 2*third {
+	third := r.duration() / 3
+	if r.description.Burst > 0 && elapsed > third && elapsed < 2*third {
 		rate *= r.description.Burst
 	}
 	return time.Duration(-math.Log(1-rand.Float64()) / rate * float64(time.Second))
 }
 
-// pick draws a caller by share.
-func (r *runner) pick() int {
+// pickCaller draws a caller by share.
+func (r *runner) pickCaller() int {
 	sum := 0.0
 	for _, c := range r.description.Callers {
 		sum += c.Share
 	}
-	at := rand.Float64() * sum
+	point := rand.Float64() * sum
 	for i, c := range r.description.Callers {
-		if at < c.Share {
+		if point < c.Share {
 			return i
 		}
-		at -= c.Share
+		point -= c.Share
 	}
 	return len(r.description.Callers) - 1
 }
 
-// request sends one request and takes in its answer.
-func (r *runner) request(ctx context.Context) {
-	index := r.pick()
+// sendRequest sends one sendRequest and takes in its answer.
+func (r *runner) sendRequest(ctx context.Context) {
+	index := r.pickCaller()
 	c := r.description.Callers[index]
 	body, err := json.Marshal(chat.Request{
 		Model: c.Model, Stream: c.Stream, MaxTokens: c.Answer,
-		Messages: []chat.Message{{Role: "user", Content: chat.Text(prompt(c.Prompt))}},
+		Messages: []chat.Message{{Role: "user", Content: chat.Text(randomPrompt(c.Prompt))}},
 	})
 	if err != nil {
-		r.failed(err.Error(), false)
+		r.recordError(err.Error(), false)
 		return
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, r.description.URL+"/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		r.failed(err.Error(), false)
+		r.recordError(err.Error(), false)
 		return
 	}
 	request.Header.Set("Authorization", "Bearer "+c.Key)
 	request.Header.Set("Content-Type", "application/json")
-	r.session(request.Header, index, c)
+	r.setSessionHeader(request.Header, index, c)
 	sent := time.Now()
 	response, err := r.client.Do(request)
 	if err != nil {
-		r.failed("no answer", false)
+		r.recordError("no answer", false)
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		r.refused(response)
+		r.recordRejection(response)
 		return
 	}
-	if err := r.answer(response.Body, sent, c.Stream); err != nil {
-		r.failed(err.Error(), false)
+	if err := r.recordResponse(response.Body, sent, c.Stream); err != nil {
+		r.recordError(err.Error(), false)
 		return
 	}
-	r.keep(index, c, response.Header.Get(entry.HeaderSessionToken))
+	r.keepSessionToken(index, c, response.Header.Get(entry.HeaderSessionToken))
 }
 
-// prompt makes a text of about so many words.
-func prompt(words int) string {
+// randomPrompt makes a text of about so many words.
+func randomPrompt(words int) string {
 	count := max(1, int(float64(words)*(0.5+rand.Float64())))
 	return strings.TrimSpace(strings.Repeat("word ", count))
 }
 
-// session goes on with a session, or opens one.
-func (r *runner) session(h http.Header, index int, c Caller) {
+// setSessionHeader goes on with a setSessionHeader, or opens one.
+func (r *runner) setSessionHeader(h http.Header, index int, c Caller) {
 	if c.Turns == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	tokens := r.tokens[index]
+	tokens := r.sessionTokens[index]
 	if len(tokens) == 0 {
 		h.Set(entry.HeaderSession, "new")
 		return
 	}
 	h.Set(entry.HeaderSessionToken, tokens[0])
-	r.tokens[index] = tokens[1:]
+	r.sessionTokens[index] = tokens[1:]
 }
 
-// keep gives a session's token to a later request, until its turns are over.
-func (r *runner) keep(index int, c Caller, token string) {
+// keepSessionToken gives a session's token to a later request, until its turns are over.
+func (r *runner) keepSessionToken(index int, c Caller, token string) {
 	if c.Turns == 0 || token == "" || rand.IntN(c.Turns) == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tokens[index] = append(r.tokens[index], token)
+	r.sessionTokens[index] = append(r.sessionTokens[index], token)
 }
 
-// errCut means that a stream ended without its end mark.
-var errCut = errors.New("answer was cut")
+// errTruncated means that a stream ended without its end mark.
+var errTruncated = errors.New("answer was cut")
 
-// answer takes in an answer.
-func (r *runner) answer(body io.Reader, sent time.Time, stream bool) error {
+// recordResponse takes in an recordResponse.
+func (r *runner) recordResponse(body io.Reader, sent time.Time, stream bool) error {
 	var first, last time.Time
 	var gaps []time.Duration
 	if !stream {
 		if _, err := io.Copy(io.Discard, body); err != nil {
-			return errCut
+			return errTruncated
 		}
 		first, last = time.Now(), time.Now()
 	} else {
@@ -296,7 +296,7 @@
 			}
 		}
 		if !ended {
-			return errCut
+			return errTruncated
 		}
 	}
 	r.mu.Lock()
@@ -306,17 +306,17 @@
 	_ = r.first.RecordValue(first.Sub(sent).Microseconds())
 	_ = r.total.RecordValue(last.Sub(sent).Microseconds())
 	for _, g := range gaps {
-		_ = r.between.RecordValue(max(g.Microseconds(), leastMicros))
+		_ = r.between.RecordValue(max(g.Microseconds(), minMicros))
 	}
 	return nil
 }
 
-func (r *runner) refused(response *http.Response) {
+func (r *runner) recordRejection(response *http.Response) {
 	notRun := response.Header.Get("X-Run") == "not_run"
-	r.failed(fmt.Sprintf("status %d", response.StatusCode), notRun)
+	r.recordError(fmt.Sprintf("status %d", response.StatusCode), notRun)
 }
 
-func (r *runner) failed(text string, notRun bool) {
+func (r *runner) recordError(text string, notRun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Sent++
@@ -328,11 +328,11 @@
 	r.report.Failed++
 }
 
-func (r *runner) finish(took time.Duration) Report {
+func (r *runner) finalReport(took time.Duration) Report {
 	r.report.Seconds = took.Seconds()
 	r.report.First, r.report.Between, r.report.Total = quantilesOf(r.first), quantilesOf(r.between), quantilesOf(r.total)
 	for text, count := range r.errors {
-		r.report.Errors = append(r.report.Errors, ErrorLine{text, count})
+		r.report.Errors = append(r.report.Errors, ErrorCount{text, count})
 	}
 	return r.report
 }
--- a/internal/route/regions.go
+++ b/internal/route/regions.go
@@ -16,13 +16,13 @@
 	case len(w.Regions) == 0:
 		return r.Regions
 	}
-	both := Regions{}
+	common := Regions{}
 	for _, region := range r.Regions {
 		if slices.Contains(w.Regions, region) {
-			both = append(both, region)
+			common = append(common, region)
 		}
 	}
-	return both
+	return common
 }
 
 // None reports whether no endpoint may run the request.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -77,10 +77,10 @@
 
 // Target picks the service for a point between 0 and 1.
 func (r Route) Target(point float64) string {
-	left := point * float64(r.TotalWeight)
+	remaining := point * float64(r.TotalWeight)
 	for _, t := range r.Targets {
-		left -= float64(t.Weight)
-		if left < 0 {
+		remaining -= float64(t.Weight)
+		if remaining < 0 {
 			return t.Service
 		}
 	}
