--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -24,9 +24,9 @@
 	limit int
 	send  func(context.Context, []T) error
 
-	mu    sync.Mutex // guards all below
-	queue []pendingItem[T]
-	sending  bool
+	mu      sync.Mutex // guards all below
+	queue   []pendingItem[T]
+	sending bool
 }
 
 // pendingItem is an item with the channel that takes its result.
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -53,9 +53,9 @@
 	userTimeout = 2 * time.Second
 	// keepAliveIdle and probeEvery find a silent peer on a connection at rest, in
 	// about three seconds; the kernel counts in whole seconds.
-	keepAliveIdle = time.Second
+	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
-	keepAliveCount = 2
+	keepAliveCount    = 2
 	// idleTimeoutMargin is taken off what an endpoint says of keeping connections, so
 	// that it does not close one as a request is sent on it.
 	idleTimeoutMargin = 800 * time.Millisecond
@@ -147,20 +147,20 @@
 func (p *Pool) takeIdle(address string, limit int) (*Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.peers[address]
-	if known == nil {
-		known = &peer{}
-		p.peers[address] = known
+	conns := p.peers[address]
+	if conns == nil {
+		conns = &peer{}
+		p.peers[address] = conns
 	}
-	if n := len(known.idle); n > 0 {
-		c := known.idle[n-1]
-		known.idle = known.idle[:n-1]
+	if n := len(conns.idle); n > 0 {
+		c := conns.idle[n-1]
+		conns.idle = conns.idle[:n-1]
 		return c, nil
 	}
-	if limit > 0 && known.open >= limit {
+	if limit > 0 && conns.open >= limit {
 		return nil, ErrConnLimit
 	}
-	known.open++
+	conns.open++
 	return nil, nil
 }
 
@@ -181,9 +181,9 @@
 func (p *Pool) uncount(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.peers[address]
-	known.open--
-	if known.open == 0 && len(known.idle) == 0 {
+	conns := p.peers[address]
+	conns.open--
+	if conns.open == 0 && len(conns.idle) == 0 {
 		delete(p.peers, address)
 	}
 }
@@ -192,8 +192,8 @@
 func (p *Pool) putIdle(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known := p.peers[c.address]; known != nil {
-		known.idle = append(known.idle, c)
+	if conns := p.peers[c.address]; conns != nil {
+		conns.idle = append(conns.idle, c)
 	}
 }
 
@@ -205,8 +205,8 @@
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	var old []*Conn
-	if known := p.peers[address]; known != nil {
-		old, known.idle = known.idle, nil
+	if conns := p.peers[address]; conns != nil {
+		old, conns.idle = conns.idle, nil
 	}
 	p.mu.Unlock()
 	for _, c := range old {
@@ -230,29 +230,29 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var old []*Conn
-	for _, known := range p.peers {
-		kept := known.idle[:0]
-		for _, c := range known.idle {
+	for _, conns := range p.peers {
+		kept := conns.idle[:0]
+		for _, c := range conns.idle {
 			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
 				old = append(old, c)
 			}
 		}
-		clear(known.idle[len(kept):])
-		known.idle = kept
+		clear(conns.idle[len(kept):])
+		conns.idle = kept
 	}
 	return old
 }
 
 // Conn is a connection that one request at a time holds.
 type Conn struct {
-	pool    *Pool
-	address string
-	raw     net.Conn
-	reader  *bufio.Reader
-	idleUntil   clock.Instant // at rest no longer than this
-	close   sync.Once
+	pool      *Pool
+	address   string
+	raw       net.Conn
+	reader    *bufio.Reader
+	idleUntil clock.Instant // at rest no longer than this
+	close     sync.Once
 	response  *http.Response
 }
 
@@ -285,13 +285,13 @@
 // Send writes a request and reads the head of its answer. Answers that belong
 // to earlier requests are passed over.
 func (c *Conn) Send(request *http.Request, accept Accept) (*http.Response, error) {
-	counted := &countingWriter{writer: c.raw}
-	buffered := bufio.NewWriterSize(counted, readBuffer)
+	counter := &countingWriter{writer: c.raw}
+	buffered := bufio.NewWriterSize(counter, readBuffer)
 	err := request.Write(buffered)
 	if err == nil {
 		err = buffered.Flush()
 	}
-	if err != nil && counted.sent == 0 {
+	if err != nil && counter.sent == 0 {
 		return nil, fmt.Errorf("send to %s: %w: %w", c.address, ErrNotSent, err)
 	}
 	// An endpoint may response before it has read the whole request, so an response
@@ -386,8 +386,8 @@
 
 // countingWriter counts what the network took.
 type countingWriter struct {
-	writer   io.Writer
-	sent int
+	writer io.Writer
+	sent   int
 }
 
 // Write implements io.Writer.
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -48,7 +48,7 @@
 	OnAttempt   func() // told of each attempt that may have run
 	// Fingerprint is that by which the call is known when it comes again.
 	Fingerprint func() quarantine.Fingerprint
-	Label          string // workspace and what is called, for operators
+	Label       string // workspace and what is called, for operators
 }
 
 // Response is a plain service's reply.
@@ -85,10 +85,10 @@
 			break
 		}
 		sent := clock.Now()
-		answer, err := d.attemptCall(ctx, call, hold)
+		response, err := d.attemptCall(ctx, call, hold)
 		if err == nil {
 			d.recordCompleted(call.Fingerprint)
-			return answer, nil
+			return response, nil
 		}
 		if d.recordFailure(ctx, hold, call.info(), quarantine.Run{Lasted: clock.Since(sent)}, err) {
 			crashes++
@@ -110,14 +110,14 @@
 func (d *Dispatcher) attemptCall(ctx context.Context, call Call, hold *fleet.Hold) (Response, error) {
 	ctx, span := d.options.Telemetry.Start(ctx, "attempt "+hold.Endpoint.ID)
 	defer span.End()
-	answer, err := d.sendCall(ctx, call, hold)
+	response, err := d.sendCall(ctx, call, hold)
 	telemetry.Fail(span, err)
 	if err != nil {
 		hold.Done(fleet.Result{Outcome: outcomeOf(ctx, err)})
 		return Response{}, err
 	}
 	hold.Done(fleet.Result{Outcome: fleet.OutcomeGood})
-	return answer, nil
+	return response, nil
 }
 
 func (d *Dispatcher) sendCall(ctx context.Context, call Call, hold *fleet.Hold) (Response, error) {
@@ -125,17 +125,17 @@
 	if call.ContentType != "" {
 		header.Set("Content-Type", call.ContentType)
 	}
-	a, err := d.send(ctx, exchange{
+	response, err := d.send(ctx, exchange{
 		method: call.Method, address: hold.Endpoint.Address, path: "/" + call.Name, header: header,
 		body: call.Body, requestID: call.ID, attemptID: uuid.NewString(),
 	})
 	if err != nil {
 		return Response{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
-	a.release(err == nil && len(body) < maxResponseBytes)
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	response.release(err == nil && len(body) < maxResponseBytes)
 	if err != nil {
 		return Response{}, &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("read the answer: %w", err)}
 	}
-	return Response{Status: a.StatusCode, ContentType: a.Header.Get("Content-Type"), Body: body}, nil
+	return Response{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -27,7 +27,7 @@
 // requestInfo is a request as it is known when it comes again.
 type requestInfo struct {
 	fingerprint func() quarantine.Fingerprint
-	label          string // its workspace and what it asks for, for operators
+	label       string // its workspace and what it asks for, for operators
 }
 
 func (r Request) info() requestInfo { return requestInfo{r.Fingerprint, r.Label} }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -40,9 +40,9 @@
 
 // Limits of attempts.
 const (
-	MaxAttempts    = 3 // of one request
+	MaxAttempts      = 3 // of one request
 	maxResponseBytes = 32 << 20
-	retryAfter     = time.Second // told to callers that find no endpoint
+	retryAfter       = time.Second // told to callers that find no endpoint
 	// defaultObjective is the time to a first token that is taken for good where nobody
 	// declares one; it weighs bytes between data halls against waiting.
 	defaultObjective = 1500 * time.Millisecond
@@ -54,10 +54,10 @@
 
 // Options set up a Dispatcher.
 type Options struct {
-	Fleet      *fleet.Fleet
-	Conns      *conn.Pool
+	Fleet             *fleet.Fleet
+	Conns             *conn.Pool
 	FirstTokenTimeout time.Duration
-	Telemetry  *telemetry.Telemetry
+	Telemetry         *telemetry.Telemetry
 	// Quarantine knows requests under which endpoints crash.
 	Quarantine *quarantine.Tracker
 }
@@ -75,16 +75,16 @@
 
 // Request is a completion for an engine.
 type Request struct {
-	ID       string
-	Version  declare.Ref
-	Body     []byte // with the version as its model
-	Priority declare.Priority
+	ID           string
+	Version      declare.Ref
+	Body         []byte // with the version as its model
+	Priority     declare.Priority
 	PrefixHash   uint64 // hash of what the prompt shares with others; 0 for nothing
-	PromptTokens   int    // of the prompt, estimated
-	SharedTokens   int    // of them, those that others share
+	PromptTokens int    // of the prompt, estimated
+	SharedTokens int    // of them, those that others share
 	// Fingerprint is that by which the request is known when it comes again.
 	Fingerprint func() quarantine.Fingerprint
-	Label          string // workspace and what is asked for, for operators
+	Label       string // workspace and what is asked for, for operators
 	// CheckAllowed is asked right before each attempt, so that a version withdrawn
 	// meanwhile gets nothing new.
 	CheckAllowed func() error
@@ -266,7 +266,7 @@
 // endpointResponse is an endpoint's endpointResponse on the connection that it comes by.
 type endpointResponse struct {
 	*http.Response
-	conn *conn.Conn
+	conn      *conn.Conn
 	stopWatch func() bool // ends the watch on the context
 }
 
@@ -290,16 +290,16 @@
 	}
 	stop := context.AfterFunc(ctx, c.Interrupt)
 	response, err := c.Send(request, x.accepts) //nolint:bodyclose // a closed connection ends its body
-	a := &endpointResponse{Response: response, conn: c, stopWatch: stop}
+	received := &endpointResponse{Response: response, conn: c, stopWatch: stop}
 	if err == nil {
 		err = x.checkStatus(response)
 		if err == nil {
-			return a, nil
+			return received, nil
 		}
-		a.release(drain(response))
+		received.release(drain(response))
 		return nil, err
 	}
-	a.release(false)
+	received.release(false)
 	if errors.Is(err, conn.ErrNotSent) {
 		return nil, notSent(err)
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -31,10 +31,10 @@
 // breakingConn breaks a connection after a count of bytes in one direction.
 type breakingConn struct {
 	net.Conn
-	mu      sync.Mutex // guards all below
-	armed   bool
+	mu         sync.Mutex // guards all below
+	armed      bool
 	writeLimit int // bytes that may still be written; -1 means any
-	readLimit    int // bytes that may still be read; -1 means any
+	readLimit  int // bytes that may still be read; -1 means any
 }
 
 var errBroken = errors.New("connection broken")
@@ -88,9 +88,9 @@
 	conns      *conn.Pool
 	dispatcher *dispatch.Dispatcher
 
-	mu   sync.Mutex // guards all below
-	open []*breakingConn
-	plan breakingConn
+	mu     sync.Mutex // guards all below
+	open   []*breakingConn
+	limits breakingConn
 }
 
 func newFixture() *fixture {
@@ -106,7 +106,7 @@
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		b := &breakingConn{Conn: c, armed: r.plan.armed, writeLimit: r.plan.writeLimit, readLimit: r.plan.readLimit}
+		b := &breakingConn{Conn: c, armed: r.limits.armed, writeLimit: r.limits.writeLimit, readLimit: r.limits.readLimit}
 		r.open = append(r.open, b)
 		return b, nil
 	}
@@ -140,7 +140,7 @@
 func (r *fixture) breakAfter(written, read int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.plan = breakingConn{armed: true, writeLimit: written, readLimit: read}
+	r.limits = breakingConn{armed: true, writeLimit: written, readLimit: read}
 	for _, c := range r.open {
 		c.mu.Lock()
 		c.armed, c.writeLimit, c.readLimit = true, written, read
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -39,18 +39,18 @@
 	request    Request
 	attemptID  string
 
-	sentAt    clock.Instant // to the endpoint
-	responseStarted   clock.Instant // the answer
-	ongoing   *quarantine.OngoingResponse
-	response  *endpointResponse
-	reader  *bufio.Reader
-	event   []byte // the last event; reused
-	events  int    // data events read so far
-	resumes int
-	usage   *chat.Usage
-	ended   bool // the end mark was read
-	failed  bool
-	released    bool // everything was given back
+	sentAt          clock.Instant // to the endpoint
+	responseStarted clock.Instant // the answer
+	ongoing         *quarantine.OngoingResponse
+	response        *endpointResponse
+	reader          *bufio.Reader
+	event           []byte // the last event; reused
+	events          int    // data events read so far
+	resumes         int
+	usage           *chat.Usage
+	ended           bool // the end mark was read
+	failed          bool
+	released        bool // everything was given back
 }
 
 // setResponse starts to read an answer.
@@ -86,10 +86,10 @@
 
 // Event is one event of a stream, as it goes to the caller.
 type Event struct {
-	Data  []byte // the block with its blank line; valid until the next call
-	UsageOnly bool   // carries only the usage, for those who asked for it
-	Done  bool   // the mark that ends the stream
-	NextBuffered  bool   // the next event is here already, so this one need not be flushed
+	Data         []byte // the block with its blank line; valid until the next call
+	UsageOnly    bool   // carries only the usage, for those who asked for it
+	Done         bool   // the mark that ends the stream
+	NextBuffered bool   // the next event is here already, so this one need not be flushed
 }
 
 // Markers in the data of events.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -97,21 +97,21 @@
 
 // Bounds of the histograms, in microseconds.
 const (
-	minMicros = 1
-	maxMicros  = int64(10 * time.Minute / time.Microsecond)
-	significantDigits      = 3
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 // Report is what a load met.
 type Report struct {
-	Sent     int         `json:"sent"`
-	Answered int         `json:"answered"`
-	Refused  int         `json:"refused"` // told not run
-	Failed   int         `json:"failed"`
-	Seconds  float64     `json:"seconds"`
-	First    []Quantile  `json:"first_ms"`   // to the first token
-	Between  []Quantile  `json:"between_ms"` // between two tokens
-	Total    []Quantile  `json:"total_ms"`
+	Sent     int          `json:"sent"`
+	Answered int          `json:"answered"`
+	Refused  int          `json:"refused"` // told not run
+	Failed   int          `json:"failed"`
+	Seconds  float64      `json:"seconds"`
+	First    []Quantile   `json:"first_ms"`   // to the first token
+	Between  []Quantile   `json:"between_ms"` // between two tokens
+	Total    []Quantile   `json:"total_ms"`
 	Errors   []ErrorCount `json:"errors,omitempty"`
 }
 
@@ -139,10 +139,12 @@
 	report                Report
 	first, between, total *hdrhistogram.Histogram
 	errors                map[string]int
-	sessionTokens                map[int][]string // session tokens at hand, by caller
+	sessionTokens         map[int][]string // session tokens at hand, by caller
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(minMicros, maxMicros, significantDigits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
+}
 
 // Run sends the load and returns the report when every answer has come.
 func Run(ctx context.Context, d Description, transport http.RoundTripper) (Report, error) {
@@ -328,8 +330,8 @@
 	r.report.Failed++
 }
 
-func (r *runner) finalReport(took time.Duration) Report {
-	r.report.Seconds = took.Seconds()
+func (r *runner) finalReport(elapsed time.Duration) Report {
+	r.report.Seconds = elapsed.Seconds()
 	r.report.First, r.report.Between, r.report.Total = quantilesOf(r.first), quantilesOf(r.between), quantilesOf(r.total)
 	for text, count := range r.errors {
 		r.report.Errors = append(r.report.Errors, ErrorCount{text, count})
--- a/internal/pipeline/answer.go
+++ b/internal/pipeline/answer.go
@@ -87,8 +87,8 @@
 	return p.options.Dispatcher.Open(ctx, dispatch.Request{
 		ID: in.requestID, Version: decision.Candidate.Ref, Body: body, Priority: in.priority,
 		PrefixHash: in.prefix, PromptTokens: in.promptly, SharedTokens: in.shared, Fingerprint: in.fingerprint, Label: in.of(),
-		CheckAllowed:   func() error { return p.allowed(in.workspace.Name, decision.Candidate, hasSession) },
-		OnAttempt: in.attempted, OnVersionResult: judged,
+		CheckAllowed: func() error { return p.allowed(in.workspace.Name, decision.Candidate, hasSession) },
+		OnAttempt:    in.attempted, OnVersionResult: judged,
 	})
 }
 
--- a/internal/route/holder.go
+++ b/internal/route/holder.go
@@ -15,8 +15,8 @@
 
 // Holder keeps the newest table of a host; safe for use at once.
 type Holder struct {
-	current   atomic.Pointer[tableState]
-	loaded chan struct{}
+	current atomic.Pointer[tableState]
+	loaded  chan struct{}
 }
 
 // NewHolder returns a holder without a table.
@@ -27,8 +27,8 @@
 
 // Table returns the table in force, nil if there is none yet.
 func (h *Holder) Table() *Table {
-	if now := h.current.Load(); now != nil {
-		return now.table
+	if current := h.current.Load(); current != nil {
+		return current.table
 	}
 	return nil
 }
@@ -62,9 +62,9 @@
 // Age is how long ago the table was last known to be the newest; false if there
 // is none.
 func (h *Holder) Age() (time.Duration, bool) {
-	now := h.current.Load()
-	if now == nil {
+	current := h.current.Load()
+	if current == nil {
 		return 0, false
 	}
-	return clock.Since(now.confirmed), true
+	return clock.Since(current.confirmed), true
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -53,20 +53,20 @@
 
 // Route is where requests of a host name and a path go, and how.
 type Route struct {
-	Name       string
-	Host       string
-	Prefix     string // begins and ends with a slash
-	Kind       Kind
-	Timeout    time.Duration // longest that a request is held
-	Objective  time.Duration // answers within it are worth most
-	MaxEventGap        time.Duration // longest pause between events that is in time
-	Attempts   int           // most endpoints that one request is sent to
-	Priority   int           // 0 is most urgent
-	Public     bool          // needs no key
-	Resumable  bool          // a stream may go on at another endpoint
-	Models     []string      // smallest first; empty where the request names its model
-	Regions    []string      // whose endpoints may run its requests; empty for all
-	Targets    []Target
+	Name        string
+	Host        string
+	Prefix      string // begins and ends with a slash
+	Kind        Kind
+	Timeout     time.Duration // longest that a request is held
+	Objective   time.Duration // answers within it are worth most
+	MaxEventGap time.Duration // longest pause between events that is in time
+	Attempts    int           // most endpoints that one request is sent to
+	Priority    int           // 0 is most urgent
+	Public      bool          // needs no key
+	Resumable   bool          // a stream may go on at another endpoint
+	Models      []string      // smallest first; empty where the request names its model
+	Regions     []string      // whose endpoints may run its requests; empty for all
+	Targets     []Target
 	TotalWeight int // sum of the targets' weights
 }
 
@@ -98,13 +98,13 @@
 
 // Service is a group of endpoints that do the same.
 type Service struct {
-	Name        string
-	MaxConns    int // connections an endpoint takes, from all hosts together
-	Slots       int // requests an engine runs at once; 0 if not an engine
-	CacheTokens int // tokens an engine's memory holds
-	Models      []Model
-	ColdDuration     time.Duration // after its start an endpoint is cold so long
-	ColdRate    float64       // requests a second that a cold endpoint bears; 0 where it bears as many as others
+	Name         string
+	MaxConns     int // connections an endpoint takes, from all hosts together
+	Slots        int // requests an engine runs at once; 0 if not an engine
+	CacheTokens  int // tokens an engine's memory holds
+	Models       []Model
+	ColdDuration time.Duration // after its start an endpoint is cold so long
+	ColdRate     float64       // requests a second that a cold endpoint bears; 0 where it bears as many as others
 	// Scaling is how many endpoints may be ordered; zero where none are.
 	Scaling capacity.Scaling
 }
@@ -122,7 +122,7 @@
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout time.Duration
-	IdleTimeout          time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Declaration is a whole configuration of routed requests.
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -65,14 +65,14 @@
 var _ = Describe("the holder", func() {
 	It("never goes back to an older version", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			h, most := route.NewHolder(), int64(0)
+			h, highest := route.NewHolder(), int64(0)
 			for _, v := range rapid.SliceOf(rapid.Int64Range(1, 50)).Draw(t, "versions") {
-				if h.Apply(route.NewTable(route.Declaration{Version: v})) != (v > most) {
-					t.Fatalf("version %d over %d", v, most)
+				if h.Apply(route.NewTable(route.Declaration{Version: v})) != (v > highest) {
+					t.Fatalf("version %d over %d", v, highest)
 				}
-				most = max(most, v)
-				if h.Table().Version() != most {
-					t.Fatalf("in force is %d, not %d", h.Table().Version(), most)
+				highest = max(highest, v)
+				if h.Table().Version() != highest {
+					t.Fatalf("in force is %d, not %d", h.Table().Version(), highest)
 				}
 			}
 		})
