--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -16,7 +16,7 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// cancelTimeout bounds telling an engine that nobody waits any more.
+// cancelTimeout bounds the request that tells an engine to cancel an attempt.
 const cancelTimeout = 2 * time.Second
 
 // cancelAttempt tells an engine to stop an attempt.
@@ -45,21 +45,21 @@
 	ContentType string
 	Body        []byte
 	Repeatable  bool
-	OnAttempt   func() // told of each attempt that may have run
-	// Fingerprint is that by which the call is known when it comes again.
+	OnAttempt   func() // called after each failed attempt that may have run
+	// Fingerprint identifies the call when it is sent again under a new ID.
 	Fingerprint func() quarantine.Fingerprint
-	Label       string // workspace and what is called, for operators
+	Label       string // workspace and called name, shown to operators
 }
 
-// Response is a plain service's reply.
+// Response is the response of a plain service.
 type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Call sends a call to a plain service. A call that may not be repeated goes to
-// another endpoint only while it is certain that none has run it.
+// Call sends a call to a plain service. A call that is not Repeatable is sent to another endpoint
+// only while it is certain that no endpoint has run it.
 func (d *Dispatcher) Call(ctx context.Context, call Call) (Response, error) {
 	d.budgets.RecordFirst(call.Service)
 	run := problem.NotRun
@@ -106,7 +106,7 @@
 	return Response{}, d.finalProblem(ctx, run, last)
 }
 
-// attemptCall makes one attempt at one endpoint.
+// attemptCall makes one attempt of a call at one endpoint.
 func (d *Dispatcher) attemptCall(ctx context.Context, call Call, hold *fleet.Hold) (Response, error) {
 	ctx, span := d.options.Telemetry.Start(ctx, "attempt "+hold.Endpoint.ID)
 	defer span.End()
@@ -135,7 +135,7 @@
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	response.release(err == nil && len(body) < maxResponseBytes)
 	if err != nil {
-		return Response{}, &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("read the answer: %w", err)}
+		return Response{}, &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("read response body: %w", err)}
 	}
 	return Response{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -10,7 +10,8 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// quarantineStatus is what is known of a request when it came before.
+// quarantineStatus returns the quarantine status of a request, by its fingerprint. It computes no
+// fingerprint while there is no evidence of crashes.
 func (d *Dispatcher) quarantineStatus(fingerprint func() quarantine.Fingerprint) quarantine.Status {
 	if !d.options.Quarantine.HasEvidence() {
 		return quarantine.Status{}
@@ -18,22 +19,24 @@
 	return d.options.Quarantine.Status(fingerprint())
 }
 
-// Quarantined is the problem of a request under which endpoints crash.
+// Quarantined returns the problem for a request that crashes endpoints.
 func Quarantined(run problem.Run) *problem.Problem {
 	return problem.New(http.StatusUnprocessableEntity, problem.CodeQuarantined, run,
 		"endpoints crash under this request, so it is not sent to any; change it, or ask the operators to let it out")
 }
 
-// requestInfo is a request as it is known when it comes again.
+// requestInfo identifies a request to the quarantine tracker.
 type requestInfo struct {
 	fingerprint func() quarantine.Fingerprint
-	label       string // its workspace and what it asks for, for operators
+	label       string // workspace and requested name, shown to operators
 }
 
 func (r Request) info() requestInfo { return requestInfo{r.Fingerprint, r.Label} }
 func (c Call) info() requestInfo    { return requestInfo{c.Fingerprint, c.Label} }
 
-// recordFailure takes in that an attempt failed, and reports whether its endpoint has recordFailure.
+// recordFailure tells the quarantine tracker about a failed attempt whose connection broke, and
+// reports whether the endpoint has crashed. It ignores attempts whose context ended and endpoints
+// that have left the fleet.
 func (d *Dispatcher) recordFailure(ctx context.Context, hold *fleet.Hold, request requestInfo, run quarantine.Run, err error) bool {
 	e := hold.Endpoint
 	run.Label = request.label
@@ -43,7 +46,7 @@
 	return d.options.Quarantine.ConnectionBroke(ctx, quarantine.BrokenAttempt{Endpoint: e.ID, Address: e.Address, Service: e.Service, Request: request.fingerprint(), Run: run})
 }
 
-// recordCompleted takes in that a request came to a good end.
+// recordCompleted tells the quarantine tracker that a request completed.
 func (d *Dispatcher) recordCompleted(fingerprint func() quarantine.Fingerprint) {
 	if d.options.Quarantine.HasEvidence() {
 		d.options.Quarantine.RequestCompleted(fingerprint())
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch sends requests to endpoints: attempts, retries, resumed
-// streams, and the certainty about what ran.
+// Package dispatch sends requests to endpoints. It makes attempts, retries failed ones, resumes
+// interrupted streams, and reports whether a request may have run.
 //
 // # Usage
 //
@@ -7,12 +7,11 @@
 //	defer stream.Close()
 //	for { event, err := stream.Next() ... }
 //
-// Endpoints are chosen by the fleet, requests are sent on connections of the
-// package conn, and repeats are bounded by the package retry, as those of routed
-// requests are. An attempt owns its stream: what a cancelled or late attempt still
-// sends goes nowhere. A request is tried again only while the caller has seen
-// nothing; one that may not be repeated is never tried again once a byte of it may
-// have been sent.
+// The fleet chooses endpoints, package conn provides the connections, and package retry bounds
+// retries, as it does for routed requests. Each attempt has its own stream, so data that a
+// cancelled or late attempt still sends is dropped. A request is retried only while the caller has
+// received nothing; one that may not be repeated is never retried once a byte of it may have been
+// sent.
 package dispatch
 
 import (
@@ -38,18 +37,18 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// Limits of attempts.
+// Limits and defaults of attempts.
 const (
-	MaxAttempts      = 3 // of one request
+	MaxAttempts      = 3 // per request
 	maxResponseBytes = 32 << 20
-	retryAfter       = time.Second // told to callers that find no endpoint
-	// defaultObjective is the time to a first token that is taken for good where nobody
-	// declares one; it weighs bytes between data halls against waiting.
+	retryAfter       = time.Second // Retry-After of responses to callers whose request no endpoint answered
+	// defaultObjective is the objective for the time to the first token where none is declared.
+	// The fleet uses it to weigh traffic between data halls against waiting time.
 	defaultObjective = 1500 * time.Millisecond
 )
 
-// DefaultRetries bounds repeats where nobody declares a bound: a tenth of the first
-// sends, and a few for an idle host.
+// DefaultRetries bounds retries where no bound is declared: a tenth of the first attempts, plus a
+// small reserve so that an idle host can retry.
 var DefaultRetries = retry.Limits{Ratio: 0.1, Reserve: 10}
 
 // Options set up a Dispatcher.
@@ -58,7 +57,7 @@
 	Conns             *conn.Pool
 	FirstTokenTimeout time.Duration
 	Telemetry         *telemetry.Telemetry
-	// Quarantine knows requests under which endpoints crash.
+	// Quarantine tracks requests that crash endpoints.
 	Quarantine *quarantine.Tracker
 }
 
@@ -73,29 +72,29 @@
 	return &Dispatcher{options: options, budgets: retry.NewBudgets(DefaultRetries)}
 }
 
-// Request is a completion for an engine.
+// Request is a completion request for an engine.
 type Request struct {
 	ID           string
 	Version      declare.Ref
-	Body         []byte // with the version as its model
+	Body         []byte // its model is already replaced by the version
 	Priority     declare.Priority
-	PrefixHash   uint64 // hash of what the prompt shares with others; 0 for nothing
-	PromptTokens int    // of the prompt, estimated
-	SharedTokens int    // of them, those that others share
-	// Fingerprint is that by which the request is known when it comes again.
+	PrefixHash   uint64 // hash of the prompt's prefix that other prompts share; 0 if none
+	PromptTokens int    // estimated
+	SharedTokens int    // prompt tokens that belong to the shared prefix
+	// Fingerprint identifies the request when it is sent again under a new ID.
 	Fingerprint func() quarantine.Fingerprint
-	Label       string // workspace and what is asked for, for operators
-	// CheckAllowed is asked right before each attempt, so that a version withdrawn
-	// meanwhile gets nothing new.
+	Label       string // workspace and requested name, shown to operators
+	// CheckAllowed is called right before each attempt, so that a version that has been withdrawn
+	// since the last one gets no further requests.
 	CheckAllowed func() error
-	// OnAttempt is told of each attempt that may have run.
+	// OnAttempt is called after each failed attempt that may have run.
 	OnAttempt func()
-	// OnVersionResult is told whether the version itself failed an attempt, as opposed
-	// to its endpoint; nil if nobody asks.
+	// OnVersionResult is called with true when the version, not its endpoint, failed an attempt,
+	// and with false when an attempt succeeded. It may be nil.
 	OnVersionResult func(failed bool)
 }
 
-// fleetRequest is what the choice of an engine goes by.
+// fleetRequest returns the criteria by which the fleet picks an engine.
 func (r Request) fleetRequest(avoid []string) fleet.Request {
 	return fleet.Request{
 		Service: endpoint.Engines, Model: r.Version.String(), Avoid: avoid, Key: r.PrefixHash,
@@ -103,8 +102,8 @@
 	}
 }
 
-// Open sends a completion and returns its answer once it has begun. Errors are
-// problems that say whether it ran.
+// Open sends a completion request and returns the response once its first byte has arrived. Errors
+// are problems that say whether the request ran.
 func (d *Dispatcher) Open(ctx context.Context, request Request) (*Stream, error) {
 	d.budgets.RecordFirst(endpoint.Engines)
 	run := problem.NotRun
@@ -160,7 +159,7 @@
 	}
 }
 
-// finalProblem is the problem of a request that got no answer.
+// finalProblem returns the problem for a request that got no response.
 func (d *Dispatcher) finalProblem(ctx context.Context, run problem.Run, last error) error {
 	switch {
 	case clock.Over(ctx):
@@ -174,7 +173,7 @@
 	}
 }
 
-// attemptError is a failed attempt.
+// attemptError describes a failed attempt.
 type attemptError struct {
 	run     problem.Run
 	outcome fleet.Outcome
@@ -187,7 +186,7 @@
 // Unwrap returns the cause.
 func (e *attemptError) Unwrap() error { return e.cause }
 
-// runOf tells whether a failed attempt ran.
+// runOf returns whether a failed attempt ran.
 func runOf(err error) problem.Run {
 	var e *attemptError
 	if errors.As(err, &e) {
@@ -196,8 +195,9 @@
 	return problem.Unknown
 }
 
-// outcomeOf tells how a failed attempt speaks of its endpoint. One whose
-// context ended says nothing: the caller left, or its time was up.
+// outcomeOf returns the outcome that a failed attempt counts as for its endpoint. An attempt whose
+// context ended is neutral unless the endpoint refused it: the caller disconnected or the deadline
+// passed.
 func outcomeOf(ctx context.Context, err error) fleet.Outcome {
 	var e *attemptError
 	known := errors.As(err, &e)
@@ -213,10 +213,12 @@
 	}
 }
 
-// errVersionFailed means that an engine ran the request and failed.
+// errVersionFailed means that an engine ran the request and failed: it responded with a server
+// error that does not say that the request was not run.
 var errVersionFailed = errors.New("the version failed")
 
-// attempt sends a completion to one endpoint and waits for its first byte.
+// attempt sends a completion request to one endpoint and waits for the first byte of the response
+// body.
 func (d *Dispatcher) attempt(ctx context.Context, request Request, hold *fleet.Hold) (*Stream, error) {
 	callerCtx := ctx
 	ctx, span := d.options.Telemetry.Start(ctx, "attempt "+hold.Endpoint.ID)
@@ -238,7 +240,7 @@
 		s.setResponse(response)
 		_, err = s.reader.Peek(1)
 		if err != nil {
-			err = &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("wait for the answer: %w", err)}
+			err = &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("wait for first byte of response: %w", err)}
 		}
 	}
 	if err != nil {
@@ -263,18 +265,19 @@
 	attemptID string
 }
 
-// endpointResponse is an endpoint's endpointResponse on the connection that it comes by.
+// endpointResponse is an endpoint's response and the connection on which it arrives.
 type endpointResponse struct {
 	*http.Response
 	conn      *conn.Conn
-	stopWatch func() bool // ends the watch on the context
+	stopWatch func() bool // stops interrupting the connection when the context ends
 }
 
-// release gives the connection back; it is kept if the answer was read whole.
+// release returns the connection to its pool, which keeps it only if the response was read to its
+// end and the context did not end.
 func (a *endpointResponse) release(readToEnd bool) { a.conn.Release(a.stopWatch() && readToEnd) }
 
-// send makes one exchange and returns the answer if it is one to it. Errors are
-// *attemptError.
+// send makes one exchange and returns its response unless that is a refusal or a server error.
+// Errors are *attemptError.
 func (d *Dispatcher) send(ctx context.Context, x exchange) (*endpointResponse, error) {
 	request, err := http.NewRequestWithContext(ctx, x.method, "http://"+x.address+x.path, bytes.NewReader(x.body))
 	if err != nil {
@@ -306,18 +309,18 @@
 	return nil, &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("send: %w", err)}
 }
 
-// notSent is the error of an attempt that its endpoint has seen nothing of.
+// notSent returns the error for an attempt of which the endpoint received nothing.
 func notSent(err error) error {
 	return &attemptError{run: problem.NotRun, outcome: fleet.OutcomeLost, cause: fmt.Errorf("send: %w", err)}
 }
 
-// accepts reports whether an answer is one to this exchange; endpoints that do not
-// echo the ids are believed.
+// accepts reports whether a response belongs to this exchange. Responses of endpoints that do not
+// echo the IDs are accepted.
 func (x exchange) accepts(h http.Header) bool {
 	return echoMatches(h, chat.HeaderRequestID, x.requestID) && echoMatches(h, chat.HeaderAttempt, x.attemptID)
 }
 
-// checkStatus tells an answer from a refusal and a failure.
+// checkStatus returns an error if the response is a refusal or a server error.
 func (x exchange) checkStatus(response *http.Response) error {
 	refused := response.Header.Get(chat.HeaderRun) == chat.NotRun
 	switch {
@@ -333,13 +336,13 @@
 	}
 }
 
-// echoMatches reports whether an echoed header, if there is one, has our value.
+// echoMatches reports whether a header of the response is absent or echoes the given value.
 func echoMatches(h http.Header, name, value string) bool {
 	got := h.Get(name)
 	return got == "" || got == value
 }
 
-// drain reads what is left of a short answer; true if it was read to its end.
+// drain discards up to 4 KiB of a response body and reports whether that reached its end.
 func drain(response *http.Response) bool {
 	const limit = 4 << 10
 	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, limit))
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -28,7 +28,7 @@
 
 const address = "10.0.0.9:80"
 
-// breakingConn breaks a connection after a count of bytes in one direction.
+// breakingConn is a connection that breaks after a number of bytes in one direction.
 type breakingConn struct {
 	net.Conn
 	mu         sync.Mutex // guards all below
@@ -80,17 +80,17 @@
 	return n, err
 }
 
-// fixture is a dispatcher before one plain service.
+// fixture is a dispatcher with one plain service.
 type fixture struct {
 	service    *service.Service
 	server     *http.Server
-	transport  *http.Transport // of the library, for comparison
+	transport  *http.Transport // of net/http, for comparison
 	conns      *conn.Pool
 	dispatcher *dispatch.Dispatcher
 
-	mu     sync.Mutex // guards all below
-	open   []*breakingConn
-	limits breakingConn
+	mu          sync.Mutex // guards all below
+	connections []*breakingConn
+	limits      breakingConn
 }
 
 func newFixture() *fixture {
@@ -107,7 +107,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		b := &breakingConn{Conn: c, armed: r.limits.armed, writeLimit: r.limits.writeLimit, readLimit: r.limits.readLimit}
-		r.open = append(r.open, b)
+		r.connections = append(r.connections, b)
 		return b, nil
 	}
 	r.transport = &http.Transport{DialContext: dial}
@@ -135,13 +135,13 @@
 	_ = r.server.Close()
 }
 
-// breakAfter breaks all connections, those that are kept and new ones, after
-// some bytes; -1 never does.
+// breakAfter makes all connections, idle and new ones, break after the given numbers of bytes; -1
+// means never.
 func (r *fixture) breakAfter(written, read int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limits = breakingConn{armed: true, writeLimit: written, readLimit: read}
-	for _, c := range r.open {
+	for _, c := range r.connections {
 		c.mu.Lock()
 		c.armed, c.writeLimit, c.readLimit = true, written, read
 		c.mu.Unlock()
@@ -171,15 +171,15 @@
 }
 
 var _ = Describe("a call that may not be repeated", func() {
-	// The request is about 250 bytes long, the answer about 250.
+	// The request and the response are about 250 bytes long each.
 	const maxBytes = 400
 
-	It("is sent at most once when its connection breaks at any byte of the request or the answer", func() {
+	It("is sent at most once when its connection breaks at any byte of the request or the response", func() {
 		suite.Paused(func() {
 			for after := range maxBytes {
 				for direction, limits := range map[string][2]int{"request": {after, -1}, "answer": {-1, after}} {
 					r := newFixture()
-					err := r.call(true, "warm") // leaves a kept connection behind
+					err := r.call(true, "warm") // leaves an idle connection in the pool
 					Expect(err).NotTo(HaveOccurred())
 					r.breakAfter(limits[0], limits[1])
 					err = r.call(false, "payout")
@@ -194,7 +194,7 @@
 		})
 	})
 
-	It("is tried elsewhere only while it certainly did not run", func() {
+	It("is retried at another endpoint only while it certainly did not run", func() {
 		suite.Paused(func() {
 			r := newFixture()
 			defer r.close()
@@ -207,10 +207,10 @@
 	})
 })
 
-// The trap that the dispatcher avoids: with an Idempotency-Key header, or with
-// GetBody set, the library itself sends a request again on a kept connection.
-var _ = Describe("net/http by itself", func() {
-	It("would send a call again, which is why the dispatcher takes precautions", func() {
+// Shows the behavior that the dispatcher avoids: with an Idempotency-Key header, or with GetBody
+// set, net/http itself resends a request whose reused connection breaks.
+var _ = Describe("the transport of net/http", func() {
+	It("resends a call on its own, so the dispatcher does not use it", func() {
 		suite.Paused(func() {
 			r := newFixture()
 			defer r.close()
@@ -228,7 +228,7 @@
 			Expect(send()).To(Succeed())
 			r.service.CutReplies(1)
 			Expect(send()).To(Succeed())
-			Expect(r.service.Runs()).To(HaveLen(3), "the library sent the second call twice")
+			Expect(r.service.Runs()).To(HaveLen(3), "net/http sent the second call twice")
 		})
 	})
 })
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -25,12 +25,12 @@
 	readBuffer = 16 << 10
 	maxEvent   = 4 << 20
 	maxResumes = 3
-	// endTimeout is how long the end of an answer is waited for after its end
-	// mark; it comes in the same packet, or the connection is closed.
+	// endTimeout bounds the wait for the end of a response body after the end marker of its stream.
+	// It arrives in the same packet as the marker, or the connection is closed.
 	endTimeout = 50 * time.Millisecond
 )
 
-// Stream is the answer of one attempt.
+// Stream is the response to one attempt.
 type Stream struct {
 	dispatcher *Dispatcher
 	hold       *fleet.Hold
@@ -39,8 +39,8 @@
 	request    Request
 	attemptID  string
 
-	sentAt          clock.Instant // to the endpoint
-	responseStarted clock.Instant // the answer
+	sentAt          clock.Instant // when the request was sent to the endpoint
+	responseStarted clock.Instant // when the first byte of the response arrived
 	ongoing         *quarantine.OngoingResponse
 	response        *endpointResponse
 	reader          *bufio.Reader
@@ -48,12 +48,12 @@
 	events          int    // data events read so far
 	resumes         int
 	usage           *chat.Usage
-	ended           bool // the end mark was read
+	ended           bool // the response was read to its end or end marker
 	failed          bool
-	released        bool // everything was given back
+	released        bool // the connection and the fleet's hold were released
 }
 
-// setResponse starts to read an answer.
+// setResponse makes the stream read from a response.
 func (s *Stream) setResponse(a *endpointResponse) {
 	s.response = a
 	s.reader = bufio.NewReaderSize(a.Body, readBuffer)
@@ -62,10 +62,10 @@
 // Status returns the endpoint's HTTP status, which is below 500.
 func (s *Stream) Status() int { return s.response.StatusCode }
 
-// ContentType returns the answer's content type.
+// ContentType returns the response's content type.
 func (s *Stream) ContentType() string { return s.response.Header.Get("Content-Type") }
 
-// Confidence returns the engine's confidence in its answer; 1 if it says none.
+// Confidence returns the engine's confidence in its response; 1 if it reports none.
 func (s *Stream) Confidence() float64 {
 	text := s.response.Header.Get(chat.HeaderConfidence)
 	value, err := strconv.ParseFloat(text, 64)
@@ -75,24 +75,24 @@
 	return value
 }
 
-// Usage returns what the engine reported, or nil.
+// Usage returns the token usage that the engine reported, or nil.
 func (s *Stream) Usage() *chat.Usage { return s.usage }
 
-// Events counts the data events read so far.
+// Events returns the number of data events read so far, without the end marker.
 func (s *Stream) Events() int { return s.events }
 
-// Endpoint names the endpoint that answers.
+// Endpoint returns the ID of the endpoint that responds.
 func (s *Stream) Endpoint() string { return s.hold.Endpoint.ID }
 
-// Event is one event of a stream, as it goes to the caller.
+// Event is one event of a stream, as it is sent to the caller.
 type Event struct {
-	Data         []byte // the block with its blank line; valid until the next call
-	UsageOnly    bool   // carries only the usage, for those who asked for it
-	Done         bool   // the mark that ends the stream
-	NextBuffered bool   // the next event is here already, so this one need not be flushed
+	Data         []byte // the event's lines and the blank line; valid until the next call
+	UsageOnly    bool   // it has usage and no choices, and is sent only to callers that asked for usage
+	Done         bool   // it is the marker that ends the stream
+	NextBuffered bool   // the next event is already buffered, so this one need not be flushed
 }
 
-// Markers in the data of events.
+// Byte sequences that are looked for in events.
 var (
 	dataPrefix  = []byte("data:")
 	usageMarker = []byte(`"usage":{`)
@@ -101,9 +101,9 @@
 	blankLine   = []byte("\n\n")
 )
 
-// Next returns the next event. A broken stream is resumed at the same endpoint
-// and attempt, so on the same version; if that fails, the error is a problem.
-// io.EOF follows the end mark.
+// Next returns the next event. A broken stream is resumed at the same endpoint and attempt, and so
+// on the same version; if that fails, the error is a problem. After the end marker Next returns
+// io.EOF.
 func (s *Stream) Next() (Event, error) {
 	if s.ended {
 		return Event{}, io.EOF
@@ -122,10 +122,10 @@
 	}
 }
 
-// errTruncated means that a stream ended without its end mark.
+// errTruncated means that a stream ended without its end marker.
 var errTruncated = errors.New("stream ended early")
 
-// readEvent returns the next whole event of the present response.
+// readEvent returns the next complete event of the current response, without its id lines.
 func (s *Stream) readEvent() (Event, error) {
 	s.event = s.event[:0]
 	var data []byte
@@ -153,13 +153,13 @@
 	return event, nil
 }
 
-// hasBufferedEvent reports whether another whole event was read from the connection.
+// hasBufferedEvent reports whether the buffer holds another complete event.
 func (s *Stream) hasBufferedEvent() bool {
 	buffered, err := s.reader.Peek(s.reader.Buffered())
 	return err == nil && bytes.Contains(buffered, blankLine)
 }
 
-// parseEvent looks for the few things in an event that the router reads.
+// parseEvent extracts the parts of an event that the router uses: the end marker and the usage.
 func (s *Stream) parseEvent(block []byte) Event {
 	event := Event{Data: block}
 	payload := bytes.TrimSpace(bytes.TrimPrefix(block, dataPrefix))
@@ -178,7 +178,8 @@
 	return event
 }
 
-// resume goes on with the stream after the events read so far.
+// resume requests the rest of the stream from the engine, after the events read so far. It returns
+// cause if the stream can't be resumed.
 func (s *Stream) resume(cause error) error {
 	if s.context.Err() != nil || s.resumes >= maxResumes {
 		return cause
@@ -200,7 +201,7 @@
 	return nil
 }
 
-// ReadAll reads an answer that is not streamed.
+// ReadAll reads the whole body of a response that is not streamed.
 func (s *Stream) ReadAll() ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(s.reader, maxResponseBytes))
 	if err != nil {
@@ -216,13 +217,14 @@
 	return body, nil
 }
 
-// recordBroken takes in that the answer recordBroken off.
+// recordBroken reports a response that broke off to the quarantine tracker.
 func (s *Stream) recordBroken(err error) {
 	run := quarantine.Run{Lasted: clock.Since(s.sentAt), ResponseLasted: clock.Since(s.responseStarted)}
 	s.dispatcher.recordFailure(s.context, s.hold, s.request.info(), run, err)
 }
 
-// abort ends a stream that never began.
+// abort ends an attempt that was not read to its end, and cancels it at the engine unless the engine
+// refused it.
 func (s *Stream) abort(outcome fleet.Outcome) {
 	s.release(outcome, false)
 	if outcome != fleet.OutcomeRefused {
@@ -230,8 +232,8 @@
 	}
 }
 
-// Close ends the attempt. One that was not read to its end is cancelled at the
-// engine too, so that it does not go on for nobody.
+// Close ends the attempt. If its response was not read to the end, Close also cancels it at the
+// engine, so that the engine does not keep generating a response that nobody reads.
 func (s *Stream) Close() {
 	switch {
 	case s.failed:
@@ -244,15 +246,15 @@
 	}
 }
 
-// reachedEOF reads what follows the mark that ends a stream: nothing, if the connection
-// can be used again.
+// reachedEOF reports whether nothing follows the marker that ends a stream, so that the connection
+// can be reused.
 func (s *Stream) reachedEOF() bool {
 	s.response.conn.SetReadDeadline(clock.Now().Add(endTimeout).Time())
 	n, err := io.Copy(io.Discard, io.LimitReader(s.reader, 1))
 	return err == nil && n == 0
 }
 
-// release gives everything back; calls after the first do nothing.
+// release releases the connection and the fleet's hold; calls after the first do nothing.
 func (s *Stream) release(outcome fleet.Outcome, readToEnd bool) {
 	if s.released {
 		return
