--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -1,17 +1,17 @@
-// Package conn keeps the connections of a host to endpoints.
+// Package conn pools the HTTP connections from a host to endpoints.
 //
 // # Usage
 //
 //	pool := conn.NewPool(conn.Options{})
 //	c, err := pool.Get(ctx, "10.0.0.7:8080", limit)
-//	answer, err := c.Send(request, accept)
-//	...read answer.Body to its end...
+//	response, err := c.Send(request, accept)
+//	...read response.Body to its end...
 //	c.Release(true)
 //
-// The standard library's client re-sends requests on its own and hides which
-// connection broke. Here each request is written once, on a connection that the
-// caller holds, so it is known what an endpoint may have seen: ErrNotSent means
-// that not a byte left the host; after any other error the request may have run.
+// The client of net/http resends requests on its own and hides which connection broke. This package
+// writes each request once, on a connection that the caller holds, so the caller knows what an
+// endpoint may have received: ErrNotSent means that no byte left the host; after any other error
+// the request may have run.
 package conn
 
 import (
@@ -35,49 +35,49 @@
 
 // Errors of connections.
 var (
-	// ErrNotSent means that the endpoint has seen nothing of the request.
+	// ErrNotSent means that the endpoint has received nothing of the request.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrConnLimit means that the host holds as many connections to the endpoint as
-	// it may.
+	// ErrConnLimit means that the host has reached its limit of open connections to the
+	// endpoint.
 	ErrConnLimit = errors.New("no connection is free")
-	// ErrUnexpectedData means that the endpoint sent bytes that belong to no request.
-	ErrUnexpectedData = errors.New("stray bytes from the endpoint")
+	// ErrUnexpectedData means that the endpoint sent data that belongs to no pending request.
+	ErrUnexpectedData = errors.New("unexpected data from the endpoint")
 )
 
-// Bounds of connections.
+// Timeouts and limits of connections.
 const (
-	// dialTimeout is ample for a data hall away: connects take a few
-	// milliseconds, and a lost packet is sent again after a second.
+	// dialTimeout is sufficient for connections to another data hall: they take a few
+	// milliseconds, and a lost packet is retransmitted after a second.
 	dialTimeout = 1500 * time.Millisecond
-	// userTimeout ends a connection whose bytes nobody acknowledges.
+	// userTimeout closes a connection whose sent data stays unacknowledged.
 	userTimeout = 2 * time.Second
-	// keepAliveIdle and probeEvery find a silent peer on a connection at rest, in
-	// about three seconds; the kernel counts in whole seconds.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect an unresponsive peer on an idle
+	// connection in about three seconds; the kernel counts in whole seconds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// idleTimeoutMargin is taken off what an endpoint says of keeping connections, so
-	// that it does not close one as a request is sent on it.
+	// idleTimeoutMargin is subtracted from the idle timeout that an endpoint states, so that the
+	// endpoint does not close a connection while a request is sent on it.
 	idleTimeoutMargin = 800 * time.Millisecond
-	// defaultIdleTimeout is how long a connection rests where the endpoint says nothing.
+	// defaultIdleTimeout is the idle timeout of a connection whose endpoint states none.
 	defaultIdleTimeout = 4 * time.Second
-	// maxUnexpectedResponses is how many answers to earlier requests are passed over
-	// before a connection is given up.
+	// maxUnexpectedResponses is the number of informational responses and responses to
+	// earlier requests after which a connection is abandoned.
 	maxUnexpectedResponses = 3
-	// readBuffer holds the head of an answer.
+	// readBuffer is large enough for the head of a response.
 	readBuffer = 4 << 10
 )
 
 // Options set up a Pool.
 type Options struct {
-	// Dial replaces the network in tests.
+	// Dial opens connections; nil means TCP. Tests set it.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// OnOpen is called for each new connection.
 	OnOpen func(address string)
 }
 
-// Pool keeps idle connections and counts open ones, by endpoint address; safe
-// for use at once.
+// Pool keeps idle connections and counts open ones, by endpoint address. It is safe for concurrent
+// use.
 type Pool struct {
 	options Options
 
@@ -85,7 +85,7 @@
 	peers map[string]*peer
 }
 
-// peer is what the pool knows of an address.
+// peer holds the connections to one address.
 type peer struct {
 	idle []*Conn
 	open int
@@ -99,7 +99,7 @@
 	return &Pool{options: options, peers: map[string]*peer{}}
 }
 
-// dial connects with short probes, so that a peer behind a cut is noticed.
+// dial connects with short keep-alive intervals, so that an unreachable peer is detected.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:         dialTimeout,
@@ -109,14 +109,14 @@
 	return d.DialContext(ctx, "tcp4", address)
 }
 
-// SetUserTimeout bounds how long bytes may stay unacknowledged on a socket.
+// SetUserTimeout bounds how long sent data may stay unacknowledged on a socket.
 func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var setErr error
 	err := raw.Control(func(fd uintptr) {
 		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
-		return fmt.Errorf("reach socket: %w", err)
+		return fmt.Errorf("access socket: %w", err)
 	}
 	if setErr != nil {
 		return fmt.Errorf("set user timeout: %w", setErr)
@@ -124,9 +124,9 @@
 	return nil
 }
 
-// Get returns a connection to an address: one at rest if its peer has not closed
-// it, else a new one. It returns ErrBusy when limit connections are open already
-// and ErrNotSent when none can be made.
+// Get returns a connection to an address: an idle one that its peer has not closed, or else a new
+// one. It returns ErrConnLimit if limit connections are open already (0 means no limit), and
+// ErrNotSent if connecting fails.
 func (p *Pool) Get(ctx context.Context, address string, limit int) (*Conn, error) {
 	for {
 		c, err := p.takeIdle(address, limit)
@@ -143,7 +143,8 @@
 	}
 }
 
-// takeIdle returns a connection at rest, or nil after counting one to be opened.
+// takeIdle returns an idle connection. If there is none, it counts one more open connection and
+// returns nil; the caller then opens it.
 func (p *Pool) takeIdle(address string, limit int) (*Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +165,7 @@
 	return nil, nil
 }
 
-// open makes a connection that take has counted.
+// open opens a connection that takeIdle has counted.
 func (p *Pool) open(ctx context.Context, address string) (*Conn, error) {
 	raw, err := p.options.Dial(ctx, address)
 	if err != nil {
@@ -177,7 +178,7 @@
 	return &Conn{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
-// uncount takes a connection out of the count.
+// uncount removes a closed connection from the count of open ones.
 func (p *Pool) uncount(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,7 +189,7 @@
 	}
 }
 
-// putIdle puts a connection among those at putIdle.
+// putIdle adds a connection to the idle ones.
 func (p *Pool) putIdle(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,11 +198,11 @@
 	}
 }
 
-// CloseExpired closes connections that have rested for as long as they may.
+// CloseExpired closes the idle connections whose idle timeout has passed.
 func (p *Pool) CloseExpired() { p.closeIdleUntil(clock.Now()) }
 
-// CloseIdle closes the connections at rest to an address: another process answers there
-// now, and what is written on them is lost.
+// CloseIdle closes the idle connections to an address. It is called when another process serves the
+// address, because data written on the old connections is lost.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	var old []*Conn
@@ -214,10 +215,10 @@
 	}
 }
 
-// Close closes all connections at rest.
+// Close closes all idle connections.
 func (p *Pool) Close() { p.closeIdleUntil(clock.Now().Add(beyondIdleTimeout)) }
 
-// beyondIdleTimeout is longer than any connection rests.
+// beyondIdleTimeout is longer than any idle timeout.
 const beyondIdleTimeout = 24 * time.Hour
 
 func (p *Pool) closeIdleUntil(now clock.Instant) {
@@ -245,18 +246,19 @@
 	return old
 }
 
-// Conn is a connection that one request at a time holds.
+// Conn is a connection that serves one request at a time.
 type Conn struct {
 	pool      *Pool
 	address   string
 	raw       net.Conn
 	reader    *bufio.Reader
-	idleUntil clock.Instant // at rest no longer than this
+	idleUntil clock.Instant // when its idle timeout passes
 	close     sync.Once
 	response  *http.Response
 }
 
-// alive reports whether a connection that rested can be used.
+// alive reports whether an idle connection can be used: its idle timeout has not passed, its peer
+// has not closed it, and no unexpected data has arrived.
 func (c *Conn) alive() bool {
 	if !clock.Now().Before(c.idleUntil) || c.reader.Buffered() > 0 {
 		return false
@@ -279,11 +281,10 @@
 	return err == nil && noData
 }
 
-// Accept judges whether an answer belongs to the request that was sent.
+// Accept reports whether a response with header h belongs to the request that was sent.
 type Accept func(h http.Header) bool
 
-// Send writes a request and reads the head of its answer. Answers that belong
-// to earlier requests are passed over.
+// Send writes a request and reads the head of its response. It skips responses to earlier requests.
 func (c *Conn) Send(request *http.Request, accept Accept) (*http.Response, error) {
 	counter := &countingWriter{writer: c.raw}
 	buffered := bufio.NewWriterSize(counter, readBuffer)
@@ -294,14 +295,14 @@
 	if err != nil && counter.sent == 0 {
 		return nil, fmt.Errorf("send to %s: %w: %w", c.address, ErrNotSent, err)
 	}
-	// An endpoint may response before it has read the whole request, so an response
-	// is looked for even if the request could not be written to its end.
+	// An endpoint may respond before it has read the whole request, so Send looks for a response
+	// even if the request could not be written completely.
 	response, readErr := c.readHead(request, accept)
 	if readErr != nil {
 		if err != nil {
 			return nil, fmt.Errorf("send to %s: %w", c.address, err)
 		}
-		return nil, fmt.Errorf("answer of %s: %w", c.address, readErr)
+		return nil, fmt.Errorf("read response of %s: %w", c.address, readErr)
 	}
 	if err != nil {
 		response.Close = true
@@ -310,7 +311,7 @@
 	return response, nil
 }
 
-// readHead reads heads until one is accepted.
+// readHead reads response heads until one is accepted.
 func (c *Conn) readHead(request *http.Request, accept Accept) (*http.Response, error) {
 	for range maxUnexpectedResponses {
 		response, err := http.ReadResponse(c.reader, request)
@@ -330,17 +331,17 @@
 	return nil, ErrUnexpectedData
 }
 
-// Interrupt makes reads and writes under way fail.
+// Interrupt makes pending and later reads and writes fail, until the deadline is changed.
 func (c *Conn) Interrupt() { _ = c.raw.SetDeadline(time.Unix(1, 0)) }
 
-// SetDeadline bounds all that follows; the zero time lifts the bound.
+// SetDeadline sets the deadline of all later reads and writes; the zero time removes it.
 func (c *Conn) SetDeadline(t time.Time) { _ = c.raw.SetDeadline(t) }
 
-// SetReadDeadline bounds the reads that follow; the zero time lifts the bound.
+// SetReadDeadline sets the deadline of later reads; the zero time removes it.
 func (c *Conn) SetReadDeadline(t time.Time) { _ = c.raw.SetReadDeadline(t) }
 
-// Release ends the use of a connection. It is kept if the answer was read to its
-// end and the peer keeps it too, and closed otherwise.
+// Release ends the use of a connection. The connection becomes idle if the response was read to its
+// end and the peer keeps the connection open too; otherwise it is closed.
 func (c *Conn) Release(readToEnd bool) {
 	if readToEnd && c.reusable() {
 		c.response = nil
@@ -354,7 +355,7 @@
 	})
 }
 
-// reusable reports whether the peer keeps the connection, and notes for how long.
+// reusable reports whether the peer keeps the connection open, and sets its idle timeout.
 func (c *Conn) reusable() bool {
 	if c.response == nil || c.response.Close || c.reader.Buffered() > 0 {
 		return false
@@ -370,7 +371,7 @@
 	return timeout > 0
 }
 
-// parseKeepAlive reads how long the peer keeps an idle connection.
+// parseKeepAlive returns the idle timeout from the peer's Keep-Alive header.
 func parseKeepAlive(h http.Header) (time.Duration, bool) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -384,7 +385,7 @@
 	return 0, false
 }
 
-// countingWriter counts what the network took.
+// countingWriter counts the bytes that were written to the connection.
 type countingWriter struct {
 	writer io.Writer
 	sent   int
--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -20,8 +20,8 @@
 
 const address = "10.0.1.1:80"
 
-// withEndpoint runs a body with a pool and an endpoint that answers every request
-// as a script tells.
+// withEndpoint calls body with a pool and an endpoint that answers every request according to
+// script.
 func withEndpoint(script standin.Script, body func(p *conn.Pool, e *standin.Endpoint)) {
 	suite.Paused(func() {
 		network := memnet.New()
@@ -40,7 +40,7 @@
 
 func accept(http.Header) bool { return true }
 
-// exchange sends a request and reads its answer.
+// exchange sends a request and returns the body of its response.
 func exchange(c *conn.Conn) (string, error) {
 	response, err := c.Send(&http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/"}, Host: "a.example", Header: http.Header{}}, accept)
 	if err != nil {
@@ -54,7 +54,7 @@
 var _ = Describe("a pool of connections", func() {
 	ctx := context.Background()
 
-	It("forgets the connections at rest to an address, and leaves those in use", func() {
+	It("closes the idle connections to an address, and leaves those in use", func() {
 		withEndpoint(standin.Reply{Status: 200, Body: "x"}, func(p *conn.Pool, e *standin.Endpoint) {
 			idle, err := p.Get(ctx, address, 2)
 			Expect(err).NotTo(HaveOccurred())
@@ -70,7 +70,7 @@
 			Expect(body).To(Equal("x"))
 			inUse.Release(true)
 			before := e.Connections()
-			for range 2 { // the one in use, and a new one in the place of the other
+			for range 2 { // the one that was in use, and a new one in place of the closed one
 				c, err := p.Get(ctx, address, 2)
 				Expect(err).NotTo(HaveOccurred())
 				_, err = exchange(c)
@@ -81,7 +81,7 @@
 		})
 	})
 
-	It("uses a connection again, until it has rested too long", func() {
+	It("reuses a connection until its idle timeout passes", func() {
 		withEndpoint(standin.Reply{Status: 200, Body: "x"}, func(p *conn.Pool, e *standin.Endpoint) {
 			for _, idleFor := range []time.Duration{0, time.Second, 10 * time.Second} {
 				time.Sleep(idleFor)
@@ -94,7 +94,7 @@
 		})
 	})
 
-	It("uses none again that rested too long while the machine was suspended", func() {
+	It("reuses no connection whose idle timeout passed while the machine was suspended", func() {
 		withEndpoint(standin.Reply{Status: 200, Body: "x"}, func(p *conn.Pool, e *standin.Endpoint) {
 			for _, suspended := range []time.Duration{0, time.Second, 10 * time.Second} {
 				clock.Suspend(suspended)
@@ -107,7 +107,7 @@
 		})
 	})
 
-	It("opens no more than the limit", func() {
+	It("opens no more connections than the limit", func() {
 		withEndpoint(standin.Reply{Status: 200, Body: "x"}, func(p *conn.Pool, _ *standin.Endpoint) {
 			c, err := p.Get(ctx, address, 1)
 			Expect(err).NotTo(HaveOccurred())
@@ -120,14 +120,14 @@
 		})
 	})
 
-	It("says that nothing was sent where nobody listens", func() {
+	It("returns ErrNotSent if nothing listens at the address", func() {
 		withEndpoint(standin.Reset{}, func(p *conn.Pool, _ *standin.Endpoint) {
 			_, err := p.Get(ctx, "10.0.1.2:80", 1)
 			Expect(err).To(MatchError(conn.ErrNotSent))
 		})
 	})
 
-	It("does not say so once a request has left", func() {
+	It("does not return ErrNotSent once a request was sent", func() {
 		withEndpoint(standin.Reset{}, func(p *conn.Pool, e *standin.Endpoint) {
 			c, err := p.Get(ctx, address, 1)
 			Expect(err).NotTo(HaveOccurred())
@@ -139,7 +139,7 @@
 		})
 	})
 
-	It("ends a wait that is interrupted", func() {
+	It("stops waiting for a response when interrupted", func() {
 		withEndpoint(standin.Mute{}, func(p *conn.Pool, _ *standin.Endpoint) {
 			c, err := p.Get(ctx, address, 1)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/conn/reach.go
+++ b/internal/conn/reach.go
@@ -13,13 +13,13 @@
 	"quaybarrow/internal/clock"
 )
 
-// Probe opens a new connection to an address, whatever is at rest, and reports whether the
-// peer still has it open after a while; the error is that of the dial. The connection is kept
-// at rest for the next request.
+// Probe opens a new connection to an address, even if there are idle ones, and reports whether the
+// peer still keeps it open after the given duration. The error is that of the dial. An open
+// connection is kept idle for the next request.
 func (p *Pool) Probe(ctx context.Context, address string, wait time.Duration) (open bool, err error) {
 	raw, err := p.options.Dial(ctx, address)
 	if err != nil {
-		return false, fmt.Errorf("reach %s: %w", address, err)
+		return false, fmt.Errorf("probe %s: %w", address, err)
 	}
 	c := &Conn{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBuffer), idleUntil: clock.Now().Add(defaultIdleTimeout)}
 	p.count(address)
@@ -32,7 +32,7 @@
 	return true, nil
 }
 
-// count takes in a connection that was made without a request for it.
+// count counts a connection that was opened without a call of takeIdle.
 func (p *Pool) count(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,8 +44,8 @@
 	conns.open++
 }
 
-// IsDisconnect reports whether an error of an exchange is its connection's: the peer closed or reset
-// it. Time that runs out and answers that are no good are others.
+// IsDisconnect reports whether an exchange failed because the peer closed or reset the connection.
+// Timeouts and invalid responses are not disconnects.
 func IsDisconnect(err error) bool {
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, cause) {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	t := quarantine.NewTracker(quarantine.Options{Host: "front-1", Probe: pool.Reach, Tables: tables, ...})
+//	t := quarantine.NewTracker(quarantine.Options{Host: "front-1", Probe: pool.Probe, Tables: tables, ...})
 //	go t.Run(ctx)
 //	quarantine.Register(server, t.HandleUpdate)
 //
