--- a/internal/route/holder.go
+++ b/internal/route/holder.go
@@ -7,13 +7,13 @@
 	"quaybarrow/internal/clock"
 )
 
-// tableState is a table and when the host last knew it to be the newest.
+// tableState is a table and the time at which it was last known to be the newest.
 type tableState struct {
 	table     *Table
 	confirmed clock.Instant
 }
 
-// Holder keeps the newest table of a host; safe for use at once.
+// Holder holds the newest table of a host. It is safe for concurrent use.
 type Holder struct {
 	current atomic.Pointer[tableState]
 	loaded  chan struct{}
@@ -33,8 +33,7 @@
 	return nil
 }
 
-// Apply brings a table into force unless one as new or newer is; it reports
-// whether it did.
+// Apply replaces the table in force if t has a higher version, and reports whether it did.
 func (h *Holder) Apply(t *Table) bool {
 	for {
 		old := h.current.Load()
@@ -50,7 +49,7 @@
 	}
 }
 
-// Confirm notes that the table in force was the newest a moment ago.
+// Confirm records that the table in force is known to be the newest at this time.
 func (h *Holder) Confirm() {
 	old := h.current.Load()
 	if old == nil {
@@ -59,8 +58,7 @@
 	h.current.CompareAndSwap(old, &tableState{table: old.table, confirmed: clock.Now()})
 }
 
-// Age is how long ago the table was last known to be the newest; false if there
-// is none.
+// Age returns the time since the table was last known to be the newest; false if there is no table.
 func (h *Holder) Age() (time.Duration, bool) {
 	current := h.current.Load()
 	if current == nil {
--- a/internal/route/regions.go
+++ b/internal/route/regions.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Regions are those whose endpoints may run a request; nil for all, and empty for none.
+// Regions lists the regions whose endpoints may run a request; nil means all, and empty means none.
 type Regions []string
 
-// RegionsFor joins what a route and a workspace allow: where both name regions, both
-// bind.
+// RegionsFor returns the regions that both a route and a workspace allow. One that names no regions
+// allows all.
 func RegionsFor(r Route, w Workspace) Regions {
 	switch {
 	case len(r.Regions) == 0 && len(w.Regions) == 0:
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,6 +1,5 @@
-// Package route holds what operators declare about routed requests: routes by
-// host name and path, the workspaces that may use them, the services behind
-// them and the bounds on callers.
+// Package route holds the operators' configuration of routed requests: the routes by host name and
+// path, the workspaces that may use them, the services behind them, and the limits on callers.
 //
 // # Usage
 //
@@ -8,8 +7,8 @@
 //	r, ok := table.Match("api.example", "/orders/17")
 //	workspace, ok := table.Workspace(key)
 //
-// A Table is immutable; a host keeps the newest in a Holder, which only ever
-// moves to a higher version. Nothing here reads the network.
+// A Table is immutable. A host keeps the newest one in a Holder, which only accepts higher
+// versions. This package does no network I/O.
 package route
 
 import (
@@ -23,14 +22,14 @@
 	"quaybarrow/internal/capacity"
 )
 
-// Kind says how often a request may run.
+// Kind states how often a request may run and whether its response is a stream.
 type Kind int
 
 // Kinds of requests.
 const (
-	KindOnce       Kind = iota // runs at most once
+	KindOnce       Kind = iota // may run at most once
 	KindRepeatable             // may run more than once
-	KindStream                 // answers with a stream of events
+	KindStream                 // has a stream of events as its response
 )
 
 // String names the kind for logs.
@@ -45,27 +44,27 @@
 	}
 }
 
-// Target is a service that a route's requests go to, with a weight among them.
+// Target is a service to which a route sends requests, with its weight among the route's targets.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route is where requests of a host name and a path go, and how.
+// Route defines how requests for a host name and a path prefix are handled.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
-	Timeout     time.Duration // longest that a request is held
-	Objective   time.Duration // answers within it are worth most
-	MaxEventGap time.Duration // longest pause between events that is in time
-	Attempts    int           // most endpoints that one request is sent to
-	Priority    int           // 0 is most urgent
-	Public      bool          // needs no key
-	Resumable   bool          // a stream may go on at another endpoint
-	Models      []string      // smallest first; empty where the request names its model
-	Regions     []string      // whose endpoints may run its requests; empty for all
+	Timeout     time.Duration // longest time that a request may take
+	Objective   time.Duration // responses within it have the highest value
+	MaxEventGap time.Duration // longest time between events that counts as on time
+	Attempts    int           // maximum number of endpoints to which one request is sent
+	Priority    int           // 0 is the most urgent
+	Public      bool          // requires no API key
+	Resumable   bool          // a stream may be continued at another endpoint
+	Models      []string      // smallest first; empty if the request names its model
+	Regions     []string      // regions whose endpoints may run its requests; empty means all
 	Targets     []Target
 	TotalWeight int // sum of the targets' weights
 }
@@ -75,7 +74,7 @@
 	return r.Kind == KindRepeatable || (r.Kind == KindStream && r.Resumable)
 }
 
-// Target picks the service for a point between 0 and 1.
+// Target selects a service by weight, for a point from 0 up to 1.
 func (r Route) Target(point float64) string {
 	remaining := point * float64(r.TotalWeight)
 	for _, t := range r.Targets {
@@ -93,31 +92,31 @@
 // Model is a model that a service's endpoints run.
 type Model struct {
 	Name string
-	Cost float64 // for 1,000 tokens made; read ones count a quarter
+	Cost float64 // per 1,000 generated tokens; prompt tokens count a quarter
 }
 
-// Service is a group of endpoints that do the same.
+// Service is a group of interchangeable endpoints.
 type Service struct {
 	Name         string
-	MaxConns     int // connections an endpoint takes, from all hosts together
-	Slots        int // requests an engine runs at once; 0 if not an engine
-	CacheTokens  int // tokens an engine's memory holds
+	MaxConns     int // connections that an endpoint accepts from all hosts together
+	Slots        int // requests that an engine runs at the same time; 0 if it is not an engine
+	CacheTokens  int // tokens that an engine's cache holds
 	Models       []Model
-	ColdDuration time.Duration // after its start an endpoint is cold so long
-	ColdRate     float64       // requests a second that a cold endpoint bears; 0 where it bears as many as others
-	// Scaling is how many endpoints may be ordered; zero where none are.
+	ColdDuration time.Duration // time after its start during which an endpoint is cold
+	ColdRate     float64       // requests per second that a cold endpoint can handle; 0 if as many as a warm one
+	// Scaling bounds how many endpoints may be ordered; zero if none may be.
 	Scaling capacity.Scaling
 }
 
-// Workspace is who calls.
+// Workspace is a group of callers, identified by its API keys.
 type Workspace struct {
 	Name     string
-	Priority int // takes precedence over the route's; -1 if it has none
+	Priority int // takes precedence over the route's priority; -1 if not set
 	Keys     []string
-	Regions  []string // whose endpoints may run its requests; empty for all
+	Regions  []string // regions whose endpoints may run its requests; empty means all
 }
 
-// Limits bound what callers may send and how long they may idle.
+// Limits bound the size of requests and the time that callers may take to send them or stay idle.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -125,7 +124,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Declaration is a whole configuration of routed requests.
+// Declaration is a complete configuration of routed requests.
 type Declaration struct {
 	Version    int64
 	Routes     []Route
@@ -134,7 +133,7 @@
 	Limits     Limits
 }
 
-// Table is a declaration made ready for look-ups.
+// Table is a declaration indexed for lookups.
 type Table struct {
 	version    int64
 	byHost     map[string][]Route // longest prefix first
@@ -144,7 +143,7 @@
 	limits     Limits
 }
 
-// NewTable makes a declaration ready for look-ups.
+// NewTable indexes a declaration for lookups.
 func NewTable(d Declaration) *Table {
 	t := &Table{
 		version: d.Version, limits: d.Limits, workspaces: len(d.Workspaces),
@@ -175,10 +174,10 @@
 // Version returns the declaration's version.
 func (t *Table) Version() int64 { return t.version }
 
-// Limits returns the bounds on callers.
+// Limits returns the limits on callers.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Match finds the route with the longest prefix of the path.
+// Match returns the host's route with the longest prefix of the path.
 func (t *Table) Match(host, path string) (Route, bool) {
 	for _, r := range t.byHost[canonicalHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -191,24 +190,24 @@
 // KeysRequired reports whether requests on routes that aren't public need a key.
 func (t *Table) KeysRequired() bool { return t.workspaces > 0 }
 
-// Workspace finds whom a key belongs to.
+// Workspace returns the workspace to which a key belongs.
 func (t *Table) Workspace(key string) (Workspace, bool) {
 	w, ok := t.byKey[key]
 	return w, ok
 }
 
-// Services lists all services, by name.
+// Services returns all services, sorted by name.
 func (t *Table) Services() []Service {
 	return slices.SortedFunc(maps.Values(t.services), func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Service finds a service by name.
+// Service returns the service with a name.
 func (t *Table) Service(name string) (Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// canonicalHost drops a port and the case of a host name.
+// canonicalHost removes the port from a host name and converts it to lower case.
 func canonicalHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -24,16 +24,16 @@
 	Workspaces: []route.Workspace{{Name: "w", Keys: []string{"k1", "k2"}}},
 })
 
-// matches are paths and the routes that they go by.
+// matches maps test names to requests and the routes that they match.
 var matches = map[string]struct {
 	host, path, route string
 }{
-	"the longest prefix wins":       {"a.example", "/x/y/z", "long"},
-	"a shorter one where it ends":   {"a.example", "/x/yy", "short"},
-	"a port does not matter":        {"a.example:8080", "/x/1", "short"},
-	"case of hosts does not matter": {"A.EXAMPLE", "/q", "all"},
-	"another host has no route":     {"c.example", "/x/", ""},
-	"a prefix is not a part of one": {"a.example", "/x", "all"},
+	"the longest prefix wins":                           {"a.example", "/x/y/z", "long"},
+	"a shorter prefix if the longer one does not match": {"a.example", "/x/yy", "short"},
+	"a port does not matter":                            {"a.example:8080", "/x/1", "short"},
+	"case of hosts does not matter":                     {"A.EXAMPLE", "/q", "all"},
+	"another host has no route":                         {"c.example", "/x/", ""},
+	"part of a prefix is not a match":                   {"a.example", "/x", "all"},
 }
 
 var _ = Describe("a table of routes", func() {
@@ -45,7 +45,7 @@
 		})
 	}
 
-	It("splits by weight", func() {
+	It("selects targets by weight", func() {
 		r, _ := table.Match("b.example", "/")
 		Expect(r.Target(0)).To(Equal("p"))
 		Expect(r.Target(0.899)).To(Equal("p"))
@@ -53,7 +53,7 @@
 		Expect(r.Target(0.9999)).To(Equal("q"))
 	})
 
-	It("knows whose a key is", func() {
+	It("finds the workspace of a key", func() {
 		w, ok := table.Workspace("k2")
 		Expect(ok).To(BeTrue())
 		Expect(w.Name).To(Equal("w"))
@@ -63,22 +63,22 @@
 })
 
 var _ = Describe("the holder", func() {
-	It("never goes back to an older version", func() {
+	It("never returns to an older version", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			h, highest := route.NewHolder(), int64(0)
 			for _, v := range rapid.SliceOf(rapid.Int64Range(1, 50)).Draw(t, "versions") {
 				if h.Apply(route.NewTable(route.Declaration{Version: v})) != (v > highest) {
-					t.Fatalf("version %d over %d", v, highest)
+					t.Fatalf("Apply of version %d after version %d has the wrong result", v, highest)
 				}
 				highest = max(highest, v)
 				if h.Table().Version() != highest {
-					t.Fatalf("in force is %d, not %d", h.Table().Version(), highest)
+					t.Fatalf("version in force is %d, not %d", h.Table().Version(), highest)
 				}
 			}
 		})
 	})
 
-	It("tells the age of what it knows", func() {
+	It("returns the time since its table was last confirmed", func() {
 		suite.Paused(func() {
 			h := route.NewHolder()
 			_, ok := h.Age()
@@ -93,7 +93,7 @@
 			Expect(age).To(BeZero())
 			clock.Suspend(5 * time.Second)
 			age, _ = h.Age()
-			Expect(age).To(Equal(5*time.Second), "what others changed while the machine was suspended is not known")
+			Expect(age).To(Equal(5*time.Second), "changes made while the machine was suspended are not known")
 		})
 	})
 })
