--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,5 +1,5 @@
-// Package load sends a described load to any address that speaks the API, with
-// arrivals that do not wait for answers, and measures latencies.
+// Package load is an open-loop load generator for any address that serves the API: it sends requests
+// at a given rate without waiting for earlier responses, and measures latencies.
 //
 // # Usage
 //
@@ -31,17 +31,17 @@
 	"quaybarrow/internal/yamlfile"
 )
 
-// Description is a load, as read from YAML.
+// Description describes a load, as read from YAML.
 type Description struct {
 	// URL is the API's base, such as http://10.0.0.1:7100/v1.
 	URL string `yaml:"url"`
-	// Rate is requests per second, over all callers.
+	// Rate is the number of requests per second of all callers together.
 	Rate float64 `yaml:"rate"`
-	// Seconds is how long to send.
+	// Seconds is the time during which requests are sent.
 	Seconds float64 `yaml:"seconds"`
 	// Burst multiplies the rate for the middle third; 0 means no burst.
 	Burst float64 `yaml:"burst"`
-	// Callers are who sends; each request is one of them by share.
+	// Callers are the kinds of callers; each request is sent as one of them, drawn by share.
 	Callers []Caller `yaml:"callers"`
 }
 
@@ -51,19 +51,19 @@
 	Key string `yaml:"key"`
 	// Model is a model, a version or a task class.
 	Model string `yaml:"model"`
-	// Share is the part of the requests; shares need not add up to 1.
+	// Share is this caller's relative share of the requests; shares need not add up to 1.
 	Share float64 `yaml:"share"`
-	// Stream asks for streamed answers.
+	// Stream requests streamed responses.
 	Stream bool `yaml:"stream"`
 	// Prompt is the mean length of a prompt in words.
 	Prompt int `yaml:"prompt"`
-	// Answer is the largest length of an answer in tokens.
+	// Answer is the maximum length of a response in tokens.
 	Answer int `yaml:"answer"`
-	// Turns is how many requests a session has; 0 means no sessions.
+	// Turns is the mean number of requests in a session; 0 means no sessions.
 	Turns int `yaml:"turns"`
 }
 
-// Read reads and checks a description.
+// Read reads and validates a description.
 func Read(name string) (Description, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -95,18 +95,18 @@
 	return d, nil
 }
 
-// Bounds of the histograms, in microseconds.
+// Range of the histograms, in microseconds, and their precision.
 const (
 	minMicros         = 1
 	maxMicros         = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 )
 
-// Report is what a load met.
+// Report is the result of a load.
 type Report struct {
 	Sent     int          `json:"sent"`
 	Answered int          `json:"answered"`
-	Refused  int          `json:"refused"` // told not run
+	Refused  int          `json:"refused"` // responses that say that the request was not run
 	Failed   int          `json:"failed"`
 	Seconds  float64      `json:"seconds"`
 	First    []Quantile   `json:"first_ms"`   // to the first token
@@ -127,10 +127,10 @@
 	Count int    `json:"count"`
 }
 
-// quantiles shown.
+// quantiles are the percentiles in a report.
 var quantiles = []float64{50, 90, 95, 99, 99.9}
 
-// runner is a load under way.
+// runner is the state of a running load.
 type runner struct {
 	description Description
 	client      *http.Client
@@ -139,14 +139,14 @@
 	report                Report
 	first, between, total *hdrhistogram.Histogram
 	errors                map[string]int
-	sessionTokens         map[int][]string // session tokens at hand, by caller
+	sessionTokens         map[int][]string // unused session tokens, by index of caller
 }
 
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
 }
 
-// Run sends the load and returns the report when every answer has come.
+// Run sends the load and returns the report when all requests have ended.
 func Run(ctx context.Context, d Description, transport http.RoundTripper) (Report, error) {
 	r := &runner{
 		description: d, client: &http.Client{Transport: transport},
@@ -169,7 +169,7 @@
 	return time.Duration(r.description.Seconds * float64(time.Second))
 }
 
-// nextGap draws the time to the next arrival.
+// nextGap draws the time until the next request, exponentially distributed.
 func (r *runner) nextGap(elapsed time.Duration) time.Duration {
 	rate := r.description.Rate
 	third := r.duration() / 3
@@ -179,7 +179,7 @@
 	return time.Duration(-math.Log(1-rand.Float64()) / rate * float64(time.Second))
 }
 
-// pickCaller draws a caller by share.
+// pickCaller draws the index of a caller, by share.
 func (r *runner) pickCaller() int {
 	sum := 0.0
 	for _, c := range r.description.Callers {
@@ -195,7 +195,7 @@
 	return len(r.description.Callers) - 1
 }
 
-// sendRequest sends one sendRequest and takes in its answer.
+// sendRequest sends one request and records its result.
 func (r *runner) sendRequest(ctx context.Context) {
 	index := r.pickCaller()
 	c := r.description.Callers[index]
@@ -233,13 +233,13 @@
 	r.keepSessionToken(index, c, response.Header.Get(entry.HeaderSessionToken))
 }
 
-// randomPrompt makes a text of about so many words.
+// randomPrompt returns a text whose length varies around the given number of words.
 func randomPrompt(words int) string {
 	count := max(1, int(float64(words)*(0.5+rand.Float64())))
 	return strings.TrimSpace(strings.Repeat("word ", count))
 }
 
-// setSessionHeader goes on with a setSessionHeader, or opens one.
+// setSessionHeader continues one of the caller's sessions, or starts one.
 func (r *runner) setSessionHeader(h http.Header, index int, c Caller) {
 	if c.Turns == 0 {
 		return
@@ -255,7 +255,8 @@
 	r.sessionTokens[index] = tokens[1:]
 }
 
-// keepSessionToken gives a session's token to a later request, until its turns are over.
+// keepSessionToken keeps a session's token for a later request. It ends the session with a
+// probability of 1/Turns, so sessions have Turns requests on average.
 func (r *runner) keepSessionToken(index int, c Caller, token string) {
 	if c.Turns == 0 || token == "" || rand.IntN(c.Turns) == 0 {
 		return
@@ -265,10 +266,10 @@
 	r.sessionTokens[index] = append(r.sessionTokens[index], token)
 }
 
-// errTruncated means that a stream ended without its end mark.
-var errTruncated = errors.New("answer was cut")
+// errTruncated means that a response broke off or a stream ended without its end marker.
+var errTruncated = errors.New("response ended early")
 
-// recordResponse takes in an recordResponse.
+// recordResponse reads a response and records its latencies.
 func (r *runner) recordResponse(body io.Reader, sent time.Time, stream bool) error {
 	var first, last time.Time
 	var gaps []time.Duration
@@ -347,7 +348,7 @@
 	return values
 }
 
-// Text lays the report out for people.
+// Text formats the report as text.
 func (r Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d requests in %.1f s: %d answered, %d refused as not run, %d failed\n\n", r.Sent, r.Seconds, r.Answered, r.Refused, r.Failed)
