--- a/internal/chat/chat.go
+++ b/internal/chat/chat.go
@@ -1,13 +1,13 @@
-// Package chat holds the wire types of the OpenAI chat completions API, as
-// callers send them and engines answer them.
+// Package chat holds the wire types of the OpenAI chat completions API, for the requests of callers
+// and the responses of engines.
 //
 // # Usage
 //
 //	var request chat.Request
 //	err := json.Unmarshal(body, &request)
 //
-// Only the fields that the router reads are typed. The rest of a caller's body
-// is passed on unread: see Request.WithModel.
+// Only the fields that the router reads are typed. The rest of a caller's body is forwarded
+// unparsed: see Request.WithModel.
 package chat
 
 import (
@@ -18,17 +18,17 @@
 // Headers between the router and engines or services.
 const (
 	HeaderRequestID = "X-Request-Id" // echoed by endpoints
-	HeaderAttempt   = "X-Attempt-Id" // one dispatch of a request; echoed
+	HeaderAttempt   = "X-Attempt-Id" // identifies one attempt of a request; echoed
 	HeaderPriority  = "X-Priority"
-	HeaderRun       = "X-Run" // an endpoint's refusal says not_run
+	HeaderRun       = "X-Run" // not_run if the endpoint refused the request
 	// HeaderConfidence is an engine's confidence in its answer, 0 to 1.
 	HeaderConfidence = "X-Answer-Confidence"
-	// HeaderResumable asks an engine to go on when the connection breaks, so
-	// that the stream can be resumed.
+	// HeaderResumable asks an engine to continue generating after the connection breaks, so that the
+	// stream can be resumed.
 	HeaderResumable = "X-Resumable"
 )
 
-// NotRun is what an endpoint says of a request that it refused before any work.
+// NotRun is the value of HeaderRun for a request that the endpoint refused before any work.
 const NotRun = "not_run"
 
 // Message is one turn of a conversation. Content may be text or parts.
@@ -47,7 +47,7 @@
 	raw map[string]json.RawMessage
 }
 
-// ParseRequest reads a caller's body.
+// ParseRequest parses a caller's request body.
 func ParseRequest(body []byte) (Request, error) {
 	var r Request
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -59,8 +59,8 @@
 	return r, nil
 }
 
-// WithModel encodes the request for an engine, with the version in place of
-// the caller's model and everything unread kept.
+// WithModel encodes the request for an engine, with the given version in place of the caller's
+// model. Fields that the router does not read are kept. Streams always request usage.
 func (r Request) WithModel(model string) ([]byte, error) {
 	fields := make(map[string]json.RawMessage, len(r.raw)+2)
 	for k, v := range r.raw {
@@ -84,7 +84,7 @@
 	return body, nil
 }
 
-// WantsUsage reports whether the caller asked for usage in its stream.
+// WantsUsage reports whether the caller requested usage in its stream.
 func (r Request) WantsUsage() bool {
 	var options struct {
 		IncludeUsage bool `json:"include_usage"`
@@ -95,14 +95,14 @@
 	return options.IncludeUsage
 }
 
-// Usage counts tokens of one answer.
+// Usage is the token usage of one completion.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Choice is one answer, whole (Message) or a piece of it (Delta).
+// Choice is one generated choice, either whole (Message) or a part of it (Delta).
 type Choice struct {
 	Index        int      `json:"index"`
 	Message      *Message `json:"message,omitempty"`
@@ -110,7 +110,7 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Completion is a whole answer or one chunk of a stream.
+// Completion is a whole completion or one chunk of a stream.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -120,7 +120,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Objects of a Completion.
+// Values of Completion.Object.
 const (
 	ObjectCompletion = "chat.completion"
 	ObjectChunk      = "chat.completion.chunk"
@@ -129,7 +129,7 @@
 // Done is the data of the event that ends a stream.
 const Done = "[DONE]"
 
-// Text makes a content of plain text.
+// Text encodes plain text as a message's content.
 func Text(s string) json.RawMessage {
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return data
 }
 
-// ModelEntry is one line of the models list.
+// ModelEntry is one model in a ModelList.
 type ModelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -146,7 +146,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// ModelList answers GET /v1/models.
+// ModelList is the response to GET /v1/models.
 type ModelList struct {
 	Object string       `json:"object"`
 	Data   []ModelEntry `json:"data"`
--- a/internal/chat/chat_test.go
+++ b/internal/chat/chat_test.go
@@ -22,7 +22,7 @@
 		_ = request.WantsUsage()
 		body, err := request.WithModel("m@1")
 		if err != nil || !json.Valid(body) {
-			t.Errorf("request can't be sent on: %q, %v", body, err)
+			t.Errorf("WithModel returns an error or invalid JSON: %q, %v", body, err)
 		}
 	})
 }
