--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -1,12 +1,12 @@
-// Package problem holds the errors that callers see. Each says whether the
-// request ran.
+// Package problem defines the errors that are returned to callers. Each states whether the request
+// ran.
 //
 // # Usage
 //
 //	return problem.New(http.StatusServiceUnavailable, problem.CodeNoCapacity, problem.NotRun,
 //		"no endpoint is free").WithRetryAfter(time.Second)
 //
-// NotRun is only said when it is certain.
+// NotRun is only used when it is certain that the request did not run.
 package problem
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/pkg/errors"
 )
 
-// Run says whether a request ran.
+// Run states whether a request ran.
 type Run string
 
 // Whether a request ran.
@@ -30,7 +30,7 @@
 	Ran     Run = "ran"
 )
 
-// Code names a kind of problem, for programs.
+// Code is the machine-readable kind of a problem.
 type Code string
 
 // Codes.
@@ -62,17 +62,17 @@
 	CodeInternal       Code = "internal"
 )
 
-// Problem is an error for a caller.
+// Problem is an error that is returned to a caller.
 type Problem struct {
 	Status     int // HTTP status
 	Code       Code
 	Run        Run
 	Reason     string
-	RetryAfter time.Duration // 0 when asking again does not help
+	RetryAfter time.Duration // 0 if retrying does not help
 	cause      error
 }
 
-// New makes a problem.
+// New returns a problem without a cause and without RetryAfter.
 func New(status int, code Code, run Run, reason string) *Problem {
 	return &Problem{Status: status, Code: code, Run: run, Reason: reason}
 }
@@ -85,32 +85,31 @@
 	return fmt.Sprintf("%s (%s): %s: %s", p.Code, p.Run, p.Reason, p.cause)
 }
 
-// Unwrap returns the error behind the problem.
+// Unwrap returns the cause of the problem, or nil.
 func (p *Problem) Unwrap() error { return p.cause }
 
-// WithCause returns the problem with the error behind it, for logs only.
+// WithCause returns a copy of the problem with a cause, which only appears in logs.
 func (p *Problem) WithCause(err error) *Problem {
 	next := *p
 	next.cause = err
 	return &next
 }
 
-// WithRetryAfter returns the problem with when to come back.
+// WithRetryAfter returns a copy of the problem with the time after which the caller may retry.
 func (p *Problem) WithRetryAfter(d time.Duration) *Problem {
 	next := *p
 	next.RetryAfter = d
 	return &next
 }
 
-// WithRun returns the problem with another word on whether the request ran.
+// WithRun returns a copy of the problem with another value of Run.
 func (p *Problem) WithRun(run Run) *Problem {
 	next := *p
 	next.Run = run
 	return &next
 }
 
-// Of returns the problem in an error's chain, or an internal one that claims
-// nothing.
+// Of returns the problem in an error's chain, or else an internal error with Run Unknown.
 func Of(err error) *Problem {
 	var p *Problem
 	if errors.As(err, &p) {
@@ -119,7 +118,7 @@
 	return New(http.StatusInternalServerError, CodeInternal, Unknown, "internal error").WithCause(err)
 }
 
-// Body is a problem on the wire, shaped like OpenAI's errors.
+// Body is the JSON body of a problem, in the format of OpenAI's errors.
 type Body struct {
 	Error BodyError `json:"error"`
 	Run   Run       `json:"run"`
@@ -133,7 +132,7 @@
 	Run     Run    `json:"run"`
 }
 
-// Body returns the problem's body.
+// Body returns the problem's response body.
 func (p *Problem) Body() Body {
 	kind := "server_error"
 	if p.Status < http.StatusInternalServerError {
@@ -151,7 +150,7 @@
 	return data
 }
 
-// Write answers a request with the problem.
+// Write writes the problem as the response to a request.
 func (p *Problem) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
