--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,13 +1,12 @@
-// Package batch joins calls that come at the same time into one.
+// Package batch combines concurrent calls into one.
 //
 // # Usage
 //
 //	b := batch.New(100, func(ctx context.Context, items []Item) error { ... })
 //	err := b.Do(ctx, item)
 //
-// While one send is under way, later items wait and go together with the next.
-// An idle batcher sends at once, so batching costs no latency when there is no
-// load.
+// While one send is in progress, later items are queued and sent together afterwards. An idle
+// batcher sends immediately, so batching adds no latency when there is no load.
 package batch
 
 import (
@@ -19,7 +18,7 @@
 // sendTimeout bounds one send.
 const sendTimeout = 3 * time.Second
 
-// Batcher joins items of one kind.
+// Batcher sends items of one type in batches.
 type Batcher[T any] struct {
 	limit int
 	send  func(context.Context, []T) error
@@ -29,19 +28,19 @@
 	sending bool
 }
 
-// pendingItem is an item with the channel that takes its result.
+// pendingItem is an item and the channel that receives its result.
 type pendingItem[T any] struct {
 	item T
 	done chan error
 }
 
-// New returns a batcher that sends up to limit items at once.
+// New returns a batcher that sends up to limit items per batch.
 func New[T any](limit int, send func(context.Context, []T) error) *Batcher[T] {
 	return &Batcher[T]{limit: limit, send: send}
 }
 
-// Do sends an item, perhaps with others, and returns the send's error. When ctx
-// ends first the item may still be sent.
+// Do sends an item, possibly together with others, and returns the error of the send. If ctx ends
+// first, the item may still be sent.
 func (b *Batcher[T]) Do(ctx context.Context, item T) error {
 	c := pendingItem[T]{item: item, done: make(chan error, 1)}
 	b.mu.Lock()
@@ -59,7 +58,7 @@
 	}
 }
 
-// sendQueued sends until the queue is empty.
+// sendQueued sends batches until the queue is empty.
 func (b *Batcher[T]) sendQueued() {
 	for {
 		calls := b.dequeue()
@@ -79,7 +78,7 @@
 	}
 }
 
-// dequeue removes the next calls; none makes the batcher idle.
+// dequeue removes the next batch from the queue. If the queue is empty, the batcher becomes idle.
 func (b *Batcher[T]) dequeue() []pendingItem[T] {
 	b.mu.Lock()
 	defer b.mu.Unlock()
