--- a/internal/cli/measure.go
+++ b/internal/cli/measure.go
@@ -153,7 +153,7 @@
 	for _, l := range []struct {
 		name   string
 		values []load.Quantile
-	}{{"first token", r.First}, {"between tokens", r.Between}, {"whole answer", r.Total}} {
+	}{{"first token", r.FirstToken}, {"between tokens", r.BetweenTokens}, {"whole answer", r.Total}} {
 		line := plotfile.Line{Name: l.name}
 		for _, v := range l.values {
 			line.Points = append(line.Points, plotfile.Point{X: v.Quantile, Y: v.Value})
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -55,10 +55,10 @@
 	Share float64 `yaml:"share"`
 	// Stream requests streamed responses.
 	Stream bool `yaml:"stream"`
-	// Prompt is the mean length of a prompt in words.
-	Prompt int `yaml:"prompt"`
-	// Answer is the maximum length of a response in tokens.
-	Answer int `yaml:"answer"`
+	// PromptWords is the mean length of a prompt in words.
+	PromptWords int `yaml:"prompt"`
+	// MaxTokens is the maximum length of a response in tokens.
+	MaxTokens int `yaml:"answer"`
 	// Turns is the mean number of requests in a session; 0 means no sessions.
 	Turns int `yaml:"turns"`
 }
@@ -104,15 +104,15 @@
 
 // Report is the result of a load.
 type Report struct {
-	Sent     int          `json:"sent"`
-	Answered int          `json:"answered"`
-	Refused  int          `json:"refused"` // responses that say that the request was not run
-	Failed   int          `json:"failed"`
-	Seconds  float64      `json:"seconds"`
-	First    []Quantile   `json:"first_ms"`   // to the first token
-	Between  []Quantile   `json:"between_ms"` // between two tokens
-	Total    []Quantile   `json:"total_ms"`
-	Errors   []ErrorCount `json:"errors,omitempty"`
+	Sent          int          `json:"sent"`
+	Answered      int          `json:"answered"`
+	Refused       int          `json:"refused"` // responses that say that the request was not run
+	Failed        int          `json:"failed"`
+	Seconds       float64      `json:"seconds"`
+	FirstToken    []Quantile   `json:"first_ms"`   // to the first token
+	BetweenTokens []Quantile   `json:"between_ms"` // between two tokens
+	Total         []Quantile   `json:"total_ms"`
+	Errors        []ErrorCount `json:"errors,omitempty"`
 }
 
 // Quantile is one quantile of a latency, in milliseconds.
@@ -135,11 +135,11 @@
 	description Description
 	client      *http.Client
 
-	mu                    sync.Mutex // guards all below
-	report                Report
-	first, between, total *hdrhistogram.Histogram
-	errors                map[string]int
-	sessionTokens         map[int][]string // unused session tokens, by index of caller
+	mu                               sync.Mutex // guards all below
+	report                           Report
+	firstToken, betweenTokens, total *hdrhistogram.Histogram
+	errors                           map[string]int
+	sessionTokens                    map[int][]string // unused session tokens, by index of caller
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -150,7 +150,7 @@
 func Run(ctx context.Context, d Description, transport http.RoundTripper) (Report, error) {
 	r := &runner{
 		description: d, client: &http.Client{Transport: transport},
-		first: newHistogram(), between: newHistogram(), total: newHistogram(),
+		firstToken: newHistogram(), betweenTokens: newHistogram(), total: newHistogram(),
 		errors: map[string]int{}, sessionTokens: map[int][]string{},
 	}
 	started := time.Now()
@@ -200,8 +200,8 @@
 	index := r.pickCaller()
 	c := r.description.Callers[index]
 	body, err := json.Marshal(chat.Request{
-		Model: c.Model, Stream: c.Stream, MaxTokens: c.Answer,
-		Messages: []chat.Message{{Role: "user", Content: chat.Text(randomPrompt(c.Prompt))}},
+		Model: c.Model, Stream: c.Stream, MaxTokens: c.MaxTokens,
+		Messages: []chat.Message{{Role: "user", Content: chat.Text(randomPrompt(c.PromptWords))}},
 	})
 	if err != nil {
 		r.recordError(err.Error(), false)
@@ -306,10 +306,10 @@
 	defer r.mu.Unlock()
 	r.report.Sent++
 	r.report.Answered++
-	_ = r.first.RecordValue(first.Sub(sent).Microseconds())
+	_ = r.firstToken.RecordValue(first.Sub(sent).Microseconds())
 	_ = r.total.RecordValue(last.Sub(sent).Microseconds())
 	for _, g := range gaps {
-		_ = r.between.RecordValue(max(g.Microseconds(), minMicros))
+		_ = r.betweenTokens.RecordValue(max(g.Microseconds(), minMicros))
 	}
 	return nil
 }
@@ -333,7 +333,7 @@
 
 func (r *runner) finalReport(elapsed time.Duration) Report {
 	r.report.Seconds = elapsed.Seconds()
-	r.report.First, r.report.Between, r.report.Total = quantilesOf(r.first), quantilesOf(r.between), quantilesOf(r.total)
+	r.report.FirstToken, r.report.BetweenTokens, r.report.Total = quantilesOf(r.firstToken), quantilesOf(r.betweenTokens), quantilesOf(r.total)
 	for text, count := range r.errors {
 		r.report.Errors = append(r.report.Errors, ErrorCount{text, count})
 	}
@@ -359,7 +359,7 @@
 	for _, line := range []struct {
 		name   string
 		values []Quantile
-	}{{"first token", r.First}, {"between tokens", r.Between}, {"whole answer", r.Total}} {
+	}{{"first token", r.FirstToken}, {"between tokens", r.BetweenTokens}, {"whole answer", r.Total}} {
 		fmt.Fprintf(&b, "\n%-17s", line.name)
 		for _, v := range line.values {
 			fmt.Fprintf(&b, "%11.2f", v.Value)
