--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -175,7 +175,7 @@
 	if p.options.OnOpen != nil {
 		p.options.OnOpen(address)
 	}
-	return &Conn{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &Conn{pool: p, address: address, netConn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
 // uncount removes a closed connection from the count of open ones.
@@ -250,10 +250,10 @@
 type Conn struct {
 	pool      *Pool
 	address   string
-	raw       net.Conn
+	netConn   net.Conn
 	reader    *bufio.Reader
 	idleUntil clock.Instant // when its idle timeout passes
-	close     sync.Once
+	closeOnce sync.Once
 	response  *http.Response
 }
 
@@ -263,7 +263,7 @@
 	if !clock.Now().Before(c.idleUntil) || c.reader.Buffered() > 0 {
 		return false
 	}
-	s, ok := c.raw.(syscall.Conn)
+	s, ok := c.netConn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -286,7 +286,7 @@
 
 // Send writes a request and reads the head of its response. It skips responses to earlier requests.
 func (c *Conn) Send(request *http.Request, accept Accept) (*http.Response, error) {
-	counter := &countingWriter{writer: c.raw}
+	counter := &countingWriter{writer: c.netConn}
 	buffered := bufio.NewWriterSize(counter, readBuffer)
 	err := request.Write(buffered)
 	if err == nil {
@@ -332,13 +332,13 @@
 }
 
 // Interrupt makes pending and later reads and writes fail, until the deadline is changed.
-func (c *Conn) Interrupt() { _ = c.raw.SetDeadline(time.Unix(1, 0)) }
+func (c *Conn) Interrupt() { _ = c.netConn.SetDeadline(time.Unix(1, 0)) }
 
 // SetDeadline sets the deadline of all later reads and writes; the zero time removes it.
-func (c *Conn) SetDeadline(t time.Time) { _ = c.raw.SetDeadline(t) }
+func (c *Conn) SetDeadline(t time.Time) { _ = c.netConn.SetDeadline(t) }
 
 // SetReadDeadline sets the deadline of later reads; the zero time removes it.
-func (c *Conn) SetReadDeadline(t time.Time) { _ = c.raw.SetReadDeadline(t) }
+func (c *Conn) SetReadDeadline(t time.Time) { _ = c.netConn.SetReadDeadline(t) }
 
 // Release ends the use of a connection. The connection becomes idle if the response was read to its
 // end and the peer keeps the connection open too; otherwise it is closed.
@@ -349,8 +349,8 @@
 		c.pool.putIdle(c)
 		return
 	}
-	c.close.Do(func() {
-		_ = c.raw.Close()
+	c.closeOnce.Do(func() {
+		_ = c.netConn.Close()
 		c.pool.uncount(c.address)
 	})
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -94,24 +94,24 @@
 }
 
 func newFixture() *fixture {
-	r := &fixture{service: service.New("payouts", 0)}
+	f := &fixture{service: service.New("payouts", 0)}
 	n := memnet.New()
-	r.server = &http.Server{Handler: r.service.Handler()}
+	f.server = &http.Server{Handler: f.service.Handler()}
 	listener := n.Listen(address)
-	go func() { _ = r.server.Serve(listener) }()
+	go func() { _ = f.server.Serve(listener) }()
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := n.Dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		b := &breakingConn{Conn: c, armed: r.limits.armed, writeLimit: r.limits.writeLimit, readLimit: r.limits.readLimit}
-		r.connections = append(r.connections, b)
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		b := &breakingConn{Conn: c, armed: f.limits.armed, writeLimit: f.limits.writeLimit, readLimit: f.limits.readLimit}
+		f.connections = append(f.connections, b)
 		return b, nil
 	}
-	r.transport = &http.Transport{DialContext: dial}
-	r.conns = conn.NewPool(conn.Options{
+	f.transport = &http.Transport{DialContext: dial}
+	f.conns = conn.NewPool(conn.Options{
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return dial(ctx, "tcp", address) },
 	})
 	hosts := []store.Host{
@@ -122,36 +122,36 @@
 	watch.Sync()
 	t, err := telemetry.New(context.Background(), telemetry.Options{Traces: 1})
 	Expect(err).NotTo(HaveOccurred())
-	r.dispatcher = dispatch.New(dispatch.Options{
-		Fleet: watch.Fleet(), Conns: r.conns, FirstTokenTimeout: time.Second, Telemetry: t,
-		Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: r.conns.Probe, CountEndpoints: watch.Fleet().Count, Logger: log.New(io.Discard)}),
+	f.dispatcher = dispatch.New(dispatch.Options{
+		Fleet: watch.Fleet(), Conns: f.conns, FirstTokenTimeout: time.Second, Telemetry: t,
+		Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: f.conns.Probe, CountEndpoints: watch.Fleet().Count, Logger: log.New(io.Discard)}),
 	})
-	return r
+	return f
 }
 
-func (r *fixture) close() {
-	r.transport.CloseIdleConnections()
-	r.conns.Close()
-	_ = r.server.Close()
+func (f *fixture) close() {
+	f.transport.CloseIdleConnections()
+	f.conns.Close()
+	_ = f.server.Close()
 }
 
 // breakAfter makes all connections, idle and new ones, break after the given numbers of bytes; -1
 // means never.
-func (r *fixture) breakAfter(written, read int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.limits = breakingConn{armed: true, writeLimit: written, readLimit: read}
-	for _, c := range r.connections {
+func (f *fixture) breakAfter(written, read int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.limits = breakingConn{armed: true, writeLimit: written, readLimit: read}
+	for _, c := range f.connections {
 		c.mu.Lock()
 		c.armed, c.writeLimit, c.readLimit = true, written, read
 		c.mu.Unlock()
 	}
 }
 
-func (r *fixture) call(repeatable bool, body string) error {
+func (f *fixture) call(repeatable bool, body string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	_, err := r.dispatcher.Call(ctx, dispatch.Call{
+	_, err := f.dispatcher.Call(ctx, dispatch.Call{
 		ID: "r1", Service: "payouts", Name: "pay", Method: http.MethodPost, Body: []byte(body),
 		Repeatable: repeatable, OnAttempt: func() {},
 		Fingerprint: quarantine.Identity{Target: "pay", Body: []byte(body)}.Fingerprint,
@@ -160,9 +160,9 @@
 }
 
 // runs counts the calls with a body that the service ran.
-func (r *fixture) runs(body string) int {
+func (f *fixture) runs(body string) int {
 	count := 0
-	for _, run := range r.service.Runs() {
+	for _, run := range f.service.Runs() {
 		if run.Body == body {
 			count++
 		}
@@ -178,17 +178,17 @@
 		suite.Paused(func() {
 			for after := range maxBytes {
 				for direction, limits := range map[string][2]int{"request": {after, -1}, "answer": {-1, after}} {
-					r := newFixture()
-					err := r.call(true, "warm") // leaves an idle connection in the pool
+					f := newFixture()
+					err := f.call(true, "warm") // leaves an idle connection in the pool
 					Expect(err).NotTo(HaveOccurred())
-					r.breakAfter(limits[0], limits[1])
-					err = r.call(false, "payout")
-					count := r.runs("payout")
+					f.breakAfter(limits[0], limits[1])
+					err = f.call(false, "payout")
+					count := f.runs("payout")
 					Expect(count).To(BeNumerically("<=", 1), "%s broken after %d bytes", direction, after)
 					if err != nil && problem.Of(err).Run == problem.NotRun {
 						Expect(count).To(BeZero(), "%s broken after %d bytes", direction, after)
 					}
-					r.close()
+					f.close()
 				}
 			}
 		})
@@ -196,13 +196,13 @@
 
 	It("is retried at another endpoint only while it certainly did not run", func() {
 		suite.Paused(func() {
-			r := newFixture()
-			defer r.close()
-			r.service.CutReplies(1)
-			err := r.call(false, "payout")
+			f := newFixture()
+			defer f.close()
+			f.service.CutReplies(1)
+			err := f.call(false, "payout")
 			Expect(problem.Of(err).Run).To(Equal(problem.Unknown))
-			Expect(r.runs("payout")).To(Equal(1))
-			Expect(r.service.Runs()).To(HaveLen(1))
+			Expect(f.runs("payout")).To(Equal(1))
+			Expect(f.service.Runs()).To(HaveLen(1))
 		})
 	})
 })
@@ -212,13 +212,13 @@
 var _ = Describe("the transport of net/http", func() {
 	It("resends a call on its own, so the dispatcher does not use it", func() {
 		suite.Paused(func() {
-			r := newFixture()
-			defer r.close()
+			f := newFixture()
+			defer f.close()
 			send := func() error {
 				request, err := http.NewRequest(http.MethodPost, "http://"+address+"/pay", http.NoBody)
 				Expect(err).NotTo(HaveOccurred())
 				request.Header.Set("Idempotency-Key", "k")
-				response, err := r.transport.RoundTrip(request)
+				response, err := f.transport.RoundTrip(request)
 				if err != nil {
 					return fmt.Errorf("send: %w", err)
 				}
@@ -226,9 +226,9 @@
 				return response.Body.Close()
 			}
 			Expect(send()).To(Succeed())
-			r.service.CutReplies(1)
+			f.service.CutReplies(1)
 			Expect(send()).To(Succeed())
-			Expect(r.service.Runs()).To(HaveLen(3), "net/http sent the second call twice")
+			Expect(f.service.Runs()).To(HaveLen(3), "net/http sent the second call twice")
 		})
 	})
 })
