--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -72,7 +72,7 @@
 		}
 		status := d.quarantineStatus(call.Fingerprint)
 		if status.Quarantined {
-			return Response{}, Quarantined(run)
+			return Response{}, QuarantinedProblem(run)
 		}
 		if !status.HostMayRetry(crashes) {
 			break
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -19,8 +19,8 @@
 	return d.options.Quarantine.Status(fingerprint())
 }
 
-// Quarantined returns the problem for a request that crashes endpoints.
-func Quarantined(run problem.Run) *problem.Problem {
+// QuarantinedProblem returns the problem for a request that crashes endpoints.
+func QuarantinedProblem(run problem.Run) *problem.Problem {
 	return problem.New(http.StatusUnprocessableEntity, problem.CodeQuarantined, run,
 		"endpoints crash under this request, so it is not sent to any; change it, or ask the operators to let it out")
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -119,7 +119,7 @@
 		}
 		status := d.quarantineStatus(request.Fingerprint)
 		if status.Quarantined {
-			return nil, Quarantined(run)
+			return nil, QuarantinedProblem(run)
 		}
 		if !status.HostMayRetry(crashes) {
 			break
--- a/internal/pipeline/quarantine.go
+++ b/internal/pipeline/quarantine.go
@@ -31,5 +31,5 @@
 	if !p.options.Quarantine.HasEvidence() || !p.options.Quarantine.Status(a.fingerprint()).Quarantined {
 		return a, nil
 	}
-	return ask{}, dispatch.Quarantined(problem.NotRun)
+	return ask{}, dispatch.QuarantinedProblem(problem.NotRun)
 }
