--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -223,8 +223,8 @@
 	s.dispatcher.recordFailure(s.context, s.hold, s.request.info(), run, err)
 }
 
-// abort ends an attempt that was not read to its end, and cancels it at the engine unless the engine
-// refused it.
+// abort ends an attempt that was not read to its end, and cancels it at the engine unless the
+// engine refused it.
 func (s *Stream) abort(outcome fleet.Outcome) {
 	s.release(outcome, false)
 	if outcome != fleet.OutcomeRefused {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,5 +1,5 @@
-// Package load is an open-loop load generator for any address that serves the API: it sends requests
-// at a given rate without waiting for earlier responses, and measures latencies.
+// Package load is an open-loop load generator for any address that serves the API: it sends
+// requests at a given rate without waiting for earlier responses, and measures latencies.
 //
 // # Usage
 //
