--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,13 +1,12 @@
-// Package batch joins calls that come at the same time into one.
+// Package batch combines concurrent calls into one.
 //
 // # Usage
 //
 //	b := batch.New(100, func(ctx context.Context, items []Item) error { ... })
 //	err := b.Do(ctx, item)
 //
-// While one send is under way, later items wait and go together with the next.
-// An idle batcher sends at once, so batching costs no latency when there is no
-// load.
+// While one send is in progress, later items are queued and sent together afterwards. An idle
+// batcher sends immediately, so batching adds no latency when there is no load.
 package batch
 
 import (
@@ -19,36 +18,36 @@
 // sendTimeout bounds one send.
 const sendTimeout = 3 * time.Second
 
-// Batcher joins items of one kind.
+// Batcher sends items of one type in batches.
 type Batcher[T any] struct {
 	limit int
 	send  func(context.Context, []T) error
 
-	mu    sync.Mutex // guards all below
-	queue []call[T]
-	busy  bool
+	mu      sync.Mutex // guards all below
+	queue   []pendingItem[T]
+	sending bool
 }
 
-// call is an item with the channel that takes its result.
-type call[T any] struct {
+// pendingItem is an item and the channel that receives its result.
+type pendingItem[T any] struct {
 	item T
 	done chan error
 }
 
-// New returns a batcher that sends up to limit items at once.
+// New returns a batcher that sends up to limit items per batch.
 func New[T any](limit int, send func(context.Context, []T) error) *Batcher[T] {
 	return &Batcher[T]{limit: limit, send: send}
 }
 
-// Do sends an item, perhaps with others, and returns the send's error. When ctx
-// ends first the item may still be sent.
+// Do sends an item, possibly together with others, and returns the error of the send. If ctx ends
+// first, the item may still be sent.
 func (b *Batcher[T]) Do(ctx context.Context, item T) error {
-	c := call[T]{item: item, done: make(chan error, 1)}
+	c := pendingItem[T]{item: item, done: make(chan error, 1)}
 	b.mu.Lock()
 	b.queue = append(b.queue, c)
-	if !b.busy {
-		b.busy = true
-		go b.drain()
+	if !b.sending {
+		b.sending = true
+		go b.sendQueued()
 	}
 	b.mu.Unlock()
 	select {
@@ -59,10 +58,10 @@
 	}
 }
 
-// drain sends until the queue is empty.
-func (b *Batcher[T]) drain() {
+// sendQueued sends batches until the queue is empty.
+func (b *Batcher[T]) sendQueued() {
 	for {
-		calls := b.take()
+		calls := b.dequeue()
 		if len(calls) == 0 {
 			return
 		}
@@ -79,15 +78,15 @@
 	}
 }
 
-// take removes the next calls; none makes the batcher idle.
-func (b *Batcher[T]) take() []call[T] {
+// dequeue removes the next batch from the queue. If the queue is empty, the batcher becomes idle.
+func (b *Batcher[T]) dequeue() []pendingItem[T] {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	count := min(len(b.queue), b.limit)
 	calls := b.queue[:count:count]
 	b.queue = b.queue[count:]
 	if count == 0 {
-		b.busy = false
+		b.sending = false
 		b.queue = nil
 	}
 	return calls
--- a/internal/conn/conn.go
+++ b/internal/conn/conn.go
@@ -1,17 +1,17 @@
-// Package conn keeps the connections of a host to endpoints.
+// Package conn pools the HTTP connections from a host to endpoints.
 //
 // # Usage
 //
 //	pool := conn.NewPool(conn.Options{})
 //	c, err := pool.Get(ctx, "10.0.0.7:8080", limit)
-//	answer, err := c.Send(request, accept)
-//	...read answer.Body to its end...
+//	response, err := c.Send(request, accept)
+//	...read response.Body to its end...
 //	c.Release(true)
 //
-// The standard library's client re-sends requests on its own and hides which
-// connection broke. Here each request is written once, on a connection that the
-// caller holds, so it is known what an endpoint may have seen: ErrNotSent means
-// that not a byte left the host; after any other error the request may have run.
+// The client of net/http resends requests on its own and hides which connection broke. This package
+// writes each request once, on a connection that the caller holds, so the caller knows what an
+// endpoint may have received: ErrNotSent means that no byte left the host; after any other error
+// the request may have run.
 package conn
 
 import (
@@ -35,49 +35,49 @@
 
 // Errors of connections.
 var (
-	// ErrNotSent means that the endpoint has seen nothing of the request.
+	// ErrNotSent means that the endpoint has received nothing of the request.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrBusy means that the host holds as many connections to the endpoint as
-	// it may.
-	ErrBusy = errors.New("no connection is free")
-	// ErrStray means that the endpoint sent bytes that belong to no request.
-	ErrStray = errors.New("stray bytes from the endpoint")
+	// ErrConnLimit means that the host has reached its limit of open connections to the
+	// endpoint.
+	ErrConnLimit = errors.New("no connection is free")
+	// ErrUnexpectedData means that the endpoint sent data that belongs to no pending request.
+	ErrUnexpectedData = errors.New("unexpected data from the endpoint")
 )
 
-// Bounds of connections.
+// Timeouts and limits of connections.
 const (
-	// dialTimeout is ample for a data hall away: connects take a few
-	// milliseconds, and a lost packet is sent again after a second.
+	// dialTimeout is sufficient for connections to another data hall: they take a few
+	// milliseconds, and a lost packet is retransmitted after a second.
 	dialTimeout = 1500 * time.Millisecond
-	// userTimeout ends a connection whose bytes nobody acknowledges.
+	// userTimeout closes a connection whose sent data stays unacknowledged.
 	userTimeout = 2 * time.Second
-	// probeAfter and probeEvery find a silent peer on a connection at rest, in
-	// about three seconds; the kernel counts in whole seconds.
-	probeAfter = time.Second
-	probeEvery = time.Second
-	probeCount = 2
-	// keepMargin is taken off what an endpoint says of keeping connections, so
-	// that it does not close one as a request is sent on it.
-	keepMargin = 800 * time.Millisecond
-	// keepUnsaid is how long a connection rests where the endpoint says nothing.
-	keepUnsaid = 4 * time.Second
-	// strayAnswers is how many answers to earlier requests are passed over
-	// before a connection is given up.
-	strayAnswers = 3
-	// readBuffer holds the head of an answer.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect an unresponsive peer on an idle
+	// connection in about three seconds; the kernel counts in whole seconds.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	// idleTimeoutMargin is subtracted from the idle timeout that an endpoint states, so that the
+	// endpoint does not close a connection while a request is sent on it.
+	idleTimeoutMargin = 800 * time.Millisecond
+	// defaultIdleTimeout is the idle timeout of a connection whose endpoint states none.
+	defaultIdleTimeout = 4 * time.Second
+	// maxUnexpectedResponses is the number of informational responses and responses to
+	// earlier requests after which a connection is abandoned.
+	maxUnexpectedResponses = 3
+	// readBuffer is large enough for the head of a response.
 	readBuffer = 4 << 10
 )
 
 // Options set up a Pool.
 type Options struct {
-	// Dial replaces the network in tests.
+	// Dial opens connections; nil means TCP. Tests set it.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Opened is called for each new connection.
-	Opened func(address string)
+	// OnOpen is called for each new connection.
+	OnOpen func(address string)
 }
 
-// Pool keeps idle connections and counts open ones, by endpoint address; safe
-// for use at once.
+// Pool keeps idle connections and counts open ones, by endpoint address. It is safe for concurrent
+// use.
 type Pool struct {
 	options Options
 
@@ -85,7 +85,7 @@
 	peers map[string]*peer
 }
 
-// peer is what the pool knows of an address.
+// peer holds the connections to one address.
 type peer struct {
 	idle []*Conn
 	open int
@@ -99,37 +99,37 @@
 	return &Pool{options: options, peers: map[string]*peer{}}
 }
 
-// dial connects with short probes, so that a peer behind a cut is noticed.
+// dial connects with short keep-alive intervals, so that an unreachable peer is detected.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 		Control:         SetUserTimeout,
 	}
 	return d.DialContext(ctx, "tcp4", address)
 }
 
-// SetUserTimeout bounds how long bytes may stay unacknowledged on a socket.
+// SetUserTimeout bounds how long sent data may stay unacknowledged on a socket.
 func SetUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
-		return fmt.Errorf("reach socket: %w", err)
+		return fmt.Errorf("access socket: %w", err)
 	}
-	if failed != nil {
-		return fmt.Errorf("set user timeout: %w", failed)
+	if setErr != nil {
+		return fmt.Errorf("set user timeout: %w", setErr)
 	}
 	return nil
 }
 
-// Get returns a connection to an address: one at rest if its peer has not closed
-// it, else a new one. It returns ErrBusy when limit connections are open already
-// and ErrNotSent when none can be made.
+// Get returns a connection to an address: an idle one that its peer has not closed, or else a new
+// one. It returns ErrConnLimit if limit connections are open already (0 means no limit), and
+// ErrNotSent if connecting fails.
 func (p *Pool) Get(ctx context.Context, address string, limit int) (*Conn, error) {
 	for {
-		c, err := p.take(address, limit)
+		c, err := p.takeIdle(address, limit)
 		if err != nil {
 			return nil, err
 		}
@@ -143,70 +143,71 @@
 	}
 }
 
-// take returns a connection at rest, or nil after counting one to be opened.
-func (p *Pool) take(address string, limit int) (*Conn, error) {
+// takeIdle returns an idle connection. If there is none, it counts one more open connection and
+// returns nil; the caller then opens it.
+func (p *Pool) takeIdle(address string, limit int) (*Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.peers[address]
-	if known == nil {
-		known = &peer{}
-		p.peers[address] = known
+	conns := p.peers[address]
+	if conns == nil {
+		conns = &peer{}
+		p.peers[address] = conns
 	}
-	if n := len(known.idle); n > 0 {
-		c := known.idle[n-1]
-		known.idle = known.idle[:n-1]
+	if n := len(conns.idle); n > 0 {
+		c := conns.idle[n-1]
+		conns.idle = conns.idle[:n-1]
 		return c, nil
 	}
-	if limit > 0 && known.open >= limit {
-		return nil, ErrBusy
+	if limit > 0 && conns.open >= limit {
+		return nil, ErrConnLimit
 	}
-	known.open++
+	conns.open++
 	return nil, nil
 }
 
-// open makes a connection that take has counted.
+// open opens a connection that takeIdle has counted.
 func (p *Pool) open(ctx context.Context, address string) (*Conn, error) {
 	raw, err := p.options.Dial(ctx, address)
 	if err != nil {
-		p.closed(address)
+		p.uncount(address)
 		return nil, fmt.Errorf("connect to %s: %w: %w", address, ErrNotSent, err)
 	}
-	if p.options.Opened != nil {
-		p.options.Opened(address)
+	if p.options.OnOpen != nil {
+		p.options.OnOpen(address)
 	}
-	return &Conn{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &Conn{pool: p, address: address, netConn: raw, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
-// closed takes a connection out of the count.
-func (p *Pool) closed(address string) {
+// uncount removes a closed connection from the count of open ones.
+func (p *Pool) uncount(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.peers[address]
-	known.open--
-	if known.open == 0 && len(known.idle) == 0 {
+	conns := p.peers[address]
+	conns.open--
+	if conns.open == 0 && len(conns.idle) == 0 {
 		delete(p.peers, address)
 	}
 }
 
-// rest puts a connection among those at rest.
-func (p *Pool) rest(c *Conn) {
+// putIdle adds a connection to the idle ones.
+func (p *Pool) putIdle(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known := p.peers[c.address]; known != nil {
-		known.idle = append(known.idle, c)
+	if conns := p.peers[c.address]; conns != nil {
+		conns.idle = append(conns.idle, c)
 	}
 }
 
-// Sweep closes connections that have rested for as long as they may.
-func (p *Pool) Sweep() { p.closeRested(clock.Now()) }
+// CloseExpired closes the idle connections whose idle timeout has passed.
+func (p *Pool) CloseExpired() { p.closeIdleUntil(clock.Now()) }
 
-// Forget closes the connections at rest to an address: another process answers there
-// now, and what is written on them is lost.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address. It is called when another process serves the
+// address, because data written on the old connections is lost.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	var old []*Conn
-	if known := p.peers[address]; known != nil {
-		old, known.idle = known.idle, nil
+	if conns := p.peers[address]; conns != nil {
+		old, conns.idle = conns.idle, nil
 	}
 	p.mu.Unlock()
 	for _, c := range old {
@@ -214,54 +215,55 @@
 	}
 }
 
-// Close closes all connections at rest.
-func (p *Pool) Close() { p.closeRested(clock.Now().Add(idleForEver)) }
+// Close closes all idle connections.
+func (p *Pool) Close() { p.closeIdleUntil(clock.Now().Add(beyondIdleTimeout)) }
 
-// idleForEver is longer than any connection rests.
-const idleForEver = 24 * time.Hour
+// beyondIdleTimeout is longer than any idle timeout.
+const beyondIdleTimeout = 24 * time.Hour
 
-func (p *Pool) closeRested(now clock.Instant) {
-	for _, c := range p.expired(now) {
+func (p *Pool) closeIdleUntil(now clock.Instant) {
+	for _, c := range p.takeExpired(now) {
 		c.Release(false)
 	}
 }
 
-func (p *Pool) expired(now clock.Instant) []*Conn {
+func (p *Pool) takeExpired(now clock.Instant) []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var old []*Conn
-	for _, known := range p.peers {
-		kept := known.idle[:0]
-		for _, c := range known.idle {
-			if now.Before(c.until) {
+	for _, conns := range p.peers {
+		kept := conns.idle[:0]
+		for _, c := range conns.idle {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
 				old = append(old, c)
 			}
 		}
-		clear(known.idle[len(kept):])
-		known.idle = kept
+		clear(conns.idle[len(kept):])
+		conns.idle = kept
 	}
 	return old
 }
 
-// Conn is a connection that one request at a time holds.
+// Conn is a connection that serves one request at a time.
 type Conn struct {
-	pool    *Pool
-	address string
-	raw     net.Conn
-	reader  *bufio.Reader
-	until   clock.Instant // at rest no longer than this
-	close   sync.Once
-	answer  *http.Response
+	pool      *Pool
+	address   string
+	netConn   net.Conn
+	reader    *bufio.Reader
+	idleUntil clock.Instant // when its idle timeout passes
+	closeOnce sync.Once
+	response  *http.Response
 }
 
-// alive reports whether a connection that rested can be used.
+// alive reports whether an idle connection can be used: its idle timeout has not passed, its peer
+// has not closed it, and no unexpected data has arrived.
 func (c *Conn) alive() bool {
-	if !clock.Now().Before(c.until) || c.reader.Buffered() > 0 {
+	if !clock.Now().Before(c.idleUntil) || c.reader.Buffered() > 0 {
 		return false
 	}
-	s, ok := c.raw.(syscall.Conn)
+	s, ok := c.netConn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -269,109 +271,108 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, readErr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(readErr, syscall.EAGAIN)
+		noData = errors.Is(readErr, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// Accept judges whether an answer belongs to the request that was sent.
+// Accept reports whether a response with header h belongs to the request that was sent.
 type Accept func(h http.Header) bool
 
-// Send writes a request and reads the head of its answer. Answers that belong
-// to earlier requests are passed over.
+// Send writes a request and reads the head of its response. It skips responses to earlier requests.
 func (c *Conn) Send(request *http.Request, accept Accept) (*http.Response, error) {
-	counted := &countingWriter{to: c.raw}
-	buffered := bufio.NewWriterSize(counted, readBuffer)
+	counter := &countingWriter{writer: c.netConn}
+	buffered := bufio.NewWriterSize(counter, readBuffer)
 	err := request.Write(buffered)
 	if err == nil {
 		err = buffered.Flush()
 	}
-	if err != nil && counted.sent == 0 {
+	if err != nil && counter.sent == 0 {
 		return nil, fmt.Errorf("send to %s: %w: %w", c.address, ErrNotSent, err)
 	}
-	// An endpoint may answer before it has read the whole request, so an answer
-	// is looked for even if the request could not be written to its end.
-	answer, readErr := c.head(request, accept)
+	// An endpoint may respond before it has read the whole request, so Send looks for a response
+	// even if the request could not be written completely.
+	response, readErr := c.readHead(request, accept)
 	if readErr != nil {
 		if err != nil {
 			return nil, fmt.Errorf("send to %s: %w", c.address, err)
 		}
-		return nil, fmt.Errorf("answer of %s: %w", c.address, readErr)
+		return nil, fmt.Errorf("read response of %s: %w", c.address, readErr)
 	}
 	if err != nil {
-		answer.Close = true
+		response.Close = true
 	}
-	c.answer = answer
-	return answer, nil
+	c.response = response
+	return response, nil
 }
 
-// head reads heads until one is accepted.
-func (c *Conn) head(request *http.Request, accept Accept) (*http.Response, error) {
-	for range strayAnswers {
-		answer, err := http.ReadResponse(c.reader, request)
+// readHead reads response heads until one is accepted.
+func (c *Conn) readHead(request *http.Request, accept Accept) (*http.Response, error) {
+	for range maxUnexpectedResponses {
+		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode >= http.StatusContinue && answer.StatusCode < http.StatusOK {
+		if response.StatusCode >= http.StatusContinue && response.StatusCode < http.StatusOK {
 			continue
 		}
-		if accept(answer.Header) {
-			return answer, nil
+		if accept(response.Header) {
+			return response, nil
 		}
-		if _, err := io.Copy(io.Discard, answer.Body); err != nil || answer.Close {
-			return nil, ErrStray
+		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
+			return nil, ErrUnexpectedData
 		}
 	}
-	return nil, ErrStray
+	return nil, ErrUnexpectedData
 }
 
-// Interrupt makes reads and writes under way fail.
-func (c *Conn) Interrupt() { _ = c.raw.SetDeadline(time.Unix(1, 0)) }
+// Interrupt makes pending and later reads and writes fail, until the deadline is changed.
+func (c *Conn) Interrupt() { _ = c.netConn.SetDeadline(time.Unix(1, 0)) }
 
-// SetDeadline bounds all that follows; the zero time lifts the bound.
-func (c *Conn) SetDeadline(t time.Time) { _ = c.raw.SetDeadline(t) }
+// SetDeadline sets the deadline of all later reads and writes; the zero time removes it.
+func (c *Conn) SetDeadline(t time.Time) { _ = c.netConn.SetDeadline(t) }
 
-// SetReadDeadline bounds the reads that follow; the zero time lifts the bound.
-func (c *Conn) SetReadDeadline(t time.Time) { _ = c.raw.SetReadDeadline(t) }
+// SetReadDeadline sets the deadline of later reads; the zero time removes it.
+func (c *Conn) SetReadDeadline(t time.Time) { _ = c.netConn.SetReadDeadline(t) }
 
-// Release ends the use of a connection. It is kept if the answer was read to its
-// end and the peer keeps it too, and closed otherwise.
-func (c *Conn) Release(whole bool) {
-	if whole && c.reusable() {
-		c.answer = nil
+// Release ends the use of a connection. The connection becomes idle if the response was read to its
+// end and the peer keeps the connection open too; otherwise it is closed.
+func (c *Conn) Release(readToEnd bool) {
+	if readToEnd && c.reusable() {
+		c.response = nil
 		c.SetDeadline(time.Time{})
-		c.pool.rest(c)
+		c.pool.putIdle(c)
 		return
 	}
-	c.close.Do(func() {
-		_ = c.raw.Close()
-		c.pool.closed(c.address)
+	c.closeOnce.Do(func() {
+		_ = c.netConn.Close()
+		c.pool.uncount(c.address)
 	})
 }
 
-// reusable reports whether the peer keeps the connection, and notes for how long.
+// reusable reports whether the peer keeps the connection open, and sets its idle timeout.
 func (c *Conn) reusable() bool {
-	if c.answer == nil || c.answer.Close || c.reader.Buffered() > 0 {
+	if c.response == nil || c.response.Close || c.reader.Buffered() > 0 {
 		return false
 	}
-	if c.answer.ContentLength < 0 && len(c.answer.TransferEncoding) == 0 {
+	if c.response.ContentLength < 0 && len(c.response.TransferEncoding) == 0 {
 		return false
 	}
-	keep := keepUnsaid
-	if said, ok := keepAlive(c.answer.Header); ok {
-		keep = said - keepMargin
+	timeout := defaultIdleTimeout
+	if stated, ok := parseKeepAlive(c.response.Header); ok {
+		timeout = stated - idleTimeoutMargin
 	}
-	c.until = clock.Now().Add(keep)
-	return keep > 0
+	c.idleUntil = clock.Now().Add(timeout)
+	return timeout > 0
 }
 
-// keepAlive reads how long the peer keeps an idle connection.
-func keepAlive(h http.Header) (time.Duration, bool) {
+// parseKeepAlive returns the idle timeout from the peer's Keep-Alive header.
+func parseKeepAlive(h http.Header) (time.Duration, bool) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -384,15 +385,15 @@
 	return 0, false
 }
 
-// countingWriter counts what the network took.
+// countingWriter counts the bytes that were written to the connection.
 type countingWriter struct {
-	to   io.Writer
-	sent int
+	writer io.Writer
+	sent   int
 }
 
 // Write implements io.Writer.
 func (w *countingWriter) Write(p []byte) (int, error) {
-	n, err := w.to.Write(p)
+	n, err := w.writer.Write(p)
 	w.sent += n
 	return n, err
 }
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -166,7 +166,7 @@
 // sweepConns periodically closes connections to endpoints that exceed their idle time.
 func (h *Host) sweepConns(ctx context.Context) {
 	for clock.Sleep(ctx, connSweepInterval) {
-		h.Conns.Sweep()
+		h.Conns.CloseExpired()
 	}
 }
 
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -188,7 +188,7 @@
 
 func newQuarantine(s settings.Settings, f *fleet.Fleet, conns *conn.Pool, m *membership.Membership, link peer.Link, tables store.Tables, l *log.Logger) *quarantine.Tracker {
 	return quarantine.NewTracker(quarantine.Options{
-		Host: s.Host, Probe: conns.Reach, CountEndpoints: f.Count, Members: func() []quarantine.Member { return otherMembers(m.View()) },
+		Host: s.Host, Probe: conns.Probe, CountEndpoints: f.Count, Members: func() []quarantine.Member { return otherMembers(m.View()) },
 		Peers: link, IsFirstHost: func() bool { return isFirstHost(m.View()) }, Tables: tables, Logger: l,
 	})
 }
@@ -214,7 +214,7 @@
 }
 
 func newDispatcher(s settings.Settings, f *fleet.Fleet, conns *conn.Pool, q *quarantine.Tracker, tel *telemetry.Telemetry) *dispatch.Dispatcher {
-	return dispatch.New(dispatch.Options{Fleet: f, Conns: conns, FirstToken: s.Times.FirstToken, Telemetry: tel, Quarantine: q})
+	return dispatch.New(dispatch.Options{Fleet: f, Conns: conns, FirstTokenTimeout: s.Times.FirstToken, Telemetry: tel, Quarantine: q})
 }
 
 // modelReady returns a function that reports whether an endpoint serves a version and accepts new work.
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -16,11 +16,11 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// cancelTimeout bounds telling an engine that nobody waits any more.
+// cancelTimeout bounds the request that tells an engine to cancel an attempt.
 const cancelTimeout = 2 * time.Second
 
-// cancelAt tells an engine to stop an attempt.
-func (d *Dispatcher) cancelAt(address, attemptID string) {
+// cancelAttempt tells an engine to stop an attempt.
+func (d *Dispatcher) cancelAttempt(address, attemptID string) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+address+"/v1/streams/"+attemptID, nil)
@@ -33,7 +33,7 @@
 	}
 	stop := context.AfterFunc(ctx, c.Interrupt)
 	response, err := c.Send(request, func(http.Header) bool { return true }) //nolint:bodyclose // a closed connection ends its body
-	c.Release(stop() && err == nil && drained(response))
+	c.Release(stop() && err == nil && drain(response))
 }
 
 // Call is a request to a plain service.
@@ -45,22 +45,22 @@
 	ContentType string
 	Body        []byte
 	Repeatable  bool
-	Attempted   func() // told of each attempt that may have run
-	// Fingerprint is that by which the call is known when it comes again.
+	OnAttempt   func() // called after each failed attempt that may have run
+	// Fingerprint identifies the call when it is sent again under a new ID.
 	Fingerprint func() quarantine.Fingerprint
-	Of          string // workspace and what is called, for operators
+	Label       string // workspace and called name, shown to operators
 }
 
-// Answer is a plain service's reply.
-type Answer struct {
+// Response is the response of a plain service.
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Call sends a call to a plain service. A call that may not be repeated goes to
-// another endpoint only while it is certain that none has run it.
-func (d *Dispatcher) Call(ctx context.Context, call Call) (Answer, error) {
+// Call sends a call to a plain service. A call that is not Repeatable is sent to another endpoint
+// only while it is certain that no endpoint has run it.
+func (d *Dispatcher) Call(ctx context.Context, call Call) (Response, error) {
 	d.budgets.RecordFirst(call.Service)
 	run := problem.NotRun
 	var avoid []string
@@ -70,11 +70,11 @@
 		if clock.Expired(ctx) {
 			break
 		}
-		standing := d.standing(call.Fingerprint)
-		if standing.Quarantined {
-			return Answer{}, Quarantined(run)
+		status := d.quarantineStatus(call.Fingerprint)
+		if status.Quarantined {
+			return Response{}, QuarantinedProblem(run)
 		}
-		if !standing.HostMayRetry(crashes) {
+		if !status.HostMayRetry(crashes) {
 			break
 		}
 		if attempt > 0 && !d.budgets.TakeRetry(call.Service, 1) {
@@ -85,57 +85,57 @@
 			break
 		}
 		sent := clock.Now()
-		answer, err := d.callOnce(ctx, call, hold)
+		response, err := d.attemptCall(ctx, call, hold)
 		if err == nil {
-			d.finished(call.Fingerprint)
-			return answer, nil
+			d.recordCompleted(call.Fingerprint)
+			return response, nil
 		}
-		if d.crashed(ctx, hold, call.asked(), quarantine.Run{Lasted: clock.Since(sent)}, err) {
+		if d.recordFailure(ctx, hold, call.info(), quarantine.Run{Lasted: clock.Since(sent)}, err) {
 			crashes++
 		}
 		last = err
 		avoid = append(avoid, hold.Endpoint.ID)
 		if runOf(err) != problem.NotRun {
 			run = problem.Unknown
-			call.Attempted()
+			call.OnAttempt()
 		}
 		if run != problem.NotRun && !call.Repeatable {
 			break
 		}
 	}
-	return Answer{}, d.failed(ctx, run, last)
+	return Response{}, d.finalProblem(ctx, run, last)
 }
 
-// callOnce makes one attempt at one endpoint.
-func (d *Dispatcher) callOnce(ctx context.Context, call Call, hold *fleet.Hold) (Answer, error) {
+// attemptCall makes one attempt of a call at one endpoint.
+func (d *Dispatcher) attemptCall(ctx context.Context, call Call, hold *fleet.Hold) (Response, error) {
 	ctx, span := d.options.Telemetry.Start(ctx, "attempt "+hold.Endpoint.ID)
 	defer span.End()
-	answer, err := d.exchangeCall(ctx, call, hold)
+	response, err := d.sendCall(ctx, call, hold)
 	telemetry.Fail(span, err)
 	if err != nil {
 		hold.Done(fleet.Result{Outcome: outcomeOf(ctx, err)})
-		return Answer{}, err
+		return Response{}, err
 	}
 	hold.Done(fleet.Result{Outcome: fleet.OutcomeGood})
-	return answer, nil
+	return response, nil
 }
 
-func (d *Dispatcher) exchangeCall(ctx context.Context, call Call, hold *fleet.Hold) (Answer, error) {
+func (d *Dispatcher) sendCall(ctx context.Context, call Call, hold *fleet.Hold) (Response, error) {
 	header := http.Header{}
 	if call.ContentType != "" {
 		header.Set("Content-Type", call.ContentType)
 	}
-	a, err := d.send(ctx, exchange{
+	response, err := d.send(ctx, exchange{
 		method: call.Method, address: hold.Endpoint.Address, path: "/" + call.Name, header: header,
 		body: call.Body, requestID: call.ID, attemptID: uuid.NewString(),
 	})
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
-	a.release(err == nil && len(body) < maxAnswerBytes)
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	response.release(err == nil && len(body) < maxResponseBytes)
 	if err != nil {
-		return Answer{}, &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("read the answer: %w", err)}
+		return Response{}, &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("read response body: %w", err)}
 	}
-	return Answer{Status: a.StatusCode, ContentType: a.Header.Get("Content-Type"), Body: body}, nil
+	return Response{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch sends requests to endpoints: attempts, retries, resumed
-// streams, and the certainty about what ran.
+// Package dispatch sends requests to endpoints. It makes attempts, retries failed ones, resumes
+// interrupted streams, and reports whether a request may have run.
 //
 // # Usage
 //
@@ -7,12 +7,11 @@
 //	defer stream.Close()
 //	for { event, err := stream.Next() ... }
 //
-// Endpoints are chosen by the fleet, requests are sent on connections of the
-// package conn, and repeats are bounded by the package retry, as those of routed
-// requests are. An attempt owns its stream: what a cancelled or late attempt still
-// sends goes nowhere. A request is tried again only while the caller has seen
-// nothing; one that may not be repeated is never tried again once a byte of it may
-// have been sent.
+// The fleet chooses endpoints, package conn provides the connections, and package retry bounds
+// retries, as it does for routed requests. Each attempt has its own stream, so data that a
+// cancelled or late attempt still sends is dropped. A request is retried only while the caller has
+// received nothing; one that may not be repeated is never retried once a byte of it may have been
+// sent.
 package dispatch
 
 import (
@@ -38,27 +37,27 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// Limits of attempts.
+// Limits and defaults of attempts.
 const (
-	MaxAttempts    = 3 // of one request
-	maxAnswerBytes = 32 << 20
-	retryAfter     = time.Second // told to callers that find no endpoint
-	// usualFirst is the time to a first token that is taken for good where nobody
-	// declares one; it weighs bytes between data halls against waiting.
-	usualFirst = 1500 * time.Millisecond
+	MaxAttempts      = 3 // per request
+	maxResponseBytes = 32 << 20
+	retryAfter       = time.Second // Retry-After of responses to callers whose request no endpoint answered
+	// defaultObjective is the objective for the time to the first token where none is declared.
+	// The fleet uses it to weigh traffic between data halls against waiting time.
+	defaultObjective = 1500 * time.Millisecond
 )
 
-// DefaultRetries bounds repeats where nobody declares a bound: a tenth of the first
-// sends, and a few for an idle host.
+// DefaultRetries bounds retries where no bound is declared: a tenth of the first attempts, plus a
+// small reserve so that an idle host can retry.
 var DefaultRetries = retry.Limits{Ratio: 0.1, Reserve: 10}
 
 // Options set up a Dispatcher.
 type Options struct {
-	Fleet      *fleet.Fleet
-	Conns      *conn.Pool
-	FirstToken time.Duration
-	Telemetry  *telemetry.Telemetry
-	// Quarantine knows requests under which endpoints crash.
+	Fleet             *fleet.Fleet
+	Conns             *conn.Pool
+	FirstTokenTimeout time.Duration
+	Telemetry         *telemetry.Telemetry
+	// Quarantine tracks requests that crash endpoints.
 	Quarantine *quarantine.Tracker
 }
 
@@ -73,38 +72,38 @@
 	return &Dispatcher{options: options, budgets: retry.NewBudgets(DefaultRetries)}
 }
 
-// Request is a completion for an engine.
+// Request is a completion request for an engine.
 type Request struct {
-	ID       string
-	Version  declare.Ref
-	Body     []byte // with the version as its model
-	Priority declare.Priority
-	Prefix   uint64 // hash of what the prompt shares with others; 0 for nothing
-	Tokens   int    // of the prompt, estimated
-	Shared   int    // of them, those that others share
-	// Fingerprint is that by which the request is known when it comes again.
+	ID           string
+	Version      declare.Ref
+	Body         []byte // its model is already replaced by the version
+	Priority     declare.Priority
+	PrefixHash   uint64 // hash of the prompt's prefix that other prompts share; 0 if none
+	PromptTokens int    // estimated
+	SharedTokens int    // prompt tokens that belong to the shared prefix
+	// Fingerprint identifies the request when it is sent again under a new ID.
 	Fingerprint func() quarantine.Fingerprint
-	Of          string // workspace and what is asked for, for operators
-	// Allowed is asked right before each attempt, so that a version withdrawn
-	// meanwhile gets nothing new.
-	Allowed func() error
-	// Attempted is told of each attempt that may have run.
-	Attempted func()
-	// Judged is told whether the version itself failed an attempt, as opposed
-	// to its endpoint; nil if nobody asks.
-	Judged func(failed bool)
+	Label       string // workspace and requested name, shown to operators
+	// CheckAllowed is called right before each attempt, so that a version that has been withdrawn
+	// since the last one gets no further requests.
+	CheckAllowed func() error
+	// OnAttempt is called after each failed attempt that may have run.
+	OnAttempt func()
+	// OnVersionResult is called with true when the version, not its endpoint, failed an attempt,
+	// and with false when an attempt succeeded. It may be nil.
+	OnVersionResult func(failed bool)
 }
 
-// ask is what the choice of an engine goes by.
-func (r Request) ask(avoid []string) fleet.Request {
+// fleetRequest returns the criteria by which the fleet picks an engine.
+func (r Request) fleetRequest(avoid []string) fleet.Request {
 	return fleet.Request{
-		Service: endpoint.Engines, Model: r.Version.String(), Avoid: avoid, Key: r.Prefix,
-		Tokens: r.Tokens, SharedTokens: r.Shared, Objective: usualFirst,
+		Service: endpoint.Engines, Model: r.Version.String(), Avoid: avoid, Key: r.PrefixHash,
+		Tokens: r.PromptTokens, SharedTokens: r.SharedTokens, Objective: defaultObjective,
 	}
 }
 
-// Open sends a completion and returns its answer once it has begun. Errors are
-// problems that say whether it ran.
+// Open sends a completion request and returns the response once its first byte has arrived. Errors
+// are problems that say whether the request ran.
 func (d *Dispatcher) Open(ctx context.Context, request Request) (*Stream, error) {
 	d.budgets.RecordFirst(endpoint.Engines)
 	run := problem.NotRun
@@ -115,53 +114,53 @@
 		if clock.Expired(ctx) {
 			break
 		}
-		if err := request.Allowed(); err != nil {
+		if err := request.CheckAllowed(); err != nil {
 			return nil, problem.Of(err).WithRun(run)
 		}
-		standing := d.standing(request.Fingerprint)
-		if standing.Quarantined {
-			return nil, Quarantined(run)
+		status := d.quarantineStatus(request.Fingerprint)
+		if status.Quarantined {
+			return nil, QuarantinedProblem(run)
 		}
-		if !standing.HostMayRetry(crashes) {
+		if !status.HostMayRetry(crashes) {
 			break
 		}
 		if attempt > 0 && !d.budgets.TakeRetry(endpoint.Engines, 1) {
 			break
 		}
-		hold, ok := d.options.Fleet.Pick(request.ask(avoid))
+		hold, ok := d.options.Fleet.Pick(request.fleetRequest(avoid))
 		if !ok {
 			break
 		}
 		sent := clock.Now()
 		stream, err := d.attempt(ctx, request, hold)
 		if err == nil {
-			request.judge(false)
+			request.reportVersionResult(false)
 			return stream, nil
 		}
-		if d.crashed(ctx, hold, request.asked(), quarantine.Run{Lasted: clock.Since(sent)}, err) {
+		if d.recordFailure(ctx, hold, request.info(), quarantine.Run{Lasted: clock.Since(sent)}, err) {
 			crashes++
 		}
 		last = err
 		avoid = append(avoid, hold.Endpoint.ID)
 		if errors.Is(err, errVersionFailed) {
-			request.judge(true)
+			request.reportVersionResult(true)
 		}
 		if runOf(err) != problem.NotRun {
 			run = problem.Unknown
-			request.Attempted()
+			request.OnAttempt()
 		}
 	}
-	return nil, d.failed(ctx, run, last)
+	return nil, d.finalProblem(ctx, run, last)
 }
 
-func (r Request) judge(failed bool) {
-	if r.Judged != nil {
-		r.Judged(failed)
+func (r Request) reportVersionResult(failed bool) {
+	if r.OnVersionResult != nil {
+		r.OnVersionResult(failed)
 	}
 }
 
-// failed is the problem of a request that got no answer.
-func (d *Dispatcher) failed(ctx context.Context, run problem.Run, last error) error {
+// finalProblem returns the problem for a request that got no response.
+func (d *Dispatcher) finalProblem(ctx context.Context, run problem.Run, last error) error {
 	switch {
 	case clock.Expired(ctx):
 		return problem.New(http.StatusGatewayTimeout, problem.CodeDeadline, run, "no answer came in time").WithCause(last)
@@ -174,7 +173,7 @@
 	}
 }
 
-// attemptError is a failed attempt.
+// attemptError describes a failed attempt.
 type attemptError struct {
 	run     problem.Run
 	outcome fleet.Outcome
@@ -187,7 +186,7 @@
 // Unwrap returns the cause.
 func (e *attemptError) Unwrap() error { return e.cause }
 
-// runOf tells whether a failed attempt ran.
+// runOf returns whether a failed attempt ran.
 func runOf(err error) problem.Run {
 	var e *attemptError
 	if errors.As(err, &e) {
@@ -196,8 +195,9 @@
 	return problem.Unknown
 }
 
-// outcomeOf tells how a failed attempt speaks of its endpoint. One whose
-// context ended says nothing: the caller left, or its time was up.
+// outcomeOf returns the outcome that a failed attempt counts as for its endpoint. An attempt whose
+// context ended is neutral unless the endpoint refused it: the caller disconnected or the deadline
+// passed.
 func outcomeOf(ctx context.Context, err error) fleet.Outcome {
 	var e *attemptError
 	known := errors.As(err, &e)
@@ -213,42 +213,44 @@
 	}
 }
 
-// errVersionFailed means that an engine ran the request and failed.
+// errVersionFailed means that an engine ran the request and failed: it responded with a server
+// error that does not say that the request was not run.
 var errVersionFailed = errors.New("the version failed")
 
-// attempt sends a completion to one endpoint and waits for its first byte.
+// attempt sends a completion request to one endpoint and waits for the first byte of the response
+// body.
 func (d *Dispatcher) attempt(ctx context.Context, request Request, hold *fleet.Hold) (*Stream, error) {
-	caller := ctx
+	callerCtx := ctx
 	ctx, span := d.options.Telemetry.Start(ctx, "attempt "+hold.Endpoint.ID)
 	defer span.End()
 	ctx, cancel := context.WithCancel(ctx)
 	sent := clock.Now()
-	timer := time.AfterFunc(d.options.FirstToken, cancel)
+	timer := time.AfterFunc(d.options.FirstTokenTimeout, cancel)
 	defer timer.Stop()
 	s := &Stream{dispatcher: d, hold: hold, cancel: cancel, context: ctx, request: request, attemptID: uuid.NewString()}
 	header := http.Header{}
 	header.Set("Content-Type", "application/json")
 	header.Set(chat.HeaderPriority, string(request.Priority))
 	header.Set(chat.HeaderResumable, "1")
-	answer, err := d.send(ctx, exchange{
+	response, err := d.send(ctx, exchange{
 		method: http.MethodPost, address: hold.Endpoint.Address, path: "/v1/chat/completions", header: header,
 		body: request.Body, requestID: request.ID, attemptID: s.attemptID,
 	})
 	if err == nil {
-		s.take(answer)
+		s.setResponse(response)
 		_, err = s.reader.Peek(1)
 		if err != nil {
-			err = &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("wait for the answer: %w", err)}
+			err = &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("wait for first byte of response: %w", err)}
 		}
 	}
 	if err != nil {
 		telemetry.Fail(span, err)
-		s.fail(outcomeOf(caller, err))
+		s.abort(outcomeOf(callerCtx, err))
 		return nil, err
 	}
 	hold.Head(fleet.Load{})
-	s.sent, s.begun = sent, clock.Now()
-	s.going = d.options.Quarantine.BeginResponse(request.Fingerprint)
+	s.sentAt, s.responseStarted = sent, clock.Now()
+	s.ongoing = d.options.Quarantine.BeginResponse(request.Fingerprint)
 	return s, nil
 }
 
@@ -263,19 +265,20 @@
 	attemptID string
 }
 
-// answer is an endpoint's answer on the connection that it comes by.
-type answer struct {
+// endpointResponse is an endpoint's response and the connection on which it arrives.
+type endpointResponse struct {
 	*http.Response
-	conn *conn.Conn
-	stop func() bool // ends the watch on the context
+	conn      *conn.Conn
+	stopWatch func() bool // stops interrupting the connection when the context ends
 }
 
-// release gives the connection back; it is kept if the answer was read whole.
-func (a *answer) release(whole bool) { a.conn.Release(a.stop() && whole) }
+// release returns the connection to its pool, which keeps it only if the response was read to its
+// end and the context did not end.
+func (a *endpointResponse) release(readToEnd bool) { a.conn.Release(a.stopWatch() && readToEnd) }
 
-// send makes one exchange and returns the answer if it is one to it. Errors are
-// *attemptError.
-func (d *Dispatcher) send(ctx context.Context, x exchange) (*answer, error) {
+// send makes one exchange and returns its response unless that is a refusal or a server error.
+// Errors are *attemptError.
+func (d *Dispatcher) send(ctx context.Context, x exchange) (*endpointResponse, error) {
 	request, err := http.NewRequestWithContext(ctx, x.method, "http://"+x.address+x.path, bytes.NewReader(x.body))
 	if err != nil {
 		return nil, &attemptError{run: problem.NotRun, outcome: fleet.OutcomeNeutral, cause: fmt.Errorf("build request: %w", err)}
@@ -290,35 +293,35 @@
 	}
 	stop := context.AfterFunc(ctx, c.Interrupt)
 	response, err := c.Send(request, x.accepts) //nolint:bodyclose // a closed connection ends its body
-	a := &answer{Response: response, conn: c, stop: stop}
+	received := &endpointResponse{Response: response, conn: c, stopWatch: stop}
 	if err == nil {
-		err = x.check(response)
+		err = x.checkStatus(response)
 		if err == nil {
-			return a, nil
+			return received, nil
 		}
-		a.release(drained(response))
+		received.release(drain(response))
 		return nil, err
 	}
-	a.release(false)
+	received.release(false)
 	if errors.Is(err, conn.ErrNotSent) {
 		return nil, notSent(err)
 	}
 	return nil, &attemptError{run: problem.Unknown, outcome: fleet.OutcomeFailed, cause: fmt.Errorf("send: %w", err)}
 }
 
-// notSent is the error of an attempt that its endpoint has seen nothing of.
+// notSent returns the error for an attempt of which the endpoint received nothing.
 func notSent(err error) error {
 	return &attemptError{run: problem.NotRun, outcome: fleet.OutcomeLost, cause: fmt.Errorf("send: %w", err)}
 }
 
-// accepts reports whether an answer is one to this exchange; endpoints that do not
-// echo the ids are believed.
+// accepts reports whether a response belongs to this exchange. Responses of endpoints that do not
+// echo the IDs are accepted.
 func (x exchange) accepts(h http.Header) bool {
-	return echoes(h, chat.HeaderRequestID, x.requestID) && echoes(h, chat.HeaderAttempt, x.attemptID)
+	return echoMatches(h, chat.HeaderRequestID, x.requestID) && echoMatches(h, chat.HeaderAttempt, x.attemptID)
 }
 
-// check tells an answer from a refusal and a failure.
-func (x exchange) check(response *http.Response) error {
+// checkStatus returns an error if the response is a refusal or a server error.
+func (x exchange) checkStatus(response *http.Response) error {
 	refused := response.Header.Get(chat.HeaderRun) == chat.NotRun
 	switch {
 	case refused && response.StatusCode >= http.StatusBadRequest:
@@ -333,15 +336,15 @@
 	}
 }
 
-// echoes reports whether an echoed header, if there is one, has our value.
-func echoes(h http.Header, name, value string) bool {
+// echoMatches reports whether a header of the response is absent or echoes the given value.
+func echoMatches(h http.Header, name, value string) bool {
 	got := h.Get(name)
 	return got == "" || got == value
 }
 
-// drained reads what is left of a short answer; true if it was read to its end.
-func drained(response *http.Response) bool {
-	const most = 4 << 10
-	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, most))
-	return err == nil && n < most
+// drain discards up to 4 KiB of a response body and reports whether that reached its end.
+func drain(response *http.Response) bool {
+	const limit = 4 << 10
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, limit))
+	return err == nil && n < limit
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -28,26 +28,26 @@
 
 const address = "10.0.0.9:80"
 
-// breaker breaks a connection after a count of bytes in one direction.
-type breaker struct {
+// breakingConn is a connection that breaks after a number of bytes in one direction.
+type breakingConn struct {
 	net.Conn
-	mu      sync.Mutex // guards all below
-	armed   bool
-	written int // bytes that may still be written; -1 means any
-	read    int // bytes that may still be read; -1 means any
+	mu         sync.Mutex // guards all below
+	armed      bool
+	writeLimit int // bytes that may still be written; -1 means any
+	readLimit  int // bytes that may still be read; -1 means any
 }
 
 var errBroken = errors.New("connection broken")
 
 // Write implements net.Conn.
-func (b *breaker) Write(p []byte) (int, error) {
+func (b *breakingConn) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.armed || b.written < 0 {
+	if !b.armed || b.writeLimit < 0 {
 		return b.Conn.Write(p)
 	}
-	n := min(len(p), b.written)
-	b.written -= n
+	n := min(len(p), b.writeLimit)
+	b.writeLimit -= n
 	if n > 0 {
 		if _, err := b.Conn.Write(p[:n]); err != nil {
 			return 0, err
@@ -61,9 +61,9 @@
 }
 
 // Read implements net.Conn.
-func (b *breaker) Read(p []byte) (int, error) {
+func (b *breakingConn) Read(p []byte) (int, error) {
 	b.mu.Lock()
-	limit := b.read
+	limit := b.readLimit
 	armed := b.armed
 	b.mu.Unlock()
 	if !armed || limit < 0 {
@@ -75,43 +75,43 @@
 	}
 	n, err := b.Conn.Read(p[:min(len(p), limit)])
 	b.mu.Lock()
-	b.read -= n
+	b.readLimit -= n
 	b.mu.Unlock()
 	return n, err
 }
 
-// rig is a dispatcher before one plain service.
-type rig struct {
+// fixture is a dispatcher with one plain service.
+type fixture struct {
 	service    *service.Service
 	server     *http.Server
-	transport  *http.Transport // of the library, for comparison
+	transport  *http.Transport // of net/http, for comparison
 	conns      *conn.Pool
 	dispatcher *dispatch.Dispatcher
 
-	mu   sync.Mutex // guards all below
-	open []*breaker
-	plan breaker
+	mu          sync.Mutex // guards all below
+	connections []*breakingConn
+	limits      breakingConn
 }
 
-func newRig() *rig {
-	r := &rig{service: service.New("payouts", 0)}
+func newFixture() *fixture {
+	f := &fixture{service: service.New("payouts", 0)}
 	n := memnet.New()
-	r.server = &http.Server{Handler: r.service.Handler()}
+	f.server = &http.Server{Handler: f.service.Handler()}
 	listener := n.Listen(address)
-	go func() { _ = r.server.Serve(listener) }()
+	go func() { _ = f.server.Serve(listener) }()
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := n.Dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		b := &breaker{Conn: c, armed: r.plan.armed, written: r.plan.written, read: r.plan.read}
-		r.open = append(r.open, b)
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		b := &breakingConn{Conn: c, armed: f.limits.armed, writeLimit: f.limits.writeLimit, readLimit: f.limits.readLimit}
+		f.connections = append(f.connections, b)
 		return b, nil
 	}
-	r.transport = &http.Transport{DialContext: dial}
-	r.conns = conn.NewPool(conn.Options{
+	f.transport = &http.Transport{DialContext: dial}
+	f.conns = conn.NewPool(conn.Options{
 		Dial: func(ctx context.Context, address string) (net.Conn, error) { return dial(ctx, "tcp", address) },
 	})
 	hosts := []store.Host{
@@ -122,47 +122,47 @@
 	watch.Sync()
 	t, err := telemetry.New(context.Background(), telemetry.Options{Traces: 1})
 	Expect(err).NotTo(HaveOccurred())
-	r.dispatcher = dispatch.New(dispatch.Options{
-		Fleet: watch.Fleet(), Conns: r.conns, FirstToken: time.Second, Telemetry: t,
-		Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: r.conns.Reach, CountEndpoints: watch.Fleet().Count, Logger: log.New(io.Discard)}),
+	f.dispatcher = dispatch.New(dispatch.Options{
+		Fleet: watch.Fleet(), Conns: f.conns, FirstTokenTimeout: time.Second, Telemetry: t,
+		Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: f.conns.Probe, CountEndpoints: watch.Fleet().Count, Logger: log.New(io.Discard)}),
 	})
-	return r
+	return f
 }
 
-func (r *rig) close() {
-	r.transport.CloseIdleConnections()
-	r.conns.Close()
-	_ = r.server.Close()
+func (f *fixture) close() {
+	f.transport.CloseIdleConnections()
+	f.conns.Close()
+	_ = f.server.Close()
 }
 
-// breakAfter breaks all connections, those that are kept and new ones, after
-// some bytes; -1 never does.
-func (r *rig) breakAfter(written, read int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.plan = breaker{armed: true, written: written, read: read}
-	for _, c := range r.open {
+// breakAfter makes all connections, idle and new ones, break after the given numbers of bytes; -1
+// means never.
+func (f *fixture) breakAfter(written, read int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.limits = breakingConn{armed: true, writeLimit: written, readLimit: read}
+	for _, c := range f.connections {
 		c.mu.Lock()
-		c.armed, c.written, c.read = true, written, read
+		c.armed, c.writeLimit, c.readLimit = true, written, read
 		c.mu.Unlock()
 	}
 }
 
-func (r *rig) call(repeatable bool, body string) error {
+func (f *fixture) call(repeatable bool, body string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	_, err := r.dispatcher.Call(ctx, dispatch.Call{
+	_, err := f.dispatcher.Call(ctx, dispatch.Call{
 		ID: "r1", Service: "payouts", Name: "pay", Method: http.MethodPost, Body: []byte(body),
-		Repeatable: repeatable, Attempted: func() {},
+		Repeatable: repeatable, OnAttempt: func() {},
 		Fingerprint: quarantine.Identity{Target: "pay", Body: []byte(body)}.Fingerprint,
 	})
 	return err
 }
 
 // runs counts the calls with a body that the service ran.
-func (r *rig) runs(body string) int {
+func (f *fixture) runs(body string) int {
 	count := 0
-	for _, run := range r.service.Runs() {
+	for _, run := range f.service.Runs() {
 		if run.Body == body {
 			count++
 		}
@@ -171,54 +171,54 @@
 }
 
 var _ = Describe("a call that may not be repeated", func() {
-	// The request is about 250 bytes long, the answer about 250.
-	const longest = 400
+	// The request and the response are about 250 bytes long each.
+	const maxBytes = 400
 
-	It("is sent at most once when its connection breaks at any byte of the request or the answer", func() {
+	It("is sent at most once when its connection breaks at any byte of the request or the response", func() {
 		suite.Paused(func() {
-			for after := range longest {
+			for after := range maxBytes {
 				for direction, limits := range map[string][2]int{"request": {after, -1}, "answer": {-1, after}} {
-					r := newRig()
-					err := r.call(true, "warm") // leaves a kept connection behind
+					f := newFixture()
+					err := f.call(true, "warm") // leaves an idle connection in the pool
 					Expect(err).NotTo(HaveOccurred())
-					r.breakAfter(limits[0], limits[1])
-					err = r.call(false, "payout")
-					count := r.runs("payout")
+					f.breakAfter(limits[0], limits[1])
+					err = f.call(false, "payout")
+					count := f.runs("payout")
 					Expect(count).To(BeNumerically("<=", 1), "%s broken after %d bytes", direction, after)
 					if err != nil && problem.Of(err).Run == problem.NotRun {
 						Expect(count).To(BeZero(), "%s broken after %d bytes", direction, after)
 					}
-					r.close()
+					f.close()
 				}
 			}
 		})
 	})
 
-	It("is tried elsewhere only while it certainly did not run", func() {
+	It("is retried at another endpoint only while it certainly did not run", func() {
 		suite.Paused(func() {
-			r := newRig()
-			defer r.close()
-			r.service.CutReplies(1)
-			err := r.call(false, "payout")
+			f := newFixture()
+			defer f.close()
+			f.service.CutReplies(1)
+			err := f.call(false, "payout")
 			Expect(problem.Of(err).Run).To(Equal(problem.Unknown))
-			Expect(r.runs("payout")).To(Equal(1))
-			Expect(r.service.Runs()).To(HaveLen(1))
+			Expect(f.runs("payout")).To(Equal(1))
+			Expect(f.service.Runs()).To(HaveLen(1))
 		})
 	})
 })
 
-// The trap that the dispatcher avoids: with an Idempotency-Key header, or with
-// GetBody set, the library itself sends a request again on a kept connection.
-var _ = Describe("net/http by itself", func() {
-	It("would send a call again, which is why the dispatcher takes precautions", func() {
+// Shows the behavior that the dispatcher avoids: with an Idempotency-Key header, or with GetBody
+// set, net/http itself resends a request whose reused connection breaks.
+var _ = Describe("the transport of net/http", func() {
+	It("resends a call on its own, so the dispatcher does not use it", func() {
 		suite.Paused(func() {
-			r := newRig()
-			defer r.close()
+			f := newFixture()
+			defer f.close()
 			send := func() error {
 				request, err := http.NewRequest(http.MethodPost, "http://"+address+"/pay", http.NoBody)
 				Expect(err).NotTo(HaveOccurred())
 				request.Header.Set("Idempotency-Key", "k")
-				response, err := r.transport.RoundTrip(request)
+				response, err := f.transport.RoundTrip(request)
 				if err != nil {
 					return fmt.Errorf("send: %w", err)
 				}
@@ -226,9 +226,9 @@
 				return response.Body.Close()
 			}
 			Expect(send()).To(Succeed())
-			r.service.CutReplies(1)
+			f.service.CutReplies(1)
 			Expect(send()).To(Succeed())
-			Expect(r.service.Runs()).To(HaveLen(3), "the library sent the second call twice")
+			Expect(f.service.Runs()).To(HaveLen(3), "net/http sent the second call twice")
 		})
 	})
 })
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -25,12 +25,12 @@
 	readBuffer = 16 << 10
 	maxEvent   = 4 << 20
 	maxResumes = 3
-	// endPatience is how long the end of an answer is waited for after its end
-	// mark; it comes in the same packet, or the connection is closed.
-	endPatience = 50 * time.Millisecond
+	// endTimeout bounds the wait for the end of a response body after the end marker of its stream.
+	// It arrives in the same packet as the marker, or the connection is closed.
+	endTimeout = 50 * time.Millisecond
 )
 
-// Stream is the answer of one attempt.
+// Stream is the response to one attempt.
 type Stream struct {
 	dispatcher *Dispatcher
 	hold       *fleet.Hold
@@ -39,35 +39,35 @@
 	request    Request
 	attemptID  string
 
-	sent    clock.Instant // to the endpoint
-	begun   clock.Instant // the answer
-	going   *quarantine.OngoingResponse
-	answer  *answer
-	reader  *bufio.Reader
-	event   []byte // the last event; reused
-	events  int    // data events read so far
-	resumes int
-	usage   *chat.Usage
-	ended   bool // the end mark was read
-	failed  bool
-	over    bool // everything was given back
+	sentAt          clock.Instant // when the request was sent to the endpoint
+	responseStarted clock.Instant // when the first byte of the response arrived
+	ongoing         *quarantine.OngoingResponse
+	response        *endpointResponse
+	reader          *bufio.Reader
+	event           []byte // the last event; reused
+	events          int    // data events read so far
+	resumes         int
+	usage           *chat.Usage
+	ended           bool // the response was read to its end or end marker
+	failed          bool
+	released        bool // the connection and the fleet's hold were released
 }
 
-// take starts to read an answer.
-func (s *Stream) take(a *answer) {
-	s.answer = a
+// setResponse makes the stream read from a response.
+func (s *Stream) setResponse(a *endpointResponse) {
+	s.response = a
 	s.reader = bufio.NewReaderSize(a.Body, readBuffer)
 }
 
 // Status returns the endpoint's HTTP status, which is below 500.
-func (s *Stream) Status() int { return s.answer.StatusCode }
+func (s *Stream) Status() int { return s.response.StatusCode }
 
-// ContentType returns the answer's content type.
-func (s *Stream) ContentType() string { return s.answer.Header.Get("Content-Type") }
+// ContentType returns the response's content type.
+func (s *Stream) ContentType() string { return s.response.Header.Get("Content-Type") }
 
-// Confidence returns the engine's confidence in its answer; 1 if it says none.
+// Confidence returns the engine's confidence in its response; 1 if it reports none.
 func (s *Stream) Confidence() float64 {
-	text := s.answer.Header.Get(chat.HeaderConfidence)
+	text := s.response.Header.Get(chat.HeaderConfidence)
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return 1
@@ -75,24 +75,24 @@
 	return value
 }
 
-// Usage returns what the engine reported, or nil.
+// Usage returns the token usage that the engine reported, or nil.
 func (s *Stream) Usage() *chat.Usage { return s.usage }
 
-// Events counts the data events read so far.
+// Events returns the number of data events read so far, without the end marker.
 func (s *Stream) Events() int { return s.events }
 
-// Endpoint names the endpoint that answers.
+// Endpoint returns the ID of the endpoint that responds.
 func (s *Stream) Endpoint() string { return s.hold.Endpoint.ID }
 
-// Event is one event of a stream, as it goes to the caller.
+// Event is one event of a stream, as it is sent to the caller.
 type Event struct {
-	Data  []byte // the block with its blank line; valid until the next call
-	Usage bool   // carries only the usage, for those who asked for it
-	Done  bool   // the mark that ends the stream
-	More  bool   // the next event is here already, so this one need not be flushed
+	Data         []byte // the event's lines and the blank line; valid until the next call
+	UsageOnly    bool   // it has usage and no choices, and is sent only to callers that asked for usage
+	Done         bool   // it is the marker that ends the stream
+	NextBuffered bool   // the next event is already buffered, so this one need not be flushed
 }
 
-// Markers in the data of events.
+// Byte sequences that are looked for in events.
 var (
 	dataPrefix  = []byte("data:")
 	usageMarker = []byte(`"usage":{`)
@@ -101,32 +101,32 @@
 	blankLine   = []byte("\n\n")
 )
 
-// Next returns the next event. A broken stream is resumed at the same endpoint
-// and attempt, so on the same version; if that fails, the error is a problem.
-// io.EOF follows the end mark.
+// Next returns the next event. A broken stream is resumed at the same endpoint and attempt, and so
+// on the same version; if that fails, the error is a problem. After the end marker Next returns
+// io.EOF.
 func (s *Stream) Next() (Event, error) {
 	if s.ended {
 		return Event{}, io.EOF
 	}
 	for {
-		event, err := s.read()
+		event, err := s.readEvent()
 		if err == nil {
 			return event, nil
 		}
 		if resumeErr := s.resume(err); resumeErr != nil {
 			s.failed = true
-			s.broke(err)
+			s.recordBroken(err)
 			return Event{}, problem.New(http.StatusBadGateway, problem.CodeCut, problem.Ran,
 				"the answer broke off and could not be resumed").WithCause(resumeErr)
 		}
 	}
 }
 
-// errCut means that a stream ended without its end mark.
-var errCut = errors.New("stream ended early")
+// errTruncated means that a stream ended without its end marker.
+var errTruncated = errors.New("stream ended early")
 
-// read returns the next whole event of the present response.
-func (s *Stream) read() (Event, error) {
+// readEvent returns the next complete event of the current response, without its id lines.
+func (s *Stream) readEvent() (Event, error) {
 	s.event = s.event[:0]
 	var data []byte
 	for {
@@ -136,7 +136,7 @@
 			line, err = s.reader.ReadSlice('\n')
 		}
 		if err != nil {
-			return Event{}, fmt.Errorf("%w: %w", errCut, err)
+			return Event{}, fmt.Errorf("%w: %w", errTruncated, err)
 		}
 		blank := len(bytes.TrimRight(line, "\r\n")) == 0
 		if !blank && !bytes.HasPrefix(line, []byte("id:")) || blank && len(s.event) > 0 {
@@ -147,20 +147,20 @@
 			break
 		}
 	}
-	s.going.DataArrived(clock.Now())
-	event := s.eventOf(data)
-	event.More = s.hasWhole()
+	s.ongoing.DataArrived(clock.Now())
+	event := s.parseEvent(data)
+	event.NextBuffered = s.hasBufferedEvent()
 	return event, nil
 }
 
-// hasWhole reports whether another whole event was read from the connection.
-func (s *Stream) hasWhole() bool {
+// hasBufferedEvent reports whether the buffer holds another complete event.
+func (s *Stream) hasBufferedEvent() bool {
 	buffered, err := s.reader.Peek(s.reader.Buffered())
 	return err == nil && bytes.Contains(buffered, blankLine)
 }
 
-// eventOf looks for the few things in an event that the router reads.
-func (s *Stream) eventOf(block []byte) Event {
+// parseEvent extracts the parts of an event that the router uses: the end marker and the usage.
+func (s *Stream) parseEvent(block []byte) Event {
 	event := Event{Data: block}
 	payload := bytes.TrimSpace(bytes.TrimPrefix(block, dataPrefix))
 	if bytes.Equal(payload, doneMarker) {
@@ -173,18 +173,19 @@
 		if err := json.Unmarshal(payload, &chunk); err == nil {
 			s.usage = chunk.Usage
 		}
-		event.Usage = bytes.Contains(payload, noChoices)
+		event.UsageOnly = bytes.Contains(payload, noChoices)
 	}
 	return event
 }
 
-// resume goes on with the stream after the events read so far.
+// resume requests the rest of the stream from the engine, after the events read so far. It returns
+// cause if the stream can't be resumed.
 func (s *Stream) resume(cause error) error {
 	if s.context.Err() != nil || s.resumes >= maxResumes {
 		return cause
 	}
 	s.resumes++
-	s.answer.release(false)
+	s.response.release(false)
 	a, err := s.dispatcher.send(s.context, exchange{
 		method: http.MethodGet, address: s.hold.Endpoint.Address, path: fmt.Sprintf("/v1/streams/%s?from=%d", s.attemptID, s.events),
 		header: http.Header{}, requestID: s.request.ID, attemptID: s.attemptID,
@@ -193,76 +194,77 @@
 		return err
 	}
 	if a.StatusCode != http.StatusOK {
-		a.release(drained(a.Response))
+		a.release(drain(a.Response))
 		return cause
 	}
-	s.take(a)
+	s.setResponse(a)
 	return nil
 }
 
-// Whole reads an answer that is not streamed.
-func (s *Stream) Whole() ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(s.reader, maxAnswerBytes))
+// ReadAll reads the whole body of a response that is not streamed.
+func (s *Stream) ReadAll() ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(s.reader, maxResponseBytes))
 	if err != nil {
 		s.failed = true
-		s.broke(err)
+		s.recordBroken(err)
 		return nil, problem.New(http.StatusBadGateway, problem.CodeCut, problem.Ran, "the answer broke off").WithCause(err)
 	}
 	s.ended = true
-	var answer chat.Completion
-	if err := json.Unmarshal(body, &answer); err == nil {
-		s.usage = answer.Usage
+	var completion chat.Completion
+	if err := json.Unmarshal(body, &completion); err == nil {
+		s.usage = completion.Usage
 	}
 	return body, nil
 }
 
-// broke takes in that the answer broke off.
-func (s *Stream) broke(err error) {
-	run := quarantine.Run{Lasted: clock.Since(s.sent), ResponseLasted: clock.Since(s.begun)}
-	s.dispatcher.crashed(s.context, s.hold, s.request.asked(), run, err)
+// recordBroken reports a response that broke off to the quarantine tracker.
+func (s *Stream) recordBroken(err error) {
+	run := quarantine.Run{Lasted: clock.Since(s.sentAt), ResponseLasted: clock.Since(s.responseStarted)}
+	s.dispatcher.recordFailure(s.context, s.hold, s.request.info(), run, err)
 }
 
-// fail ends a stream that never began.
-func (s *Stream) fail(outcome fleet.Outcome) {
-	s.end(outcome, false)
+// abort ends an attempt that was not read to its end, and cancels it at the engine unless the
+// engine refused it.
+func (s *Stream) abort(outcome fleet.Outcome) {
+	s.release(outcome, false)
 	if outcome != fleet.OutcomeRefused {
-		go s.dispatcher.cancelAt(s.hold.Endpoint.Address, s.attemptID)
+		go s.dispatcher.cancelAttempt(s.hold.Endpoint.Address, s.attemptID)
 	}
 }
 
-// Close ends the attempt. One that was not read to its end is cancelled at the
-// engine too, so that it does not go on for nobody.
+// Close ends the attempt. If its response was not read to the end, Close also cancels it at the
+// engine, so that the engine does not keep generating a response that nobody reads.
 func (s *Stream) Close() {
 	switch {
 	case s.failed:
-		s.fail(fleet.OutcomeFailed)
+		s.abort(fleet.OutcomeFailed)
 	case s.ended:
-		s.dispatcher.finished(s.request.Fingerprint)
-		s.end(fleet.OutcomeGood, s.atEnd())
+		s.dispatcher.recordCompleted(s.request.Fingerprint)
+		s.release(fleet.OutcomeGood, s.reachedEOF())
 	default:
-		s.fail(fleet.OutcomeNeutral)
+		s.abort(fleet.OutcomeNeutral)
 	}
 }
 
-// atEnd reads what follows the mark that ends a stream: nothing, if the connection
-// can be used again.
-func (s *Stream) atEnd() bool {
-	s.answer.conn.SetReadDeadline(clock.Now().Add(endPatience).Time())
+// reachedEOF reports whether nothing follows the marker that ends a stream, so that the connection
+// can be reused.
+func (s *Stream) reachedEOF() bool {
+	s.response.conn.SetReadDeadline(clock.Now().Add(endTimeout).Time())
 	n, err := io.Copy(io.Discard, io.LimitReader(s.reader, 1))
 	return err == nil && n == 0
 }
 
-// end gives everything back; calls after the first do nothing.
-func (s *Stream) end(outcome fleet.Outcome, whole bool) {
-	if s.over {
+// release releases the connection and the fleet's hold; calls after the first do nothing.
+func (s *Stream) release(outcome fleet.Outcome, readToEnd bool) {
+	if s.released {
 		return
 	}
-	s.over = true
-	if s.going != nil {
-		s.dispatcher.options.Quarantine.EndResponse(s.going)
+	s.released = true
+	if s.ongoing != nil {
+		s.dispatcher.options.Quarantine.EndResponse(s.ongoing)
 	}
-	if s.answer != nil {
-		s.answer.release(whole)
+	if s.response != nil {
+		s.response.release(readToEnd)
 	}
 	s.cancel()
 	s.hold.Done(fleet.Result{Outcome: outcome})
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -83,7 +83,7 @@
 	only := func(service string) []route.Target { return []route.Target{{Service: service, Weight: 1}} }
 	return route.Declaration{
 		Version: 1,
-		Limits:  route.Limits{HeaderBytes: 4096, BodyBytes: 1000, Idle: 10 * time.Second},
+		Limits:  route.Limits{HeaderBytes: 4096, BodyBytes: 1000, IdleTimeout: 10 * time.Second},
 		Routes: []route.Route{
 			{Name: "once", Host: "a.example", Prefix: "/once/", Kind: route.KindOnce, Timeout: 2 * time.Second,
 				Objective: 300 * time.Millisecond, Attempts: 2, Targets: only("plain")},
@@ -113,7 +113,7 @@
 		return r.net.Dial(ctx, "tcp", address)
 	}})
 	r.gateway = gateway.New(gateway.Options{
-		Holder: r.holder, Fleet: r.fleet, Pool: r.pool, Codec: platform.Heads{}, Deadlines: clock.NewDeadlines(), Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: r.pool.Reach, CountEndpoints: r.fleet.Count, Logger: logger}), Telemetry: telemetry.MetricsOnly(), Logger: logger,
+		Holder: r.holder, Fleet: r.fleet, Pool: r.pool, Codec: platform.Heads{}, Deadlines: clock.NewDeadlines(), Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: r.pool.Probe, CountEndpoints: r.fleet.Count, Logger: logger}), Telemetry: telemetry.MetricsOnly(), Logger: logger,
 		Upgrades:   upgrade.NewTracker(upgrade.Options{Host: "h", Fleet: r.fleet, Logger: logger, Watch: noClock{}, Hosts: func() int { return 1 }}),
 		RetryRatio: 0.9,
 	})
@@ -174,7 +174,7 @@
 		_ = l.Close()
 	}
 	time.Sleep(time.Minute)
-	r.pool.Sweep()
+	r.pool.CloseExpired()
 	time.Sleep(time.Minute)
 }
 
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -196,7 +196,7 @@
 
 // callerSilenceLimit returns how long a stream may be silent before the caller disconnects.
 func (x *exchange) callerSilenceLimit() time.Duration {
-	return max(minSilenceLimit, silenceLimitObjectives*x.route.Objective, silenceLimitGaps*x.route.Gap)
+	return max(minSilenceLimit, silenceLimitObjectives*x.route.Objective, silenceLimitGaps*x.route.MaxEventGap)
 }
 
 func (x *exchange) countAdvice(outcome string) {
@@ -218,7 +218,7 @@
 func (x *exchange) recordUnreachable(hold *fleet.Hold, err error) {
 	x.tried = append(x.tried, hold.Endpoint.ID)
 	outcome := fleet.OutcomeLost
-	if errors.Is(err, conn.ErrBusy) || x.ctx.Err() != nil {
+	if errors.Is(err, conn.ErrConnLimit) || x.ctx.Err() != nil {
 		outcome = fleet.OutcomeNeutral
 	}
 	hold.Done(fleet.Result{Outcome: outcome})
--- a/internal/gatewayd/endpoints.go
+++ b/internal/gatewayd/endpoints.go
@@ -73,7 +73,7 @@
 	e.quarantine.EndpointListed(decoded.ID, decoded.Address)
 	if restarted {
 		// A request sent on a connection to the previous start of the endpoint may never run.
-		e.pool.Forget(old.Address)
+		e.pool.CloseIdle(old.Address)
 	}
 	if !known || restarted || old.Draining != decoded.Draining || old.Cold != decoded.Cold {
 		e.logger.Info("endpoint listed", "endpoint", decoded.ID, "service", decoded.Service, "version", decoded.Version, "hall", decoded.Hall,
--- a/internal/gatewayd/host.go
+++ b/internal/gatewayd/host.go
@@ -210,7 +210,7 @@
 	tuner := newHeapTuner()
 	for clock.Sleep(ctx, sweepInterval) {
 		tuner.tune()
-		h.Pool.Sweep()
+		h.Pool.CloseExpired()
 		for _, id := range h.Fleet.Sweep() {
 			h.Logger.Info("endpoint gone", "endpoint", id, "reason", "not listed again after the store was unavailable")
 		}
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -153,12 +153,12 @@
 	if !ok {
 		return fleet.WarmUp{}
 	}
-	return fleet.WarmUp{Duration: declared.ColdFor, MaxRate: s.ColdRateLimit(declared.ColdRate)}
+	return fleet.WarmUp{Duration: declared.ColdDuration, MaxRate: s.ColdRateLimit(declared.ColdRate)}
 }
 
 func newPool(p Ports, t *telemetry.Telemetry) *conn.Pool {
 	return conn.NewPool(conn.Options{
-		Opened: func(string) { t.Count("endpoint_connections", 1) }, Dial: p.dialPeer(),
+		OnOpen: func(string) { t.Count("endpoint_connections", 1) }, Dial: p.dialPeer(),
 	})
 }
 
@@ -186,7 +186,7 @@
 
 func newQuarantine(s settings.Settings, tables store.Tables, w *spread.Watcher, p *conn.Pool, f *fleet.Fleet, l *log.Logger) *quarantine.Tracker {
 	return quarantine.NewTracker(quarantine.Options{
-		Host: s.Host, Probe: p.Reach, CountEndpoints: f.Count, Members: func() []quarantine.Member { return members[quarantine.Member](w) }, IsFirstHost: w.Leads,
+		Host: s.Host, Probe: p.Probe, CountEndpoints: f.Count, Members: func() []quarantine.Member { return members[quarantine.Member](w) }, IsFirstHost: w.Leads,
 		Peers: quarantine.NewPeerClient(w.Conn), FreshStart: s.Gateway.First, Tables: tables, SharedNow: storeClock(w), Logger: l,
 	})
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,5 +1,5 @@
-// Package load sends a described load to any address that speaks the API, with
-// arrivals that do not wait for answers, and measures latencies.
+// Package load is an open-loop load generator for any address that serves the API: it sends
+// requests at a given rate without waiting for earlier responses, and measures latencies.
 //
 // # Usage
 //
@@ -31,17 +31,17 @@
 	"quaybarrow/internal/yamlfile"
 )
 
-// Description is a load, as read from YAML.
+// Description describes a load, as read from YAML.
 type Description struct {
 	// URL is the API's base, such as http://10.0.0.1:7100/v1.
 	URL string `yaml:"url"`
-	// Rate is requests per second, over all callers.
+	// Rate is the number of requests per second of all callers together.
 	Rate float64 `yaml:"rate"`
-	// Seconds is how long to send.
+	// Seconds is the time during which requests are sent.
 	Seconds float64 `yaml:"seconds"`
 	// Burst multiplies the rate for the middle third; 0 means no burst.
 	Burst float64 `yaml:"burst"`
-	// Callers are who sends; each request is one of them by share.
+	// Callers are the kinds of callers; each request is sent as one of them, drawn by share.
 	Callers []Caller `yaml:"callers"`
 }
 
@@ -51,19 +51,19 @@
 	Key string `yaml:"key"`
 	// Model is a model, a version or a task class.
 	Model string `yaml:"model"`
-	// Share is the part of the requests; shares need not add up to 1.
+	// Share is this caller's relative share of the requests; shares need not add up to 1.
 	Share float64 `yaml:"share"`
-	// Stream asks for streamed answers.
+	// Stream requests streamed responses.
 	Stream bool `yaml:"stream"`
-	// Prompt is the mean length of a prompt in words.
-	Prompt int `yaml:"prompt"`
-	// Answer is the largest length of an answer in tokens.
-	Answer int `yaml:"answer"`
-	// Turns is how many requests a session has; 0 means no sessions.
+	// PromptWords is the mean length of a prompt in words.
+	PromptWords int `yaml:"prompt"`
+	// MaxTokens is the maximum length of a response in tokens.
+	MaxTokens int `yaml:"answer"`
+	// Turns is the mean number of requests in a session; 0 means no sessions.
 	Turns int `yaml:"turns"`
 }
 
-// Read reads and checks a description.
+// Read reads and validates a description.
 func Read(name string) (Description, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -95,24 +95,24 @@
 	return d, nil
 }
 
-// Bounds of the histograms, in microseconds.
+// Range of the histograms, in microseconds, and their precision.
 const (
-	leastMicros = 1
-	mostMicros  = int64(10 * time.Minute / time.Microsecond)
-	digits      = 3
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Report is what a load met.
+// Report is the result of a load.
 type Report struct {
-	Sent     int         `json:"sent"`
-	Answered int         `json:"answered"`
-	Refused  int         `json:"refused"` // told not run
-	Failed   int         `json:"failed"`
-	Seconds  float64     `json:"seconds"`
-	First    []Quantile  `json:"first_ms"`   // to the first token
-	Between  []Quantile  `json:"between_ms"` // between two tokens
-	Total    []Quantile  `json:"total_ms"`
-	Errors   []ErrorLine `json:"errors,omitempty"`
+	Sent          int          `json:"sent"`
+	Answered      int          `json:"answered"`
+	Refused       int          `json:"refused"` // responses that say that the request was not run
+	Failed        int          `json:"failed"`
+	Seconds       float64      `json:"seconds"`
+	FirstToken    []Quantile   `json:"first_ms"`   // to the first token
+	BetweenTokens []Quantile   `json:"between_ms"` // between two tokens
+	Total         []Quantile   `json:"total_ms"`
+	Errors        []ErrorCount `json:"errors,omitempty"`
 }
 
 // Quantile is one quantile of a latency, in milliseconds.
@@ -121,158 +121,161 @@
 	Value    float64 `json:"value"`
 }
 
-// ErrorLine counts one kind of error.
-type ErrorLine struct {
+// ErrorCount counts one kind of error.
+type ErrorCount struct {
 	Text  string `json:"text"`
 	Count int    `json:"count"`
 }
 
-// quantiles shown.
+// quantiles are the percentiles in a report.
 var quantiles = []float64{50, 90, 95, 99, 99.9}
 
-// runner is a load under way.
+// runner is the state of a running load.
 type runner struct {
 	description Description
 	client      *http.Client
 
-	mu                    sync.Mutex // guards all below
-	report                Report
-	first, between, total *hdrhistogram.Histogram
-	errors                map[string]int
-	tokens                map[int][]string // session tokens at hand, by caller
+	mu                               sync.Mutex // guards all below
+	report                           Report
+	firstToken, betweenTokens, total *hdrhistogram.Histogram
+	errors                           map[string]int
+	sessionTokens                    map[int][]string // unused session tokens, by index of caller
 }
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(leastMicros, mostMicros, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
+}
 
-// Run sends the load and returns the report when every answer has come.
+// Run sends the load and returns the report when all requests have ended.
 func Run(ctx context.Context, d Description, transport http.RoundTripper) (Report, error) {
 	r := &runner{
 		description: d, client: &http.Client{Transport: transport},
-		first: newHistogram(), between: newHistogram(), total: newHistogram(),
-		errors: map[string]int{}, tokens: map[int][]string{},
+		firstToken: newHistogram(), betweenTokens: newHistogram(), total: newHistogram(),
+		errors: map[string]int{}, sessionTokens: map[int][]string{},
 	}
 	started := time.Now()
 	var wait sync.WaitGroup
-	for next := started; next.Sub(started) < r.length(); next = next.Add(r.gap(next.Sub(started))) {
+	for next := started; next.Sub(started) < r.duration(); next = next.Add(r.nextGap(next.Sub(started))) {
 		if !clock.Sleep(ctx, time.Until(next)) {
 			break
 		}
-		wait.Go(func() { r.request(ctx) })
+		wait.Go(func() { r.sendRequest(ctx) })
 	}
 	wait.Wait()
-	return r.finish(time.Since(started)), ctx.Err()
+	return r.finalReport(time.Since(started)), ctx.Err()
 }
 
-func (r *runner) length() time.Duration {
+func (r *runner) duration() time.Duration {
 	return time.Duration(r.description.Seconds * float64(time.Second))
 }
 
-// gap draws the time to the next arrival.
-func (r *runner) gap(at time.Duration) time.Duration {
+// nextGap draws the time until the next request, exponentially distributed.
+func (r *runner) nextGap(elapsed time.Duration) time.Duration {
 	rate := r.description.Rate
-	third := r.length() / 3
-	if r.description.Burst > 0 && at > third && at < 2*third {
+	third := r.duration() / 3
+	if r.description.Burst > 0 && elapsed > third && elapsed < 2*third {
 		rate *= r.description.Burst
 	}
 	return time.Duration(-math.Log(1-rand.Float64()) / rate * float64(time.Second))
 }
 
-// pick draws a caller by share.
-func (r *runner) pick() int {
+// pickCaller draws the index of a caller, by share.
+func (r *runner) pickCaller() int {
 	sum := 0.0
 	for _, c := range r.description.Callers {
 		sum += c.Share
 	}
-	at := rand.Float64() * sum
+	point := rand.Float64() * sum
 	for i, c := range r.description.Callers {
-		if at < c.Share {
+		if point < c.Share {
 			return i
 		}
-		at -= c.Share
+		point -= c.Share
 	}
 	return len(r.description.Callers) - 1
 }
 
-// request sends one request and takes in its answer.
-func (r *runner) request(ctx context.Context) {
-	index := r.pick()
+// sendRequest sends one request and records its result.
+func (r *runner) sendRequest(ctx context.Context) {
+	index := r.pickCaller()
 	c := r.description.Callers[index]
 	body, err := json.Marshal(chat.Request{
-		Model: c.Model, Stream: c.Stream, MaxTokens: c.Answer,
-		Messages: []chat.Message{{Role: "user", Content: chat.Text(prompt(c.Prompt))}},
+		Model: c.Model, Stream: c.Stream, MaxTokens: c.MaxTokens,
+		Messages: []chat.Message{{Role: "user", Content: chat.Text(randomPrompt(c.PromptWords))}},
 	})
 	if err != nil {
-		r.failed(err.Error(), false)
+		r.recordError(err.Error(), false)
 		return
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, r.description.URL+"/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		r.failed(err.Error(), false)
+		r.recordError(err.Error(), false)
 		return
 	}
 	request.Header.Set("Authorization", "Bearer "+c.Key)
 	request.Header.Set("Content-Type", "application/json")
-	r.session(request.Header, index, c)
+	r.setSessionHeader(request.Header, index, c)
 	sent := time.Now()
 	response, err := r.client.Do(request)
 	if err != nil {
-		r.failed("no answer", false)
+		r.recordError("no answer", false)
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		r.refused(response)
+		r.recordRejection(response)
 		return
 	}
-	if err := r.answer(response.Body, sent, c.Stream); err != nil {
-		r.failed(err.Error(), false)
+	if err := r.recordResponse(response.Body, sent, c.Stream); err != nil {
+		r.recordError(err.Error(), false)
 		return
 	}
-	r.keep(index, c, response.Header.Get(entry.HeaderSessionToken))
+	r.keepSessionToken(index, c, response.Header.Get(entry.HeaderSessionToken))
 }
 
-// prompt makes a text of about so many words.
-func prompt(words int) string {
+// randomPrompt returns a text whose length varies around the given number of words.
+func randomPrompt(words int) string {
 	count := max(1, int(float64(words)*(0.5+rand.Float64())))
 	return strings.TrimSpace(strings.Repeat("word ", count))
 }
 
-// session goes on with a session, or opens one.
-func (r *runner) session(h http.Header, index int, c Caller) {
+// setSessionHeader continues one of the caller's sessions, or starts one.
+func (r *runner) setSessionHeader(h http.Header, index int, c Caller) {
 	if c.Turns == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	tokens := r.tokens[index]
+	tokens := r.sessionTokens[index]
 	if len(tokens) == 0 {
 		h.Set(entry.HeaderSession, "new")
 		return
 	}
 	h.Set(entry.HeaderSessionToken, tokens[0])
-	r.tokens[index] = tokens[1:]
+	r.sessionTokens[index] = tokens[1:]
 }
 
-// keep gives a session's token to a later request, until its turns are over.
-func (r *runner) keep(index int, c Caller, token string) {
+// keepSessionToken keeps a session's token for a later request. It ends the session with a
+// probability of 1/Turns, so sessions have Turns requests on average.
+func (r *runner) keepSessionToken(index int, c Caller, token string) {
 	if c.Turns == 0 || token == "" || rand.IntN(c.Turns) == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tokens[index] = append(r.tokens[index], token)
+	r.sessionTokens[index] = append(r.sessionTokens[index], token)
 }
 
-// errCut means that a stream ended without its end mark.
-var errCut = errors.New("answer was cut")
+// errTruncated means that a response broke off or a stream ended without its end marker.
+var errTruncated = errors.New("response ended early")
 
-// answer takes in an answer.
-func (r *runner) answer(body io.Reader, sent time.Time, stream bool) error {
+// recordResponse reads a response and records its latencies.
+func (r *runner) recordResponse(body io.Reader, sent time.Time, stream bool) error {
 	var first, last time.Time
 	var gaps []time.Duration
 	if !stream {
 		if _, err := io.Copy(io.Discard, body); err != nil {
-			return errCut
+			return errTruncated
 		}
 		first, last = time.Now(), time.Now()
 	} else {
@@ -296,27 +299,27 @@
 			}
 		}
 		if !ended {
-			return errCut
+			return errTruncated
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Sent++
 	r.report.Answered++
-	_ = r.first.RecordValue(first.Sub(sent).Microseconds())
+	_ = r.firstToken.RecordValue(first.Sub(sent).Microseconds())
 	_ = r.total.RecordValue(last.Sub(sent).Microseconds())
 	for _, g := range gaps {
-		_ = r.between.RecordValue(max(g.Microseconds(), leastMicros))
+		_ = r.betweenTokens.RecordValue(max(g.Microseconds(), minMicros))
 	}
 	return nil
 }
 
-func (r *runner) refused(response *http.Response) {
+func (r *runner) recordRejection(response *http.Response) {
 	notRun := response.Header.Get("X-Run") == "not_run"
-	r.failed(fmt.Sprintf("status %d", response.StatusCode), notRun)
+	r.recordError(fmt.Sprintf("status %d", response.StatusCode), notRun)
 }
 
-func (r *runner) failed(text string, notRun bool) {
+func (r *runner) recordError(text string, notRun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.report.Sent++
@@ -328,11 +331,11 @@
 	r.report.Failed++
 }
 
-func (r *runner) finish(took time.Duration) Report {
-	r.report.Seconds = took.Seconds()
-	r.report.First, r.report.Between, r.report.Total = quantilesOf(r.first), quantilesOf(r.between), quantilesOf(r.total)
+func (r *runner) finalReport(elapsed time.Duration) Report {
+	r.report.Seconds = elapsed.Seconds()
+	r.report.FirstToken, r.report.BetweenTokens, r.report.Total = quantilesOf(r.firstToken), quantilesOf(r.betweenTokens), quantilesOf(r.total)
 	for text, count := range r.errors {
-		r.report.Errors = append(r.report.Errors, ErrorLine{text, count})
+		r.report.Errors = append(r.report.Errors, ErrorCount{text, count})
 	}
 	return r.report
 }
@@ -345,7 +348,7 @@
 	return values
 }
 
-// Text lays the report out for people.
+// Text formats the report as text.
 func (r Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d requests in %.1f s: %d answered, %d refused as not run, %d failed\n\n", r.Sent, r.Seconds, r.Answered, r.Refused, r.Failed)
@@ -356,7 +359,7 @@
 	for _, line := range []struct {
 		name   string
 		values []Quantile
-	}{{"first token", r.First}, {"between tokens", r.Between}, {"whole answer", r.Total}} {
+	}{{"first token", r.FirstToken}, {"between tokens", r.BetweenTokens}, {"whole answer", r.Total}} {
 		fmt.Fprintf(&b, "\n%-17s", line.name)
 		for _, v := range line.values {
 			fmt.Fprintf(&b, "%11.2f", v.Value)
--- a/internal/pipeline/answer.go
+++ b/internal/pipeline/answer.go
@@ -56,7 +56,7 @@
 		return answered{}, err
 	}
 	defer stream.Close()
-	body, err := stream.Whole()
+	body, err := stream.ReadAll()
 	in.charge(usageOf(in.first.Candidate.Version, stream.Usage(), in.promptly, 0))
 	if err != nil {
 		return answered{}, err
@@ -86,9 +86,9 @@
 	}
 	return p.options.Dispatcher.Open(ctx, dispatch.Request{
 		ID: in.requestID, Version: decision.Candidate.Ref, Body: body, Priority: in.priority,
-		Prefix: in.prefix, Tokens: in.promptly, Shared: in.shared, Fingerprint: in.fingerprint, Of: in.of(),
-		Allowed:   func() error { return p.allowed(in.workspace.Name, decision.Candidate, hasSession) },
-		Attempted: in.attempted, Judged: judged,
+		PrefixHash: in.prefix, PromptTokens: in.promptly, SharedTokens: in.shared, Fingerprint: in.fingerprint, Label: in.of(),
+		CheckAllowed: func() error { return p.allowed(in.workspace.Name, decision.Candidate, hasSession) },
+		OnAttempt:    in.attempted, OnVersionResult: judged,
 	})
 }
 
@@ -120,7 +120,7 @@
 }
 
 func (p *Pipeline) relayWhole(in answered, sink Sink, head Head) error {
-	body, err := in.stream.Whole()
+	body, err := in.stream.ReadAll()
 	in.charge(usageOf(in.decision.Candidate.Version, in.stream.Usage(), in.promptly, 0))
 	if err != nil {
 		return err
@@ -150,10 +150,10 @@
 			}
 			return err
 		}
-		if event.Usage && !in.chat.WantsUsage() {
+		if event.UsageOnly && !in.chat.WantsUsage() {
 			continue
 		}
-		if err := sink.Event(event.Data, event.More); err != nil {
+		if err := sink.Event(event.Data, event.NextBuffered); err != nil {
 			return told(err)
 		}
 		if now := clock.Now(); now.Sub(reported) >= progressEvery {
--- a/internal/route/holder.go
+++ b/internal/route/holder.go
@@ -7,64 +7,62 @@
 	"quaybarrow/internal/clock"
 )
 
-// held is a table and when the host last knew it to be the newest.
-type held struct {
+// tableState is a table and the time at which it was last known to be the newest.
+type tableState struct {
 	table     *Table
 	confirmed clock.Instant
 }
 
-// Holder keeps the newest table of a host; safe for use at once.
+// Holder holds the newest table of a host. It is safe for concurrent use.
 type Holder struct {
-	now   atomic.Pointer[held]
-	known chan struct{}
+	current atomic.Pointer[tableState]
+	loaded  chan struct{}
 }
 
 // NewHolder returns a holder without a table.
-func NewHolder() *Holder { return &Holder{known: make(chan struct{})} }
+func NewHolder() *Holder { return &Holder{loaded: make(chan struct{})} }
 
-// Known returns a channel that is closed once there is a table.
-func (h *Holder) Known() <-chan struct{} { return h.known }
+// Loaded returns a channel that is closed once there is a table.
+func (h *Holder) Loaded() <-chan struct{} { return h.loaded }
 
 // Table returns the table in force, nil if there is none yet.
 func (h *Holder) Table() *Table {
-	if now := h.now.Load(); now != nil {
-		return now.table
+	if current := h.current.Load(); current != nil {
+		return current.table
 	}
 	return nil
 }
 
-// Apply brings a table into force unless one as new or newer is; it reports
-// whether it did.
+// Apply replaces the table in force if t has a higher version, and reports whether it did.
 func (h *Holder) Apply(t *Table) bool {
 	for {
-		old := h.now.Load()
+		old := h.current.Load()
 		if old != nil && old.table.version >= t.version {
 			return false
 		}
-		if h.now.CompareAndSwap(old, &held{table: t, confirmed: clock.Now()}) {
+		if h.current.CompareAndSwap(old, &tableState{table: t, confirmed: clock.Now()}) {
 			if old == nil {
-				close(h.known)
+				close(h.loaded)
 			}
 			return true
 		}
 	}
 }
 
-// Confirm notes that the table in force was the newest a moment ago.
+// Confirm records that the table in force is known to be the newest at this time.
 func (h *Holder) Confirm() {
-	old := h.now.Load()
+	old := h.current.Load()
 	if old == nil {
 		return
 	}
-	h.now.CompareAndSwap(old, &held{table: old.table, confirmed: clock.Now()})
+	h.current.CompareAndSwap(old, &tableState{table: old.table, confirmed: clock.Now()})
 }
 
-// Age is how long ago the table was last known to be the newest; false if there
-// is none.
+// Age returns the time since the table was last known to be the newest; false if there is no table.
 func (h *Holder) Age() (time.Duration, bool) {
-	now := h.now.Load()
-	if now == nil {
+	current := h.current.Load()
+	if current == nil {
 		return 0, false
 	}
-	return clock.Since(now.confirmed), true
+	return clock.Since(current.confirmed), true
 }
