--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -253,7 +253,7 @@
 	return pipeline.New(pipeline.Options{
 		Host: s.Host, Config: h, Admission: a, Keyring: k.current, Names: n, Ready: ready(f), Dispatcher: d, Quarantine: q, Ledger: l,
 		Guard: g, Credits: c, Estimates: e.Current, Telemetry: tel, Traffic: tr, Deadlines: deadlines,
-		Stale: s.Times.Stale, Proven: s.Times.Proven, Longest: s.Times.Request,
+		StaleAfter: s.Times.Stale, Proven: s.Times.Proven, MaxTimeout: s.Times.Request,
 	})
 }
 
--- a/internal/pipeline/ask.go
+++ b/internal/pipeline/ask.go
@@ -119,7 +119,7 @@
 	if a.requestID == "" {
 		a.requestID = requestID(c.workspace.Name, scope, c.incoming.IdempotencyKey)
 	}
-	timeout := p.options.Longest
+	timeout := p.options.MaxTimeout
 	if c.incoming.Timeout > 0 {
 		timeout = min(timeout, c.incoming.Timeout)
 	}
--- a/internal/pipeline/call.go
+++ b/internal/pipeline/call.go
@@ -22,7 +22,7 @@
 	var failure error
 	result, err := p.options.Guard.Do(ctx, in.claim(), func(ctx context.Context) once.Attempt {
 		// The caller may leave; the outcome is still wanted for its repeat.
-		detached, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.options.Longest)
+		detached, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.options.MaxTimeout)
 		defer cancel()
 		outcome, err := p.send(detached, in)
 		failure = err
--- a/internal/pipeline/choose.go
+++ b/internal/pipeline/choose.go
@@ -100,7 +100,7 @@
 		Estimates: p.options.Estimates(),
 		Ready:     p.options.Ready,
 		Credit:    p.options.Credits.Available,
-		Stale:     !known || age > p.options.Stale,
+		Stale:     !known || age > p.options.StaleAfter,
 		Proven:    p.options.Proven,
 		Now:       time.Now(),
 		Random:    rand.Float64(),
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -66,9 +66,9 @@
 	Telemetry  *telemetry.Telemetry
 	Traffic    *traffic.Log
 	Deadlines  *clock.Deadlines // watched by the host
-	Stale      time.Duration
+	StaleAfter time.Duration
 	Proven     time.Duration
-	Longest    time.Duration // of a request
+	MaxTimeout time.Duration // of a request
 }
 
 // Pipeline serves requests.
