--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -113,24 +113,24 @@
 
 // checkHeaders reads and checks the headers that bound a request.
 func checkHeaders(in *pipeline.Incoming, r *http.Request) error {
-	bad := func(header, text string) error {
+	badHeader := func(header, text string) error {
 		return problem.New(http.StatusBadRequest, problem.CodeBadRequest, problem.NotRun, "header "+header+" "+text)
 	}
 	if len(in.IdempotencyKey) > maxNameBytes {
-		return bad(HeaderIdempotencyKey, "is longer than 255 bytes")
+		return badHeader(HeaderIdempotencyKey, "is longer than 255 bytes")
 	}
 	if len(in.SessionName) > maxNameBytes {
-		return bad(HeaderSessionName, "is longer than 255 bytes")
+		return badHeader(HeaderSessionName, "is longer than 255 bytes")
 	}
 	switch in.Priority {
 	case "", declare.PriorityInteractive, declare.PriorityBatch:
 	default:
-		return bad(HeaderPriority, "must be interactive or batch")
+		return badHeader(HeaderPriority, "must be interactive or batch")
 	}
 	if text := r.Header.Get(HeaderTimeout); text != "" {
 		ms, err := strconv.Atoi(text)
 		if err != nil || ms <= 0 {
-			return bad(HeaderTimeout, "must be a count of milliseconds above 0")
+			return badHeader(HeaderTimeout, "must be a count of milliseconds above 0")
 		}
 		in.Timeout = time.Duration(ms) * time.Millisecond
 	}
--- a/internal/entry/jobs.go
+++ b/internal/entry/jobs.go
@@ -66,28 +66,28 @@
 
 // parseJob checks a job's body.
 func parseJob(ws declare.Workspace, body []byte) (job.Job, error) {
-	bad := func(text string) error {
+	badRequest := func(text string) error {
 		return problem.New(http.StatusBadRequest, problem.CodeBadRequest, problem.NotRun, text)
 	}
 	var request JobRequest
 	if err := json.Unmarshal(body, &request); err != nil {
-		return job.Job{}, bad("the body is not a job: " + err.Error())
+		return job.Job{}, badRequest("the body is not a job: " + err.Error())
 	}
 	if len(request.Request) == 0 {
-		return job.Job{}, bad("field request is missing")
+		return job.Job{}, badRequest("field request is missing")
 	}
 	if (request.Service == "") != (request.Call == "") {
-		return job.Job{}, bad("fields service and call go together")
+		return job.Job{}, badRequest("fields service and call go together")
 	}
 	switch request.Priority {
 	case "":
 		request.Priority = declare.PriorityBatch
 	case declare.PriorityBatch, declare.PriorityInteractive:
 	default:
-		return job.Job{}, bad("field priority must be interactive or batch")
+		return job.Job{}, badRequest("field priority must be interactive or batch")
 	}
 	if request.DeadlineSeconds < 0 {
-		return job.Job{}, bad("field deadline_seconds must not be negative")
+		return job.Job{}, badRequest("field deadline_seconds must not be negative")
 	}
 	j := job.Job{
 		Workspace: ws.Name, Priority: request.Priority, Service: request.Service, Call: request.Call,
--- a/internal/entry/openai_test.go
+++ b/internal/entry/openai_test.go
@@ -51,7 +51,7 @@
 	)
 }
 
-func hello() openai.ChatCompletionNewParams {
+func helloRequest() openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model: "support", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hello")},
 	}
@@ -73,7 +73,7 @@
 	It("gets a completion", func() {
 		withCluster(func(ctx context.Context, c *cluster.Cluster) {
 			api := client(c, key)
-			answer, err := api.Chat.Completions.New(ctx, hello())
+			answer, err := api.Chat.Completions.New(ctx, helloRequest())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(answer.Choices[0].Message.Content).To(HavePrefix("re: hello t1"))
 			Expect(answer.Usage.CompletionTokens).To(Equal(int64(50)))
@@ -83,25 +83,25 @@
 	It("gets a stream, with usage when it asks for it", func() {
 		withCluster(func(ctx context.Context, c *cluster.Cluster) {
 			api := client(c, key)
-			params := hello()
+			params := helloRequest()
 			params.StreamOptions = openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)}
 			stream := api.Chat.Completions.NewStreaming(ctx, params)
-			gathered := openai.ChatCompletionAccumulator{}
+			accumulated := openai.ChatCompletionAccumulator{}
 			for stream.Next() {
-				gathered.AddChunk(stream.Current())
+				accumulated.AddChunk(stream.Current())
 			}
 			Expect(stream.Err()).NotTo(HaveOccurred())
-			Expect(gathered.Choices[0].Message.Content).To(HaveSuffix("t49"))
-			Expect(gathered.Usage.CompletionTokens).To(Equal(int64(50)))
+			Expect(accumulated.Choices[0].Message.Content).To(HaveSuffix("t49"))
+			Expect(accumulated.Usage.CompletionTokens).To(Equal(int64(50)))
 		})
 	})
 
 	It("stops the engine when it goes away", func() {
 		withCluster(func(ctx context.Context, c *cluster.Cluster) {
 			api := client(c, key)
-			leaving, leave := context.WithTimeout(ctx, 200*time.Millisecond)
-			defer leave()
-			stream := api.Chat.Completions.NewStreaming(leaving, hello())
+			streamContext, cancelStream := context.WithTimeout(ctx, 200*time.Millisecond)
+			defer cancelStream()
+			stream := api.Chat.Completions.NewStreaming(streamContext, helloRequest())
 			for stream.Next() {
 			}
 			Expect(stream.Err()).To(HaveOccurred())
@@ -131,8 +131,8 @@
 
 	It("understands the errors", func() {
 		withCluster(func(ctx context.Context, c *cluster.Cluster) {
-			stranger := client(c, "no-key")
-			_, err := stranger.Chat.Completions.New(ctx, hello())
+			unauthorized := client(c, "no-key")
+			_, err := unauthorized.Chat.Completions.New(ctx, helloRequest())
 			var failed *openai.Error
 			Expect(err).To(BeAssignableToTypeOf(failed))
 			failed = func() *openai.Error {
@@ -147,8 +147,8 @@
 	})
 })
 
-// bad are requests with a mistake, with the status and the words of the answer.
-var bad = map[string]struct {
+// invalidRequests are requests with a mistake, with the status and the words of the answer.
+var invalidRequests = map[string]struct {
 	method, path, body string
 	header             [2]string
 	status             int
@@ -173,7 +173,7 @@
 }
 
 var _ = Describe("a request with a mistake", func() {
-	for name, b := range bad {
+	for name, b := range invalidRequests {
 		It("is refused with a reason: "+name, func() {
 			withCluster(func(ctx context.Context, c *cluster.Cluster) {
 				request, err := http.NewRequestWithContext(ctx, b.method, "http://"+c.Hosts[0].Callers()+b.path, bytes.NewReader([]byte(b.body)))
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -93,7 +93,7 @@
 	Attempts  int              `json:"attempts"`       // claims
 	Runs      int              `json:"runs"`           // attempts that may have run
 	Host      string           `json:"host,omitempty"` // that runs it
-	Beat      int64            `json:"beat,omitempty"` // counts renewals of its claim
+	Renewals  int64            `json:"beat,omitempty"` // counts renewals of its claim
 	Result    *Result          `json:"result,omitempty"`
 }
 
@@ -101,13 +101,13 @@
 func (j Job) WithClaim(host string) Job {
 	j.State, j.Host = StateRunning, host
 	j.Attempts++
-	j.Beat = 0
+	j.Renewals = 0
 	return j
 }
 
 // WithRenewal returns the job with its claim renewed.
 func (j Job) WithRenewal() Job {
-	j.Beat++
+	j.Renewals++
 	return j
 }
 
--- a/internal/job/work.go
+++ b/internal/job/work.go
@@ -56,8 +56,8 @@
 // NewWorker returns a worker that runs up to atOnce jobs at a time. The more hosts
 // there are, the longer it waits between two looks, so that what all of them ask
 // of the table does not grow.
-func NewWorker(queue *Queue, host string, atOnce int, hosts func() int, run Runner) *Worker {
-	return &Worker{queue: queue, host: host, run: run, concurrency: atOnce, hosts: hosts, stop: make(chan struct{}), observed: map[string]observation{}}
+func NewWorker(queue *Queue, host string, concurrency int, hosts func() int, run Runner) *Worker {
+	return &Worker{queue: queue, host: host, run: run, concurrency: concurrency, hosts: hosts, stop: make(chan struct{}), observed: map[string]observation{}}
 }
 
 // Drain makes Run take no more jobs and return when those under way are done.
@@ -76,17 +76,17 @@
 // Run works until it is drained, or the context ends: then jobs under way are
 // handed back.
 func (w *Worker) Run(ctx context.Context) {
-	var wait sync.WaitGroup
+	var workers sync.WaitGroup
 	for range w.concurrency {
-		wait.Go(func() { w.loop(ctx) })
+		workers.Go(func() { w.loop(ctx) })
 	}
-	wait.Wait()
+	workers.Wait()
 }
 
 func (w *Worker) loop(ctx context.Context) {
 	delay := minPollDelay
 	for ctx.Err() == nil && !w.draining() {
-		if w.Once(ctx) {
+		if w.RunOne(ctx) {
 			delay = minPollDelay
 			continue
 		}
@@ -109,9 +109,9 @@
 	return maxPollDelay * time.Duration(max(w.hosts(), baseHosts)) / baseHosts
 }
 
-// Once looks for a job in a random shard and runs the first that it can
+// RunOne looks for a job in a random shard and runs the first that it can
 // claim; false if there was none.
-func (w *Worker) Once(ctx context.Context) bool {
+func (w *Worker) RunOne(ctx context.Context) bool {
 	for _, shard := range rand.Perm(Shards)[:shardsPerPoll] {
 		j, row, ok := w.claimFrom(ctx, shard)
 		if ok {
@@ -215,14 +215,14 @@
 	if err != nil && !store.Uncertain(err) {
 		return store.Row{}, err
 	}
-	now, readErr := q.tables.Get(ctx, TableJobs, next.ID)
+	current, readErr := q.tables.Get(ctx, TableJobs, next.ID)
 	if readErr != nil {
 		return store.Row{}, errors.Wrap(readErr, "read job back")
 	}
-	if string(now.Value) != string(data) {
+	if string(current.Value) != string(data) {
 		return store.Row{}, store.ErrConflict
 	}
-	return now, nil
+	return current, nil
 }
 
 // runClaimed runs a claimed job and records its end. A job whose claim is lost
@@ -231,11 +231,11 @@
 	runContext, cancel := context.WithCancel(ctx)
 	defer cancel()
 	renewer := &claimRenewer{worker: w, job: j, row: row, cancelRun: cancel}
-	var wait sync.WaitGroup
-	wait.Go(func() { renewer.renew(runContext) })
+	var renewal sync.WaitGroup
+	renewal.Go(func() { renewer.renew(runContext) })
 	result, err := w.run(runContext, j)
 	cancel()
-	wait.Wait()
+	renewal.Wait()
 	finishContext, stop := context.WithTimeout(context.WithoutCancel(ctx), claimDuration)
 	defer stop()
 	j, row = renewer.job, renewer.row
@@ -300,9 +300,9 @@
 	renewed := clock.Now()
 	for clock.Sleep(ctx, renewInterval) {
 		sent := clock.Now()
-		limited, cancel := context.WithTimeout(ctx, writeTimeout)
+		writeContext, cancel := context.WithTimeout(ctx, writeTimeout)
 		next := k.job.WithRenewal()
-		row, err := k.worker.queue.replace(limited, k.row, next)
+		row, err := k.worker.queue.replace(writeContext, k.row, next)
 		cancel()
 		switch {
 		case err == nil:
--- a/internal/job/work_test.go
+++ b/internal/job/work_test.go
@@ -53,9 +53,9 @@
 				return job.Result{}, ctx.Err()
 			}
 			hostCount := func() int { return 3 }
-			lost := job.NewWorker(job.NewQueue(lostHostTables), "lost", 1, hostCount, run)
+			lostHost := job.NewWorker(job.NewQueue(lostHostTables), "lost", 1, hostCount, run)
 			lostHostContext, stopLostHost := context.WithCancel(ctx)
-			go lost.Run(lostHostContext)
+			go lostHost.Run(lostHostContext)
 			<-ran
 			lostHostTables.unreachable.Store(true) // it can't hand the job back
 			stopLostHost()
@@ -64,12 +64,12 @@
 				go job.NewWorker(queue, fmt.Sprint("host-", host), 2, hostCount, run).Run(ctx)
 			}
 			for {
-				now, err := queue.Find(ctx, "clerks", j.ID)
-				if err == nil && now.State == job.StateDone {
+				current, err := queue.Find(ctx, "clerks", j.ID)
+				if err == nil && current.State == job.StateDone {
 					return
 				}
 				if time.Since(started) > maxRecoveryTime {
-					t.Fatalf("the job is %s after %s", now.State, time.Since(started))
+					t.Fatalf("the job is %s after %s", current.State, time.Since(started))
 				}
 				time.Sleep(time.Second)
 			}
--- a/internal/pipeline/choose.go
+++ b/internal/pipeline/choose.go
@@ -26,8 +26,8 @@
 	opensSession bool        // a session is to be opened
 }
 
-// pin finds the session that a request belongs to.
-func (p *Pipeline) pin(ctx context.Context, a parsedRequest) (sessionRequest, error) {
+// findSession finds the session that a request belongs to.
+func (p *Pipeline) findSession(ctx context.Context, a parsedRequest) (sessionRequest, error) {
 	switch {
 	case a.incoming.SessionToken != "":
 		pin, err := p.options.Keyring().Verify(a.incoming.SessionToken)
@@ -80,14 +80,14 @@
 	if in.class != nil && in.class.Cascade && !in.opensSession {
 		first, second, err := choose.Cascade(input)
 		if err != nil {
-			return routedRequest{}, noVersion(in)
+			return routedRequest{}, noVersionProblem(in)
 		}
 		staged := first.Candidate.Ref != second.Candidate.Ref
 		return routedRequest{sessionRequest: in, first: first, second: second, cascade: staged}, nil
 	}
 	decision, err := choose.Pick(input)
 	if err != nil {
-		return routedRequest{}, noVersion(in)
+		return routedRequest{}, noVersionProblem(in)
 	}
 	return p.openSession(ctx, in, decision)
 }
@@ -108,7 +108,7 @@
 	if in.class == nil {
 		input.Candidates = in.snapshot.Candidates(in.workspace.Name, in.chat.Model)
 		if len(input.Candidates) == 0 {
-			return choose.Input{}, unknownModel(in.chat.Model)
+			return choose.Input{}, unknownModelProblem(in.chat.Model)
 		}
 		return input, nil
 	}
@@ -119,12 +119,12 @@
 	return input, nil
 }
 
-func unknownModel(name string) error {
+func unknownModelProblem(name string) error {
 	return problem.New(http.StatusNotFound, problem.CodeModelNotFound, problem.NotRun,
 		fmt.Sprintf("model %q does not exist or is not open to this workspace", name))
 }
 
-func noVersion(in sessionRequest) error {
+func noVersionProblem(in sessionRequest) error {
 	return problem.New(http.StatusServiceUnavailable, problem.CodeNoVersion, problem.NotRun,
 		fmt.Sprintf("no version for %q is in service", in.chat.Model)).WithRetryAfter(time.Second)
 }
@@ -133,7 +133,7 @@
 func (p *Pipeline) chooseNamed(ctx context.Context, in sessionRequest, ref declare.Ref) (routedRequest, error) {
 	c, ok := in.snapshot.Candidate(in.workspace.Name, ref)
 	if !ok {
-		return routedRequest{}, unknownModel(ref.String())
+		return routedRequest{}, unknownModelProblem(ref.String())
 	}
 	input, err := p.choiceInput(sessionRequest{parsedRequest: in.withModel(ref.Model)})
 	if err != nil {
@@ -164,12 +164,12 @@
 		Class: in.chat.Model, Opened: time.Now().UTC(),
 	}
 	if in.sessionName != "" {
-		kept, err := p.options.Names.Claim(ctx, in.sessionName, pin)
+		stored, err := p.options.Names.Claim(ctx, in.sessionName, pin)
 		if err != nil {
 			return routedRequest{}, storeUnavailable(err, "the session's version can't be kept")
 		}
-		in.pin = kept
-		if kept.ID != pin.ID {
+		in.pin = stored
+		if stored.ID != pin.ID {
 			return p.continueSession(in)
 		}
 		return routedRequest{sessionRequest: in, first: decision}, nil
@@ -190,13 +190,13 @@
 func (p *Pipeline) continueSession(in sessionRequest) (routedRequest, error) {
 	c, ok := in.snapshot.Candidate(in.workspace.Name, in.pin.Version)
 	if !ok || !mayContinue(c.Version.State) {
-		return routedRequest{}, sessionEnded(in.pin)
+		return routedRequest{}, sessionEndedProblem(in.pin)
 	}
 	decision := choose.Decision{Candidate: c, Reason: reasonSession, Canary: c.Version.State == declare.StateCanary}
 	return routedRequest{sessionRequest: in, first: decision, sessionToken: in.incoming.SessionToken}, nil
 }
 
-func sessionEnded(pin session.Pin) error {
+func sessionEndedProblem(pin session.Pin) error {
 	return problem.New(http.StatusGone, problem.CodeSessionEnded, problem.NotRun,
 		fmt.Sprintf("the session ended: its version %s was withdrawn; open a new session", pin.Version))
 }
@@ -209,12 +209,12 @@
 // checkAllowed says, right before an attempt, whether a version may still be used. A
 // version that was not withdrawn by the newest configuration may.
 func (p *Pipeline) checkAllowed(workspace string, c config.Candidate, hasSession bool) error {
-	now, ok := p.options.Config.Current().Candidate(workspace, c.Ref)
-	if ok && mayContinue(now.Version.State) {
+	current, ok := p.options.Config.Current().Candidate(workspace, c.Ref)
+	if ok && mayContinue(current.Version.State) {
 		return nil
 	}
 	if hasSession {
-		return sessionEnded(session.Pin{Version: c.Ref})
+		return sessionEndedProblem(session.Pin{Version: c.Ref})
 	}
 	return problem.New(http.StatusServiceUnavailable, problem.CodeNoVersion, problem.NotRun,
 		fmt.Sprintf("%s was withdrawn", c.Ref)).WithRetryAfter(time.Second)
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -156,7 +156,7 @@
 		return err
 	}
 	defer permit.Release()
-	withSession, err := stage(ctx, p, "pin session", p.pin, request)
+	withSession, err := stage(ctx, p, "pin session", p.findSession, request)
 	if err != nil {
 		return err
 	}
@@ -195,38 +195,38 @@
 	record := p.newRecord(ctx)
 	defer func() { p.finish(record, err) }()
 
-	caller, err := stage(ctx, p, "authenticate", p.authenticate, in)
+	authenticated, err := stage(ctx, p, "authenticate", p.authenticate, in)
 	if err != nil {
 		return err
 	}
-	ask, err := stage(ctx, p, "read", p.parseServiceCall, caller)
+	request, err := stage(ctx, p, "read", p.parseServiceCall, authenticated)
 	if err != nil {
 		return err
 	}
-	record.Workspace, record.Asked, record.RequestID = ask.workspace.Name, ask.subject(), ask.requestID
-	span.SetAttributes(attribute.String("request.id", ask.requestID), attribute.String("workspace", ask.workspace.Name))
-	if ask, err = stage(ctx, p, "check quarantine", p.checkQuarantine, ask); err != nil {
+	record.Workspace, record.Asked, record.RequestID = request.workspace.Name, request.subject(), request.requestID
+	span.SetAttributes(attribute.String("request.id", request.requestID), attribute.String("workspace", request.workspace.Name))
+	if request, err = stage(ctx, p, "check quarantine", p.checkQuarantine, request); err != nil {
 		return err
 	}
-	ctx, cancel := p.options.Deadlines.With(ctx, ask.deadline)
+	ctx, cancel := p.options.Deadlines.With(ctx, request.deadline)
 	defer cancel()
-	place, err := stage(ctx, p, "admit", p.admit, ask)
+	permit, err := stage(ctx, p, "admit", p.admit, request)
 	if err != nil {
 		return err
 	}
-	defer place.Release()
-	opened, err := stage(ctx, p, "open bill", p.openCallBill, ask)
+	defer permit.Release()
+	billed, err := stage(ctx, p, "open bill", p.openCallBill, request)
 	if err != nil {
 		return err
 	}
-	defer opened.closeBill()
-	result, err := stage(ctx, p, "dispatch", p.call, opened)
+	defer billed.closeBill()
+	result, err := stage(ctx, p, "dispatch", p.call, billed)
 	if err != nil {
 		return err
 	}
 	record.setFirstToken(time.Now())
-	record.setUsage(opened.usage())
-	head := Head{RequestID: ask.requestID, TraceID: telemetry.TraceID(ctx), Replayed: result.Replayed}
+	record.setUsage(billed.usage())
+	head := Head{RequestID: request.requestID, TraceID: telemetry.TraceID(ctx), Replayed: result.Replayed}
 	if err := sink.Whole(head, result.Outcome.Status, result.Outcome.ContentType, result.Outcome.Body); err != nil {
 		return problem.New(http.StatusOK, problem.CodeCut, problem.Ran, "caller left").WithCause(err)
 	}
