--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,12 +1,12 @@
-// Package entry is the API for callers: OpenAI's chat completions and models,
-// plain services and deferred jobs, over HTTP.
+// Package entry implements the HTTP API for callers: OpenAI's chat completions and models, calls to
+// plain services, and deferred jobs.
 //
 // # Usage
 //
 //	handler := entry.New(entry.Options{Pipeline: p, Config: holder, ...}).Handler()
 //
-// Handlers only translate between HTTP and the pipeline. Errors are shaped like
-// OpenAI's, with the field run added.
+// The handlers only translate between HTTP and the pipeline. Errors have the format of OpenAI's, with
+// an additional field run.
 package entry
 
 import (
@@ -28,7 +28,7 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// Headers of the API beyond OpenAI's.
+// Headers that the API adds to OpenAI's.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderSession        = "X-Session" // "new" opens a session
@@ -42,28 +42,28 @@
 	HeaderReplayed       = "X-Replayed"
 )
 
-// maxNameBytes bounds the names that callers choose.
+// maxNameBytes limits the length of idempotency keys and session names.
 const maxNameBytes = 255
 
 // sessionNew is the value of HeaderSession that opens a session.
 const sessionNew = "new"
 
-// Options set up an Entry.
+// Options are the settings and dependencies of an Entry.
 type Options struct {
 	Pipeline  *pipeline.Pipeline
 	Config    *config.Holder
 	Jobs      *job.Queue
 	Telemetry *telemetry.Telemetry
-	BodyBytes int64
+	BodyBytes int64 // maximum size of a request's body
 }
 
-// Entry serves callers.
+// Entry serves the API for callers.
 type Entry struct{ options Options }
 
-// New returns an entry.
+// New returns an Entry.
 func New(options Options) *Entry { return &Entry{options: options} }
 
-// Handler routes the API.
+// Handler returns the HTTP handler of the API.
 func (e *Entry) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/chat/completions", e.serveCompletion).Methods(http.MethodPost)
@@ -82,12 +82,12 @@
 	return r
 }
 
-// apiKey reads the API key of a request.
+// apiKey returns the API key of a request.
 func apiKey(r *http.Request) string {
 	return strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 }
 
-// incoming reads a request into what the pipeline takes.
+// incoming converts an HTTP request to the input of the pipeline.
 func (e *Entry) incoming(w http.ResponseWriter, r *http.Request) (pipeline.Incoming, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.options.BodyBytes))
 	if err != nil {
@@ -111,7 +111,8 @@
 	return in, checkHeaders(&in, r)
 }
 
-// checkHeaders reads and checks the headers that bound a request.
+// checkHeaders validates the idempotency key, the session name and the priority, and parses the
+// timeout.
 func checkHeaders(in *pipeline.Incoming, r *http.Request) error {
 	badHeader := func(header, text string) error {
 		return problem.New(http.StatusBadRequest, problem.CodeBadRequest, problem.NotRun, "header "+header+" "+text)
@@ -157,7 +158,7 @@
 	s.finish(err)
 }
 
-// authenticate authenticates a request that needs no pipeline.
+// authenticate returns the workspace of a request that does not pass through the pipeline.
 func (e *Entry) authenticate(r *http.Request) (declare.Workspace, *config.Snapshot, error) {
 	snapshot := e.options.Config.Current()
 	if snapshot == nil {
@@ -197,8 +198,8 @@
 	problem.New(http.StatusNotFound, problem.CodeModelNotFound, problem.NotRun, "model "+name+" does not exist").Write(w)
 }
 
-// modelsOf lists what a workspace may name as a model: task classes, models
-// and versions that take new work.
+// modelsOf lists the names that a workspace may use as a model: task classes, and models and versions
+// that are in service.
 func modelsOf(w declare.Workspace, snapshot *config.Snapshot) []chat.ModelEntry {
 	var entries []chat.ModelEntry
 	add := func(id string, at time.Time) {
--- a/internal/entry/jobs.go
+++ b/internal/entry/jobs.go
@@ -15,14 +15,14 @@
 
 // JobRequest is the body of POST /v1/jobs.
 type JobRequest struct {
-	// Request is a completion's body, or a service call's.
+	// Request is the body of a completion or a service call.
 	Request json.RawMessage `json:"request"`
-	// Service and Call name a plain service's call; a completion without them.
+	// Service and Call name a call to a plain service. Without them the job is a completion.
 	Service string `json:"service,omitempty"`
 	Call    string `json:"call,omitempty"`
-	// Priority is batch unless said otherwise.
+	// Priority defaults to batch.
 	Priority declare.Priority `json:"priority,omitempty"`
-	// DeadlineSeconds bounds the wait from now on; 0 means no bound.
+	// DeadlineSeconds limits the time from submission until the job starts; 0 means no limit.
 	DeadlineSeconds int `json:"deadline_seconds,omitempty"`
 }
 
@@ -35,7 +35,7 @@
 	Attempts  int             `json:"attempts"`
 	Status    int             `json:"status,omitempty"` // HTTP status of the result
 	Result    json.RawMessage `json:"result,omitempty"`
-	Text      string          `json:"text,omitempty"` // of a result that is no JSON
+	Text      string          `json:"text,omitempty"` // the result if it is not valid JSON
 	Run       problem.Run     `json:"run,omitempty"`
 }
 
@@ -64,7 +64,7 @@
 	writeJSON(w, http.StatusAccepted, jobReply(accepted))
 }
 
-// parseJob checks a job's body.
+// parseJob parses and validates the body of a job submission.
 func parseJob(ws declare.Workspace, body []byte) (job.Job, error) {
 	badRequest := func(text string) error {
 		return problem.New(http.StatusBadRequest, problem.CodeBadRequest, problem.NotRun, text)
--- a/internal/entry/openai_test.go
+++ b/internal/entry/openai_test.go
@@ -43,7 +43,7 @@
 	return c
 }
 
-// client is the unmodified OpenAI client.
+// client returns an unmodified OpenAI client.
 func client(c *cluster.Cluster, secret string) openai.Client {
 	return openai.NewClient(
 		option.WithBaseURL("http://"+c.Hosts[0].Callers()+"/v1"), option.WithAPIKey(secret),
@@ -57,7 +57,7 @@
 	}
 }
 
-// withCluster runs a body with a cluster under the paused clock.
+// withCluster runs body with a cluster in virtual time.
 func withCluster(body func(ctx context.Context, c *cluster.Cluster)) {
 	suite.Paused(func() {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -65,7 +65,7 @@
 		c := newCluster(ctx)
 		body(ctx, c)
 		c.Close()
-		time.Sleep(time.Minute) // forgotten streams still have timers
+		time.Sleep(time.Minute) // abandoned streams still have timers
 	})
 }
 
@@ -96,7 +96,7 @@
 		})
 	})
 
-	It("stops the engine when it goes away", func() {
+	It("stops the engine when it disconnects", func() {
 		withCluster(func(ctx context.Context, c *cluster.Cluster) {
 			api := client(c, key)
 			streamContext, cancelStream := context.WithTimeout(ctx, 200*time.Millisecond)
@@ -129,7 +129,7 @@
 		})
 	})
 
-	It("understands the errors", func() {
+	It("can parse the errors", func() {
 		withCluster(func(ctx context.Context, c *cluster.Cluster) {
 			unauthorized := client(c, "no-key")
 			_, err := unauthorized.Chat.Completions.New(ctx, helloRequest())
@@ -147,34 +147,34 @@
 	})
 })
 
-// invalidRequests are requests with a mistake, with the status and the words of the answer.
+// invalidRequests are invalid requests with the status of the answer and a text that it contains.
 var invalidRequests = map[string]struct {
 	method, path, body string
 	header             [2]string
 	status             int
 	want               string
 }{
-	"no JSON":                    {"POST", "/v1/chat/completions", "{", [2]string{}, 400, "not a completion request"},
-	"no model":                   {"POST", "/v1/chat/completions", `{"messages":[{"role":"user","content":"a"}]}`, [2]string{}, 400, "field model"},
-	"no messages":                {"POST", "/v1/chat/completions", `{"model":"support"}`, [2]string{}, 400, "field messages"},
-	"an unknown model":           {"POST", "/v1/chat/completions", `{"model":"x","messages":[{"role":"user","content":"a"}]}`, [2]string{}, 404, "model_not_found"},
-	"a bad timeout":              {"POST", "/v1/chat/completions", "{}", [2]string{"X-Timeout-Ms", "soon"}, 400, "X-Timeout-Ms"},
-	"a bad priority":             {"POST", "/v1/chat/completions", "{}", [2]string{"X-Priority", "now"}, 400, "X-Priority"},
-	"a forged session":           {"POST", "/v1/chat/completions", `{"model":"support","messages":[{"role":"user","content":"a"}]}`, [2]string{"X-Session-Token", "a~b~c"}, 403, "session_invalid"},
-	"a service not declared":     {"POST", "/v1/services/ledger/pay", "", [2]string{}, 404, "ledger"},
-	"a call not declared":        {"POST", "/v1/services/payouts/steal", "", [2]string{}, 404, "steal"},
-	"a payout without its key":   {"POST", "/v1/services/payouts/pay", "", [2]string{}, 400, "idempotency_key_required"},
-	"a job without a request":    {"POST", "/v1/jobs", "{}", [2]string{}, 400, "field request"},
-	"a job of half a call":       {"POST", "/v1/jobs", `{"request":{},"service":"payouts"}`, [2]string{}, 400, "go together"},
-	"a job that does not exist":  {"GET", "/v1/jobs/j-1", "", [2]string{}, 404, "no such job"},
-	"an unknown path":            {"GET", "/v2/anything", "", [2]string{}, 404, "no such path"},
-	"a method that is not taken": {"DELETE", "/v1/models", "", [2]string{}, 405, "DELETE"},
-	"a body that is too long":    {"POST", "/v1/chat/completions", strings.Repeat("x", 9<<20), [2]string{}, 413, "longer than"},
+	"no JSON":                             {"POST", "/v1/chat/completions", "{", [2]string{}, 400, "not a completion request"},
+	"no model":                            {"POST", "/v1/chat/completions", `{"messages":[{"role":"user","content":"a"}]}`, [2]string{}, 400, "field model"},
+	"no messages":                         {"POST", "/v1/chat/completions", `{"model":"support"}`, [2]string{}, 400, "field messages"},
+	"an unknown model":                    {"POST", "/v1/chat/completions", `{"model":"x","messages":[{"role":"user","content":"a"}]}`, [2]string{}, 404, "model_not_found"},
+	"a bad timeout":                       {"POST", "/v1/chat/completions", "{}", [2]string{"X-Timeout-Ms", "soon"}, 400, "X-Timeout-Ms"},
+	"a bad priority":                      {"POST", "/v1/chat/completions", "{}", [2]string{"X-Priority", "now"}, 400, "X-Priority"},
+	"a forged session":                    {"POST", "/v1/chat/completions", `{"model":"support","messages":[{"role":"user","content":"a"}]}`, [2]string{"X-Session-Token", "a~b~c"}, 403, "session_invalid"},
+	"a service not declared":              {"POST", "/v1/services/ledger/pay", "", [2]string{}, 404, "ledger"},
+	"a call not declared":                 {"POST", "/v1/services/payouts/steal", "", [2]string{}, 404, "steal"},
+	"a payout without an idempotency key": {"POST", "/v1/services/payouts/pay", "", [2]string{}, 400, "idempotency_key_required"},
+	"a job without a request":             {"POST", "/v1/jobs", "{}", [2]string{}, 400, "field request"},
+	"a job with a service but no call":    {"POST", "/v1/jobs", `{"request":{},"service":"payouts"}`, [2]string{}, 400, "go together"},
+	"a job that does not exist":           {"GET", "/v1/jobs/j-1", "", [2]string{}, 404, "no such job"},
+	"an unknown path":                     {"GET", "/v2/anything", "", [2]string{}, 404, "no such path"},
+	"a method that is not allowed":        {"DELETE", "/v1/models", "", [2]string{}, 405, "DELETE"},
+	"a body that is too long":             {"POST", "/v1/chat/completions", strings.Repeat("x", 9<<20), [2]string{}, 413, "longer than"},
 }
 
-var _ = Describe("a request with a mistake", func() {
+var _ = Describe("an invalid request", func() {
 	for name, b := range invalidRequests {
-		It("is refused with a reason: "+name, func() {
+		It("is rejected with a reason: "+name, func() {
 			withCluster(func(ctx context.Context, c *cluster.Cluster) {
 				request, err := http.NewRequestWithContext(ctx, b.method, "http://"+c.Hosts[0].Callers()+b.path, bytes.NewReader([]byte(b.body)))
 				Expect(err).NotTo(HaveOccurred())
--- a/internal/entry/sink.go
+++ b/internal/entry/sink.go
@@ -10,13 +10,13 @@
 	"quaybarrow/internal/problem"
 )
 
-// writeTimeout is how long a caller may take to read what was sent to it.
+// writeTimeout limits the time that a write to the caller may take.
 const writeTimeout = 60 * time.Second
 
-// deadlineInterval is how often the timeout of a stream's writes is set anew.
+// deadlineInterval is the minimum interval between extensions of the write deadline of a stream.
 const deadlineInterval = 10 * time.Second
 
-// sink answers over HTTP; it implements pipeline.Sink.
+// sink sends answers over HTTP; it implements pipeline.Sink.
 type sink struct {
 	writer        http.ResponseWriter
 	controller    *http.ResponseController
@@ -28,7 +28,7 @@
 	return &sink{writer: w, controller: http.NewResponseController(w)}
 }
 
-// setHeaders writes the headers that describe an answer.
+// setHeaders sets the headers that describe an answer.
 func (s *sink) setHeaders(h pipeline.Head) {
 	header := s.writer.Header()
 	header.Set(HeaderRequestID, h.RequestID)
@@ -47,14 +47,14 @@
 	}
 }
 
-// extendDeadline gives the caller time to read; not on every write, as that costs.
+// extendDeadline extends the write deadline, but not on every write, because setting it is costly.
 func (s *sink) extendDeadline() {
 	now := time.Now()
 	if now.Sub(s.deadlineSetAt) < deadlineInterval {
 		return
 	}
 	s.deadlineSetAt = now
-	// A writer without deadlines, as in tests, goes without.
+	// Ignores the error of a writer that does not support deadlines, as in tests.
 	_ = s.controller.SetWriteDeadline(now.Add(writeTimeout))
 }
 
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// finish tells the caller of an error: as the answer, or, when one has begun, as
-// the last event of its stream, which then has no finish mark.
+// finish reports an error to the caller: as the answer or, if an answer has begun, as the last event
+// of its stream, which then lacks the end marker.
 func (s *sink) finish(err error) {
 	if err == nil {
 		return
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,4 +1,4 @@
-// Package job keeps deferred work that may wait but must not vanish.
+// Package job stores and runs deferred jobs, which may be delayed but must not be lost.
 //
 // # Usage
 //
@@ -6,12 +6,11 @@
 //	...
 //	job, err := queue.Find(ctx, "examiners", id)
 //
-// A job is a row of the table service from before it is accepted until its
-// result expires. Waiting jobs stand in shards; an idle host probes a
-// random shard and claims what it finds by compare-and-set. A claim lasts as
-// long as its row keeps changing: a host that dies stops renewing, and another
-// claims the job. Its bill is named by the job, so it is billed once all the
-// same.
+// A job is stored as a row of the table service before it is accepted, and remains there until its
+// result expires. Waiting jobs are distributed over shards. An idle host polls a random shard and
+// claims a job by compare-and-set. A claim is valid as long as its row keeps changing: a host that
+// fails stops renewing its claims, and another host claims the job. The bill is identified by the
+// job's id, so the job is billed only once even then.
 package job
 
 import (
@@ -30,21 +29,21 @@
 	"quaybarrow/internal/store"
 )
 
-// Tables of the package. A waiting job's row in TableWaiting sorts by priority
-// and age within its shard; a claimed job's stands in TableRunning instead, so
-// that it does not hide those behind it. The job itself is in TableJobs.
+// Tables of the package. TableJobs holds the jobs. TableWaiting indexes the waiting jobs of each shard
+// by priority and due time. A claimed job is in TableRunning instead, so that it does not take the
+// place of waiting jobs in scans with a row limit.
 const (
 	TableJobs    = "job"
 	TableWaiting = "job-waiting"
 	TableRunning = "job-running"
 )
 
-// Shards of the waiting jobs: enough that a few hundred hosts do not claim the
-// same rows, and few enough that a handful of hosts look into each often
+// Shards is the number of shards of the waiting jobs: enough that a few hundred hosts do not claim the
+// same rows, and few enough that a handful of hosts poll each shard often
 // (docs/measurements/jobs.md).
 const Shards = 4
 
-// State is how far a job has come.
+// State is the state of a job.
 type State string
 
 // States of a job.
@@ -52,24 +51,24 @@
 	StateWaiting State = "waiting"
 	StateRunning State = "running"
 	StateDone    State = "done"
-	StateFailed  State = "failed" // will not be tried again; Result says why
+	StateFailed  State = "failed" // not retried any more; Result has the reason
 )
 
 // Limits of jobs.
 const (
 	resultRetention = 24 * time.Hour
-	// maxRuns is how often a job may have run without an answer before it is
-	// given up: it must not vanish, but not run for ever either.
+	// maxRuns is the number of attempts that may have run without an answer after which a job
+	// fails: a job must not be lost, but must not run for ever either.
 	maxRuns = 50
-	// Waits between two attempts.
+	// Limits of the delay between two attempts.
 	minRetryDelay = time.Second
 	maxRetryDelay = 5 * time.Minute
 )
 
-// ErrNotFound means that there is no such job for the workspace.
+// ErrNotFound means that the workspace has no such job.
 var ErrNotFound = errors.New("no such job")
 
-// Result is a job's outcome.
+// Result is the outcome of a job.
 type Result struct {
 	Status      int         `json:"status"`
 	ContentType string      `json:"content_type,omitempty"`
@@ -77,23 +76,23 @@
 	Run         problem.Run `json:"run"`
 }
 
-// Job is a piece of deferred work.
+// Job is a deferred request: a completion or a call to a plain service.
 type Job struct {
 	ID        string           `json:"id"`
 	Workspace string           `json:"workspace"`
 	Priority  declare.Priority `json:"priority"`
-	Service   string           `json:"service,omitempty"` // a completion if empty
+	Service   string           `json:"service,omitempty"` // empty for a completion
 	Call      string           `json:"call,omitempty"`
 	Request   []byte           `json:"request"`
 	State     State            `json:"state"`
 	Submitted time.Time        `json:"submitted"`
 	Deadline  time.Time        `json:"deadline,omitzero"`
 	Finished  time.Time        `json:"finished,omitzero"`
-	Due       time.Time        `json:"due"`            // not to be tried before
-	Attempts  int              `json:"attempts"`       // claims
-	Runs      int              `json:"runs"`           // attempts that may have run
-	Host      string           `json:"host,omitempty"` // that runs it
-	Renewals  int64            `json:"beat,omitempty"` // counts renewals of its claim
+	Due       time.Time        `json:"due"`            // earliest time of the next attempt
+	Attempts  int              `json:"attempts"`       // number of claims
+	Runs      int              `json:"runs"`           // number of attempts that may have run
+	Host      string           `json:"host,omitempty"` // host that runs the job
+	Renewals  int64            `json:"beat,omitempty"` // number of renewals of the present claim
 	Result    *Result          `json:"result,omitempty"`
 }
 
@@ -111,13 +110,14 @@
 	return j
 }
 
-// WithResult returns the job as ended.
+// WithResult returns the job with its result and final state.
 func (j Job) WithResult(state State, r Result, at time.Time) Job {
 	j.State, j.Result, j.Finished = state, &r, at
 	return j
 }
 
-// WithWaiting returns the job as waiting again, for longer after each attempt.
+// WithWaiting returns the job as waiting again, with a delay that doubles with each attempt up to
+// maxRetryDelay.
 func (j Job) WithWaiting(now time.Time) Job {
 	j.State, j.Host = StateWaiting, ""
 	wait := minRetryDelay << min(j.Attempts, 10)
@@ -131,7 +131,7 @@
 	return j
 }
 
-// shard is where the job waits.
+// shard returns the shard of the job, derived from its id.
 func (j Job) shard() int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(j.ID))
@@ -140,8 +140,8 @@
 
 func shardPrefix(shard int) string { return fmt.Sprintf("%02d/", shard) }
 
-// waitingKey sorts a shard's jobs: interactive first, then by when they are due,
-// which at first is when they were submitted.
+// waitingKey returns the key of the job's row in TableWaiting. It sorts the jobs of a shard by
+// priority, interactive first, and then by due time, which initially is the time of submission.
 func (j Job) waitingKey() string {
 	rank := "0"
 	if j.Priority == declare.PriorityBatch {
@@ -150,24 +150,23 @@
 	return fmt.Sprintf("%s%s/%020d/%s", shardPrefix(j.shard()), rank, j.Due.UnixNano(), j.ID)
 }
 
-// runningKey is where a claimed job stands.
+// runningKey returns the key of the job's row in TableRunning.
 func (j Job) runningKey() string { return shardPrefix(j.shard()) + j.ID }
 
-// idOfKey is the job that a waiting or running row names.
+// idOfKey returns the id of the job from the key of its row in TableWaiting or TableRunning.
 func idOfKey(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// Queue is the jobs in the table service.
+// Queue stores jobs in the table service.
 type Queue struct{ tables store.Tables }
 
-// NewQueue returns the queue kept in the given tables.
+// NewQueue returns a queue that is stored in the given tables.
 func NewQueue(tables store.Tables) *Queue { return &Queue{tables: tables} }
 
-// maxSubmitAttempts bounds how often an uncertain submit is settled.
+// maxSubmitAttempts limits the attempts of a submission whose outcome is uncertain.
 const maxSubmitAttempts = 3
 
-// Submit makes a job durable and returns it. An error means that it was not
-// accepted; the caller may submit it again. With a key of the caller's, a
-// repeat finds the same job.
+// Submit stores a job durably and returns it. An error means that the job was not accepted; the
+// caller may submit it again. A repeat with the same idempotency key returns the same job.
 func (q *Queue) Submit(ctx context.Context, j Job, key string) (Job, error) {
 	j.ID = jobID(j.Workspace, key)
 	j.State, j.Submitted = StateWaiting, time.Now().UTC()
@@ -190,7 +189,7 @@
 		if errors.Is(err, store.ErrThrottled) {
 			break
 		}
-		// A conflict, or a lost reply: the row tells.
+		// After a conflict or a lost reply, the row shows whether the job is stored.
 		if found, _, findErr := q.read(ctx, j.ID); findErr == nil {
 			return found, nil
 		}
@@ -220,7 +219,7 @@
 	return j, row, nil
 }
 
-// Find returns a workspace's job.
+// Find returns a job of a workspace.
 func (q *Queue) Find(ctx context.Context, workspace, id string) (Job, error) {
 	j, _, err := q.read(ctx, id)
 	if err != nil {
--- a/internal/job/work.go
+++ b/internal/job/work.go
@@ -14,17 +14,18 @@
 	"quaybarrow/internal/store"
 )
 
-// Times and bounds of working on jobs.
+// Times and limits of polling for and running jobs.
 const (
-	shardsPerPoll = 1 // shards that an idle worker looks into at a time
-	rowsPerShard  = 4 // jobs looked at in a shard
-	// lostPollInterval looks one is also for jobs of lost hosts, in each shard in turn: drawn by
-	// chance, one in four, three hosts with two looks of 5 s at most had not found a lost job
-	// after two minutes once in 80 times; in turn they have after 90 s.
+	shardsPerPoll = 1 // shards that an idle worker polls at a time
+	rowsPerShard  = 4 // rows that a poll reads from a shard
+	// One poll in lostPollInterval also looks for jobs of lost hosts, in each shard in turn. With
+	// one of the four shards chosen at random, three hosts with two polling loops each and a delay
+	// of at most 5 s had not found a lost job after two minutes in 1 of 80 cases. In turn they
+	// find it within 90 s.
 	lostPollInterval = 2
 	minPollDelay     = 200 * time.Millisecond
 	maxPollDelay     = 5 * time.Second
-	claimDuration    = 15 * time.Second // a claim unchanged for this long is lost
+	claimDuration    = 15 * time.Second // a claim whose row is unchanged for this long expires
 	renewInterval    = claimDuration / 3
 	writeTimeout     = 2 * time.Second
 )
@@ -47,20 +48,19 @@
 	polls    int
 }
 
-// observation is a running job's row and how long it has been seen unchanged.
+// observation is the version of a running job's row and the time since which it is unchanged.
 type observation struct {
 	version int64
 	since   clock.Instant
 }
 
-// NewWorker returns a worker that runs up to atOnce jobs at a time. The more hosts
-// there are, the longer it waits between two looks, so that what all of them ask
-// of the table does not grow.
+// NewWorker returns a worker that runs up to concurrency jobs at a time. The delay between its polls
+// grows with the number of hosts, so that the total load on the table does not.
 func NewWorker(queue *Queue, host string, concurrency int, hosts func() int, run Runner) *Worker {
 	return &Worker{queue: queue, host: host, run: run, concurrency: concurrency, hosts: hosts, stop: make(chan struct{}), observed: map[string]observation{}}
 }
 
-// Drain makes Run take no more jobs and return when those under way are done.
+// Drain makes Run claim no more jobs and return when the running ones are done.
 func (w *Worker) Drain() { w.once.Do(func() { close(w.stop) }) }
 
 // draining reports whether Drain was called.
@@ -73,8 +73,8 @@
 	}
 }
 
-// Run works until it is drained, or the context ends: then jobs under way are
-// handed back.
+// Run claims and runs jobs until the worker is drained or the context ends. In the latter case the
+// running jobs return to the queue.
 func (w *Worker) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	for range w.concurrency {
@@ -101,16 +101,17 @@
 	}
 }
 
-// baseHosts is a count of hosts up to which each waits maxIdle at the most.
+// baseHosts is the number of hosts up to which the delay limit is maxPollDelay.
 const baseHosts = 12
 
-// pollDelayLimit is the longest wait between two looks.
+// pollDelayLimit returns the limit up to which the delay between two polls doubles. It is proportional
+// to the number of hosts above baseHosts.
 func (w *Worker) pollDelayLimit() time.Duration {
 	return maxPollDelay * time.Duration(max(w.hosts(), baseHosts)) / baseHosts
 }
 
-// RunOne looks for a job in a random shard and runs the first that it can
-// claim; false if there was none.
+// RunOne looks for a job in a random shard and runs the first one that it can claim. It returns false
+// if there was none.
 func (w *Worker) RunOne(ctx context.Context) bool {
 	for _, shard := range rand.Perm(Shards)[:shardsPerPoll] {
 		j, row, ok := w.claimFrom(ctx, shard)
@@ -122,8 +123,8 @@
 	return false
 }
 
-// claimFrom claims a job that waits in a shard, or else, now and then, one of a shard in
-// turn whose host was lost.
+// claimFrom claims a waiting job of the shard. If there is none, one poll in lostPollInterval tries to
+// claim a job of a lost host in the shard whose turn it is.
 func (w *Worker) claimFrom(ctx context.Context, shard int) (Job, store.Row, bool) {
 	if j, row, ok := w.claimIn(ctx, TableWaiting, shard); ok {
 		return j, row, true
@@ -135,8 +136,8 @@
 	return w.claimIn(ctx, TableRunning, lost)
 }
 
-// nextLostShard returns the shard in which this look is for jobs of lost hosts; false if it is
-// for none.
+// nextLostShard counts a poll and returns the shard in which it looks for jobs of lost hosts; false if
+// it does not look for them.
 func (w *Worker) nextLostShard() (shard int, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -157,7 +158,7 @@
 	return Job{}, store.Row{}, false
 }
 
-// claim takes a job that waits, or whose claim was lost.
+// claim claims a job that is due or whose claim has expired. A job past its deadline fails instead.
 func (w *Worker) claim(ctx context.Context, id string) (Job, store.Row, bool) {
 	j, row, err := w.queue.read(ctx, id)
 	if err != nil || !w.claimable(j, row) {
@@ -185,8 +186,8 @@
 	}
 }
 
-// claimExpired reports whether a running job's row was unchanged for the length of
-// a claim, by this host's own clock.
+// claimExpired reports whether the row of a running job has been unchanged for claimDuration, measured
+// by this host's own clock.
 func (w *Worker) claimExpired(id string, row store.Row) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -202,7 +203,8 @@
 	return true
 }
 
-// replace writes a job over the row it was read from, and settles a lost reply.
+// replace writes a job if its row is still the one that was read. If the reply is lost, it reads the
+// row to find out whether the write succeeded.
 func (q *Queue) replace(ctx context.Context, row store.Row, next Job, more ...store.Write) (store.Row, error) {
 	data, err := codec.Encode(next)
 	if err != nil {
@@ -225,8 +227,8 @@
 	return current, nil
 }
 
-// runClaimed runs a claimed job and records its end. A job whose claim is lost
-// meanwhile is left to whoever has it.
+// runClaimed runs a claimed job and records its result. If the claim is lost meanwhile, the job is left
+// to the host that holds the new claim.
 func (w *Worker) runClaimed(ctx context.Context, j Job, row store.Row) {
 	runContext, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -251,14 +253,14 @@
 			Status: failed.Status, ContentType: "application/json", Body: failed.JSON(), Run: failed.Run,
 		})
 	default:
-		// A hand-back that fails costs a wait: the claim lapses.
+		// If returning the job to the queue fails, the job is delayed until its claim expires.
 		waiting := j.WithWaiting(time.Now().UTC())
 		_, _ = w.queue.replace(finishContext, row, waiting,
 			store.Put(TableWaiting, waiting.waitingKey(), []byte(j.Workspace)), store.Delete(TableRunning, j.runningKey()))
 	}
 }
 
-// permanent reports whether trying a job again is of no use, or not allowed.
+// permanent reports whether retrying a job after the error is useless or not allowed.
 func permanent(err error) bool {
 	failed := problem.Of(err)
 	if failed.Run == problem.NotRun {
@@ -267,11 +269,11 @@
 	return failed.Code == problem.CodeOutcomeUnknown
 }
 
-// maxFinishAttempts bounds how often the end of a job is written.
+// maxFinishAttempts limits the attempts to write the result of a job.
 const maxFinishAttempts = 7
 
-// finish records a job's finish and takes it out of its shard. If that fails, the
-// claim lapses and the job runs again; its bill is still one.
+// finish writes the result and the final state of a job and removes it from its shard. If that fails,
+// the claim expires and the job runs again; it is still billed only once.
 func (w *Worker) finish(ctx context.Context, j Job, row store.Row, state State, r Result) {
 	ended := j.WithResult(state, r, time.Now().UTC())
 	for attempt := range maxFinishAttempts {
@@ -294,8 +296,8 @@
 	cancelRun context.CancelFunc
 }
 
-// renew keeps the job's row changing, and stops the job when it can't for so
-// long that another host may claim it.
+// renew changes the job's row periodically. It cancels the job if the row was changed by another host
+// or could not be renewed for so long that another host may soon claim the job.
 func (k *claimRenewer) renew(ctx context.Context) {
 	renewed := clock.Now()
 	for clock.Sleep(ctx, renewInterval) {
@@ -317,7 +319,7 @@
 	}
 }
 
-// Backlog counts the jobs that wait.
+// Backlog returns the number of waiting jobs.
 func (q *Queue) Backlog(ctx context.Context) (int, error) {
 	rows, err := q.tables.Scan(ctx, store.Range{Table: TableWaiting})
 	if err != nil {
@@ -326,8 +328,7 @@
 	return len(rows), nil
 }
 
-// Expire removes the results that nobody fetched in time; limit bounds one
-// sweep.
+// Expire deletes jobs that finished more than resultRetention ago. It examines at most limit rows.
 func (q *Queue) Expire(ctx context.Context, limit int) error {
 	rows, err := q.tables.Scan(ctx, store.Range{Table: TableJobs, Limit: limit})
 	if err != nil {
--- a/internal/job/work_test.go
+++ b/internal/job/work_test.go
@@ -13,11 +13,11 @@
 	"quaybarrow/internal/store"
 )
 
-// maxRecoveryTime bounds how long a job waits whose host was lost: its claim is seen unchanged
-// for 15 s, by looks at each of four shards in turn.
+// maxRecoveryTime limits the time until a job of a lost host has run again: other hosts must see its
+// claim unchanged for 15 s, in polls of each of the four shards in turn.
 const maxRecoveryTime = 90 * time.Second
 
-// unreachableTables are tables that a host may be cut off from.
+// unreachableTables are tables whose commits fail while unreachable is set.
 type unreachableTables struct {
 	store.Tables
 	unreachable atomic.Bool
@@ -44,7 +44,7 @@
 			ran := make(chan struct{})
 			run := func(ctx context.Context, _ job.Job) (job.Result, error) {
 				select {
-				case <-ran: // the second time
+				case <-ran: // the second run
 					return job.Result{Status: 200}, nil
 				default:
 					close(ran)
@@ -57,7 +57,7 @@
 			lostHostContext, stopLostHost := context.WithCancel(ctx)
 			go lostHost.Run(lostHostContext)
 			<-ran
-			lostHostTables.unreachable.Store(true) // it can't hand the job back
+			lostHostTables.unreachable.Store(true) // the lost host can't return the job to the queue
 			stopLostHost()
 			started := time.Now()
 			for host := range 3 {
--- a/internal/pipeline/answer.go
+++ b/internal/pipeline/answer.go
@@ -18,17 +18,17 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// startedResponse is a request whose answer has begun, or, of a cascade that ended
-// with its cheap version, is here whole.
+// startedResponse is a request whose answer has begun to arrive. If a cascade ended with its cheap
+// version, the answer is complete in checkedBody.
 type startedResponse struct {
 	billedRequest
 	decision    choose.Decision
 	stream      *dispatch.Stream
-	checkedBody []byte // of a cascade's checked answer
+	checkedBody []byte // complete answer of a cascade's cheap version; nil otherwise
 }
 
-// dispatch sends a completion to an engine. A cascade first asks the cheap
-// version and checks its answer before the caller sees any of it.
+// dispatch sends a completion to an engine. For a cascade it first sends the request to the cheap
+// version, and checks that answer before any of it is sent to the caller.
 func (p *Pipeline) dispatch(ctx context.Context, in billedRequest) (startedResponse, error) {
 	if !in.cascade {
 		stream, err := p.openStream(ctx, in, in.first, in.chat.Stream)
@@ -46,10 +46,11 @@
 	return startedResponse{billedRequest: in, decision: in.second, stream: stream}, nil
 }
 
-// errCheckFailed means that a cheap answer did not pass its check.
+// errCheckFailed means that the answer of the cheap version of a cascade has an error status or too
+// low a confidence.
 var errCheckFailed = errors.New("the answer did not pass its check")
 
-// askCheapVersion asks the cheap version of a cascade and checks its answer.
+// askCheapVersion sends the request to the cheap version of a cascade and checks its answer.
 func (p *Pipeline) askCheapVersion(ctx context.Context, in billedRequest) (startedResponse, error) {
 	stream, err := p.openStream(ctx, in, in.first, false)
 	if err != nil {
@@ -67,7 +68,7 @@
 	return startedResponse{billedRequest: in, decision: in.first, stream: stream, checkedBody: body}, nil
 }
 
-// openStream opens one version's answer.
+// openStream sends the request to one version and returns the stream of its answer.
 func (p *Pipeline) openStream(ctx context.Context, in billedRequest, decision choose.Decision, streamed bool) (*dispatch.Stream, error) {
 	request := in.chat
 	request.Stream = streamed
@@ -92,7 +93,7 @@
 	})
 }
 
-// relay gives the answer to the caller and charges it.
+// relay sends the answer to the caller and adds its usage to the bill.
 func (p *Pipeline) relay(ctx context.Context, in startedResponse, sink Sink) error {
 	head := Head{
 		RequestID: in.requestID, TraceID: telemetry.TraceID(ctx),
@@ -110,12 +111,13 @@
 	}
 }
 
-// deliveryProblem makes a problem of an answer that the caller did not stay for.
+// deliveryProblem returns the problem for an answer that could not be written because the caller
+// disconnected; nil if err is nil.
 func deliveryProblem(err error) error {
 	if err == nil {
 		return nil
 	}
-	const clientClosed = 499 // by custom: the client closed the request
+	const clientClosed = 499 // common non-standard status: the client closed the request
 	return problem.New(clientClosed, problem.CodeCut, problem.Ran, "the caller left").WithCause(err)
 }
 
@@ -128,10 +130,11 @@
 	return deliveryProblem(sink.Whole(head, in.stream.Status(), in.stream.ContentType(), body))
 }
 
-// progressInterval is how often the holders of a stream's bill hear of it.
+// progressInterval is the interval at which the usage of a running stream is reported to the hosts
+// that hold copies of its bill.
 const progressInterval = 10 * time.Second
 
-// relayStream passes events on as they come.
+// relayStream forwards the events of a stream to the caller as they arrive.
 func (p *Pipeline) relayStream(ctx context.Context, in startedResponse, sink Sink, head Head) (err error) {
 	version := in.decision.Candidate.Version
 	defer func() { in.charge(usageOf(version, in.stream.Usage(), in.promptTokens, in.stream.Events())) }()
@@ -163,7 +166,7 @@
 	}
 }
 
-// relayChecked streams an answer that is here whole.
+// relayChecked sends the complete answer of a cascade to the caller as a stream.
 func (p *Pipeline) relayChecked(in startedResponse, sink Sink, head Head) error {
 	var answer chat.Completion
 	if err := json.Unmarshal(in.checkedBody, &answer); err != nil {
@@ -184,7 +187,7 @@
 	return deliveryProblem(sink.Event([]byte("data: "+chat.Done+"\n\n"), false))
 }
 
-// toChunks makes the chunks of a whole answer.
+// toChunks converts a complete answer to the chunks of a stream; usage adds a chunk with the usage.
 func toChunks(answer chat.Completion, usage bool) []chat.Completion {
 	chunk := answer
 	chunk.Object, chunk.Usage = chat.ObjectChunk, nil
--- a/internal/pipeline/ask.go
+++ b/internal/pipeline/ask.go
@@ -22,14 +22,15 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// authenticatedRequest is a request whose workspace is known.
+// authenticatedRequest is a request with its workspace.
 type authenticatedRequest struct {
 	incoming  Incoming
 	snapshot  *config.Snapshot
 	workspace declare.Workspace
 }
 
-// authenticate finds the workspace of the caller's key.
+// authenticate finds the workspace of the caller's API key. A request that was authenticated before
+// names its workspace instead.
 func (p *Pipeline) authenticate(_ context.Context, in Incoming) (authenticatedRequest, error) {
 	snapshot := p.options.Config.Current()
 	if snapshot == nil {
@@ -51,34 +52,34 @@
 	return authenticatedRequest{incoming: in, snapshot: snapshot, workspace: w}, nil
 }
 
-// parsedRequest is a request that was read and found in order.
+// parsedRequest is a parsed and validated request.
 type parsedRequest struct {
 	authenticatedRequest
 	requestID string
 	deadline  clock.Instant
 	priority  declare.Priority
 
-	chat         chat.Request // of completions
+	chat         chat.Request // completions only
 	class        *declare.TaskClass
 	prefixHash   uint64
-	promptTokens int // estimated tokens of the prompt
-	sharedTokens int // of them, in its first message
+	promptTokens int // estimated number of tokens of the prompt
+	sharedTokens int // part of promptTokens in the first message; 0 if it is the only one
 
-	service   declare.Service // of calls to plain services
+	service   declare.Service // calls to plain services only
 	operation declare.Call
 
-	// fingerprint is that by which the request is known when it comes again; it is hashed when
-	// it is first asked for.
+	// fingerprint identifies repeats of the request for the quarantine. It is computed at the
+	// first call and cached.
 	fingerprint func() quarantine.Fingerprint
 }
 
-// subject is what the bill of a service call names.
+// subject returns the service and call that the bill of a service call names.
 func (a parsedRequest) subject() string { return a.service.Name + "/" + a.operation.Name }
 
-// bytesPerToken estimates the tokens of a prompt that no engine counted.
+// bytesPerToken estimates the number of tokens of a prompt for which no engine reported a count.
 const bytesPerToken = 4
 
-// parseCompletion reads a completion.
+// parseCompletion parses and validates a completion request.
 func (p *Pipeline) parseCompletion(_ context.Context, c authenticatedRequest) (parsedRequest, error) {
 	request, err := chat.ParseRequest(c.incoming.Body)
 	if err != nil {
@@ -99,7 +100,7 @@
 		a.class = &class
 	}
 	if len(request.Messages) > 1 {
-		a.prefixHash = xxhash.Sum64(request.Messages[0].Content) | 1 // 0 stands for none
+		a.prefixHash = xxhash.Sum64(request.Messages[0].Content) | 1 // never 0, which means no prefix
 		a.sharedTokens = len(request.Messages[0].Content) / bytesPerToken
 	}
 	a.fingerprint = sync.OnceValue(a.identity().Fingerprint)
@@ -110,7 +111,8 @@
 	return problem.New(http.StatusBadRequest, problem.CodeBadRequest, problem.NotRun, reason)
 }
 
-// newRequest fills in what all requests have.
+// newRequest sets the fields that completions and service calls share. The scope separates the
+// request ids of different calls with the same idempotency key.
 func (p *Pipeline) newRequest(c authenticatedRequest, scope string) parsedRequest {
 	a := parsedRequest{authenticatedRequest: c, priority: c.workspace.Priority, requestID: c.incoming.RequestID}
 	if c.incoming.Priority != "" {
@@ -127,7 +129,7 @@
 	return a
 }
 
-// requestID names a request: the same for each repeat with a caller's key.
+// requestID returns the id of a request. Repeats with the same idempotency key get the same id.
 func requestID(workspace, scope, key string) string {
 	if key == "" {
 		return "r-" + uuid.NewString()
@@ -136,7 +138,7 @@
 	return "k-" + hex.EncodeToString(sum[:16])
 }
 
-// parseServiceCall reads a call to a plain service.
+// parseServiceCall looks up the service and the call that are requested and validates the request.
 func (p *Pipeline) parseServiceCall(_ context.Context, c authenticatedRequest) (parsedRequest, error) {
 	service, ok := c.snapshot.Revision().Declarations.Service(c.incoming.Service)
 	if !ok || !mayCall(c.workspace, c.incoming.Service) {
@@ -167,7 +169,7 @@
 	return false
 }
 
-// admit waits for a place on this host.
+// admit waits for permission to run the request on this host.
 func (p *Pipeline) admit(ctx context.Context, a parsedRequest) (*admission.Permit, error) {
 	permit, err := p.options.Admission.Admit(ctx, admission.Request{
 		Workspace: a.workspace.Name, Share: a.workspace.Concurrency, Priority: a.priority, Deadline: a.deadline,
--- a/internal/pipeline/bill.go
+++ b/internal/pipeline/bill.go
@@ -14,16 +14,16 @@
 	"quaybarrow/internal/problem"
 )
 
-// meter is the open bill of a request with what was used so far.
+// meter accumulates the usage of a request and reports it to the open bill.
 type meter struct {
 	entry *billing.Entry
 
 	mu         sync.Mutex // guards all below
 	total      billing.Usage
-	mayHaveRun bool // something may have run
+	mayHaveRun bool // an attempt may have run
 }
 
-// recordAttempt notes that something may have run.
+// recordAttempt records an attempt that may have run.
 func (a *meter) recordAttempt() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -32,7 +32,7 @@
 	a.entry.Progress(a.total)
 }
 
-// charge adds the usage of an attempt that ended.
+// charge adds the usage of an attempt that ended, and updates the bill.
 func (a *meter) charge(u billing.Usage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -41,14 +41,15 @@
 	a.entry.Progress(a.total)
 }
 
-// reportProgress tells the bill's holders how far a stream has come.
+// reportProgress updates the open bill with the usage of a stream that is still running, without
+// adding it to the total.
 func (a *meter) reportProgress(u billing.Usage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.entry.Progress(a.total.Add(u))
 }
 
-// closeBill settles the bill, or voids it if nothing ran.
+// closeBill settles the bill, or voids it if no attempt can have run.
 func (a *meter) closeBill() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -65,7 +66,7 @@
 	return a.total
 }
 
-// billedRequest is a request whose bill is kept in a second place.
+// billedRequest is a completion with an open bill that also exists outside this host.
 type billedRequest struct {
 	routedRequest
 	*meter
@@ -96,7 +97,7 @@
 		WithCause(err).WithRetryAfter(2 * time.Second)
 }
 
-// billedCall is a service call whose bill is kept in a second place.
+// billedCall is a service call with an open bill that also exists outside this host.
 type billedCall struct {
 	parsedRequest
 	*meter
@@ -113,8 +114,8 @@
 	return billedCall{parsedRequest: in, meter: &meter{entry: entry}}, nil
 }
 
-// usageOf prices an answer. Where the engine did not report, the prompt is
-// estimated from its length and each event counts as one token.
+// usageOf returns the usage and cost of an answer. If the engine reported no usage, it uses the
+// estimate for the prompt and counts each event as one token.
 func usageOf(v declare.Version, reported *chat.Usage, promptEstimate, events int) billing.Usage {
 	u := billing.Usage{PromptTokens: promptEstimate, CompletionTokens: events, Attempts: 1}
 	if reported != nil {
--- a/internal/pipeline/call.go
+++ b/internal/pipeline/call.go
@@ -13,7 +13,8 @@
 	"quaybarrow/internal/problem"
 )
 
-// call sends a service call, under a claim if it may not be repeated.
+// call sends a service call. A call that may not be repeated and has an idempotency key or a request
+// id given in advance is sent under a durable claim, so that it runs at most once.
 func (p *Pipeline) call(ctx context.Context, in billedCall) (once.Result, error) {
 	if in.operation.Repeatable || in.incoming.IdempotencyKey == "" && in.incoming.RequestID == "" {
 		outcome, err := p.send(ctx, in)
@@ -21,7 +22,7 @@
 	}
 	var failure error
 	result, err := p.options.Guard.Do(ctx, in.claim(), func(ctx context.Context) once.Attempt {
-		// The caller may leave; the outcome is still wanted for its repeat.
+		// If the caller disconnects, the call continues, because a repeat needs its outcome.
 		detached, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.options.MaxTimeout)
 		defer cancel()
 		outcome, err := p.send(detached, in)
@@ -40,7 +41,7 @@
 	return result, nil
 }
 
-// claim names the call for its claim.
+// claim returns the identity under which the call is claimed.
 func (c billedCall) claim() once.Call {
 	key := c.incoming.IdempotencyKey
 	if key == "" {
@@ -52,7 +53,7 @@
 	}
 }
 
-// send makes the dispatch and charges it.
+// send dispatches the call and adds the attempt to the bill.
 func (p *Pipeline) send(ctx context.Context, in billedCall) (once.Outcome, error) {
 	answer, err := p.options.Dispatcher.Call(ctx, dispatch.Call{
 		ID: in.requestID, Service: in.service.Name, Name: in.operation.Name, Method: in.incoming.Method,
@@ -66,10 +67,10 @@
 	return once.Outcome{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}, nil
 }
 
-// underWayRetry is when a repeat of a call under way should come back.
+// underWayRetry is the delay after which a caller may repeat a call that is still running.
 const underWayRetry = 2 * time.Second
 
-// claimProblem tells a caller why its call was not dispatched.
+// claimProblem returns the problem for a call that was not dispatched because of its claim.
 func claimProblem(err error) error {
 	switch {
 	case errors.Is(err, once.ErrNotClaimed):
--- a/internal/pipeline/choose.go
+++ b/internal/pipeline/choose.go
@@ -18,15 +18,15 @@
 	"quaybarrow/internal/store"
 )
 
-// sessionRequest is a request with its session, if it has one.
+// sessionRequest is a request with its session, if any.
 type sessionRequest struct {
 	parsedRequest
-	pin          session.Pin // zero version: no session, or one about to open
-	sessionName  string      // the caller's name of a session about to open
-	opensSession bool        // a session is to be opened
+	pin          session.Pin // its Version is zero if there is no session or it is not open yet
+	sessionName  string      // name that the caller gave to the session to be opened
+	opensSession bool        // the request opens a session
 }
 
-// findSession finds the session that a request belongs to.
+// findSession finds the session of a request by its token or its name.
 func (p *Pipeline) findSession(ctx context.Context, a parsedRequest) (sessionRequest, error) {
 	switch {
 	case a.incoming.SessionToken != "":
@@ -50,22 +50,22 @@
 	}
 }
 
-// storeUnavailable is the problem of a request that needs the table service.
+// storeUnavailable returns the problem for a request that failed because the table service did.
 func storeUnavailable(err error, reason string) error {
 	return problem.New(http.StatusServiceUnavailable, problem.CodeStore, problem.NotRun,
 		reason).WithCause(err).WithRetryAfter(2 * time.Second)
 }
 
-// routedRequest is a request with the version, or the two of a cascade, that answer it.
+// routedRequest is a request with the version, or the two versions of a cascade, that may answer it.
 type routedRequest struct {
 	sessionRequest
 	first        choose.Decision
-	second       choose.Decision // of a cascade
-	cascade      bool            // a cascade: first is checked before second is asked
-	sessionToken string          // of a session that this request opens
+	second       choose.Decision // the fallback of a cascade
+	cascade      bool            // second is used only if the answer of first fails its check
+	sessionToken string          // token to return to the caller
 }
 
-// choose picks the version, or takes the session's.
+// choose selects the version that answers the request; a session keeps its version.
 func (p *Pipeline) choose(ctx context.Context, in sessionRequest) (routedRequest, error) {
 	if in.pin.Version != (declare.Ref{}) {
 		return p.continueSession(in)
@@ -92,7 +92,7 @@
 	return p.openSession(ctx, in, decision)
 }
 
-// choiceInput gathers what a choice depends on.
+// choiceInput collects the input for selecting a version.
 func (p *Pipeline) choiceInput(in sessionRequest) (choose.Input, error) {
 	age, known := p.options.Config.Age()
 	input := choose.Input{
@@ -129,7 +129,7 @@
 		fmt.Sprintf("no version for %q is in service", in.chat.Model)).WithRetryAfter(time.Second)
 }
 
-// chooseNamed takes the version that the caller named.
+// chooseNamed selects the version that the caller named.
 func (p *Pipeline) chooseNamed(ctx context.Context, in sessionRequest, ref declare.Ref) (routedRequest, error) {
 	c, ok := in.snapshot.Candidate(in.workspace.Name, ref)
 	if !ok {
@@ -147,14 +147,15 @@
 	return p.openSession(ctx, in, choose.Decision{Candidate: c, Reason: choose.ReasonNamed, Canary: canary})
 }
 
-// withModel returns the ask for another model.
+// withModel returns the request for another model.
 func (a parsedRequest) withModel(model string) parsedRequest {
 	a.chat.Model = model
 	a.class = nil
 	return a
 }
 
-// openSession opens the session that the request asks for, on the version decided.
+// openSession opens a session on the selected version if the request asks for one. If another request
+// has opened a session of the same name meanwhile, it continues that session.
 func (p *Pipeline) openSession(ctx context.Context, in sessionRequest, decision choose.Decision) (routedRequest, error) {
 	if !in.opensSession {
 		return routedRequest{sessionRequest: in, first: decision}, nil
@@ -183,10 +184,10 @@
 	return routedRequest{sessionRequest: in, first: decision, sessionToken: token}, nil
 }
 
-// reasonSession says that a session's version was taken.
+// reasonSession means that the version is the one of the session.
 const reasonSession choose.Reason = "pinned by the session"
 
-// continueSession takes the session's version, or says that the session ended.
+// continueSession selects the session's version, or returns a problem if the session has ended.
 func (p *Pipeline) continueSession(in sessionRequest) (routedRequest, error) {
 	c, ok := in.snapshot.Candidate(in.workspace.Name, in.pin.Version)
 	if !ok || !mayContinue(c.Version.State) {
@@ -201,13 +202,13 @@
 		fmt.Sprintf("the session ended: its version %s was withdrawn; open a new session", pin.Version))
 }
 
-// mayContinue reports whether sessions on a version in a state go on.
+// mayContinue reports whether sessions on a version in the given state may continue.
 func mayContinue(s declare.State) bool {
 	return s == declare.StateCanary || s == declare.StateServing || s == declare.StateRetired
 }
 
-// checkAllowed says, right before an attempt, whether a version may still be used. A
-// version that was not withdrawn by the newest configuration may.
+// checkAllowed reports, immediately before an attempt, whether a version may still be used. It may
+// unless the newest configuration withdrew it.
 func (p *Pipeline) checkAllowed(workspace string, c config.Candidate, hasSession bool) error {
 	current, ok := p.options.Config.Current().Candidate(workspace, c.Ref)
 	if ok && mayContinue(current.Version.State) {
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -1,5 +1,5 @@
-// Package pipeline is the way of a request through a host: named stages, one
-// after the other, each with a span of its own.
+// Package pipeline processes a request on a host in a sequence of named stages, each with its own
+// trace span.
 //
 // # Usage
 //
@@ -10,10 +10,10 @@
 //	authenticate -> read -> check quarantine -> admit -> pin session ->
 //	choose version -> open bill -> dispatch -> relay -> settle bill
 //
-// and a call to a plain service through the same, with a claim in place of a
-// session where the call may not be repeated. A stage is a function from one
-// immutable value to the next; what a later stage needs travels in the value.
-// The errors are problems that say whether the request ran.
+// A call to a plain service has no session and no choice of a version; if it may not be repeated, it
+// is dispatched under a claim. Each stage is a function from one immutable value to the next, and the
+// value carries everything that later stages need. The errors are problems that state whether the
+// request ran.
 package pipeline
 
 import (
@@ -39,24 +39,25 @@
 	"quaybarrow/internal/declare"
 )
 
-// Credits says which versions in roll-out may take a request on this host.
+// Credits limits the requests that versions in roll-out may take on this host.
 type Credits interface {
 	// Available reports whether a credit is left.
 	Available(ref declare.Ref) bool
-	// Spend takes one; a pinned session's request takes it even if none is left.
+	// Spend uses up one credit. A request of a session pinned to the version does so even if none
+	// is left.
 	Spend(ref declare.Ref)
-	// Report tells how an attempt went.
+	// Report records whether an attempt failed because of the version.
 	Report(ctx context.Context, ref declare.Ref, failed bool)
 }
 
-// Options are what the stages work with.
+// Options are the settings and dependencies of a Pipeline.
 type Options struct {
 	Host       string
 	Config     *config.Holder
 	Admission  *admission.Controller
 	Keyring    func() session.Keyring
 	Names      *session.Names
-	Ready      func(declare.Ref) bool // whether some endpoint serves a version
+	Ready      func(declare.Ref) bool // reports whether some endpoint serves a version
 	Dispatcher *dispatch.Dispatcher
 	Quarantine *quarantine.Tracker
 	Ledger     *billing.Ledger
@@ -66,9 +67,9 @@
 	Telemetry  *telemetry.Telemetry
 	Traffic    *traffic.Log
 	Deadlines  *clock.Deadlines // watched by the host
-	StaleAfter time.Duration
-	Proven     time.Duration
-	MaxTimeout time.Duration // of a request
+	StaleAfter time.Duration    // age above which the configuration is stale
+	Proven     time.Duration    // required time in service of a version while the configuration is stale
+	MaxTimeout time.Duration    // upper limit on the timeout of a request
 }
 
 // Pipeline serves requests.
@@ -77,7 +78,7 @@
 // New returns a pipeline.
 func New(options Options) *Pipeline { return &Pipeline{options: options} }
 
-// Incoming is a request as it arrived.
+// Incoming is a request before parsing.
 type Incoming struct {
 	Secret         string // the caller's API key
 	Body           []byte
@@ -85,23 +86,22 @@
 	SessionToken   string
 	SessionName    string
 	NewSession     bool
-	Timeout        time.Duration // the caller's own; 0 if it set none
+	Timeout        time.Duration // requested by the caller; 0 if none
 	Priority       declare.Priority
 
-	// Of calls to plain services.
+	// The following are set only for calls to plain services.
 	Service     string
 	Call        string
 	Method      string
 	ContentType string
 
-	// RequestID names the request when it was named before, as a job is.
+	// RequestID is the id of a request that already has one, such as a job.
 	RequestID string
-	// Workspace stands in for a secret when the request was authenticated
-	// before, as a job's was.
+	// Workspace replaces Secret if the request was authenticated before, as that of a job.
 	Workspace string
 }
 
-// Head is what is told of an answer before its content.
+// Head is the metadata of an answer, sent before its content.
 type Head struct {
 	RequestID    string
 	TraceID      string
@@ -110,17 +110,18 @@
 	Replayed     bool
 }
 
-// Sink takes an answer.
+// Sink sends an answer to the caller.
 type Sink interface {
-	// Whole takes an answer in one piece.
+	// Whole sends a complete answer.
 	Whole(head Head, status int, contentType string, body []byte) error
 	// Begin starts a streamed answer.
 	Begin(head Head) error
-	// Event takes one event of it; more says that the next follows at once.
+	// Event sends one event of a streamed answer; more means that the next follows immediately, so
+	// no flush is needed.
 	Event(data []byte, more bool) error
 }
 
-// stage runs one stage under a span.
+// stage runs one stage in its own span.
 func stage[In, Out any](ctx context.Context, p *Pipeline, name string, f func(context.Context, In) (Out, error), in In) (Out, error) {
 	ctx, span := p.options.Telemetry.Start(ctx, name)
 	defer span.End()
@@ -178,7 +179,7 @@
 	record.setFirstToken(time.Now())
 	record.Version = response.decision.Candidate.Name
 	if request.chat.Stream && response.checkedBody == nil {
-		// Of an answer in one piece the first token is not seen.
+		// The time of the first token is known only for a streamed answer.
 		permit.RecordFirstToken(admission.KindOf(record.Version, len(in.Body)))
 	}
 	_, err = stage(ctx, p, "relay", func(ctx context.Context, a startedResponse) (struct{}, error) {
@@ -188,7 +189,7 @@
 	return err
 }
 
-// Serve passes a call on to a plain service.
+// Serve processes a call to a plain service.
 func (p *Pipeline) Serve(ctx context.Context, in Incoming, sink Sink) (err error) {
 	ctx, span := p.options.Telemetry.Start(ctx, "service call")
 	defer span.End()
--- a/internal/pipeline/quarantine.go
+++ b/internal/pipeline/quarantine.go
@@ -8,13 +8,13 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// identity is what stays the same of a request that comes again: as a job, under a key of its
-// caller's, or at another host.
+// identity returns the properties that stay the same when a request is repeated as a job, under an
+// idempotency key or at another host.
 func (a parsedRequest) identity() quarantine.Identity {
 	return quarantine.Identity{Workspace: a.workspace.Name, Target: a.target(), Body: a.incoming.Body}
 }
 
-// target is what the request asks for.
+// target returns what the request is sent to: "chat", or the service and call.
 func (a parsedRequest) target() string {
 	if a.service.Name == "" {
 		return "chat"
@@ -22,11 +22,11 @@
 	return "service " + a.subject()
 }
 
-// description tells operators whose request it is and what it asks for.
+// description returns the workspace and the target of the request, for operators.
 func (a parsedRequest) description() string { return a.workspace.Name + " " + a.target() }
 
-// checkQuarantine refuses a request under which endpoints crash. It has not run and will not, and
-// nothing is gained by coming back; a job of it ends.
+// checkQuarantine rejects a request that crashes endpoints. The request did not run, and retrying it
+// has no effect; a job with this request ends as failed.
 func (p *Pipeline) checkQuarantine(_ context.Context, a parsedRequest) (parsedRequest, error) {
 	if !p.options.Quarantine.HasEvidence() || !p.options.Quarantine.Status(a.fingerprint()).Quarantined {
 		return a, nil
--- a/internal/pipeline/record.go
+++ b/internal/pipeline/record.go
@@ -10,7 +10,7 @@
 	"quaybarrow/internal/traffic"
 )
 
-// record gathers what operators see of a request.
+// record collects the data about a request that operators see.
 type record struct {
 	traffic.Record
 }
@@ -19,7 +19,7 @@
 	return &record{traffic.Record{At: time.Now(), Host: p.options.Host, TraceID: telemetry.TraceID(ctx)}}
 }
 
-// setFirstToken notes when the answer began.
+// setFirstToken records the time at which the answer began.
 func (r *record) setFirstToken(at time.Time) { r.FirstMS = milliseconds(at.Sub(r.At)) }
 
 func (r *record) setUsage(u billing.Usage) {
@@ -28,7 +28,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// finish counts a request and keeps its record.
+// finish updates the metrics for a request that ended and adds its record to the traffic log.
 func (p *Pipeline) finish(r *record, err error) {
 	r.TotalMS = milliseconds(time.Since(r.At))
 	r.Outcome, r.Run = traffic.Answered, problem.Ran
