--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -10,10 +10,10 @@
 //	authenticate -> read -> check quarantine -> admit -> pin session ->
 //	choose version -> open bill -> dispatch -> relay -> settle bill
 //
-// A call to a plain service has no session and no choice of a version; if it may not be repeated, it
-// is dispatched under a claim. Each stage is a function from one immutable value to the next, and the
-// value carries everything that later stages need. The errors are problems that state whether the
-// request ran.
+// A call to a plain service passes through the same stages, except that it has no session and no
+// choice of a version; if it may not be repeated, it is dispatched under a claim. Each stage is a
+// function from one immutable value to the next, and the value carries everything that later stages
+// need. The errors are problems that state whether the request ran.
 package pipeline
 
 import (
