--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -42,10 +42,10 @@
 
 // Request describes a request that asks for admission.
 type Request struct {
-	Workspace string
-	Share     int // most requests of the workspace in flight
-	Priority  declare.Priority
-	Deadline  clock.Instant // zero means none
+	Workspace      string
+	WorkspaceLimit int // most requests of the workspace in flight
+	Priority       declare.Priority
+	Deadline       clock.Instant // zero means none
 }
 
 // Options configure a Controller or a Scheduler.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -41,7 +41,7 @@
 			begin := time.Now()
 			var requests sync.WaitGroup
 			request := func(workspace string) {
-				permit, err := c.Admit(ctx, admission.Request{Workspace: workspace, Share: 100})
+				permit, err := c.Admit(ctx, admission.Request{Workspace: workspace, WorkspaceLimit: 100})
 				Expect(err).NotTo(HaveOccurred())
 				mu.Lock()
 				started[workspace] = time.Since(begin)
@@ -64,7 +64,7 @@
 		suite.Paused(func() {
 			c := admission.NewController(admission.Options{Limit: 1, Queue: 100})
 			run := func() {
-				permit, err := c.Admit(ctx, admission.Request{Workspace: "w", Share: 100})
+				permit, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 100})
 				Expect(err).NotTo(HaveOccurred())
 				time.Sleep(10 * time.Second)
 				permit.Release()
@@ -73,7 +73,7 @@
 			go run()
 			time.Sleep(time.Second)
 			asked := clock.Now()
-			_, err := c.Admit(ctx, admission.Request{Workspace: "w", Share: 100, Deadline: asked.Add(3 * time.Second)})
+			_, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 100, Deadline: asked.Add(3 * time.Second)})
 			Expect(err).To(MatchError(admission.ErrDeadline))
 			Expect(clock.Since(asked)).To(BeZero())
 			time.Sleep(10 * time.Second)
@@ -83,10 +83,10 @@
 	It("refuses new requests while draining and reports when the last one is done", func() {
 		suite.Paused(func() {
 			c := admission.NewController(admission.Options{Limit: 5, Queue: 5})
-			permit, err := c.Admit(ctx, admission.Request{Workspace: "w", Share: 5})
+			permit, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 5})
 			Expect(err).NotTo(HaveOccurred())
 			idle := c.Drain()
-			_, err = c.Admit(ctx, admission.Request{Workspace: "w", Share: 5})
+			_, err = c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 5})
 			Expect(err).To(MatchError(admission.ErrDraining))
 			Consistently(idle).WithTimeout(time.Second).ShouldNot(BeClosed())
 			permit.Release()
@@ -100,7 +100,7 @@
 			var requests sync.WaitGroup
 			for range 400 {
 				requests.Go(func() {
-					permit, err := c.Admit(ctx, admission.Request{Workspace: "w", Share: 1000})
+					permit, err := c.Admit(ctx, admission.Request{Workspace: "w", WorkspaceLimit: 1000})
 					Expect(err).NotTo(HaveOccurred())
 					time.Sleep(20 * time.Millisecond)
 					permit.RecordFirstToken(kind)
--- a/internal/admission/scheduler.go
+++ b/internal/admission/scheduler.go
@@ -46,7 +46,7 @@
 	if err := s.refusal(request, now); err != nil {
 		return VerdictRefuse, 0, err
 	}
-	if s.inFlight < s.limit.current() && s.workspaceInFlight[request.Workspace] < request.Share {
+	if s.inFlight < s.limit.current() && s.workspaceInFlight[request.Workspace] < request.WorkspaceLimit {
 		s.start(request)
 		return VerdictStart, 0, nil
 	}
@@ -66,7 +66,7 @@
 	switch {
 	case len(s.queue) >= s.options.Queue:
 		return ErrQueueFull
-	case s.workspaceInFlight[request.Workspace] >= request.Share && queuedOfWorkspace >= request.Share:
+	case s.workspaceInFlight[request.Workspace] >= request.WorkspaceLimit && queuedOfWorkspace >= request.WorkspaceLimit:
 		return ErrWorkspaceLimit
 	case !request.Deadline.IsZero() && now.Add(s.expectedWait(request)).After(request.Deadline):
 		return ErrDeadline
@@ -177,7 +177,7 @@
 func (s *Scheduler) candidates() []Candidate {
 	queue := make([]Candidate, len(s.queue))
 	for i, w := range s.queue {
-		queue[i] = Candidate{Priority: w.request.Priority, Used: s.workspaceInFlight[w.request.Workspace], Share: w.request.Share}
+		queue[i] = Candidate{Priority: w.request.Priority, Used: s.workspaceInFlight[w.request.Workspace], Share: w.request.WorkspaceLimit}
 	}
 	return queue
 }
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -84,7 +84,7 @@
 
 func (o *overload) request() {
 	a := overloadAsk{arrived: o.clock.now, first: o.clock.now}
-	a.ask = admission.Request{Workspace: "large", Share: o.Share, Priority: declare.PriorityInteractive}
+	a.ask = admission.Request{Workspace: "large", WorkspaceLimit: o.Share, Priority: declare.PriorityInteractive}
 	if o.random.Float64() < o.Small {
 		a.ask.Workspace = "small"
 		o.smallAll++
--- a/internal/pipeline/ask.go
+++ b/internal/pipeline/ask.go
@@ -170,7 +170,7 @@
 // admit waits for a place on this host.
 func (p *Pipeline) admit(ctx context.Context, a ask) (*admission.Permit, error) {
 	place, err := p.options.Admission.Admit(ctx, admission.Request{
-		Workspace: a.workspace.Name, Share: a.workspace.Concurrency, Priority: a.priority, Deadline: a.deadline,
+		Workspace: a.workspace.Name, WorkspaceLimit: a.workspace.Concurrency, Priority: a.priority, Deadline: a.deadline,
 	})
 	if err == nil {
 		return place, nil
