--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -23,11 +23,11 @@
 		want  int
 	}{
 		"interactive before batch": {[]admission.Candidate{
-			{Priority: declare.PriorityBatch, Share: 10}, {Priority: declare.PriorityInteractive, Used: 9, Share: 10},
+			{Priority: declare.PriorityBatch, Limit: 10}, {Priority: declare.PriorityInteractive, InFlight: 9, Limit: 10},
 		}, 1},
-		"the workspace that uses the smallest fraction of its limit": {[]admission.Candidate{{Used: 5, Share: 10}, {Used: 1, Share: 4}}, 1},
-		"the earliest arrival among equals":                          {[]admission.Candidate{{Share: 5}, {Share: 5}}, 0},
-		"none whose workspace is at its limit":                       {[]admission.Candidate{{Used: 5, Share: 5}}, -1},
+		"the workspace that uses the smallest fraction of its limit": {[]admission.Candidate{{InFlight: 5, Limit: 10}, {InFlight: 1, Limit: 4}}, 1},
+		"the earliest arrival among equals":                          {[]admission.Candidate{{Limit: 5}, {Limit: 5}}, 0},
+		"none whose workspace is at its limit":                       {[]admission.Candidate{{InFlight: 5, Limit: 5}}, -1},
 	}
 	for name, n := range next {
 		It("starts "+name, func() { Expect(admission.Next(n.queue)).To(Equal(n.want)) })
--- a/internal/admission/scheduler.go
+++ b/internal/admission/scheduler.go
@@ -170,14 +170,14 @@
 // Candidate is a queued request with the data that Next decides on.
 type Candidate struct {
 	Priority declare.Priority
-	Used     int // requests of its workspace in flight
-	Share    int // most requests of its workspace in flight
+	InFlight int // requests of its workspace in flight
+	Limit    int // most requests of its workspace in flight
 }
 
 func (s *Scheduler) candidates() []Candidate {
 	queue := make([]Candidate, len(s.queue))
 	for i, w := range s.queue {
-		queue[i] = Candidate{Priority: w.request.Priority, Used: s.workspaceInFlight[w.request.Workspace], Share: w.request.WorkspaceLimit}
+		queue[i] = Candidate{Priority: w.request.Priority, InFlight: s.workspaceInFlight[w.request.Workspace], Limit: w.request.WorkspaceLimit}
 	}
 	return queue
 }
@@ -192,10 +192,10 @@
 func Next(candidates []Candidate) int {
 	best, bestRank := -1, math.Inf(1)
 	for i, q := range candidates {
-		if q.Used >= q.Share {
+		if q.InFlight >= q.Limit {
 			continue
 		}
-		rank := float64(q.Used) / float64(q.Share)
+		rank := float64(q.InFlight) / float64(q.Limit)
 		if q.Priority == declare.PriorityBatch {
 			rank += batchPenalty
 		}
