--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -43,15 +43,15 @@
 // Forecast holds the expectations for a request to engines if it is sent now. It is an immutable
 // value.
 type Forecast struct {
-	InTime float64       // chance that its answer begins in time, with its own urgency
-	Head   time.Duration // until the answer's head would arrive, with its own urgency
-	Waits  bool          // it has been told to wait before
-	Served float64       // chance that its answer begins before its caller leaves, if sent behind all others
-	Queue  time.Duration // in the engine's queue, if sent behind all others
-	Room   int           // free slots of engines
-	Ahead  int           // waiting requests that are sent before it
-	Turn   time.Duration // until those are sent, at the current rate of waiting requests
-	Left   time.Duration // remaining time in which an answer that begins is of use to its caller
+	InTime       float64       // chance that its answer begins in time, with its own urgency
+	Head         time.Duration // until the answer's head would arrive, with its own urgency
+	Waiting      bool          // it has been told to wait before
+	ServedBehind float64       // chance that its answer begins before its caller leaves, if sent behind all others
+	QueueWait    time.Duration // in the engine's queue, if sent behind all others
+	FreeSlots    int           // free slots of engines
+	Ahead        int           // waiting requests that are sent before it
+	TurnWait     time.Duration // until those are sent, at the current rate of waiting requests
+	Left         time.Duration // remaining time in which an answer that begins is of use to its caller
 }
 
 // Decision is the decision on a request to endpoints: Send, Behind, Wait or Refuse.
@@ -87,13 +87,13 @@
 	switch {
 	case f.InTime >= minInTimeChance:
 		return Send{}
-	case f.Waits && f.Left <= time.Duration(forcedSendFactor*float64(f.Head)):
+	case f.Waiting && f.Left <= time.Duration(forcedSendFactor*float64(f.Head)):
 		return Send{}
-	case f.Queue <= maxEngineQueueWait && f.Ahead < max(f.Room, 1):
+	case f.QueueWait <= maxEngineQueueWait && f.Ahead < max(f.FreeSlots, 1):
 		return Behind{}
-	case !f.Waits && (f.Served < minServedChance || f.Turn > f.Left/2):
+	case !f.Waiting && (f.ServedBehind < minServedChance || f.TurnWait > f.Left/2):
 		return Refuse{}
 	default:
-		return Wait{For: min(max(f.Turn/2, minPollInterval), maxPollInterval)}
+		return Wait{For: min(max(f.TurnWait/2, minPollInterval), maxPollInterval)}
 	}
 }
--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -15,28 +15,28 @@
 	forecast admission.Forecast
 	want     admission.Decision
 }{
-	"likely in time": {admission.Forecast{InTime: 0.6, Served: 0}, admission.Send{}},
+	"likely in time": {admission.Forecast{InTime: 0.6, ServedBehind: 0}, admission.Send{}},
 	"late, and slots are free": {
-		admission.Forecast{InTime: 0.1, Served: 1, Queue: 100 * time.Millisecond, Room: 1, Left: time.Second}, admission.Behind{},
+		admission.Forecast{InTime: 0.1, ServedBehind: 1, QueueWait: 100 * time.Millisecond, FreeSlots: 1, Left: time.Second}, admission.Behind{},
 	},
 	"late, and there are fewer free slots than requests ahead of it": {
-		admission.Forecast{InTime: 0.1, Served: 1, Room: 3, Ahead: 3, Turn: time.Second, Left: 4 * time.Second}, admission.Wait{For: 500 * time.Millisecond},
+		admission.Forecast{InTime: 0.1, ServedBehind: 1, FreeSlots: 3, Ahead: 3, TurnWait: time.Second, Left: 4 * time.Second}, admission.Wait{For: 500 * time.Millisecond},
 	},
 	"late, and engines are busy": {
-		admission.Forecast{InTime: 0.1, Served: 0.9, Queue: time.Second, Turn: 200 * time.Millisecond, Left: 4 * time.Second}, admission.Wait{For: 100 * time.Millisecond},
+		admission.Forecast{InTime: 0.1, ServedBehind: 0.9, QueueWait: time.Second, TurnWait: 200 * time.Millisecond, Left: 4 * time.Second}, admission.Wait{For: 100 * time.Millisecond},
 	},
 	"the next one to be sent, and engines are busy": {
-		admission.Forecast{InTime: 0.1, Served: 0.9, Queue: time.Second, Left: 4 * time.Second}, admission.Wait{For: 50 * time.Millisecond},
+		admission.Forecast{InTime: 0.1, ServedBehind: 0.9, QueueWait: time.Second, Left: 4 * time.Second}, admission.Wait{For: 50 * time.Millisecond},
 	},
-	"not answered before its caller leaves": {admission.Forecast{Served: 0.05, Queue: 5 * time.Second, Left: time.Second}, admission.Refuse{}},
+	"not answered before its caller leaves": {admission.Forecast{ServedBehind: 0.05, QueueWait: 5 * time.Second, Left: time.Second}, admission.Refuse{}},
 	"not sent before its caller leaves": {
-		admission.Forecast{Served: 0.9, Queue: time.Second, Turn: 3 * time.Second, Left: 4 * time.Second}, admission.Refuse{},
+		admission.Forecast{ServedBehind: 0.9, QueueWait: time.Second, TurnWait: 3 * time.Second, Left: 4 * time.Second}, admission.Refuse{},
 	},
 	"waiting already, even if it is now expected to be late": {
-		admission.Forecast{Served: 0.05, Queue: 5 * time.Second, Turn: 3 * time.Second, Left: 4 * time.Second, Waits: true}, admission.Wait{For: 500 * time.Millisecond},
+		admission.Forecast{ServedBehind: 0.05, QueueWait: 5 * time.Second, TurnWait: 3 * time.Second, Left: 4 * time.Second, Waiting: true}, admission.Wait{For: 500 * time.Millisecond},
 	},
 	"waiting already, with little time left": {
-		admission.Forecast{Served: 0.05, Queue: 5 * time.Second, Head: time.Second, Left: time.Second, Waits: true}, admission.Send{},
+		admission.Forecast{ServedBehind: 0.05, QueueWait: 5 * time.Second, Head: time.Second, Left: time.Second, Waiting: true}, admission.Send{},
 	},
 }
 
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -52,7 +52,7 @@
 		}
 		return p
 	}
-	o := admission.Forecast{InTime: p.expected.InTime(req.Slack), Head: p.expected.Head, Waits: req.Turn != 0, Left: req.Remaining}
+	o := admission.Forecast{InTime: p.expected.InTime(req.Slack), Head: p.expected.Head, Waiting: req.Turn != 0, Left: req.Remaining}
 	if _, ok := admission.Decide(o).(admission.Send); ok {
 		if req.Turn != 0 {
 			f.turnsOf(req.Service).Remove(req.Turn)
@@ -73,8 +73,8 @@
 func (f *Fleet) decideLate(p placement, o admission.Forecast) admission.Decision {
 	turns := f.turnsOf(p.req.Service)
 	sentAt, urgency := p.now.Add(-p.req.Waited), rank(p.urgency)
-	o.Served, o.Queue, o.Room = p.expected.InTime(o.Left), p.expected.Queue, p.freeSlots
-	o.Ahead, o.Turn = turns.Ahead(p.req.Turn, urgency, sentAt, p.now)
+	o.ServedBehind, o.QueueWait, o.FreeSlots = p.expected.InTime(o.Left), p.expected.Queue, p.freeSlots
+	o.Ahead, o.TurnWait = turns.Ahead(p.req.Turn, urgency, sentAt, p.now)
 	switch d := admission.Decide(o).(type) {
 	case admission.Wait:
 		d.Turn = turns.Wait(p.req.Turn, urgency, sentAt, p.now, d.For)
