--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -58,9 +58,9 @@
 	// Allowed returns a function that reports whether a request with a version key may run on a
 	// version of the service.
 	Allowed func(service string, versionKey uint64) func(version string) bool
-	// Before returns the addresses of the data hall's hosts that precede this one, in an
+	// PrecedingHosts returns the addresses of the data hall's hosts that precede this one, in an
 	// order that all hosts agree on while they know the same list.
-	Before func() []string
+	PrecedingHosts func() []string
 	// Leads reports whether this host is known to be the first host of its data hall. If it is nil,
 	// a host without predecessors is the first.
 	Leads func() bool
@@ -166,7 +166,7 @@
 // Leads reports whether this host advises the others and so knows of all requests that are sent.
 func (a *Advisor) Leads() bool {
 	if a.options.Leads == nil {
-		return len(a.options.Before()) == 0
+		return len(a.options.PrecedingHosts()) == 0
 	}
 	return a.options.Leads()
 }
@@ -231,7 +231,7 @@
 // hostToAsk returns the address of the host to query; false if this host is the first one that
 // answers.
 func (a *Advisor) hostToAsk() (string, bool) {
-	predecessors := a.options.Before()
+	predecessors := a.options.PrecedingHosts()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := clock.Now()
@@ -246,7 +246,7 @@
 // Rank returns the number of preceding hosts that are not paused for failing to answer. It returns
 // false while the list of hosts is unknown.
 func (a *Advisor) Rank() (rank int, known bool) {
-	predecessors := a.options.Before()
+	predecessors := a.options.PrecedingHosts()
 	if len(predecessors) == 0 && !a.Leads() {
 		return 0, false
 	}
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -49,9 +49,9 @@
 		Allowed: func(string, uint64) func(string) bool { return func(v string) bool { return v == "v1" } },
 		Conn:    func(address string) (grpc.ClientConnInterface, error) { return p.conn(address), nil },
 	}
-	options.Before = func() []string { return nil }
+	options.PrecedingHosts = func() []string { return nil }
 	p.first = advice.New(options)
-	options.Fleet, options.Before = p.nextFleet, func() []string { return p.predecessors }
+	options.Fleet, options.PrecedingHosts = p.nextFleet, func() []string { return p.predecessors }
 	p.next = advice.New(options)
 	p.server = grpc.NewServer()
 	p.first.Register(p.server)
--- a/internal/gateway/halls_test.go
+++ b/internal/gateway/halls_test.go
@@ -138,7 +138,7 @@
 			f.Put(e)
 			r.gateway.Fleet = f
 			r.gateway.Advice = advice.New(advice.Options{
-				Hall: "ikeja", Fleet: f, Logger: log.New(io.Discard), Before: func() []string { return earlierHosts },
+				Hall: "ikeja", Fleet: f, Logger: log.New(io.Discard), PrecedingHosts: func() []string { return earlierHosts },
 				Conn: func(string) (grpc.ClientConnInterface, error) { return nil, net.ErrClosed },
 			})
 			for range advised / (100 * time.Millisecond) {
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -170,7 +170,7 @@
 }
 
 func newAdvisor(s settings.Settings, w *spread.Watcher, f *fleet.Fleet, u *upgrade.Tracker, l *log.Logger) *advice.Advisor {
-	a := advice.New(advice.Options{Hall: s.DataHall, Fleet: f, Allowed: u.Allowed, Before: w.PrecedingHosts, Leads: w.Leads, Conn: w.Conn, Logger: l})
+	a := advice.New(advice.Options{Hall: s.DataHall, Fleet: f, Allowed: u.Allowed, PrecedingHosts: w.PrecedingHosts, Leads: w.Leads, Conn: w.Conn, Logger: l})
 	f.OnOutcome(a.Attempted)
 	f.OnHead(a.Heard)
 	return a
