--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -52,11 +52,11 @@
 
 // State is the input of a plan for a service.
 type State struct {
-	Scaling Scaling
-	Slots   int                       // requests that an endpoint runs concurrently
-	Running float64                   // requests at endpoints or on their way there, from all hosts
-	Stocks  map[string]EndpointCounts // counts by data hall, for all data halls that the service runs in
-	Away    []string                  // data halls that get no requests for now
+	Scaling       Scaling
+	Slots         int                       // requests that an endpoint runs concurrently
+	Running       float64                   // requests at endpoints or on their way there, from all hosts
+	Serving       map[string]EndpointCounts // counts by data hall, for all data halls that the service runs in
+	ExcludedHalls []string                  // data halls that get no requests for now
 	// Upgrading reports whether an upgrade is in progress. The endpoints that it introduces count
 	// as ordinary ones in an order.
 	Upgrading bool
@@ -125,7 +125,7 @@
 	desired := p.countOldVersion(s).desired(p.peak)
 	var orders []Order
 	for _, pool := range slices.SortedFunc(maps.Keys(desired), Pool.compare) {
-		if count, due := p.due(now, pool, desired[pool], s.Stocks[pool.Hall].count(pool)); due {
+		if count, due := p.due(now, pool, desired[pool], s.Serving[pool.Hall].count(pool)); due {
 			orders = append(orders, Order{Pool: pool, Count: count})
 		}
 	}
@@ -141,12 +141,12 @@
 		return s
 	}
 	serving := map[string]EndpointCounts{}
-	for hall, counts := range s.Stocks {
+	for hall, counts := range s.Serving {
 		p.oldVersion[hall] = max(p.oldVersion[hall], counts.Ordinary)
 		counts.Ordinary = p.oldVersion[hall]
 		serving[hall] = counts
 	}
-	s.Stocks = serving
+	s.Serving = serving
 	return s
 }
 
@@ -234,7 +234,7 @@
 func (s State) planSpot(desired map[Pool]int, hall string, ordinaryNeeded, spotNeeded float64) {
 	halls := float64(len(s.halls()))
 	floor, spotServing := math.Ceil(ordinaryPart*ordinaryNeeded/halls), 0
-	for _, counts := range s.Stocks {
+	for _, counts := range s.Serving {
 		spotServing += counts.Spot
 	}
 	// Ordinary endpoints stand in for spot endpoints that don't serve yet.
@@ -249,7 +249,7 @@
 // needs once it is moved to them. Orders are not lowered before any endpoint of the new version
 // serves.
 func (s State) planUpgrade(desired map[Pool]int, hall string, perHall int) {
-	counts := s.Stocks[hall]
+	counts := s.Serving[hall]
 	if counts.Newer > 0 || perHall > counts.Ordinary {
 		desired[Pool{Hall: hall}] = min(max(counts.Ordinary, perHall)+min(counts.Newer, perHall), s.Scaling.Most)
 	}
@@ -262,8 +262,8 @@
 // halls returns the data halls that may take requests, sorted by name.
 func (s State) halls() []string {
 	var halls []string
-	for _, h := range slices.Sorted(maps.Keys(s.Stocks)) {
-		if !slices.Contains(s.Away, h) {
+	for _, h := range slices.Sorted(maps.Keys(s.Serving)) {
+		if !slices.Contains(s.ExcludedHalls, h) {
 			halls = append(halls, h)
 		}
 	}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -72,7 +72,7 @@
 		s.set(b.pool, b.count)
 	}
 	s.booting = later
-	for _, o := range s.planner.Orders(s.now, capacity.State{Scaling: s.scaling, Slots: 64, Running: running, Stocks: s.serving}) {
+	for _, o := range s.planner.Orders(s.now, capacity.State{Scaling: s.scaling, Slots: 64, Running: running, Serving: s.serving}) {
 		if o.Spot && s.spotUnavailable[o.Hall] {
 			s.planner.RecordUnavailable(o, s.now)
 			continue
@@ -176,7 +176,7 @@
 		Expect(all).To(BeNumerically(">", 2*before))
 		orders := 0
 		for range 120 {
-			orders += len(p.planner.Orders(p.now.Add(time.Second), capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: p.serving}))
+			orders += len(p.planner.Orders(p.now.Add(time.Second), capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: p.serving}))
 			p.step(280)
 		}
 		all, _ = p.countServing()
@@ -193,7 +193,7 @@
 				running = 180
 			}
 			if i > 60 {
-				orders += len(p.planner.Orders(p.now.Add(time.Second), capacity.State{Scaling: scaling, Slots: 64, Running: running, Stocks: p.serving}))
+				orders += len(p.planner.Orders(p.now.Add(time.Second), capacity.State{Scaling: scaling, Slots: 64, Running: running, Serving: p.serving}))
 			}
 			p.step(running)
 		}
@@ -218,9 +218,9 @@
 
 	It("keep all endpoints of the version in force during an upgrade", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: inEachHall(capacity.EndpointCounts{Ordinary: 30}), Upgrading: true}
+		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: inEachHall(capacity.EndpointCounts{Ordinary: 30}), Upgrading: true}
 		Expect(planner.Orders(start, s)).To(BeEmpty())
-		s.Stocks = inEachHall(capacity.EndpointCounts{Ordinary: 30, Newer: 30})
+		s.Serving = inEachHall(capacity.EndpointCounts{Ordinary: 30, Newer: 30})
 		Expect(planner.Orders(start.Add(time.Second), s)).To(BeEmpty())
 		lowered := planner.Orders(start.Add(9*time.Second), s)
 		Expect(lowered).To(HaveLen(3))
@@ -229,20 +229,20 @@
 			planner.RecordAccepted(o)
 		}
 		// The upgrade is completed: the old endpoints are gone at once, and not ordered again.
-		s.Upgrading, s.Stocks = false, inEachHall(capacity.EndpointCounts{Ordinary: 11})
+		s.Upgrading, s.Serving = false, inEachHall(capacity.EndpointCounts{Ordinary: 11})
 		orders := planner.Orders(start.Add(10*time.Second), s)
 		Expect(orders).To(ContainElement(capacity.Order{Pool: pool("a", false), Count: 15})) // until spot endpoints serve
 	})
 
 	It("keep the new version if endpoints of the one in force are down for a moment", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: inEachHall(capacity.EndpointCounts{Ordinary: 30, Newer: 30}), Upgrading: true}
+		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: inEachHall(capacity.EndpointCounts{Ordinary: 30, Newer: 30}), Upgrading: true}
 		for at := range 10 {
 			for _, o := range planner.Orders(start.Add(time.Duration(at)*time.Second), s) {
 				planner.RecordAccepted(o)
 			}
 		}
-		s.Stocks = inEachHall(capacity.EndpointCounts{Ordinary: 20, Newer: 11})
+		s.Serving = inEachHall(capacity.EndpointCounts{Ordinary: 20, Newer: 11})
 		for at := range 10 {
 			Expect(planner.Orders(start.Add(time.Duration(10+at)*time.Second), s)).To(BeEmpty())
 		}
@@ -250,22 +250,22 @@
 
 	It("increase with the load during an upgrade", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Stocks: inEachHall(capacity.EndpointCounts{Ordinary: 4}), Upgrading: true}
+		s := capacity.State{Scaling: scaling, Slots: 64, Running: 280, Serving: inEachHall(capacity.EndpointCounts{Ordinary: 4}), Upgrading: true}
 		Expect(planner.Orders(start, s)).To(ContainElement(capacity.Order{Pool: pool("a", false), Count: 11}))
-		s.Stocks = inEachHall(capacity.EndpointCounts{Ordinary: 4, Newer: 4})
+		s.Serving = inEachHall(capacity.EndpointCounts{Ordinary: 4, Newer: 4})
 		Expect(planner.Orders(start.Add(time.Second), s)).To(ContainElement(capacity.Order{Pool: pool("a", false), Count: 15}))
 	})
 
 	It("omit evacuated data halls and have the others carry their load", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Stocks: inEachHall(capacity.EndpointCounts{Ordinary: 11}), Away: []string{"c"}}
+		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Serving: inEachHall(capacity.EndpointCounts{Ordinary: 11}), ExcludedHalls: []string{"c"}}
 		orders := planner.Orders(start, s)
 		Expect(orders).To(Equal([]capacity.Order{{Pool: pool("a", false), Count: 22}, {Pool: pool("b", false), Count: 22}}))
 	})
 
 	It("release nothing while little of the load has been seen, as after all hosts were killed", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: scaling, Slots: 64, Stocks: inEachHall(capacity.EndpointCounts{Ordinary: 4, Spot: 8})}
+		s := capacity.State{Scaling: scaling, Slots: 64, Serving: inEachHall(capacity.EndpointCounts{Ordinary: 4, Spot: 8})}
 		for at := range 8 {
 			s.Running = float64(20 * at)
 			for _, o := range planner.Orders(start.Add(time.Duration(at)*time.Second), s) {
@@ -275,13 +275,13 @@
 	})
 
 	It("are not made while the load is unknown", func() {
-		s := capacity.State{Scaling: scaling, Slots: 64, Stocks: inEachHall(capacity.EndpointCounts{Ordinary: 30})}
+		s := capacity.State{Scaling: scaling, Slots: 64, Serving: inEachHall(capacity.EndpointCounts{Ordinary: 30})}
 		Expect(capacity.NewPlanner().Orders(start, s)).To(BeEmpty())
 	})
 
 	It("are not repeated at once if no endpoints were available", func() {
 		planner := capacity.NewPlanner()
-		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Stocks: map[string]capacity.EndpointCounts{"a": {}}}
+		s := capacity.State{Scaling: ordinaryOnly, Slots: 64, Running: 280, Serving: map[string]capacity.EndpointCounts{"a": {}}}
 		orders := planner.Orders(start, s)
 		Expect(orders).To(HaveLen(1))
 		planner.RecordUnavailable(orders[0], start)
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -281,7 +281,7 @@
 		}
 		stocks, upgrading := o.Stocks(s.Name)
 		state := capacity.State{
-			Scaling: s.Scaling, Slots: s.Slots, Running: float64(running), Stocks: withEmptyHalls(stocks, s.Scaling), Upgrading: upgrading, Away: evacuated,
+			Scaling: s.Scaling, Slots: s.Slots, Running: float64(running), Serving: withEmptyHalls(stocks, s.Scaling), Upgrading: upgrading, ExcludedHalls: evacuated,
 		}
 		for _, order := range p.Orders(clock.Now(), state) {
 			t.sendOrder(ctx, s.Name, p, order, state)
@@ -314,7 +314,7 @@
 	defer cancel()
 	err := t.coordinator.options.Platform.Scale(callContext, t.holder(), service, order)
 	fields := []any{
-		"service", service, "hall", order.Hall, "spot", order.Spot, "count", order.Count, "serving", s.Stocks[order.Hall],
+		"service", service, "hall", order.Hall, "spot", order.Spot, "count", order.Count, "serving", s.Serving[order.Hall],
 		"running", s.Running, "peak", int(p.Peak()), "token", t.lease.Epoch(),
 	}
 	switch {
