--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -45,19 +45,19 @@
 
 // Answer is an answer that a caller has or may get.
 type Answer struct {
-	Right  float64 // probability that it is correct
-	InTime float64 // probability that it comes in time
+	Correct float64 // probability that it is correct
+	InTime  float64 // probability that it comes in time
 }
 
 // Value returns the expected value of the answer.
 func (a Answer) Value() float64 {
-	return (a.Right + (1-a.Right)*valueWrong) * (a.InTime + (1-a.InTime)*valueLate)
+	return (a.Correct + (1-a.Correct)*valueWrong) * (a.InTime + (1-a.InTime)*valueLate)
 }
 
 // Option is an answer that has not been requested yet.
 type Option struct {
 	Answer
-	Use  float64 // cost of using the model for a request of mean size
+	Cost float64 // cost of using the model for a request of mean size
 	Size float64 // size of the request, relative to the mean size of its route
 	// Delay is how long other requests wait because of this one, as a fraction of the route's time
 	// objective. If their slack is spread evenly over the objective, this fraction of them becomes
@@ -68,7 +68,7 @@
 // NetValue returns the value of the answer less its cost and the value that other requests lose by the
 // delay.
 func (o Option) NetValue() float64 {
-	return o.Value() - (o.Use*o.Size+o.Delay*(1-valueLate))/Worth(o.Size)
+	return o.Value() - (o.Cost*o.Size+o.Delay*(1-valueLate))/Worth(o.Size)
 }
 
 // calibration maps the confidence that a small model reports to the probability that its answer is
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -16,12 +16,12 @@
 }
 
 func (s choice) asked() bool {
-	small := cascade.Answer{Right: cascade.CorrectProbability(s.confidence), InTime: 1}
+	small := cascade.Answer{Correct: cascade.CorrectProbability(s.confidence), InTime: 1}
 	if s.late {
 		small.InTime = 0
 	}
 	larger := cascade.Option{
-		Answer: cascade.Answer{Right: cascade.LargestCorrect, InTime: s.inTime}, Use: cascade.RelativeCost(0.2, 0.2), Size: s.size, Delay: s.delay,
+		Answer: cascade.Answer{Correct: cascade.LargestCorrect, InTime: s.inTime}, Cost: cascade.RelativeCost(0.2, 0.2), Size: s.size, Delay: s.delay,
 	}
 	return larger.NetValue() > small.Value()
 }
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -59,13 +59,13 @@
 	ask.Avoid = nil // the endpoint that ran the small model may also run the larger one
 	c := modelComparison{model: model, confidence: confidence, elapsed: clock.Since(x.start)}
 	c.expected, c.available = x.expect(ask)
-	c.kept.Right = cascade.CorrectProbability(confidence)
+	c.kept.Correct = cascade.CorrectProbability(confidence)
 	if c.elapsed <= x.route.Objective {
 		c.kept.InTime = 1
 	}
 	c.larger = cascade.Option{
-		Answer: cascade.Answer{Right: cascade.LargestCorrect, InTime: c.expected.InTime(x.route.Objective - c.elapsed)},
-		Use:    x.useCost(model), Size: x.relativeSize, Delay: x.delayCost(c.expected),
+		Answer: cascade.Answer{Correct: cascade.LargestCorrect, InTime: c.expected.InTime(x.route.Objective - c.elapsed)},
+		Cost:   x.useCost(model), Size: x.relativeSize, Delay: x.delayCost(c.expected),
 	}
 	return c
 }
@@ -82,7 +82,7 @@
 // logComparison logs the comparison of a small model's response with a larger model.
 func (x *exchange) logComparison(c modelComparison, granted bool) {
 	x.g.Logger.Info("larger model weighed", "id", x.header.ID, "model", c.model, "confidence", c.confidence, "kept", c.kept.Value(),
-		"larger", c.larger.Value(), "use", c.larger.Use, "delay", c.larger.Delay, "in_time", c.larger.InTime, "took_ms", c.elapsed.Milliseconds(),
+		"larger", c.larger.Value(), "use", c.larger.Cost, "delay", c.larger.Delay, "in_time", c.larger.InTime, "took_ms", c.elapsed.Milliseconds(),
 		"expected_ms", c.expected.Head.Milliseconds(), "read", c.expected.PrefillTokens, "price", c.expected.Price, "better", c.largerIsBetter(), "asked", granted)
 }
 
@@ -92,7 +92,7 @@
 	if !c.available || x.sends > 1 {
 		return
 	}
-	small := cascade.Option{Use: x.useCost(x.model), Size: x.relativeSize, Delay: x.delayCost(x.expected)}
+	small := cascade.Option{Cost: x.useCost(x.model), Size: x.relativeSize, Delay: x.delayCost(x.expected)}
 	largestFirst := c.larger
 	largestFirst.InTime = c.expected.InTime(x.route.Objective)
 	x.g.firstModels.record(x.route.Name, largestFirst.NetValue()-max(c.kept.Value(), c.larger.NetValue())-small.NetValue())
