--- a/internal/ratelimit/grpc.go
+++ b/internal/ratelimit/grpc.go
@@ -31,7 +31,7 @@
 	})
 	return &ratelimitpb.BorrowReply{
 		Requests: int32(reply.Requests), //nolint:gosec // no more than was asked for
-		Limit:    limitToWire(reply.Limit, clock.Now()), LastsMicros: reply.Lasts.Microseconds(), AgainMicros: reply.Again.Microseconds(),
+		Limit:    limitToWire(reply.Limit, clock.Now()), LastsMicros: reply.Validity.Microseconds(), AgainMicros: reply.RetryAfter.Microseconds(),
 	}, nil
 }
 
@@ -67,7 +67,7 @@
 		return Reply{}, fmt.Errorf("borrow from %s: %w", address, err)
 	}
 	return Reply{
-		Requests: int(w.GetRequests()), Lasts: clock.Micros(w.GetLastsMicros()), Again: clock.Micros(w.GetAgainMicros()),
+		Requests: int(w.GetRequests()), Validity: clock.Micros(w.GetLastsMicros()), RetryAfter: clock.Micros(w.GetAgainMicros()),
 		Limit: limitFromWire(r.Limit.Endpoint, w.GetLimit(), clock.Now()),
 	}, nil
 }
--- a/internal/ratelimit/lender.go
+++ b/internal/ratelimit/lender.go
@@ -48,10 +48,10 @@
 
 // Reply is a loan, which may be empty.
 type Reply struct {
-	Requests int
-	Lasts    time.Duration // validity of the loan, counted from when the borrower sent its request
-	Again    time.Duration // delay before the borrower may ask for more
-	Limit    fleet.LimitUpdate
+	Requests   int
+	Validity   time.Duration // validity of the loan, counted from when the borrower sent its request
+	RetryAfter time.Duration // delay before the borrower may ask for more
+	Limit      fleet.LimitUpdate
 }
 
 // Lender lends parts of endpoints' limits. It is safe for concurrent use.
@@ -92,7 +92,7 @@
 		b.limit = r.Limit
 	}
 	if b.limit.Rate <= 0 || r.Requests <= 0 {
-		return Reply{Limit: b.limit, Again: minRetryDelay}
+		return Reply{Limit: b.limit, RetryAfter: minRetryDelay}
 	}
 	if idle := max(minIdle, clock.Seconds(idleRequests/b.limit.Rate)); now.Sub(b.lastRequest) > idle {
 		b.reset(now, first && b.limit.Since.After(l.began) && now.Sub(b.limit.Since) < newLimitAge)
@@ -130,8 +130,8 @@
 	}
 	delay := clock.Seconds((max(b.waiting, 1) - b.tokens) / rate)
 	return Reply{
-		Requests: n, Limit: b.limit, Again: min(max(delay, minRetryDelay), maxRetryDelay),
-		Lasts: min(max(clock.Seconds(1/b.limit.Rate), minValidity), maxValidity),
+		Requests: n, Limit: b.limit, RetryAfter: min(max(delay, minRetryDelay), maxRetryDelay),
+		Validity: min(max(clock.Seconds(1/b.limit.Rate), minValidity), maxValidity),
 	}
 }
 
--- a/internal/ratelimit/lender_test.go
+++ b/internal/ratelimit/lender_test.go
@@ -30,7 +30,7 @@
 	for clock.Now().Before(end) {
 		r := borrow(l, first, since, rate, 100)
 		n += r.Requests
-		time.Sleep(max(r.Again, 10*time.Millisecond))
+		time.Sleep(max(r.RetryAfter, 10*time.Millisecond))
 	}
 	return n
 }
@@ -105,7 +105,7 @@
 			for i := range 5 {
 				r := borrow(l, true, since, 2, 1)
 				Expect(r.Requests).To(BeZero())
-				Expect(r.Again).To(BeNumerically("~", time.Duration(i+1)*500*time.Millisecond, 10*time.Millisecond))
+				Expect(r.RetryAfter).To(BeNumerically("~", time.Duration(i+1)*500*time.Millisecond, 10*time.Millisecond))
 			}
 		})
 	})
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -241,7 +241,7 @@
 	}
 	l.options.Telemetry.Count("limit_requests_borrowed", int64(reply.Requests))
 	l.options.Fleet.MergeLimit(reply.Limit)
-	l.options.Fleet.FinishLoan(w.Update.Endpoint, fleet.Loan{Requests: reply.Requests, Until: sent.Add(reply.Lasts), RetryAt: clock.Now().Add(reply.Again)})
+	l.options.Fleet.FinishLoan(w.Update.Endpoint, fleet.Loan{Requests: reply.Requests, Until: sent.Add(reply.Validity), RetryAt: clock.Now().Add(reply.RetryAfter)})
 }
 
 // borrow requests a loan from the lender, which may be this host. It returns false if it finds
@@ -274,7 +274,7 @@
 	if !ok {
 		return noLenderPause, false
 	}
-	return reply.Again, reply.Requests > 0
+	return reply.RetryAfter, reply.Requests > 0
 }
 
 // borrowFrom requests a loan from a host, and records whether the host answers.
--- a/internal/ratelimit/simulation_test.go
+++ b/internal/ratelimit/simulation_test.go
@@ -166,7 +166,7 @@
 			share.Rate /= float64(h.sim.hosts)
 			now := clock.Now()
 			r := lender.Lend(ratelimit.Request{Requests: want.Requests, Limit: share}, true, now)
-			f.FinishLoan(want.Update.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.Lasts), RetryAt: now.Add(r.Again)})
+			f.FinishLoan(want.Update.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.Validity), RetryAt: now.Add(r.RetryAfter)})
 		}
 		if !next.IsZero() {
 			timer.Reset(max(clock.Until(next), 0))
