--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -80,7 +80,7 @@
 	// Members lists all other hosts; Known reports whether that list has been read.
 	Members   func() []Member
 	Known     func() bool
-	Caller    PeerClient
+	Peers     PeerClient
 	Telemetry *telemetry.Telemetry
 	Logger    *log.Logger
 }
@@ -169,7 +169,7 @@
 		working.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, askTimeout)
 			defer cancel()
-			if err := l.options.Caller.SendLimits(callCtx, h.Address, news); err != nil && ctx.Err() == nil {
+			if err := l.options.Peers.SendLimits(callCtx, h.Address, news); err != nil && ctx.Err() == nil {
 				l.options.Logger.Debug("cannot send limits to host", "to", h.Name, "count", len(news), "error", err)
 			}
 		})
@@ -205,7 +205,7 @@
 	}
 	for _, h := range l.randomHosts(maxTries) {
 		callCtx, cancel := context.WithTimeout(ctx, askTimeout)
-		news, err := l.options.Caller.FetchLimits(callCtx, h.Address)
+		news, err := l.options.Peers.FetchLimits(callCtx, h.Address)
 		cancel()
 		if err == nil {
 			l.ApplyLimits(news)
@@ -281,7 +281,7 @@
 func (l *Limiter) borrowFrom(ctx context.Context, h host, r Request, timeout time.Duration) (Reply, error) {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := l.options.Caller.Borrow(callCtx, h.Address, r)
+	reply, err := l.options.Peers.Borrow(callCtx, h.Address, r)
 	if ctx.Err() != nil {
 		return reply, err
 	}
