--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -109,8 +109,8 @@
 	}
 	x.route = r
 	timeout := defaultTimeout
-	if x.header.Patience > 0 {
-		timeout = x.header.Patience
+	if x.header.Timeout > 0 {
+		timeout = x.header.Timeout
 	}
 	if r.Timeout > 0 {
 		timeout = min(timeout, r.Timeout)
@@ -126,8 +126,8 @@
 	if x.route.Public || !x.table.KeysRequired() {
 		return nil
 	}
-	w, ok := x.table.Workspace(x.header.Key)
-	if !ok || x.header.Keys != 1 {
+	w, ok := x.table.Workspace(x.header.APIKey)
+	if !ok || x.header.APIKeyCount != 1 {
 		return &refusal{status: http.StatusUnauthorized, reason: "unknown key"}
 	}
 	x.workspace, x.regions = w.Name, route.RegionsFor(x.route, w)
--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -18,16 +18,16 @@
 
 // RequestHeader is the information in the header of a caller's request.
 type RequestHeader struct {
-	ID        string
-	Key       string // the caller's API key
-	Keys      int    // number of API keys given; more than one is an error
-	LastEvent string // ID of the last event received, for a stream that is resumed
-	Model     string
-	Session   string
-	Patience  time.Duration // how long the caller waits; 0 if it does not say
-	TokensIn  int
-	TokensOut int // maximum
-	Parts     []PromptPart
+	ID          string
+	APIKey      string // the caller's API key
+	APIKeyCount int    // number of API keys given; more than one is an error
+	LastEventID string // ID of the last event received, for a stream that is resumed
+	Model       string
+	Session     string
+	Timeout     time.Duration // how long the caller waits; 0 if it does not say
+	TokensIn    int
+	TokensOut   int // maximum
+	Parts       []PromptPart
 }
 
 // sharedTokens counts the prompt's tokens that other requests have too: those of all parts but the
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -14,7 +14,7 @@
 // serveStream serves a request whose response is a stream of events. A stream that breaks off
 // continues at another endpoint within the same response, if the route allows it.
 func (x *exchange) serveStream() {
-	s := &stream{x: x, lastEventID: x.header.LastEvent}
+	s := &stream{x: x, lastEventID: x.header.LastEventID}
 	for {
 		err := s.tryOnce()
 		if err == nil {
