--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -42,12 +42,12 @@
 
 // AttemptHeader is the information about a request that is sent to an endpoint.
 type AttemptHeader struct {
-	Instance  string // the endpoint's own name; no other endpoint runs the request
-	Workspace string
-	Model     string // empty keeps the caller's
-	LastEvent string // empty keeps the caller's
-	Left      time.Duration
-	Urgency   int // 0 goes first; -1 leaves it to the endpoint
+	Instance    string // the endpoint's own name; no other endpoint runs the request
+	Workspace   string
+	Model       string // empty keeps the caller's
+	LastEventID string // empty keeps the caller's
+	TimeLeft    time.Duration
+	Urgency     int // 0 goes first; -1 leaves it to the endpoint
 }
 
 // ResponseHeader is the information in the header of an endpoint's response.
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -301,8 +301,8 @@
 func (x *exchange) outgoingRequest(a *attempt, lastEventID string) *http.Request {
 	left := x.timeLeft()
 	h := x.g.Codec.EndpointHeader(x.r.Header, AttemptHeader{
-		Instance: a.hold.Endpoint.Instance, Workspace: x.workspace, Model: x.modelName(a.model), LastEvent: lastEventID,
-		Left: left, Urgency: a.hold.Urgency(),
+		Instance: a.hold.Endpoint.Instance, Workspace: x.workspace, Model: x.modelName(a.model), LastEventID: lastEventID,
+		TimeLeft: left, Urgency: a.hold.Urgency(),
 	})
 	if _, ok := h["User-Agent"]; !ok {
 		h["User-Agent"] = []string{""} // net/http would add its own
