--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -59,10 +59,10 @@
 
 // startupWait returns how long requests wait after the start of this host.
 func (g *Gateway) startupWait() time.Duration {
-	if g.Hosts == nil {
+	if g.HostCount == nil {
 		return baseStartupWait
 	}
-	return baseStartupWait + time.Duration(g.Hosts())*startupWaitPerHost
+	return baseStartupWait + time.Duration(g.HostCount())*startupWaitPerHost
 }
 
 // awaitStartup waits until a host that has just started can serve.
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -34,8 +34,8 @@
 // back, and crash it together. Only one suspect request runs at a time, so that a crash of its
 // endpoint is not attributed to another request.
 func (x *exchange) awaitSuspectTurn(ctx context.Context) error {
-	for x.g.Limits != nil && !x.maySendSuspect && x.isSuspect() {
-		wait, granted := x.g.Limits.TryAcquire(ctx, "suspect/"+x.service, suspectSendsPerSecond)
+	for x.g.RateLimits != nil && !x.maySendSuspect && x.isSuspect() {
+		wait, granted := x.g.RateLimits.TryAcquire(ctx, "suspect/"+x.service, suspectSendsPerSecond)
 		if granted {
 			x.maySendSuspect = true
 			x.g.Logger.Info("suspect request may be sent", "id", x.header.ID, "fingerprint", x.fingerprint(), "crashed", x.standing().Crashed)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -47,13 +47,13 @@
 	Advice   *advice.Advisor // advice on endpoints for long prompts; nil for none
 	// Quarantine tracks the requests that make endpoints crash.
 	Quarantine *quarantine.Tracker
-	// Limits makes all hosts together send suspect requests one after the other; nil for no bound.
-	Limits    *ratelimit.Limiter
-	Deadlines *clock.Deadlines // watched by the host
-	Telemetry *telemetry.Telemetry
-	Logger    *log.Logger
-	// Hosts returns the number of all hosts that this host knows of; nil for this host alone.
-	Hosts func() int
+	// RateLimits makes all hosts together send suspect requests one after the other; nil for no bound.
+	RateLimits *ratelimit.Limiter
+	Deadlines  *clock.Deadlines // watched by the host
+	Telemetry  *telemetry.Telemetry
+	Logger     *log.Logger
+	// HostCount returns the number of all hosts that this host knows of; nil for this host alone.
+	HostCount func() int
 	// Usage counts the requests that start to run; nil to count none.
 	Usage *usage.Counter
 	// RetryRatio bounds retries to a fraction of the first sends.
--- a/internal/gateway/startup_wait_test.go
+++ b/internal/gateway/startup_wait_test.go
@@ -16,7 +16,7 @@
 // a few hosts.
 func TestRequestsWaitForHostsThatStartTogether(t *testing.T) {
 	for hosts, c := range startupWaits {
-		g := New(Options{Hosts: func() int { return hosts }})
+		g := New(Options{HostCount: func() int { return hosts }})
 		if got := g.startupWait(); got < c[0] || got > c[1] {
 			t.Errorf("%d hosts: requests wait %s, not %s to %s", hosts, got, c[0], c[1])
 		}
