--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -171,8 +171,8 @@
 	return a.options.Leads()
 }
 
-// Ended records the end of an advised request for the next query.
-func (a *Advisor) Ended(advised fleet.Advice) {
+// EndAdvised records the end of an advised request for the next query.
+func (a *Advisor) EndAdvised(advised fleet.Advice) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.ended) < maxEnded {
@@ -180,8 +180,8 @@
 	}
 }
 
-// Attempted records the outcome of an attempt at an endpoint for the next query.
-func (a *Advisor) Attempted(endpoint string, o fleet.Outcome) {
+// AddOutcome records the outcome of an attempt at an endpoint for the next query.
+func (a *Advisor) AddOutcome(endpoint string, o fleet.Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if tally, ok := a.results[endpoint]; ok || len(a.results) < maxResults {
@@ -189,8 +189,8 @@
 	}
 }
 
-// Heard records the data from the head of an answer for the next query.
-func (a *Advisor) Heard(h fleet.HeadReport) {
+// ObserveHead records the data from the head of an answer for the next query.
+func (a *Advisor) ObserveHead(h fleet.HeadReport) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.heads) < maxHeads {
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -97,7 +97,7 @@
 			}
 			Expect(counts).To(HaveLen(4))
 			for _, a := range counts["e2"] {
-				p.next.Ended(a)
+				p.next.EndAdvised(a)
 			}
 			_, ok := p.next.Choose(ctx, ask(1), 0) // reports the ended requests
 			Expect(ok).To(BeTrue())
@@ -157,7 +157,7 @@
 			Expect(decisions).To(HaveKey("admission.Wait"))
 			Expect(decisions).To(HaveKey("admission.Refuse"))
 			for _, a := range advised {
-				p.next.Ended(a)
+				p.next.EndAdvised(a)
 			}
 			again := askWithDeadline(99)
 			again.Turn = turn
@@ -228,7 +228,7 @@
 			p := newHostPair()
 			defer p.stop()
 			for range 40 {
-				p.next.Heard(fleet.HeadReport{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, PrefillTokens: 100, Expected: time.Second})
+				p.next.ObserveHead(fleet.HeadReport{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, PrefillTokens: 100, Expected: time.Second})
 			}
 			e, ok := p.next.Expect(ctx, ask(1), 0)
 			Expect(ok).To(BeTrue())
@@ -242,7 +242,7 @@
 			defer p.stop()
 			p.predecessors = nil
 			for range 40 {
-				p.next.Heard(fleet.HeadReport{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, PrefillTokens: 100, Expected: time.Second})
+				p.next.ObserveHead(fleet.HeadReport{Endpoint: "e1", Service: "s", Model: "m", Took: 2 * time.Second, PrefillTokens: 100, Expected: time.Second})
 				_, ok := p.next.Choose(ctx, ask(1), 0)
 				Expect(ok).To(BeFalse())
 			}
@@ -258,8 +258,8 @@
 			p := newHostPair()
 			defer p.stop()
 			for range 5 {
-				p.next.Attempted("e1", fleet.OutcomeFailed)
-				p.next.Attempted("e2", fleet.OutcomeGood)
+				p.next.AddOutcome("e1", fleet.OutcomeFailed)
+				p.next.AddOutcome("e2", fleet.OutcomeGood)
 			}
 			_, ok := p.next.Choose(ctx, ask(1), 0)
 			Expect(ok).To(BeTrue())
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -167,11 +167,11 @@
 	hold, ok := x.g.Fleet.PickAt(advised, ask)
 	if !ok {
 		x.countAdvice("not usable")
-		x.g.Advice.Ended(advised)
+		x.g.Advice.EndAdvised(advised)
 		return x.g.Fleet.Place(ask)
 	}
 	x.countAdvice("followed")
-	hold.OnDone = func() { x.g.Advice.Ended(advised) }
+	hold.OnDone = func() { x.g.Advice.EndAdvised(advised) }
 	return hold, advised.Decision
 }
 
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -171,8 +171,8 @@
 
 func newAdvisor(s settings.Settings, w *spread.Watcher, f *fleet.Fleet, u *upgrade.Tracker, l *log.Logger) *advice.Advisor {
 	a := advice.New(advice.Options{Hall: s.DataHall, Fleet: f, Allowed: u.Allowed, PrecedingHosts: w.PrecedingHosts, Leads: w.Leads, Conn: w.Conn, Logger: l})
-	f.OnOutcome(a.Attempted)
-	f.OnHead(a.Heard)
+	f.OnOutcome(a.AddOutcome)
+	f.OnHead(a.ObserveHead)
 	return a
 }
 
