--- a/internal/fleet/stock.go
+++ b/internal/fleet/stock.go
@@ -7,14 +7,14 @@
 	"quaybarrow/internal/capacity"
 )
 
-// Stocks counts the endpoints of a service that take requests, by data hall. Endpoints of a version
+// EndpointCounts counts the endpoints of a service that take requests, by data hall. Endpoints of a version
 // other than the one in force are counted separately, unless that version is empty.
-func (f *Fleet) Stocks(service, inForce string) map[string]capacity.EndpointCounts {
+func (f *Fleet) EndpointCounts(service, inForce string) map[string]capacity.EndpointCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	stocks := map[string]capacity.EndpointCounts{}
+	counts := map[string]capacity.EndpointCounts{}
 	for _, m := range f.endpointsOf(service) {
-		s := stocks[m.Hall]
+		s := counts[m.Hall]
 		switch {
 		case m.Draining || m.reportedDraining || !m.lapsesAt.IsZero():
 		case m.Spot:
@@ -24,9 +24,9 @@
 		default:
 			s.Ordinary++
 		}
-		stocks[m.Hall] = s
+		counts[m.Hall] = s
 	}
-	return stocks
+	return counts
 }
 
 // Evacuated lists the names of the evacuated data halls in order.
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -43,7 +43,7 @@
 ) *duty.Coordinator {
 	o := duty.Options{
 		Host: s.Host, Incarnation: string(life), Tables: tables, Counter: counter, Querier: duty.NewQuerier(w.Conn),
-		Members: func() []duty.Member { return peersOf(w) }, Successors: w.FollowingHosts, Running: g.Running, Stocks: stocksOf(f, u), EvacuatedHalls: f.Evacuated,
+		Members: func() []duty.Member { return peersOf(w) }, Successors: w.FollowingHosts, Running: g.Running, Stocks: endpointCountsOf(f, u), EvacuatedHalls: f.Evacuated,
 		Services: func() []duty.Service { return scaled(h.Table()) }, Logger: l,
 	}
 	if s.Gateway.Duties != "" {
@@ -57,11 +57,11 @@
 	return duty.New(o)
 }
 
-// stocksOf counts the endpoints of services, those that an upgrade brings in apart.
-func stocksOf(f *fleet.Fleet, u *upgrade.Tracker) func(service string) (map[string]capacity.EndpointCounts, bool) {
+// endpointCountsOf counts the endpoints of services, those that an upgrade brings in apart.
+func endpointCountsOf(f *fleet.Fleet, u *upgrade.Tracker) func(service string) (map[string]capacity.EndpointCounts, bool) {
 	return func(service string) (map[string]capacity.EndpointCounts, bool) {
 		from, upgrading := u.InProgress(service)
-		return f.Stocks(service, from), upgrading
+		return f.EndpointCounts(service, from), upgrading
 	}
 }
 
