--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -88,8 +88,8 @@
 	Counter     *usage.Counter
 	Running     func() map[string]int // requests in progress, by service
 	Services    func() []Service
-	// Stocks returns the serving endpoints by data hall, and whether an upgrade is in progress.
-	Stocks         func(service string) (stocks map[string]capacity.EndpointCounts, upgrading bool)
+	// EndpointCounts returns the serving endpoints by data hall, and whether an upgrade is in progress.
+	EndpointCounts func(service string) (counts map[string]capacity.EndpointCounts, upgrading bool)
 	EvacuatedHalls func() []string // data halls that get no requests and no orders for now
 	Logger         *log.Logger
 }
@@ -279,9 +279,9 @@
 		for _, byService := range t.running {
 			running += byService[s.Name]
 		}
-		stocks, upgrading := o.Stocks(s.Name)
+		counts, upgrading := o.EndpointCounts(s.Name)
 		state := capacity.State{
-			Scaling: s.Scaling, Slots: s.Slots, Running: float64(running), Serving: withEmptyHalls(stocks, s.Scaling), Upgrading: upgrading, ExcludedHalls: evacuated,
+			Scaling: s.Scaling, Slots: s.Slots, Running: float64(running), Serving: withEmptyHalls(counts, s.Scaling), Upgrading: upgrading, ExcludedHalls: evacuated,
 		}
 		for _, order := range p.Orders(clock.Now(), state) {
 			t.sendOrder(ctx, s.Name, p, order, state)
@@ -296,12 +296,12 @@
 }
 
 // withEmptyHalls adds empty stocks for data halls in which a service may run but has no endpoints.
-func withEmptyHalls(stocks map[string]capacity.EndpointCounts, s capacity.Scaling) map[string]capacity.EndpointCounts {
+func withEmptyHalls(counts map[string]capacity.EndpointCounts, s capacity.Scaling) map[string]capacity.EndpointCounts {
 	all := map[string]capacity.EndpointCounts{}
 	for hall := range s.Prices {
 		all[hall] = capacity.EndpointCounts{}
 	}
-	maps.Copy(all, stocks)
+	maps.Copy(all, counts)
 	return all
 }
 
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -194,7 +194,7 @@
 		suite.Paused(func() {
 			r := newRig(2, 1)
 			defer r.close()
-			r.setStocks(map[string]capacity.EndpointCounts{"ikeja": {Ordinary: 4}, "lekki": {Ordinary: 4}, "yaba": {Ordinary: 4}})
+			r.setEndpointCounts(map[string]capacity.EndpointCounts{"ikeja": {Ordinary: 4}, "lekki": {Ordinary: 4}, "yaba": {Ordinary: 4}})
 			r.platform.AnswerOrders(http.StatusConflict)
 			time.Sleep(4 * time.Second)
 			refused := len(r.platform.Calls())
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -45,10 +45,10 @@
 	running  sync.WaitGroup
 	attempts attempts
 
-	mu      sync.Mutex // guards the fields below, and random
-	hosts   map[string]*node
-	started map[int64]map[string]int64 // requests that were started, by window and workspace
-	stocks  map[string]capacity.EndpointCounts
+	mu             sync.Mutex // guards the fields below, and random
+	hosts          map[string]*node
+	started        map[int64]map[string]int64 // requests that were started, by window and workspace
+	endpointCounts map[string]capacity.EndpointCounts
 }
 
 // node is one incarnation of a host.
@@ -70,7 +70,7 @@
 func newRig(hosts int, seed uint64) *rig {
 	r := &rig{
 		store: table.New(table.Options{}), platform: standin.NewDuties(handoverDelay), net: memnet.New(), random: rand.New(rand.NewPCG(seed, 7)),
-		hosts: map[string]*node{}, started: map[int64]map[string]int64{}, stocks: map[string]capacity.EndpointCounts{},
+		hosts: map[string]*node{}, started: map[int64]map[string]int64{}, endpointCounts: map[string]capacity.EndpointCounts{},
 	}
 	r.server = &http.Server{Handler: r.platform}
 	l := r.net.Listen(platformAddress)
@@ -95,10 +95,10 @@
 		Services: func() []duty.Service {
 			return []duty.Service{{Name: "model", Slots: 8, Scaling: capacity.Scaling{Least: 1, Most: 60, SpotPrice: 0.2, Prices: map[string]float64{"ikeja": 1, "lekki": 1, "yaba": 1}}}}
 		},
-		Stocks: func(string) (map[string]capacity.EndpointCounts, bool) {
+		EndpointCounts: func(string) (map[string]capacity.EndpointCounts, bool) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			return maps.Clone(r.stocks), false
+			return maps.Clone(r.endpointCounts), false
 		},
 		EvacuatedHalls: func() []string { return nil }, Logger: log.New(io.Discard),
 	})
@@ -131,11 +131,11 @@
 	return slices.Sorted(maps.Keys(r.hosts))
 }
 
-// setStocks sets the serving endpoints by data hall.
-func (r *rig) setStocks(stocks map[string]capacity.EndpointCounts) {
+// setEndpointCounts sets the serving endpoints by data hall.
+func (r *rig) setEndpointCounts(counts map[string]capacity.EndpointCounts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stocks = stocks
+	r.endpointCounts = counts
 }
 
 // kill ends a host's incarnation at once: from now on it neither sends nor receives anything.
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -43,7 +43,7 @@
 ) *duty.Coordinator {
 	o := duty.Options{
 		Host: s.Host, Incarnation: string(life), Tables: tables, Counter: counter, Querier: duty.NewQuerier(w.Conn),
-		Members: func() []duty.Member { return peersOf(w) }, Successors: w.FollowingHosts, Running: g.Running, Stocks: endpointCountsOf(f, u), EvacuatedHalls: f.Evacuated,
+		Members: func() []duty.Member { return peersOf(w) }, Successors: w.FollowingHosts, Running: g.Running, EndpointCounts: endpointCountsOf(f, u), EvacuatedHalls: f.Evacuated,
 		Services: func() []duty.Service { return scaled(h.Table()) }, Logger: l,
 	}
 	if s.Gateway.Duties != "" {
