--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -99,8 +99,8 @@
 
 // Choose returns the advice of the first host that answers. It returns false if no advice arrived in
 // time or this host is the first.
-func (a *Advisor) Choose(ctx context.Context, ask fleet.Request, versionKey uint64) (fleet.Advice, bool) {
-	reply, ok := a.query(ctx, a.newRequest(ask, versionKey))
+func (a *Advisor) Choose(ctx context.Context, req fleet.Request, versionKey uint64) (fleet.Advice, bool) {
+	reply, ok := a.query(ctx, a.newRequest(req, versionKey))
 	if !ok || (reply.GetEndpoint() == "" && !reply.GetRefused() && reply.GetWaitMicros() == 0) {
 		return fleet.Advice{}, false
 	}
@@ -112,8 +112,8 @@
 
 // Expect returns the expectation of the first host that answers for an attempt. It returns false if
 // none arrived in time or this host is the first.
-func (a *Advisor) Expect(ctx context.Context, ask fleet.Request, versionKey uint64) (fleet.Expectation, bool) {
-	request := a.newRequest(ask, versionKey)
+func (a *Advisor) Expect(ctx context.Context, req fleet.Request, versionKey uint64) (fleet.Expectation, bool) {
+	request := a.newRequest(req, versionKey)
 	request.Weigh = true
 	reply, ok := a.query(ctx, request)
 	if !ok || reply.GetExpected() == nil {
@@ -122,13 +122,13 @@
 	return expectationFromWire(reply.GetExpected()), true
 }
 
-func (a *Advisor) newRequest(ask fleet.Request, versionKey uint64) *advicepb.ChooseRequest {
+func (a *Advisor) newRequest(req fleet.Request, versionKey uint64) *advicepb.ChooseRequest {
 	return &advicepb.ChooseRequest{
-		Service: ask.Service, Model: ask.Model, Key: ask.Key, VersionKey: versionKey, Tokens: int32(ask.Tokens), //nolint:gosec // prompts are far shorter
-		Shared: int32(ask.SharedTokens), ObjectiveMicros: ask.Objective.Microseconds(), SlackMicros: ask.Slack.Microseconds(), LeftMicros: ask.Remaining.Microseconds(), Begun: ask.MayHaveStarted,
-		WaitedMicros: ask.Waited.Microseconds(), Turn: ask.Turn, Urgency: int32(ask.Urgency), Avoid: ask.Avoid, //nolint:gosec // as above
-		Parts: partsToWire(ask.Parts), Memory: int32(ask.CacheTokens), Hall: a.options.Hall, Regions: ask.Regions, //nolint:gosec // as above
-		WithinMicros: ask.MaxLimitWait.Microseconds(),
+		Service: req.Service, Model: req.Model, Key: req.Key, VersionKey: versionKey, Tokens: int32(req.Tokens), //nolint:gosec // prompts are far shorter
+		Shared: int32(req.SharedTokens), ObjectiveMicros: req.Objective.Microseconds(), SlackMicros: req.Slack.Microseconds(), LeftMicros: req.Remaining.Microseconds(), Begun: req.MayHaveStarted,
+		WaitedMicros: req.Waited.Microseconds(), Turn: req.Turn, Urgency: int32(req.Urgency), Avoid: req.Avoid, //nolint:gosec // as above
+		Parts: partsToWire(req.Parts), Memory: int32(req.CacheTokens), Hall: a.options.Hall, Regions: req.Regions, //nolint:gosec // as above
+		WithinMicros: req.MaxLimitWait.Microseconds(),
 	}
 }
 
@@ -303,7 +303,7 @@
 		f.AddTally(t.GetEndpoint(), fleet.Tally{Good: t.GetGood(), Failed: t.GetFailed(), Lost: t.GetLost()})
 	}
 	applyLimits(f, r.GetLimits())
-	ask := fleet.Request{
+	req := fleet.Request{
 		Service: r.GetService(), Model: r.GetModel(), Key: r.GetKey(), Tokens: int(r.GetTokens()), SharedTokens: int(r.GetShared()),
 		Objective: clock.Micros(r.GetObjectiveMicros()), Slack: clock.Micros(r.GetSlackMicros()), Remaining: clock.Micros(r.GetLeftMicros()), MayHaveStarted: r.GetBegun(),
 		Waited: clock.Micros(r.GetWaitedMicros()), Turn: r.GetTurn(), Urgency: int(r.GetUrgency()), Avoid: r.GetAvoid(),
@@ -313,12 +313,12 @@
 	// The reply is sent even if there is no endpoint to advise: it lists the ejected ones.
 	reply := &advicepb.ChooseReply{Ejected: f.Ejected(), Limits: limitsToWire(f.LimitUpdates(maxLimits), clock.Now())}
 	if r.GetWeigh() {
-		if expected, ok := f.Expect(ask); ok {
+		if expected, ok := f.Expect(req); ok {
 			reply.Expected = expectationToWire(expected)
 		}
 		return reply, nil
 	}
-	if advised, ok := f.Advise(ask); ok {
+	if advised, ok := f.Advise(req); ok {
 		reply.Endpoint, reply.Ticket, reply.Expected = advised.Endpoint, advised.Ticket, expectationToWire(advised.Expected)
 		reply.Limited = advised.LimitCounted
 		decisionToWire(advised.Decision, reply)
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -55,10 +55,10 @@
 // compareWith compares a response of the given confidence with the expected response of a larger
 // model.
 func (x *exchange) compareWith(model string, confidence float64) modelComparison {
-	ask := x.fleetAsk(model)
-	ask.Avoid = nil // the endpoint that ran the small model may also run the larger one
+	req := x.fleetRequest(model)
+	req.Avoid = nil // the endpoint that ran the small model may also run the larger one
 	c := modelComparison{model: model, confidence: confidence, elapsed: clock.Since(x.start)}
-	c.expected, c.available = x.expect(ask)
+	c.expected, c.available = x.expect(req)
 	c.kept.Correct = cascade.CorrectProbability(confidence)
 	if c.elapsed <= x.route.Objective {
 		c.kept.InTime = 1
@@ -100,13 +100,13 @@
 
 // expect returns what an attempt is expected to take, as estimated by the host that advises or else
 // by this host. It returns false if no endpoint takes the request.
-func (x *exchange) expect(ask fleet.Request) (fleet.Expectation, bool) {
+func (x *exchange) expect(req fleet.Request) (fleet.Expectation, bool) {
 	if x.g.Advice != nil {
-		if e, ok := x.g.Advice.Expect(x.ctx, ask, x.versionKey); ok {
+		if e, ok := x.g.Advice.Expect(x.ctx, req, x.versionKey); ok {
 			return e, true
 		}
 	}
-	return x.g.Fleet.Expect(ask)
+	return x.g.Fleet.Expect(req)
 }
 
 // useCost returns the cost of using a model, as a fraction of the answer's value.
@@ -122,8 +122,8 @@
 	return cascade.RelativeCost(cost, largest)
 }
 
-// fleetAsk returns the criteria for choosing an endpoint for a model.
-func (x *exchange) fleetAsk(model string) fleet.Request {
+// fleetRequest returns the criteria for choosing an endpoint for a model.
+func (x *exchange) fleetRequest(model string) fleet.Request {
 	return fleet.Request{
 		Service: x.service, Allowed: x.g.Upgrades.Allowed(x.service, x.versionKey), Avoid: x.tried,
 		Key: x.affinityKey(model), Model: model, Tokens: x.header.TokensIn, SharedTokens: x.header.sharedTokens(),
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -25,7 +25,7 @@
 // isSuspect reports whether the request may make endpoints crash, so that it has to wait for its
 // turn.
 func (x *exchange) isSuspect() bool {
-	s := x.standing()
+	s := x.quarantineStatus()
 	return s.IsSuspect() || (x.foundNoEndpoint && s.MayHaveEmptiedService())
 }
 
@@ -38,7 +38,7 @@
 		wait, granted := x.g.RateLimits.TryAcquire(ctx, "suspect/"+x.service, suspectSendsPerSecond)
 		if granted {
 			x.maySendSuspect = true
-			x.g.Logger.Info("suspect request may be sent", "id", x.header.ID, "fingerprint", x.fingerprint(), "crashed", x.standing().Crashed)
+			x.g.Logger.Info("suspect request may be sent", "id", x.header.ID, "fingerprint", x.fingerprint(), "crashed", x.quarantineStatus().Crashed)
 			break
 		}
 		x.waits++
@@ -46,7 +46,7 @@
 			return context.DeadlineExceeded
 		}
 	}
-	if x.standing().Quarantined {
+	if x.quarantineStatus().Quarantined {
 		return errQuarantined
 	}
 	return nil
@@ -69,8 +69,8 @@
 	return quarantine.Identity{Workspace: x.workspace, Target: x.r.Method + " " + x.r.Host + " " + x.r.RequestURI, Body: x.body}.Fingerprint()
 }
 
-// standing returns what is known of the request from earlier times that it came.
-func (x *exchange) standing() quarantine.Status {
+// quarantineStatus returns what is known of the request from earlier times that it came.
+func (x *exchange) quarantineStatus() quarantine.Status {
 	if !x.g.Quarantine.HasEvidence() {
 		return quarantine.Status{}
 	}
@@ -80,7 +80,7 @@
 // checkQuarantine refuses a request that makes endpoints crash. It has not run and will not, and
 // retrying does not help.
 func (x *exchange) checkQuarantine() *refusal {
-	if !x.standing().Quarantined {
+	if !x.quarantineStatus().Quarantined {
 		return nil
 	}
 	x.refusedAsQuarantined = true
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -108,7 +108,7 @@
 	switch {
 	case clock.Over(ctx):
 		return context.DeadlineExceeded
-	case x.standing().Quarantined:
+	case x.quarantineStatus().Quarantined:
 		return errQuarantined
 	case x.isSuspect() && !x.maySendSuspect:
 		return errBecameSuspect
@@ -142,33 +142,33 @@
 // chooseEndpoint picks an endpoint for the request, or decides that it waits or is refused. Hosts
 // coordinate their choices for requests with a prompt.
 func (x *exchange) chooseEndpoint(ctx context.Context, model string, turn int64) (*fleet.Hold, admission.Decision) {
-	ask := x.fleetAsk(model)
-	ask.Waited, ask.Turn, ask.MaxLimitWait = clock.Since(x.start), turn, x.maxLimitWait()
-	if ask.Key == 0 {
-		return x.g.Fleet.Place(ask)
+	req := x.fleetRequest(model)
+	req.Waited, req.Turn, req.MaxLimitWait = clock.Since(x.start), turn, x.maxLimitWait()
+	if req.Key == 0 {
+		return x.g.Fleet.Place(req)
 	}
-	ask.Unadvised = x.g.Advice != nil && !x.g.Advice.Leads()
+	req.Unadvised = x.g.Advice != nil && !x.g.Advice.Leads()
 	// Once the caller has part of a response, the rest takes precedence over other requests.
 	if x.headerDelay == 0 {
-		ask.Slack, ask.Remaining, ask.MayHaveStarted = x.slack(), x.usefulTime(), x.mayHaveRun
+		req.Slack, req.Remaining, req.MayHaveStarted = x.slack(), x.usefulTime(), x.mayHaveRun
 	}
 	if x.g.Advice == nil {
-		return x.g.Fleet.Place(ask)
+		return x.g.Fleet.Place(req)
 	}
-	advised, ok := x.g.Advice.Choose(ctx, ask, x.versionKey)
+	advised, ok := x.g.Advice.Choose(ctx, req, x.versionKey)
 	if !ok {
 		x.countAdvice("none")
-		return x.g.Fleet.Place(ask)
+		return x.g.Fleet.Place(req)
 	}
 	if advised.Endpoint == "" {
 		x.countAdvice("not now")
 		return nil, advised.Decision
 	}
-	hold, ok := x.g.Fleet.PickAt(advised, ask)
+	hold, ok := x.g.Fleet.PickAt(advised, req)
 	if !ok {
 		x.countAdvice("not usable")
 		x.g.Advice.EndAdvised(advised)
-		return x.g.Fleet.Place(ask)
+		return x.g.Fleet.Place(req)
 	}
 	x.countAdvice("followed")
 	hold.OnDone = func() { x.g.Advice.EndAdvised(advised) }
--- a/internal/gateway/unary.go
+++ b/internal/gateway/unary.go
@@ -125,7 +125,7 @@
 		return false, "it may have run, and may run once only"
 	case x.sends >= max(x.route.Attempts, 1):
 		return false, "no attempts left"
-	case x.crashes > 0 && !x.standing().HostMayRetry(x.crashes):
+	case x.crashes > 0 && !x.quarantineStatus().HostMayRetry(x.crashes):
 		return false, "endpoints crashed under it"
 	case !x.g.retryBudgets.TakeRetry(x.service, 1):
 		return false, "the retry budget is spent"
--- a/internal/quarantine/cluster_test.go
+++ b/internal/quarantine/cluster_test.go
@@ -60,13 +60,13 @@
 	h := c.hosts
 	h.mu.Lock()
 	h.calls++
-	cut, book := h.partitioned[to] || h.partitioned[c.from], h.trackers[to]
+	cut, tracker := h.partitioned[to] || h.partitioned[c.from], h.trackers[to]
 	h.mu.Unlock()
-	if cut || book == nil {
+	if cut || tracker == nil {
 		<-ctx.Done()
 		return quarantine.Update{}, errPartitioned
 	}
-	return book.HandleUpdate(ctx, n)
+	return tracker.HandleUpdate(ctx, n)
 }
 
 // members returns the other hosts, starting with the next one.
