--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -69,10 +69,10 @@
 	prices        map[string]price                  // of a second of prefill, by service
 	remoteLoads   map[string]*remoteLoad            // by service
 	overruns      map[string]Overrun                // by service
-	turns         map[string]*admission.WaitingList // waiting requests, by service
+	waitingLists  map[string]*admission.WaitingList // waiting requests, by service
 	slotTimes     map[string]time.Duration          // how long a response holds a slot from its head on, by service
 	prefixes      prefixIndex
-	adviserTenure tenure             // of choosing endpoints for prompts with knowledge of other hosts' choices
+	advisorTenure tenure             // of choosing endpoints for prompts with knowledge of other hosts' choices
 	limits        map[string]*member // by ID, endpoints that state a limit or recently did
 	needLoans     map[string]*member // subset of limits: loans are to be requested
 	changedLimits map[string]*member // subset of limits: to be announced to all hosts
@@ -123,7 +123,7 @@
 	}
 	return &Fleet{
 		options: options, populated: make(chan struct{}), members: map[string]*member{}, instances: map[string]*member{}, interned: map[string]string{}, evacuated: map[string]clock.Instant{}, limits: map[string]*member{}, needLoans: map[string]*member{}, changedLimits: map[string]*member{}, byService: map[string]*pool{}, ejected: map[string]*member{}, prefillModels: map[modelKey]*prefillModel{},
-		prices: map[string]price{}, overruns: map[string]Overrun{}, remoteLoads: map[string]*remoteLoad{}, slotTimes: map[string]time.Duration{}, turns: map[string]*admission.WaitingList{}, prefixes: prefixIndex{holders: map[uint64][]*member{}}, lastTicket: rand.Int64N(maxFirstTicket),
+		prices: map[string]price{}, overruns: map[string]Overrun{}, remoteLoads: map[string]*remoteLoad{}, slotTimes: map[string]time.Duration{}, waitingLists: map[string]*admission.WaitingList{}, prefixes: prefixIndex{holders: map[uint64][]*member{}}, lastTicket: rand.Int64N(maxFirstTicket),
 	}
 }
 
--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -53,7 +53,7 @@
 	since         clock.Instant // when the limit was first observed
 	confirmedAt   clock.Instant // when a response last stated it
 	endUntold     bool          // this host observed the limit's end, which the lender may not know
-	announcedRate float64       // rate of the last announcement to all hosts
+	publishedRate float64       // rate of the last announcement to all hosts
 
 	loans      []Loan
 	loansUsed  int           // requests sent on loans since the last loan request
@@ -130,17 +130,17 @@
 		f.limits[m.ID] = m
 	}
 	m.limit.apply(n)
-	if m.limit.shouldAnnounce() && f.onLoanNeeded != nil {
-		m.limit.announcedRate = n.Rate
+	if m.limit.shouldPublish() && f.onLoanNeeded != nil {
+		m.limit.publishedRate = n.Rate
 		f.changedLimits[m.ID] = m
 		f.onLoanNeeded()
 	}
 }
 
-// shouldAnnounce reports whether the limit differs so much from the announced one that it is
+// shouldPublish reports whether the limit differs so much from the announced one that it is
 // announced to all hosts again.
-func (l *limitState) shouldAnnounce() bool {
-	return (l.rate == 0) != (l.announcedRate == 0) || l.rate > limitChangeFactor*l.announcedRate || l.announcedRate > limitChangeFactor*l.rate
+func (l *limitState) shouldPublish() bool {
+	return (l.rate == 0) != (l.publishedRate == 0) || l.rate > limitChangeFactor*l.publishedRate || l.publishedRate > limitChangeFactor*l.rate
 }
 
 // TakeLimitUpdates returns limits that have begun, ended or changed, to be announced to all hosts.
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -22,8 +22,8 @@
 	return f
 }
 
-// statedLimit returns the limit in a response that states one.
-func statedLimit(rate float64) fleet.Limit { return fleet.Limit{Named: true, Rate: rate} }
+// announcedLimit returns the limit in a response that states one.
+func announcedLimit(rate float64) fleet.Limit { return fleet.Limit{Named: true, Rate: rate} }
 
 // tries is enough requests for each of two endpoints to get some.
 const tries = 50
@@ -48,7 +48,7 @@
 	It("gets only as many requests as loans allow, and only until they expire", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.ObserveLimit("e0", statedLimit(2), clock.Now())
+			f.ObserveLimit("e0", announcedLimit(2), clock.Now())
 			Expect(countPicks(f, "e0")).To(BeZero())
 			f.FinishLoan("e0", fleet.Loan{Requests: 3, Until: clock.Now().Add(time.Second)})
 			Expect(countPicks(f, "e0")).To(Equal(3))
@@ -61,7 +61,7 @@
 	It("needs loans as requests would go there", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.ObserveLimit("e0", statedLimit(2), clock.Now())
+			f.ObserveLimit("e0", announcedLimit(2), clock.Now())
 			list, _ := f.LoanRequests()
 			Expect(list).To(BeEmpty())
 			countPicks(f, "e0")
@@ -87,7 +87,7 @@
 			f := limitedFleet()
 			early := clock.Now()
 			time.Sleep(time.Second)
-			f.ObserveLimit("e0", statedLimit(2), clock.Now())
+			f.ObserveLimit("e0", announcedLimit(2), clock.Now())
 			time.Sleep(time.Second)
 			_, after := f.ObserveLimit("e0", fleet.Limit{}, early)
 			Expect(after).To(BeEquivalentTo(2), "the response may be older than the limit")
@@ -105,7 +105,7 @@
 	It("still gets occasional requests with a limit of zero", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			_, after := f.ObserveLimit("e0", statedLimit(0), clock.Now())
+			_, after := f.ObserveLimit("e0", announcedLimit(0), clock.Now())
 			Expect(after).To(BeNumerically(">", 0))
 		})
 	})
@@ -114,7 +114,7 @@
 		suite.Paused(func() {
 			f := limitedFleet()
 			e := fleet.Endpoint{ID: "e0", Service: "s", Hall: "ikeja", Version: "v1", Slots: 8}
-			f.ObserveLimit("e0", statedLimit(0), clock.Now())
+			f.ObserveLimit("e0", announcedLimit(0), clock.Now())
 			f.Put(e.WithStart(7))
 			Expect(countPicks(f, "e0@7")).To(BeNumerically(">", 10))
 		})
@@ -141,7 +141,7 @@
 	It("is not used on the advice of an adviser that does not know the limit", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.ObserveLimit("e0", statedLimit(2), clock.Now())
+			f.ObserveLimit("e0", announcedLimit(2), clock.Now())
 			_, ok := f.PickAt(fleet.Advice{Endpoint: "e0"}, fleet.Request{Service: "s"})
 			Expect(ok).To(BeFalse())
 			_, ok = f.PickAt(fleet.Advice{Endpoint: "e0", LimitCounted: true}, fleet.Request{Service: "s"})
@@ -161,8 +161,8 @@
 	It("wait, and are sent in the order of their urgency", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.ObserveLimit("e0", statedLimit(2), clock.Now())
-			f.ObserveLimit("e1", statedLimit(2), clock.Now())
+			f.ObserveLimit("e0", announcedLimit(2), clock.Now())
+			f.ObserveLimit("e1", announcedLimit(2), clock.Now())
 			_, d := f.Place(newRequest(5))
 			later, ok := d.(admission.Wait)
 			Expect(ok).To(BeTrue())
@@ -187,7 +187,7 @@
 	It("do not go to a failing endpoint instead", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
-			f.ObserveLimit("e0", statedLimit(2), clock.Now())
+			f.ObserveLimit("e0", announcedLimit(2), clock.Now())
 			f.AddTally("e1", fleet.Tally{Lost: 1})
 			_, d := f.Place(newRequest(5))
 			wait, ok := d.(admission.Wait)
@@ -204,7 +204,7 @@
 		suite.Paused(func() {
 			f := limitedFleet()
 			for _, id := range []string{"e0", "e1"} {
-				f.ObserveLimit(id, statedLimit(0.2), clock.Now())
+				f.ObserveLimit(id, announcedLimit(0.2), clock.Now())
 				f.FinishLoan(id, fleet.Loan{RetryAt: clock.Now().Add(5 * time.Second)})
 			}
 			_, d := f.Place(newRequest(5))
--- a/internal/fleet/limitchoice.go
+++ b/internal/fleet/limitchoice.go
@@ -58,11 +58,11 @@
 	if p.limits.anyUnlimited || !p.limits.anyLimited || (p.member != nil && p.req.MaxLimitWait == 0) {
 		return p
 	}
-	turns := f.turnsOf(p.req.Service)
+	waiting := f.waitingListOf(p.req.Service)
 	sentAt, urgency := p.now.Add(-p.req.Waited), rank(p.urgency)
-	ahead, aheadWait := turns.Ahead(p.req.Turn, urgency, sentAt, p.now)
+	ahead, aheadWait := waiting.Ahead(p.req.Turn, urgency, sentAt, p.now)
 	if p.member != nil && ahead < p.limits.available {
-		turns.Granted(p.req.Turn, p.now)
+		waiting.Granted(p.req.Turn, p.now)
 		return p
 	}
 	p.member = nil
@@ -72,13 +72,13 @@
 	turn := max(aheadWait, p.limits.nextLoan.Sub(p.now))
 	switch d := admission.DecideRateLimited(turn, p.req.MaxLimitWait, p.req.Turn != 0).(type) {
 	case admission.Wait:
-		d.Turn = turns.Wait(p.req.Turn, urgency, sentAt, p.now, d.For)
+		d.Turn = waiting.Wait(p.req.Turn, urgency, sentAt, p.now, d.For)
 		p.decision = d
 		if d.Turn == 0 {
 			p.decision = admission.Refuse{After: turn}
 		}
 	default:
-		turns.Remove(p.req.Turn)
+		waiting.Remove(p.req.Turn)
 		p.decision = d
 	}
 	return p
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -38,7 +38,7 @@
 // that is not likely to be in time is placed behind all others.
 func (f *Fleet) place(req Request) placement {
 	if !req.unadvised() {
-		f.adviserTenure = f.adviserTenure.at(f.options.Now())
+		f.advisorTenure = f.advisorTenure.at(f.options.Now())
 	}
 	p := f.decideLimited(placement{choice: f.choose(req), req: req, urgency: req.Urgency, decision: admission.Send{}})
 	f.borrowForSkipped(p.choice)
@@ -48,14 +48,14 @@
 	p.expected = f.expect(p.choice, req)
 	if req.Remaining == 0 {
 		if req.Turn != 0 {
-			f.turnsOf(req.Service).Remove(req.Turn)
+			f.waitingListOf(req.Service).Remove(req.Turn)
 		}
 		return p
 	}
 	o := admission.Forecast{InTime: p.expected.InTime(req.Slack), Head: p.expected.Head, Waiting: req.Turn != 0, Left: req.Remaining}
 	if _, ok := admission.Decide(o).(admission.Send); ok {
 		if req.Turn != 0 {
-			f.turnsOf(req.Service).Remove(req.Turn)
+			f.waitingListOf(req.Service).Remove(req.Turn)
 		}
 		return p
 	}
@@ -71,32 +71,32 @@
 
 // decideLate decides on a request that is not likely to be in time.
 func (f *Fleet) decideLate(p placement, o admission.Forecast) admission.Decision {
-	turns := f.turnsOf(p.req.Service)
+	waiting := f.waitingListOf(p.req.Service)
 	sentAt, urgency := p.now.Add(-p.req.Waited), rank(p.urgency)
 	o.ServedBehind, o.QueueWait, o.FreeSlots = p.expected.InTime(o.Left), p.expected.Queue, p.freeSlots
-	o.Ahead, o.TurnWait = turns.Ahead(p.req.Turn, urgency, sentAt, p.now)
+	o.Ahead, o.TurnWait = waiting.Ahead(p.req.Turn, urgency, sentAt, p.now)
 	switch d := admission.Decide(o).(type) {
 	case admission.Wait:
-		d.Turn = turns.Wait(p.req.Turn, urgency, sentAt, p.now, d.For)
+		d.Turn = waiting.Wait(p.req.Turn, urgency, sentAt, p.now, d.For)
 		if d.Turn == 0 {
 			return admission.Refuse{}
 		}
 		return d
 	case admission.Behind:
-		turns.Granted(p.req.Turn, p.now)
+		waiting.Granted(p.req.Turn, p.now)
 		return d
 	default:
-		turns.Remove(p.req.Turn)
+		waiting.Remove(p.req.Turn)
 		return d
 	}
 }
 
-// turnsOf returns the turns of the requests that wait for a service.
-func (f *Fleet) turnsOf(service string) *admission.WaitingList {
-	t, ok := f.turns[service]
+// waitingListOf returns the turns of the requests that wait for a service.
+func (f *Fleet) waitingListOf(service string) *admission.WaitingList {
+	list, ok := f.waitingLists[service]
 	if !ok {
-		t = &admission.WaitingList{}
-		f.turns[service] = t
+		list = &admission.WaitingList{}
+		f.waitingLists[service] = list
 	}
-	return t
+	return list
 }
--- a/internal/fleet/prefixes_test.go
+++ b/internal/fleet/prefixes_test.go
@@ -47,8 +47,8 @@
 	})
 
 	It("assumes a prompt is cached at its home only if other hosts may have sent it there", func() {
-		home := func(advisers int, unadvised bool) int {
-			f := fleet.New(fleet.Options{Hall: "ikeja", Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: 3, Advisers: advisers} }})
+		home := func(advisors int, unadvised bool) int {
+			f := fleet.New(fleet.Options{Hall: "ikeja", Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: 3, Advisers: advisors} }})
 			f.Put(fleet.Endpoint{ID: "only", Service: "s", Hall: "ikeja", Slots: 4})
 			req := documentPrompt(7, 100)
 			req.Unadvised = unadvised
--- a/internal/fleet/score.go
+++ b/internal/fleet/score.go
@@ -48,7 +48,7 @@
 
 func (f *Fleet) terms(req Request, now clock.Instant) scoreTerms {
 	t := scoreTerms{req: req, prefixes: &f.prefixes, sendingHosts: f.sendingHosts(req.Service), hallCost: plainHallCost, coldLimits: f.coldLimits(req.Service), now: now}
-	if req.Unadvised || !f.singleAdviser() {
+	if req.Unadvised || !f.singleAdvisor() {
 		t.home = f.home(req, now)
 	}
 	t.localHall = req.Hall
--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -54,12 +54,12 @@
 // this host does not know which requests that host sent.
 func (t tenure) isNew(now clock.Instant) bool { return now.Sub(t.since) < sendWindow }
 
-// newAdviserShare replaces advisedShare at a host that has just begun to advise: the adviser before
+// newAdvisorShare replaces advisedShare at a host that has just begun to advise: the adviser before
 // it may have used its whole share, and a third adviser may follow within the second.
-const newAdviserShare = 0.1
+const newAdvisorShare = 0.1
 
-// singleAdviser reports whether one host chooses the endpoints of all prompts.
-func (f *Fleet) singleAdviser() bool {
+// singleAdvisor reports whether one host chooses the endpoints of all prompts.
+func (f *Fleet) singleAdvisor() bool {
 	return f.options.Choosers != nil && f.options.Choosers().Advisers == 1
 }
 
@@ -97,13 +97,13 @@
 	if c.Hosts == 0 {
 		c.Hosts = defaultHosts
 	}
-	advisers, advised := float64(max(c.Advisers, 1)), advisedShare
-	if c.Hosts > 1 && f.adviserTenure.isNew(f.options.Now()) {
-		advised = newAdviserShare
+	advisors, advised := float64(max(c.Advisers, 1)), advisedShare
+	if c.Hosts > 1 && f.advisorTenure.isNew(f.options.Now()) {
+		advised = newAdvisorShare
 	}
 	pauseBetween := func(part float64) time.Duration { return clock.Seconds(float64(c.Hosts) / (part * w.MaxRate)) }
 	return coldLimits{
-		duration: w.Duration, maxSends: max(1, int(advised*w.MaxRate/advisers)), busySends: max(1, int(busyShare*w.MaxRate/advisers)),
+		duration: w.Duration, maxSends: max(1, int(advised*w.MaxRate/advisors)), busySends: max(1, int(busyShare*w.MaxRate/advisors)),
 		promptPause: pauseBetween(unadvisedShare), plainPause: pauseBetween(plainShare),
 	}
 }
--- a/internal/fleet/warm_test.go
+++ b/internal/fleet/warm_test.go
@@ -31,19 +31,19 @@
 type hostGroup struct {
 	hosts     []*fleet.Fleet
 	unadvised func(host int) bool // the host gets no advice now
-	adviserOf func(host int) int  // the host that it asks for advice
+	advisorOf func(host int) int  // the host that it asks for advice
 	random    *rand.Rand
 	sent      map[string][]time.Time // times of requests, by endpoint
 	unplaced  int                    // requests for which there was no endpoint
 }
 
-func newHostGroup(hosts, advisers, endpoints int) *hostGroup {
-	c := &hostGroup{random: rand.New(rand.NewPCG(1, uint64(hosts))), sent: map[string][]time.Time{}, unadvised: func(int) bool { return false }, adviserOf: func(int) int { return 0 }}
+func newHostGroup(hosts, advisors, endpoints int) *hostGroup {
+	c := &hostGroup{random: rand.New(rand.NewPCG(1, uint64(hosts))), sent: map[string][]time.Time{}, unadvised: func(int) bool { return false }, advisorOf: func(int) int { return 0 }}
 	for range hosts {
 		f := fleet.New(fleet.Options{
 			Hall:     "ikeja",
 			WarmUp:   func(string) fleet.WarmUp { return fleet.WarmUp{Duration: coldDuration, MaxRate: coldRate} },
-			Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: hosts, Advisers: advisers} },
+			Choosers: func() fleet.Choosers { return fleet.Choosers{Hosts: hosts, Advisers: advisors} },
 		})
 		f.Reset(endpointsOf(endpoints), false)
 		c.hosts = append(c.hosts, f)
@@ -94,19 +94,19 @@
 
 func (c *hostGroup) pick(host int, req fleet.Request) *fleet.Hold {
 	f := c.hosts[host]
-	adviser := c.adviserOf(host)
-	if req.Key == 0 || host == adviser {
+	advisor := c.advisorOf(host)
+	if req.Key == 0 || host == advisor {
 		h, _ := f.Pick(req)
 		return h
 	}
 	if !c.unadvised(host) {
-		advised, ok := c.hosts[adviser].Advise(req)
+		advised, ok := c.hosts[advisor].Advise(req)
 		if !ok {
 			return nil
 		}
 		h, ok := f.PickAt(advised, req)
 		Expect(ok).To(BeTrue())
-		h.OnDone = func() { c.hosts[adviser].EndAdvised(advised) }
+		h.OnDone = func() { c.hosts[advisor].EndAdvised(advised) }
 		return h
 	}
 	req.Unadvised = true
@@ -150,7 +150,7 @@
 			f.Put(e)
 		}
 	}
-	sizes := map[string]struct{ hosts, advisers, endpoints int }{
+	sizes := map[string]struct{ hosts, advisors, endpoints int }{
 		"6 hosts": {6, 1, 60}, "61 hosts": {61, 1, 100}, "295 hosts": {295, 5, 160}, "345 hosts": {345, 5, 160},
 	}
 	advice := map[string]func(host int) bool{
@@ -164,7 +164,7 @@
 		for name, unadvised := range advice {
 			It("gets no more than its limit: "+size+", "+name, func() {
 				paused(func() {
-					c := newHostGroup(n.hosts, n.advisers, n.endpoints)
+					c := newHostGroup(n.hosts, n.advisors, n.endpoints)
 					c.unadvised = unadvised
 					c.sendFor(time.Second, 600, c.newPrompt)
 					c.each(makeCold)
@@ -187,7 +187,7 @@
 				c.each(makeCold)
 				clear(c.sent)
 				began := time.Now()
-				c.adviserOf = func(int) int { return min(int(time.Since(began)/(300*time.Millisecond)), 2) }
+				c.advisorOf = func(int) int { return min(int(time.Since(began)/(300*time.Millisecond)), 2) }
 				c.unadvised = func(host int) bool {
 					return host%3 == 0 && time.Since(began)%(300*time.Millisecond) < 100*time.Millisecond
 				}
