--- a/internal/spread/advisers.go
+++ b/internal/spread/advisers.go
@@ -8,17 +8,17 @@
 	"quaybarrow/internal/fleet"
 )
 
-// adviserGroups divides hosts into groups that choose endpoints together, each advised by one of
+// advisorGroups divides hosts into groups that choose endpoints together, each advised by one of
 // its hosts. A group is a region while the region has few hosts, and a data hall otherwise. It does
 // not span regions, since a request to another region takes longer than its answer is worth. Halls
 // without a known region count as one region.
-type adviserGroups struct {
+type advisorGroups struct {
 	regions map[string]string // by data hall; empty if unknown
 	hosts   map[string]int    // number of hosts by region
 }
 
-func newAdviserGroups(entries map[string]entry, regions map[string]string) adviserGroups {
-	a := adviserGroups{regions: regions, hosts: map[string]int{}}
+func newAdvisorGroups(entries map[string]entry, regions map[string]string) advisorGroups {
+	a := advisorGroups{regions: regions, hosts: map[string]int{}}
 	for _, e := range entries {
 		a.hosts[regions[e.Hall]]++
 	}
@@ -26,7 +26,7 @@
 }
 
 // groupOf returns the name of the group of a data hall's hosts.
-func (a adviserGroups) groupOf(hall string) string {
+func (a advisorGroups) groupOf(hall string) string {
 	region := a.regions[hall]
 	if a.hosts[region] <= maxAdvisedRegion {
 		return region
@@ -35,7 +35,7 @@
 }
 
 // count returns the number of groups.
-func (a adviserGroups) count(entries map[string]entry) int {
+func (a advisorGroups) count(entries map[string]entry) int {
 	groups := map[string]bool{}
 	for _, e := range entries {
 		groups[a.groupOf(e.Hall)] = true
@@ -45,7 +45,7 @@
 
 // beforeAndAfter returns the addresses of the hosts that come before and after self in its group.
 // Hosts that may use more of a processor come first.
-func (a adviserGroups) beforeAndAfter(entries map[string]entry, self, hall string) (before, after []string) {
+func (a advisorGroups) beforeAndAfter(entries map[string]entry, self, hall string) (before, after []string) {
 	group := a.groupOf(hall)
 	var members []peer
 	for name, e := range entries {
@@ -70,5 +70,5 @@
 func (w *Watcher) Choosers() fleet.Choosers {
 	w.peers.mu.Lock()
 	defer w.peers.mu.Unlock()
-	return fleet.Choosers{Hosts: w.peers.hostCount, Advisers: max(w.peers.adviserGroups, 1)}
+	return fleet.Choosers{Hosts: w.peers.hostCount, Advisers: max(w.peers.advisorGroups, 1)}
 }
--- a/internal/spread/peers.go
+++ b/internal/spread/peers.go
@@ -72,7 +72,7 @@
 	after           []string   // addresses of those that come after it
 	leads           bool       // this host is listed, and comes first in its adviser group
 	hostCount       int
-	adviserGroups   int // number of groups of hosts that choose endpoints together
+	advisorGroups   int // number of groups of hosts that choose endpoints together
 	readerScopeSize int // number of hosts that may share this host's reader
 	backoffs        map[string]peerBackoff
 	ring            []Member // all other hosts, starting at the next one
@@ -92,13 +92,13 @@
 // set replaces the list of hosts.
 func (p *peers) set(entries map[string]entry) {
 	ranked := askOrder(entries, p.self, p.hall)
-	advisers := newAdviserGroups(entries, p.regions)
-	before, after := advisers.beforeAndAfter(entries, p.self, p.hall)
-	groups := advisers.count(entries)
+	advisors := newAdvisorGroups(entries, p.regions)
+	before, after := advisors.beforeAndAfter(entries, p.self, p.hall)
+	groups := advisors.count(entries)
 	_, listed := entries[p.self]
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ranked, p.hostCount, p.before, p.after, p.adviserGroups = ranked, len(entries), before, after, groups
+	p.ranked, p.hostCount, p.before, p.after, p.advisorGroups = ranked, len(entries), before, after, groups
 	p.leads = listed && len(before) == 0
 	p.readerScopeSize, _ = readerScope(entries, p.hall)
 	p.ring = ringOf(ranked, peer{name: p.self, hall: p.hall})
