--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -263,10 +263,10 @@
 }
 
 func newQueries(h *config.Holder, l *config.Log, tables store.Tables, m *membership.Membership, link peer.Link,
-	f *fleet.Fleet, tr *traffic.Log, tel *telemetry.Telemetry, c *rollout.Credits, book *quarantine.Tracker,
+	f *fleet.Fleet, tr *traffic.Log, tel *telemetry.Telemetry, c *rollout.Credits, tracker *quarantine.Tracker,
 ) *operator.Queries {
 	return operator.NewQueries(operator.QueryOptions{
-		Config: h, Log: l, Tables: tables, View: m.View, Link: link, Fleet: f, Traffic: tr, Telemetry: tel, Credits: c, Quarantine: book,
+		Config: h, Log: l, Tables: tables, View: m.View, Link: link, Fleet: f, Traffic: tr, Telemetry: tel, Credits: c, Quarantine: tracker,
 	})
 }
 
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -70,11 +70,11 @@
 		if clock.Over(ctx) {
 			break
 		}
-		standing := d.standing(call.Fingerprint)
-		if standing.Quarantined {
+		status := d.quarantineStatus(call.Fingerprint)
+		if status.Quarantined {
 			return Answer{}, Quarantined(run)
 		}
-		if !standing.HostMayRetry(crashes) {
+		if !status.HostMayRetry(crashes) {
 			break
 		}
 		if attempt > 0 && !d.budgets.TakeRetry(call.Service, 1) {
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -10,8 +10,8 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// standing is what is known of a request when it came before.
-func (d *Dispatcher) standing(fingerprint func() quarantine.Fingerprint) quarantine.Status {
+// quarantineStatus is what is known of a request when it came before.
+func (d *Dispatcher) quarantineStatus(fingerprint func() quarantine.Fingerprint) quarantine.Status {
 	if !d.options.Quarantine.HasEvidence() {
 		return quarantine.Status{}
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -118,11 +118,11 @@
 		if err := request.Allowed(); err != nil {
 			return nil, problem.Of(err).WithRun(run)
 		}
-		standing := d.standing(request.Fingerprint)
-		if standing.Quarantined {
+		status := d.quarantineStatus(request.Fingerprint)
+		if status.Quarantined {
 			return nil, Quarantined(run)
 		}
-		if !standing.HostMayRetry(crashes) {
+		if !status.HostMayRetry(crashes) {
 			break
 		}
 		if attempt > 0 && !d.budgets.TakeRetry(endpoint.Engines, 1) {
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -29,10 +29,10 @@
 // overload is one run.
 type overload struct {
 	OverloadScenario
-	clock   *clockwork
-	random  *rand.Rand
-	line    *admission.Scheduler // nil: no admission
-	waiting map[int64]func()
+	clock     *clockwork
+	random    *rand.Rand
+	scheduler *admission.Scheduler // nil: no admission
+	waiting   map[int64]func()
 
 	running int
 	backlog []func() // of the workers, first come first served
@@ -44,9 +44,9 @@
 	sent      int
 }
 
-// overloadAsk is one request of a caller.
-type overloadAsk struct {
-	ask     admission.Request
+// overloadRequest is one request of a caller.
+type overloadRequest struct {
+	request admission.Request
 	arrived time.Duration
 	first   time.Duration // when the caller first asked
 	tries   int
@@ -61,7 +61,7 @@
 func (s OverloadScenario) play(seed int, admitted bool) *overload {
 	o := &overload{OverloadScenario: s, clock: &clockwork{}, random: source(seed, 4), waiting: map[int64]func(){}}
 	if admitted {
-		o.line = admission.NewScheduler(admission.Options{Limit: s.Limit, Queue: s.Queue})
+		o.scheduler = admission.NewScheduler(admission.Options{Limit: s.Limit, Queue: s.Queue})
 	}
 	total := 2*quiet + seconds(s.Length)
 	o.good, o.offered = make([]int, int(total.Seconds())+1), make([]int, int(total.Seconds())+1)
@@ -83,35 +83,35 @@
 }
 
 func (o *overload) request() {
-	a := overloadAsk{arrived: o.clock.now, first: o.clock.now}
-	a.ask = admission.Request{Workspace: "large", WorkspaceLimit: o.Share, Priority: declare.PriorityInteractive}
+	a := overloadRequest{arrived: o.clock.now, first: o.clock.now}
+	a.request = admission.Request{Workspace: "large", WorkspaceLimit: o.Share, Priority: declare.PriorityInteractive}
 	if o.random.Float64() < o.Small {
-		a.ask.Workspace = "small"
+		a.request.Workspace = "small"
 		o.smallAll++
 	}
 	if o.random.Float64() < o.Batch {
-		a.ask.Priority = declare.PriorityBatch
+		a.request.Priority = declare.PriorityBatch
 	}
 	o.offered[int(a.first.Seconds())]++
 	o.send(a)
 }
 
 // send offers a request to the line, or straight to the workers.
-func (o *overload) send(a overloadAsk) {
+func (o *overload) send(a overloadRequest) {
 	o.sent++
-	a.ask.Deadline = o.clock.instant().Add(seconds(o.Patience))
-	if o.line == nil {
+	a.request.Deadline = o.clock.instant().Add(seconds(o.Patience))
+	if o.scheduler == nil {
 		o.work(a)
 		return
 	}
-	verdict, id, _ := o.line.Offer(a.ask, o.clock.instant())
+	verdict, id, _ := o.scheduler.Offer(a.request, o.clock.instant())
 	switch verdict {
 	case admission.VerdictStart:
 		o.work(a)
 	case admission.VerdictWait:
 		o.waiting[id] = func() { o.work(a) }
-		o.clock.after(seconds(o.Patience)-o.line.StartMargin(seconds(o.Patience)), func() {
-			if o.line.Cancel(id) {
+		o.clock.after(seconds(o.Patience)-o.scheduler.StartMargin(seconds(o.Patience)), func() {
+			if o.scheduler.Cancel(id) {
 				delete(o.waiting, id)
 				o.again(a)
 			}
@@ -122,7 +122,7 @@
 }
 
 // again has a caller that was not served ask once more, a second later.
-func (o *overload) again(a overloadAsk) {
+func (o *overload) again(a overloadRequest) {
 	if a.tries >= o.Comeback {
 		return
 	}
@@ -134,13 +134,13 @@
 }
 
 // work gives a request to the workers.
-func (o *overload) work(a overloadAsk) {
+func (o *overload) work(a overloadRequest) {
 	begun := o.clock.now
 	start := func() {
 		o.running++
 		first := o.clock.now - begun
-		if o.line != nil {
-			o.wake(o.line.Observe(admission.Kind{}, first+seconds(o.Service/10)))
+		if o.scheduler != nil {
+			o.wake(o.scheduler.Observe(admission.Kind{}, first+seconds(o.Service/10)))
 		}
 		length := seconds(o.Service * (0.5 + o.random.Float64()))
 		inTime := o.clock.now-a.arrived <= seconds(o.Patience)
@@ -156,11 +156,11 @@
 	o.backlog = append(o.backlog, start)
 }
 
-func (o *overload) finish(a overloadAsk, inTime bool, held time.Duration) {
+func (o *overload) finish(a overloadRequest, inTime bool, held time.Duration) {
 	o.running--
 	if inTime {
 		o.good[min(int(o.clock.now.Seconds()), len(o.good)-1)]++
-		if a.ask.Workspace == "small" {
+		if a.request.Workspace == "small" {
 			o.smallGood++
 		}
 	}
@@ -169,8 +169,8 @@
 		o.backlog = o.backlog[1:]
 		next()
 	}
-	if o.line != nil {
-		o.wake(o.line.Finish(a.ask, held))
+	if o.scheduler != nil {
+		o.wake(o.scheduler.Finish(a.request, held))
 	}
 }
 
--- a/internal/pipeline/ask.go
+++ b/internal/pipeline/ask.go
@@ -169,11 +169,11 @@
 
 // admit waits for a place on this host.
 func (p *Pipeline) admit(ctx context.Context, a ask) (*admission.Permit, error) {
-	place, err := p.options.Admission.Admit(ctx, admission.Request{
+	permit, err := p.options.Admission.Admit(ctx, admission.Request{
 		Workspace: a.workspace.Name, WorkspaceLimit: a.workspace.Concurrency, Priority: a.priority, Deadline: a.deadline,
 	})
 	if err == nil {
-		return place, nil
+		return permit, nil
 	}
 	refusal := problem.New(http.StatusTooManyRequests, problem.CodeOverloaded, problem.NotRun, err.Error())
 	switch {
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -151,11 +151,11 @@
 	}
 	ctx, cancel := p.options.Deadlines.With(ctx, ask.deadline)
 	defer cancel()
-	place, err := stage(ctx, p, "admit", p.admit, ask)
+	permit, err := stage(ctx, p, "admit", p.admit, ask)
 	if err != nil {
 		return err
 	}
-	defer place.Release()
+	defer permit.Release()
 	pinned, err := stage(ctx, p, "pin session", p.pin, ask)
 	if err != nil {
 		return err
@@ -179,7 +179,7 @@
 	record.Version = answer.decision.Candidate.Name
 	if ask.chat.Stream && answer.whole == nil {
 		// Of an answer in one piece the first token is not seen.
-		place.RecordFirstToken(admission.KindOf(record.Version, len(in.Body)))
+		permit.RecordFirstToken(admission.KindOf(record.Version, len(in.Body)))
 	}
 	_, err = stage(ctx, p, "relay", func(ctx context.Context, a answered) (struct{}, error) {
 		return struct{}{}, p.relay(ctx, a, sink)
@@ -210,11 +210,11 @@
 	}
 	ctx, cancel := p.options.Deadlines.With(ctx, ask.deadline)
 	defer cancel()
-	place, err := stage(ctx, p, "admit", p.admit, ask)
+	permit, err := stage(ctx, p, "admit", p.admit, ask)
 	if err != nil {
 		return err
 	}
-	defer place.Release()
+	defer permit.Release()
 	opened, err := stage(ctx, p, "open bill", p.openCallBill, ask)
 	if err != nil {
 		return err
