--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -139,7 +139,7 @@
 // grantTurns makes the gateway's host, as the only one, grant turns to suspect requests.
 func (r *rig) grantTurns() {
 	r.gateway.RateLimits = ratelimit.NewLimiter(ratelimit.Options{
-		Host: "h", Fleet: r.fleet, Known: func() bool { return true }, Members: func() []ratelimit.Member { return nil }, Logger: log.New(r.log),
+		Host: "h", Fleet: r.fleet, MembersKnown: func() bool { return true }, Members: func() []ratelimit.Member { return nil }, Logger: log.New(r.log),
 	})
 }
 
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -78,11 +78,11 @@
 	Host  string // this host's name
 	Fleet *fleet.Fleet
 	// Members lists all other hosts; Known reports whether that list has been read.
-	Members   func() []Member
-	Known     func() bool
-	Peers     PeerClient
-	Telemetry *telemetry.Telemetry
-	Logger    *log.Logger
+	Members      func() []Member
+	MembersKnown func() bool
+	Peers        PeerClient
+	Telemetry    *telemetry.Telemetry
+	Logger       *log.Logger
 }
 
 // Limiter borrows for this host and lends to other hosts. It is safe for concurrent use.
@@ -158,7 +158,7 @@
 
 // gossip sends limits that began, ended or changed to random hosts.
 func (l *Limiter) gossip(ctx context.Context, working *sync.WaitGroup) {
-	if !l.options.Known() {
+	if !l.options.MembersKnown() {
 		return // the limits are sent with the next change, or by other hosts
 	}
 	news := l.options.Fleet.TakeLimitUpdates(maxLimitsPerMessage)
@@ -198,7 +198,7 @@
 // fetchLimits runs at startup: it asks a few hosts, one after the other, for the limits they know of,
 // until one answers.
 func (l *Limiter) fetchLimits(ctx context.Context) {
-	for !l.options.Known() {
+	for !l.options.MembersKnown() {
 		if !clock.Sleep(ctx, membersPollInterval) {
 			return
 		}
@@ -247,7 +247,7 @@
 // borrow requests a loan from the lender, which may be this host. It returns false if it finds
 // no lender.
 func (l *Limiter) borrow(ctx context.Context, r Request) (Reply, bool) {
-	if !l.options.Known() {
+	if !l.options.MembersKnown() {
 		return Reply{}, false
 	}
 	for range maxTries {
--- a/internal/ratelimit/relay_test.go
+++ b/internal/ratelimit/relay_test.go
@@ -51,7 +51,7 @@
 	// borrow sends a request from host-2 to host-1 for a limit whose lender is host-0.
 	borrow := func(peers *fakePeers, relayed bool) ratelimit.Reply {
 		limiter := ratelimit.NewLimiter(ratelimit.Options{
-			Host: "host-1", Fleet: fleet.New(fleet.Options{}), Peers: peers, Known: func() bool { return true },
+			Host: "host-1", Fleet: fleet.New(fleet.Options{}), Peers: peers, MembersKnown: func() bool { return true },
 			Members: func() []ratelimit.Member {
 				return []ratelimit.Member{{Name: "host-0", Address: "0"}, {Name: "host-2", Address: "2"}}
 			},
