--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	permit, err := controller.Admit(ctx, admission.Request{Workspace: "clerks", Share: 50})
+//	permit, err := controller.Admit(ctx, admission.Request{Workspace: "clerks", WorkspaceLimit: 50})
 //	if err != nil { ... not_run ... }
 //	defer permit.Release()
 //
--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -3,11 +3,11 @@
 //
 // # Usage
 //
-//	a := advice.New(advice.Options{Fleet: f, Before: watcher.Before, ...})
+//	a := advice.New(advice.Options{Fleet: f, PrecedingHosts: watcher.PrecedingHosts, ...})
 //	a.Register(server)
-//	advised, ok := a.Choose(ctx, ask, versionKey)
+//	advised, ok := a.Choose(ctx, req, versionKey)
 //	...
-//	a.Ended(advised)
+//	a.EndAdvised(advised)
 //
 // Hosts that each know only their own requests happen to fill the slots of some endpoints while
 // others have room. Advice is soft state: hosts reach no consensus and store nothing. Advice arrives
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -3,7 +3,7 @@
 // # Usage
 //
 //	p := capacity.NewPlanner()
-//	orders := p.Orders(now, capacity.State{Scaling: s, Slots: 64, Running: 180, Stocks: counts})
+//	orders := p.Orders(now, capacity.State{Scaling: s, Slots: 64, Running: 180, Serving: counts})
 //	... send each, then ...
 //	p.RecordAccepted(order) // or p.RecordUnavailable(order, now)
 //
@@ -270,7 +270,7 @@
 	return halls
 }
 
-// count returns the number count endpoints count a pool that serve.
+// count returns the number of endpoints of a pool that serve.
 func (c EndpointCounts) count(pool Pool) int {
 	if pool.Spot {
 		return c.Spot
--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -4,8 +4,8 @@
 //
 // # Usage
 //
-//	small := cascade.Answer{Right: cascade.CorrectProbability(confidence), InTime: 1}
-//	large := cascade.Option{Answer: cascade.Answer{Right: cascade.LargestCorrect, InTime: 0.9}, Use: cost, Size: size, Delay: delay}
+//	small := cascade.Answer{Correct: cascade.CorrectProbability(confidence), InTime: 1}
+//	large := cascade.Option{Answer: cascade.Answer{Correct: cascade.LargestCorrect, InTime: 0.9}, Cost: cost, Size: size, Delay: delay}
 //	if large.NetValue() > small.Value() {
 //		...ask the larger model
 //	}
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -295,7 +295,7 @@
 	t.coordinator.orders = active
 }
 
-// withEmptyHalls adds empty stocks for data halls in which a service may run but has no endpoints.
+// withEmptyHalls adds empty counts for data halls in which a service may run but has no endpoints.
 func withEmptyHalls(counts map[string]capacity.EndpointCounts, s capacity.Scaling) map[string]capacity.EndpointCounts {
 	all := map[string]capacity.EndpointCounts{}
 	for hall := range s.Prices {
--- a/internal/fleet/advise.go
+++ b/internal/fleet/advise.go
@@ -11,11 +11,11 @@
 // Advice is an endpoint for an attempt, with the estimate of the attempt there.
 type Advice struct {
 	Endpoint string // its ID
-	Ticket   int64  // by which the adviser identifies the attempt
+	Ticket   int64  // by which the advisor identifies the attempt
 	Expected Expectation
 	// Decision is what happens to the request. A request that waits or is refused has no endpoint.
 	Decision admission.Decision
-	// LimitCounted means that the adviser knows of the endpoint's limit and has counted the request
+	// LimitCounted means that the advisor knows of the endpoint's limit and has counted the request
 	// against it.
 	LimitCounted bool
 }
@@ -27,7 +27,7 @@
 	headAt clock.Instant // when its response head was reported; zero before
 }
 
-// PickAt holds a slot at an advised endpoint; false if the endpoint may not be used. The adviser
+// PickAt holds a slot at an advised endpoint; false if the endpoint may not be used. The advisor
 // has seen what other hosts sent there, so its estimate is used, and its advice that there is room
 // overrides a refusal that this host got a moment ago.
 func (f *Fleet) PickAt(a Advice, req Request) (*Hold, bool) {
@@ -39,7 +39,7 @@
 		return nil, false
 	}
 	if f.enforcesLimit(m) && m.limit.active() && !a.LimitCounted {
-		return nil, false // the adviser does not know of the limit
+		return nil, false // the advisor does not know of the limit
 	}
 	if _, behind := a.Decision.(admission.Behind); behind {
 		req.Urgency = UrgencyLeast
--- a/internal/fleet/advise_test.go
+++ b/internal/fleet/advise_test.go
@@ -133,10 +133,10 @@
 		})
 	})
 
-	It("has tickets that differ from those of other advisers", func() {
+	It("has tickets that differ from those of other advisors", func() {
 		a, _ := newFleet().Advise(shortPrompt(1))
 		b, _ := newFleet().Advise(shortPrompt(1))
-		Expect(a.Ticket).NotTo(Equal(b.Ticket), "hosts report tickets of the previous adviser to the next one")
+		Expect(a.Ticket).NotTo(Equal(b.Ticket), "hosts report tickets of the previous advisor to the next one")
 	})
 
 	It("uses the head reports of other hosts", func() {
--- a/internal/fleet/candidates.go
+++ b/internal/fleet/candidates.go
@@ -61,7 +61,7 @@
 	return n
 }
 
-// addWithLoans adds endpoints that state limits and of which loans are available.
+// addWithLoans adds endpoints that announce limits and of which loans are available.
 func (f *Fleet) addWithLoans(n *candidates, req Request, now clock.Instant) {
 	for _, m := range f.withLoans {
 		if n.count < maxWithLoans && m.Service == req.Service && m.limit.active() && m.limit.available(now) > 0 && f.usable(m, req) {
--- a/internal/fleet/endpointcounts.go
+++ b/internal/fleet/endpointcounts.go
@@ -7,8 +7,8 @@
 	"quaybarrow/internal/capacity"
 )
 
-// EndpointCounts counts the endpoints of a service that take requests, by data hall. Endpoints of a version
-// other than the one in force are counted separately, unless that version is empty.
+// EndpointCounts counts the endpoints of a service that take requests, by data hall. Endpoints of a
+// version other than the one in force are counted separately, unless that version is empty.
 func (f *Fleet) EndpointCounts(service, inForce string) map[string]capacity.EndpointCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -73,11 +73,11 @@
 	slotTimes     map[string]time.Duration          // how long a response holds a slot from its head on, by service
 	prefixes      prefixIndex
 	advisorTenure tenure             // of choosing endpoints for prompts with knowledge of other hosts' choices
-	limits        map[string]*member // by ID, endpoints that state a limit or recently did
+	limits        map[string]*member // by ID, endpoints that announce a limit or recently did
 	needLoans     map[string]*member // subset of limits: loans are to be requested
-	changedLimits map[string]*member // subset of limits: to be announced to all hosts
+	changedLimits map[string]*member // subset of limits: to be published to all hosts
 	withLoans     []*member          // subset of limits: loans are available, or recently were
-	lastTicket    int64              // starts at a random number, so that tickets of another adviser match nothing here
+	lastTicket    int64              // starts at a random number, so that tickets of another advisor match nothing here
 }
 
 // member is an endpoint with this host's knowledge of it.
@@ -104,7 +104,7 @@
 	match            prefixMatch   // its cached parts of the prompt that is being placed
 	region           string        // of its data hall
 	warmUp           warmUpState
-	limit            *limitState // nil if it states no limit
+	limit            *limitState // nil if it announces no limit
 }
 
 // maxFirstTicket bounds the first ticket; as many tickets again remain to be issued.
--- a/internal/fleet/head.go
+++ b/internal/fleet/head.go
@@ -32,7 +32,7 @@
 	case !ok:
 	case h.Refused:
 		// Only refusals reveal full endpoints of other data halls: going by the responses that
-		// began there, an adviser would take them for empty.
+		// began there, an advisor would take them for empty.
 		m.stopAwaiting(h.Ticket)
 		f.updateLoad(m, h.Load, m.inFlight)
 	default:
--- a/internal/fleet/limit.go
+++ b/internal/fleet/limit.go
@@ -6,8 +6,8 @@
 	"quaybarrow/internal/clock"
 )
 
-// Limit is what a response states about how many requests its endpoint takes from all hosts
-// together.
+// Limit is the rate limit that an endpoint announces in a response: how many requests it takes from
+// all hosts together.
 type Limit struct {
 	Named  bool    // false if the endpoint takes any number of requests
 	Rate   float64 // requests a second
@@ -18,9 +18,9 @@
 // immutable.
 type LimitUpdate struct {
 	Endpoint    string        // its ID
-	Rate        float64       // requests a second; 0 once the endpoint states no limit any more
+	Rate        float64       // requests a second; 0 once the endpoint announces no limit any more
 	Since       clock.Instant // when the limit was first observed
-	ConfirmedAt clock.Instant // when a response last stated it
+	ConfirmedAt clock.Instant // when a response last announced it
 }
 
 // NewLimitUpdate returns an update from ages, which messages between hosts contain instead of
@@ -29,7 +29,7 @@
 	return LimitUpdate{Endpoint: endpoint, Rate: rate, ConfirmedAt: now.Add(-confirmedAgo), Since: now.Add(-sinceAgo)}
 }
 
-// Ages returns how long ago a response last stated the limit, and how long ago it was first
+// Ages returns how long ago a response last announced the limit, and how long ago it was first
 // observed.
 func (n LimitUpdate) Ages(now clock.Instant) (confirmedAgo, sinceAgo time.Duration) {
 	return now.Sub(n.ConfirmedAt), now.Sub(n.Since)
@@ -37,23 +37,23 @@
 
 // Bounds of what is known of limits.
 const (
-	// minLimit is the least rate in requests a second that an endpoint gets if it states a smaller
+	// minLimit is the least rate in requests a second that an endpoint gets if it announces a smaller
 	// limit, 0 included: without any request no host would learn that the limit has ended.
 	minLimit = 0.1
 	// limitUpdateTTL is the largest age of updates that hosts send to each other.
 	limitUpdateTTL = 10 * time.Second
-	// limitChangeFactor is the factor by which a limit differs from the announced one before it is
-	// announced again.
+	// limitChangeFactor is the factor by which a limit differs from the published one before it is
+	// published again.
 	limitChangeFactor = 1.25
 )
 
 // limitState is what is known of the limit of an endpoint, and what this host may send there.
 type limitState struct {
-	rate          float64       // requests a second; 0 once the endpoint states no limit any more
+	rate          float64       // requests a second; 0 once the endpoint announces no limit any more
 	since         clock.Instant // when the limit was first observed
-	confirmedAt   clock.Instant // when a response last stated it
+	confirmedAt   clock.Instant // when a response last announced it
 	endUntold     bool          // this host observed the limit's end, which the lender may not know
-	publishedRate float64       // rate of the last announcement to all hosts
+	publishedRate float64       // rate that this host last published to all hosts
 
 	loans      []Loan
 	loansUsed  int           // requests sent on loans since the last loan request
@@ -137,13 +137,13 @@
 	}
 }
 
-// shouldPublish reports whether the limit differs so much from the announced one that it is
-// announced to all hosts again.
+// shouldPublish reports whether the limit differs so much from the published one that it is
+// published to all hosts again.
 func (l *limitState) shouldPublish() bool {
 	return (l.rate == 0) != (l.publishedRate == 0) || l.rate > limitChangeFactor*l.publishedRate || l.publishedRate > limitChangeFactor*l.rate
 }
 
-// TakeLimitUpdates returns limits that have begun, ended or changed, to be announced to all hosts.
+// TakeLimitUpdates returns limits that have begun, ended or changed, to be published to all hosts.
 // It returns each once, and at most a given number per call.
 func (f *Fleet) TakeLimitUpdates(most int) []LimitUpdate {
 	f.mu.Lock()
--- a/internal/fleet/limit_test.go
+++ b/internal/fleet/limit_test.go
@@ -22,7 +22,7 @@
 	return f
 }
 
-// announcedLimit returns the limit in a response that states one.
+// announcedLimit returns the limit in a response that announces one.
 func announcedLimit(rate float64) fleet.Limit { return fleet.Limit{Named: true, Rate: rate} }
 
 // tries is enough requests for each of two endpoints to get some.
@@ -44,7 +44,7 @@
 	return n
 }
 
-var _ = Describe("an endpoint that states a limit", func() {
+var _ = Describe("an endpoint that announces a limit", func() {
 	It("gets only as many requests as loans allow, and only until they expire", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
@@ -82,7 +82,7 @@
 		})
 	})
 
-	It("has no limit once the response to a later request states none", func() {
+	It("has no limit once the response to a later request announces none", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			early := clock.Now()
@@ -128,7 +128,7 @@
 			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e0", Rate: 0, ConfirmedAt: now.Add(-time.Second)})
 			f.MergeLimit(fleet.LimitUpdate{Endpoint: "gone", Rate: 2, ConfirmedAt: now})
 			Expect(countPicks(f, "e0")).To(BeZero())
-			Expect(f.TakeLimitUpdates(8)).To(HaveLen(1), "it is announced")
+			Expect(f.TakeLimitUpdates(8)).To(HaveLen(1), "it is published")
 			Expect(f.TakeLimitUpdates(8)).To(BeEmpty(), "once")
 			f.MergeLimit(fleet.LimitUpdate{Endpoint: "e0", Rate: 0, ConfirmedAt: now.Add(time.Millisecond)})
 			Expect(countPicks(f, "e0")).To(BeNumerically(">", 10))
@@ -138,7 +138,7 @@
 		})
 	})
 
-	It("is not used on the advice of an adviser that does not know the limit", func() {
+	It("is not used on the advice of an advisor that does not know the limit", func() {
 		suite.Paused(func() {
 			f := limitedFleet()
 			f.ObserveLimit("e0", announcedLimit(2), clock.Now())
@@ -150,7 +150,7 @@
 	})
 })
 
-var _ = Describe("requests to endpoints that all state limits", func() {
+var _ = Describe("requests to endpoints that all announce limits", func() {
 	newRequest := func(urgency int) fleet.Request {
 		return fleet.Request{Service: "s", Urgency: urgency, MaxLimitWait: 2 * time.Second}
 	}
--- a/internal/fleet/limitchoice.go
+++ b/internal/fleet/limitchoice.go
@@ -10,14 +10,14 @@
 // retryLaterScore puts endpoints of which no loan may be requested yet after all others.
 const retryLaterScore = 1e6
 
-// limitScan collects what a choice has found of endpoints that state limits.
+// limitScan collects what a choice has found of endpoints that announce limits.
 type limitScan struct {
 	skipped      *member       // best endpoint that was skipped for lack of a loan; nil if there is none
 	skippedScore float64       // of skipped
-	anyLimited   bool          // some endpoint states a limit
+	anyLimited   bool          // some endpoint announces a limit
 	available    int           // requests that this host may send now to endpoints with limits
 	nextLoan     clock.Instant // earliest time at which a loan of any of them may be requested
-	anyUnlimited bool          // some usable endpoint states no limit and is not ejected
+	anyUnlimited bool          // some usable endpoint announces no limit and is not ejected
 }
 
 // consider records an endpoint with its score and reports whether it takes a request.
@@ -52,7 +52,7 @@
 	}
 }
 
-// decideLimited decides on a request if all endpoints that it may use state limits. If no loan is
+// decideLimited decides on a request if all endpoints that it may use announce limits. If no loan is
 // available, or if other waiting requests go first, the request waits for its turn or is refused.
 func (f *Fleet) decideLimited(p placement) placement {
 	if p.limits.anyUnlimited || !p.limits.anyLimited || (p.member != nil && p.req.MaxLimitWait == 0) {
@@ -86,7 +86,7 @@
 
 // LimitStatus is a host's knowledge of an endpoint's limit, for operators.
 type LimitStatus struct {
-	Rate      float64 // requests a second; 0 if the endpoint states no limit
+	Rate      float64 // requests a second; 0 if the endpoint announces no limit
 	Since     time.Duration
 	Available int // requests that this host may send there now
 	Unmet     int // requests that have recently found no loan
@@ -100,7 +100,7 @@
 	return LimitStatus{Rate: m.limit.rate, Since: now.Sub(m.limit.since), Available: m.limit.available(now), Unmet: m.limit.unmet}
 }
 
-// LimitedCount returns the number of endpoints that state limits.
+// LimitedCount returns the number of endpoints that announce limits.
 func (f *Fleet) LimitedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/place.go
+++ b/internal/fleet/place.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// waitingListOf returns the turns of the requests that wait for a service.
+// waitingListOf returns the list of the requests that wait for a service.
 func (f *Fleet) waitingListOf(service string) *admission.WaitingList {
 	list, ok := f.waitingLists[service]
 	if !ok {
--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -21,7 +21,7 @@
 }
 
 // Shares of a cold endpoint's rate. They add up to no more than the whole rate where two hosts act
-// as adviser at the same time, which lasts for about a second after an adviser is lost; see
+// as advisor at the same time, which lasts for about a second after an advisor is lost; see
 // newAdviserShare for a third one.
 const (
 	// advisedShare is for requests on which one host advises all others and which it counts.
@@ -32,7 +32,7 @@
 	// plainShare is for requests without a prompt, on which no host advises. They arrive at random,
 	// so their share is well below the whole rate.
 	plainShare = 0.45
-	// busyShare is what an endpoint gets from an adviser before endpoints that got less are
+	// busyShare is what an endpoint gets from an advisor before endpoints that got less are
 	// preferred, even if the endpoint is not reported as cold: the report takes a second or two.
 	busyShare = 0.6
 )
@@ -54,8 +54,8 @@
 // this host does not know which requests that host sent.
 func (t tenure) isNew(now clock.Instant) bool { return now.Sub(t.since) < sendWindow }
 
-// newAdvisorShare replaces advisedShare at a host that has just begun to advise: the adviser before
-// it may have used its whole share, and a third adviser may follow within the second.
+// newAdvisorShare replaces advisedShare at a host that has just begun to advise: the advisor before
+// it may have used its whole share, and a third advisor may follow within the second.
 const newAdvisorShare = 0.1
 
 // singleAdvisor reports whether one host chooses the endpoints of all prompts.
--- a/internal/fleet/warm_test.go
+++ b/internal/fleet/warm_test.go
@@ -157,8 +157,8 @@
 		"advised":                 func(int) bool { return false },
 		"half get no advice":      func(host int) bool { return host%2 == 1 },
 		"none get advice":         func(int) bool { return true },
-		"adviser lost for 500 ms": func(int) bool { return time.Now().UnixMilli()%2000 < 500 },
-		"adviser new to most":     func(host int) bool { return host > 3 },
+		"advisor lost for 500 ms": func(int) bool { return time.Now().UnixMilli()%2000 < 500 },
+		"advisor new to most":     func(host int) bool { return host > 3 },
 	}
 	for size, n := range sizes {
 		for name, unadvised := range advice {
@@ -180,7 +180,7 @@
 	// A cold endpoint got more requests than its limit within a second in which three hosts advised
 	// one after the other.
 	for _, hosts := range []int{4, 7, 60, 345} {
-		It(fmt.Sprintf("gets no more than its limit while advisers are lost one after the other: %d hosts", hosts), func() {
+		It(fmt.Sprintf("gets no more than its limit while advisors are lost one after the other: %d hosts", hosts), func() {
 			paused(func() {
 				c := newHostGroup(hosts, 1, 60)
 				c.sendFor(time.Second, 600, c.newPrompt)
@@ -296,7 +296,7 @@
 		})
 	})
 
-	It("gets no more than its limit from an adviser that does not know that it is cold", func() {
+	It("gets no more than its limit from an advisor that does not know that it is cold", func() {
 		paused(func() {
 			c := newHostGroup(61, 1, 40)
 			prompt := c.newPrompt() // a prompt that is expensive to prefill again
--- a/internal/gateway/halls_test.go
+++ b/internal/gateway/halls_test.go
@@ -156,7 +156,7 @@
 		return runs
 	}
 
-	It("sends only its own share while it gets no advice, and an adviser's share if it advises others", func() {
+	It("sends only its own share while it gets no advice, and an advisor's share if it advises others", func() {
 		Expect(countRuns([]string{"10.0.0.9:1"}, 0)).To(BeNumerically("<=", 1))
 		Expect(countRuns(nil, 1500*time.Millisecond)).To(Equal(8))
 		Expect(countRuns(nil, 0)).To(Equal(2), "a host that has just started to advise")
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -24,7 +24,7 @@
 }
 
 // recordLimit records what a response header says about its endpoint's limit. A response without
-// the endpoint's seal may lack a limit that the endpoint would state, and a response that another
+// the endpoint's seal may lack a limit that the endpoint would announce, and a response that another
 // endpoint gave says nothing about this one.
 func (a *attempt) recordLimit() {
 	l, endpoint := a.header.Limit, a.hold.Endpoint.ID
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -12,7 +12,7 @@
 	"quaybarrow/platform/standin"
 )
 
-var _ = Describe("a limit that an endpoint states", func() {
+var _ = Describe("a limit that an endpoint announces", func() {
 	It("ends only with a response that the endpoint has sealed", func() {
 		suite.Paused(func() {
 			var bare atomic.Bool
--- a/internal/ratelimit/lender_test.go
+++ b/internal/ratelimit/lender_test.go
@@ -36,7 +36,7 @@
 }
 
 var _ = Describe("a lender", func() {
-	It("lends what the endpoint names", func() {
+	It("lends what the endpoint announces", func() {
 		suite.Paused(func() {
 			l := ratelimit.NewLender()
 			time.Sleep(time.Second)
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -59,7 +59,7 @@
 						}
 					}
 				}
-				t.Logf("worst %.2f of the limit in %s; least used, by the endpoints that name one: %.3v", worst, standin.LimitWindow, used)
+				t.Logf("worst %.2f of the limit in %s; least used, by the endpoints that announce one: %.3v", worst, standin.LimitWindow, used)
 			})
 		}
 	}
@@ -77,7 +77,7 @@
 }
 
 // TestLimitsLentOrSplit compares lending with a fixed split of each limit among the hosts, where nine
-// in ten requests come to one host and all endpoints declare a limit.
+// in ten requests come to one host and all endpoints announce a limit.
 func TestLimitsLentOrSplit(t *testing.T) {
 	for _, hosts := range []int{7, 60} {
 		used := map[strategy]float64{}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,9 +1,9 @@
-// Package ratelimit makes all hosts together respect the rate limits that endpoints declare: how many
-// requests a second an endpoint accepts from all hosts in total.
+// Package ratelimit makes all hosts together respect the rate limits that endpoints announce: how
+// many requests a second an endpoint accepts from all hosts in total.
 //
 // # Usage
 //
-//	l := ratelimit.NewLimiter(ratelimit.Options{Host: name, Fleet: f, Members: members, Known: known, Caller: caller})
+//	l := ratelimit.NewLimiter(ratelimit.Options{Host: name, Fleet: f, Members: members, MembersKnown: known, Peers: peers})
 //	ratelimit.Register(server, l)
 //	go l.Run(ctx)
 //
@@ -13,7 +13,7 @@
 // nothing has to be revoked. While the lender does not answer, the next host in the endpoint's order
 // lends, at first only a part of the limit. A host that is asked although another host precedes it in
 // the order forwards the request to that host, so two hosts lend at once only while they cannot reach
-// each other. There is no consensus and no persistent state: a limit is what the endpoint declared
+// each other. There is no consensus and no persistent state: a limit is what the endpoint announced
 // moments ago. A host that learns that a limit begins, ends or changes tells a few random hosts, which
 // tell others in turn (gossip).
 package ratelimit
@@ -77,7 +77,7 @@
 type Options struct {
 	Host  string // this host's name
 	Fleet *fleet.Fleet
-	// Members lists all other hosts; Known reports whether that list has been read.
+	// Members lists all other hosts; MembersKnown reports whether that list has been read.
 	Members      func() []Member
 	MembersKnown func() bool
 	Peers        PeerClient
--- a/internal/ratelimit/simulation_test.go
+++ b/internal/ratelimit/simulation_test.go
@@ -26,8 +26,8 @@
 	errSilent = errors.New("no answer")
 )
 
-// simulation is a set of hosts that send requests to the endpoints of one service, some of which declare
-// limits.
+// simulation is a set of hosts that send requests to the endpoints of one service, some of which
+// announce limits.
 type simulation struct {
 	scenario
 	began    clock.Instant
@@ -53,8 +53,8 @@
 type scenario struct {
 	strategy         strategy
 	hosts            int
-	limitedEndpoints int     // number of endpoints that declare a limit
-	rate             float64 // limit that they declare, in requests a second
+	limitedEndpoints int     // number of endpoints that announce a limit
+	rate             float64 // limit that they announce, in requests a second
 	requestRate      float64 // requests a second, over all hosts
 	hotShare         float64 // share of the requests that all come to host 0
 	// Intervals at which a host is killed, frozen or cut off; 0 for never.
--- a/internal/spread/advisors.go
+++ b/internal/spread/advisors.go
@@ -66,7 +66,7 @@
 	return nil, nil // self is not listed yet
 }
 
-// Choosers returns the number of hosts that choose endpoints, and of the advisers among them.
+// Choosers returns the number of hosts that choose endpoints, and of the advisors among them.
 func (w *Watcher) Choosers() fleet.Choosers {
 	w.peers.mu.Lock()
 	defer w.peers.mu.Unlock()
--- a/internal/spread/peers.go
+++ b/internal/spread/peers.go
@@ -28,8 +28,8 @@
 	hostsPerReaderCore = 320
 	// maxHallWithoutReader is the largest data hall, in hosts, that has no readers of its own.
 	maxHallWithoutReader = hostsPerReader / 2
-	// maxAdvisedRegion is the largest number of hosts in a region that share one adviser. A single
-	// adviser sees everything that waits and is kept at an endpoint, where one adviser per data
+	// maxAdvisedRegion is the largest number of hosts in a region that share one advisor. A single
+	// advisor sees everything that waits and is kept at an endpoint, where one advisor per data
 	// hall sees only a part.
 	maxAdvisedRegion = 128
 	// minPeerPause and maxPeerPause bound the time before a host that failed is asked again. The
@@ -68,9 +68,9 @@
 
 	mu              sync.Mutex // guards the fields below
 	ranked          []peer     // in the order in which this host asks; the seeds until the list has been read
-	before          []string   // addresses of the hosts of the same adviser group that come before this one
+	before          []string   // addresses of the hosts of the same advisor group that come before this one
 	after           []string   // addresses of those that come after it
-	leads           bool       // this host is listed, and comes first in its adviser group
+	leads           bool       // this host is listed, and comes first in its advisor group
 	hostCount       int
 	advisorGroups   int // number of groups of hosts that choose endpoints together
 	readerScopeSize int // number of hosts that may share this host's reader
@@ -264,7 +264,7 @@
 	return max(w.peers.hostCount, 1)
 }
 
-// Leads reports whether this host is listed and comes first in its adviser group.
+// Leads reports whether this host is listed and comes first in its advisor group.
 func (w *Watcher) Leads() bool {
 	w.peers.mu.Lock()
 	defer w.peers.mu.Unlock()
@@ -293,7 +293,7 @@
 	return entry{Address: w.options.Address, Hall: w.options.Hall, Cores: w.options.Cores}
 }
 
-// PrecedingHosts returns the addresses of the hosts of the same adviser group that come before this
+// PrecedingHosts returns the addresses of the hosts of the same advisor group that come before this
 // one. All hosts of the group use the same order while they know the same list.
 func (w *Watcher) PrecedingHosts() []string {
 	w.peers.mu.Lock()
@@ -301,7 +301,7 @@
 	return w.peers.before
 }
 
-// FollowingHosts returns the addresses of the hosts of the same adviser group that come after this
+// FollowingHosts returns the addresses of the hosts of the same advisor group that come after this
 // one.
 func (w *Watcher) FollowingHosts() []string {
 	w.peers.mu.Lock()
--- a/internal/spread/peers_test.go
+++ b/internal/spread/peers_test.go
@@ -26,7 +26,7 @@
 	}{
 		"no list yet":                      {0, 0, 0, fleet.Choosers{Advisers: 1}, nil},
 		"a small deployment":               {6, 3, 1, fleet.Choosers{Hosts: 6, Advisers: 1}, nil},
-		"the largest group of one adviser": {128, 4, 1, fleet.Choosers{Hosts: 128, Advisers: 1}, nil},
+		"the largest group of one advisor": {128, 4, 1, fleet.Choosers{Hosts: 128, Advisers: 1}, nil},
 		"a large deployment":               {295, 5, 5, fleet.Choosers{Hosts: 295, Advisers: 5}, nil},
 		"one region":                       {90, 3, 1, fleet.Choosers{Hosts: 90, Advisers: 1}, map[string]string{"hall-0": "r", "hall-1": "r", "hall-2": "r"}},
 		"a region each":                    {90, 3, 3, fleet.Choosers{Hosts: 90, Advisers: 3}, map[string]string{"hall-0": "r", "hall-1": "s", "hall-2": "t"}},
--- a/internal/spread/silence.go
+++ b/internal/spread/silence.go
@@ -13,7 +13,7 @@
 
 // unansweredTimeout is how long a connection may give no answer, while calls time out, before it is
 // replaced. Connections may stop delivering data without an error, and the keep-alive of the gRPC
-// library detects that after ten seconds at the earliest. Without this check an adviser remained
+// library detects that after ten seconds at the earliest. Without this check an advisor remained
 // unreachable for the lifetime of the hosts.
 const unansweredTimeout = 500 * time.Millisecond
 
