--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -54,22 +54,22 @@
 
 var _ = Describe("the waiting list", func() {
 	now := clock.Now()
-	ahead := func(t *admission.WaitingList, id int64, urgency int, asked, at clock.Instant) int {
-		n, _ := t.Ahead(id, urgency, asked, at)
+	ahead := func(list *admission.WaitingList, id int64, urgency int, asked, at clock.Instant) int {
+		n, _ := list.Ahead(id, urgency, asked, at)
 		return n
 	}
 
 	It("is ordered by urgency, then by the time of sending, not by the time of insertion", func() {
-		t := &admission.WaitingList{}
-		late := t.Wait(0, 1, now, now, time.Second)
-		early := t.Wait(0, 1, now.Add(-time.Second), now, time.Second)
-		urgent := t.Wait(0, 0, now, now, time.Second)
-		Expect(ahead(t, urgent, 0, now, now)).To(Equal(0))
-		Expect(ahead(t, early, 1, now.Add(-time.Second), now)).To(Equal(1))
-		Expect(ahead(t, late, 1, now, now)).To(Equal(2))
-		t.Granted(urgent, now)
-		t.Remove(early)
-		Expect(ahead(t, late, 1, now, now)).To(Equal(0))
+		list := &admission.WaitingList{}
+		late := list.Wait(0, 1, now, now, time.Second)
+		early := list.Wait(0, 1, now.Add(-time.Second), now, time.Second)
+		urgent := list.Wait(0, 0, now, now, time.Second)
+		Expect(ahead(list, urgent, 0, now, now)).To(Equal(0))
+		Expect(ahead(list, early, 1, now.Add(-time.Second), now)).To(Equal(1))
+		Expect(ahead(list, late, 1, now, now)).To(Equal(2))
+		list.Granted(urgent, now)
+		list.Remove(early)
+		Expect(ahead(list, late, 1, now, now)).To(Equal(0))
 	})
 
 	It("drops requests that do not ask again", func() {
--- a/internal/quarantine/cluster_test.go
+++ b/internal/quarantine/cluster_test.go
@@ -144,16 +144,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	tables := platform.NewStore(storeAddress, h.net.Dial)
 	peers := peerClient{h, i}
-	b := quarantine.NewTracker(quarantine.Options{
+	tracker := quarantine.NewTracker(quarantine.Options{
 		Host: fmt.Sprint("host-", i), Probe: h.probe, CountEndpoints: func(string) int { return 12 }, Tables: tables, Logger: log.New(h.log),
 		Members: peers.members, Peers: peers, IsFirstHost: func() bool { return i == 0 },
 		SharedNow: func() (time.Duration, bool) { return h.clock.Now(), true },
 	})
 	process := &hostProcess{cancel: cancel}
-	process.working.Go(func() { b.Run(ctx) })
+	process.working.Go(func() { tracker.Run(ctx) })
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.trackers[i], h.processes[i] = b, process
+	h.trackers[i], h.processes[i] = tracker, process
 }
 
 // kill stops a host; what it has not sent is lost.
