--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -73,23 +73,23 @@
 	})
 
 	It("drops requests that do not ask again", func() {
-		t := &admission.WaitingList{}
-		t.Wait(0, 0, now, now, 50*time.Millisecond)
-		Expect(ahead(t, 0, 1, now, now.Add(300*time.Millisecond))).To(Equal(1))
-		Expect(ahead(t, 0, 1, now, now.Add(400*time.Millisecond))).To(Equal(0))
+		list := &admission.WaitingList{}
+		list.Wait(0, 0, now, now, 50*time.Millisecond)
+		Expect(ahead(list, 0, 1, now, now.Add(300*time.Millisecond))).To(Equal(1))
+		Expect(ahead(list, 0, 1, now, now.Add(400*time.Millisecond))).To(Equal(0))
 	})
 
 	It("estimates the wait from the recent rate of sent requests", func() {
-		t := &admission.WaitingList{}
+		list := &admission.WaitingList{}
 		for range 10 {
-			t.Wait(0, 0, now, now, time.Minute)
+			list.Wait(0, 0, now, now, time.Minute)
 		}
-		_, alone := t.Ahead(0, 1, now, now)
+		_, alone := list.Ahead(0, 1, now, now)
 		for range 100 {
-			t.Granted(0, now)
+			list.Granted(0, now)
 		}
-		_, soon := t.Ahead(0, 1, now, now)
-		_, later := t.Ahead(0, 1, now, now.Add(3*time.Second))
+		_, soon := list.Ahead(0, 1, now, now)
+		_, later := list.Ahead(0, 1, now, now.Add(3*time.Second))
 		Expect(alone).To(Equal(10 * time.Second))
 		Expect(soon).To(BeNumerically("<", 300*time.Millisecond))
 		Expect(later).To(Equal(alone))
@@ -101,10 +101,10 @@
 	})
 
 	It("is bounded", func() {
-		t := &admission.WaitingList{}
+		list := &admission.WaitingList{}
 		refused := 0
 		for range 1000 {
-			if t.Wait(0, 0, now, now, time.Second) == 0 {
+			if list.Wait(0, 0, now, now, time.Second) == 0 {
 				refused++
 			}
 		}
