--- a/internal/fleet/warm.go
+++ b/internal/fleet/warm.go
@@ -22,7 +22,7 @@
 
 // Shares of a cold endpoint's rate. They add up to no more than the whole rate where two hosts act
 // as advisor at the same time, which lasts for about a second after an advisor is lost; see
-// newAdviserShare for a third one.
+// newAdvisorShare for a third one.
 const (
 	// advisedShare is for requests on which one host advises all others and which it counts.
 	advisedShare = 0.4
