--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	permit, err := controller.Admit(ctx, admission.Request{Workspace: "clerks", Share: 50})
+//	permit, err := controller.Admit(ctx, admission.Request{Workspace: "clerks", WorkspaceLimit: 50})
 //	if err != nil { ... not_run ... }
 //	defer permit.Release()
 //
@@ -42,10 +42,10 @@
 
 // Request describes a request that asks for admission.
 type Request struct {
-	Workspace string
-	Share     int // most requests of the workspace in flight
-	Priority  declare.Priority
-	Deadline  clock.Instant // zero means none
+	Workspace      string
+	WorkspaceLimit int // most requests of the workspace in flight
+	Priority       declare.Priority
+	Deadline       clock.Instant // zero means none
 }
 
 // Options configure a Controller or a Scheduler.
--- a/internal/admission/scheduler.go
+++ b/internal/admission/scheduler.go
@@ -46,7 +46,7 @@
 	if err := s.refusal(request, now); err != nil {
 		return VerdictRefuse, 0, err
 	}
-	if s.inFlight < s.limit.current() && s.workspaceInFlight[request.Workspace] < request.Share {
+	if s.inFlight < s.limit.current() && s.workspaceInFlight[request.Workspace] < request.WorkspaceLimit {
 		s.start(request)
 		return VerdictStart, 0, nil
 	}
@@ -66,7 +66,7 @@
 	switch {
 	case len(s.queue) >= s.options.Queue:
 		return ErrQueueFull
-	case s.workspaceInFlight[request.Workspace] >= request.Share && queuedOfWorkspace >= request.Share:
+	case s.workspaceInFlight[request.Workspace] >= request.WorkspaceLimit && queuedOfWorkspace >= request.WorkspaceLimit:
 		return ErrWorkspaceLimit
 	case !request.Deadline.IsZero() && now.Add(s.expectedWait(request)).After(request.Deadline):
 		return ErrDeadline
@@ -170,14 +170,14 @@
 // Candidate is a queued request with the data that Next decides on.
 type Candidate struct {
 	Priority declare.Priority
-	Used     int // requests of its workspace in flight
-	Share    int // most requests of its workspace in flight
+	InFlight int // requests of its workspace in flight
+	Limit    int // most requests of its workspace in flight
 }
 
 func (s *Scheduler) candidates() []Candidate {
 	queue := make([]Candidate, len(s.queue))
 	for i, w := range s.queue {
-		queue[i] = Candidate{Priority: w.request.Priority, Used: s.workspaceInFlight[w.request.Workspace], Share: w.request.Share}
+		queue[i] = Candidate{Priority: w.request.Priority, InFlight: s.workspaceInFlight[w.request.Workspace], Limit: w.request.WorkspaceLimit}
 	}
 	return queue
 }
@@ -192,10 +192,10 @@
 func Next(candidates []Candidate) int {
 	best, bestRank := -1, math.Inf(1)
 	for i, q := range candidates {
-		if q.Used >= q.Share {
+		if q.InFlight >= q.Limit {
 			continue
 		}
-		rank := float64(q.Used) / float64(q.Share)
+		rank := float64(q.InFlight) / float64(q.Limit)
 		if q.Priority == declare.PriorityBatch {
 			rank += batchPenalty
 		}
--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -3,11 +3,11 @@
 //
 // # Usage
 //
-//	a := advice.New(advice.Options{Fleet: f, Before: watcher.Before, ...})
+//	a := advice.New(advice.Options{Fleet: f, PrecedingHosts: watcher.PrecedingHosts, ...})
 //	a.Register(server)
-//	advised, ok := a.Choose(ctx, ask, versionKey)
+//	advised, ok := a.Choose(ctx, req, versionKey)
 //	...
-//	a.Ended(advised)
+//	a.EndAdvised(advised)
 //
 // Hosts that each know only their own requests happen to fill the slots of some endpoints while
 // others have room. Advice is soft state: hosts reach no consensus and store nothing. Advice arrives
@@ -58,9 +58,9 @@
 	// Allowed returns a function that reports whether a request with a version key may run on a
 	// version of the service.
 	Allowed func(service string, versionKey uint64) func(version string) bool
-	// Before returns the addresses of the data hall's hosts that precede this one, in an
+	// PrecedingHosts returns the addresses of the data hall's hosts that precede this one, in an
 	// order that all hosts agree on while they know the same list.
-	Before func() []string
+	PrecedingHosts func() []string
 	// Leads reports whether this host is known to be the first host of its data hall. If it is nil,
 	// a host without predecessors is the first.
 	Leads func() bool
@@ -99,8 +99,8 @@
 
 // Choose returns the advice of the first host that answers. It returns false if no advice arrived in
 // time or this host is the first.
-func (a *Advisor) Choose(ctx context.Context, ask fleet.Request, versionKey uint64) (fleet.Advice, bool) {
-	reply, ok := a.query(ctx, a.newRequest(ask, versionKey))
+func (a *Advisor) Choose(ctx context.Context, req fleet.Request, versionKey uint64) (fleet.Advice, bool) {
+	reply, ok := a.query(ctx, a.newRequest(req, versionKey))
 	if !ok || (reply.GetEndpoint() == "" && !reply.GetRefused() && reply.GetWaitMicros() == 0) {
 		return fleet.Advice{}, false
 	}
@@ -112,8 +112,8 @@
 
 // Expect returns the expectation of the first host that answers for an attempt. It returns false if
 // none arrived in time or this host is the first.
-func (a *Advisor) Expect(ctx context.Context, ask fleet.Request, versionKey uint64) (fleet.Expectation, bool) {
-	request := a.newRequest(ask, versionKey)
+func (a *Advisor) Expect(ctx context.Context, req fleet.Request, versionKey uint64) (fleet.Expectation, bool) {
+	request := a.newRequest(req, versionKey)
 	request.Weigh = true
 	reply, ok := a.query(ctx, request)
 	if !ok || reply.GetExpected() == nil {
@@ -122,13 +122,13 @@
 	return expectationFromWire(reply.GetExpected()), true
 }
 
-func (a *Advisor) newRequest(ask fleet.Request, versionKey uint64) *advicepb.ChooseRequest {
+func (a *Advisor) newRequest(req fleet.Request, versionKey uint64) *advicepb.ChooseRequest {
 	return &advicepb.ChooseRequest{
-		Service: ask.Service, Model: ask.Model, Key: ask.Key, VersionKey: versionKey, Tokens: int32(ask.Tokens), //nolint:gosec // prompts are far shorter
-		Shared: int32(ask.SharedTokens), ObjectiveMicros: ask.Objective.Microseconds(), SlackMicros: ask.Slack.Microseconds(), LeftMicros: ask.Remaining.Microseconds(), Begun: ask.MayHaveStarted,
-		WaitedMicros: ask.Waited.Microseconds(), Turn: ask.Turn, Urgency: int32(ask.Urgency), Avoid: ask.Avoid, //nolint:gosec // as above
-		Parts: partsToWire(ask.Parts), Memory: int32(ask.CacheTokens), Hall: a.options.Hall, Regions: ask.Regions, //nolint:gosec // as above
-		WithinMicros: ask.MaxLimitWait.Microseconds(),
+		Service: req.Service, Model: req.Model, Key: req.Key, VersionKey: versionKey, Tokens: int32(req.Tokens), //nolint:gosec // prompts are far shorter
+		Shared: int32(req.SharedTokens), ObjectiveMicros: req.Objective.Microseconds(), SlackMicros: req.Slack.Microseconds(), LeftMicros: req.Remaining.Microseconds(), Begun: req.MayHaveStarted,
+		WaitedMicros: req.Waited.Microseconds(), Turn: req.Turn, Urgency: int32(req.Urgency), Avoid: req.Avoid, //nolint:gosec // as above
+		Parts: partsToWire(req.Parts), Memory: int32(req.CacheTokens), Hall: a.options.Hall, Regions: req.Regions, //nolint:gosec // as above
+		WithinMicros: req.MaxLimitWait.Microseconds(),
 	}
 }
 
@@ -166,13 +166,13 @@
 // Leads reports whether this host advises the others and so knows of all requests that are sent.
 func (a *Advisor) Leads() bool {
 	if a.options.Leads == nil {
-		return len(a.options.Before()) == 0
+		return len(a.options.PrecedingHosts()) == 0
 	}
 	return a.options.Leads()
 }
 
-// Ended records the end of an advised request for the next query.
-func (a *Advisor) Ended(advised fleet.Advice) {
+// EndAdvised records the end of an advised request for the next query.
+func (a *Advisor) EndAdvised(advised fleet.Advice) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.ended) < maxEnded {
@@ -180,8 +180,8 @@
 	}
 }
 
-// Attempted records the outcome of an attempt at an endpoint for the next query.
-func (a *Advisor) Attempted(endpoint string, o fleet.Outcome) {
+// AddOutcome records the outcome of an attempt at an endpoint for the next query.
+func (a *Advisor) AddOutcome(endpoint string, o fleet.Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if tally, ok := a.results[endpoint]; ok || len(a.results) < maxResults {
@@ -189,8 +189,8 @@
 	}
 }
 
-// Heard records the data from the head of an answer for the next query.
-func (a *Advisor) Heard(h fleet.HeadReport) {
+// ObserveHead records the data from the head of an answer for the next query.
+func (a *Advisor) ObserveHead(h fleet.HeadReport) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.heads) < maxHeads {
@@ -231,7 +231,7 @@
 // hostToAsk returns the address of the host to query; false if this host is the first one that
 // answers.
 func (a *Advisor) hostToAsk() (string, bool) {
-	predecessors := a.options.Before()
+	predecessors := a.options.PrecedingHosts()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := clock.Now()
@@ -246,7 +246,7 @@
 // Rank returns the number of preceding hosts that are not paused for failing to answer. It returns
 // false while the list of hosts is unknown.
 func (a *Advisor) Rank() (rank int, known bool) {
-	predecessors := a.options.Before()
+	predecessors := a.options.PrecedingHosts()
 	if len(predecessors) == 0 && !a.Leads() {
 		return 0, false
 	}
@@ -303,7 +303,7 @@
 		f.AddTally(t.GetEndpoint(), fleet.Tally{Good: t.GetGood(), Failed: t.GetFailed(), Lost: t.GetLost()})
 	}
 	applyLimits(f, r.GetLimits())
-	ask := fleet.Request{
+	req := fleet.Request{
 		Service: r.GetService(), Model: r.GetModel(), Key: r.GetKey(), Tokens: int(r.GetTokens()), SharedTokens: int(r.GetShared()),
 		Objective: clock.Micros(r.GetObjectiveMicros()), Slack: clock.Micros(r.GetSlackMicros()), Remaining: clock.Micros(r.GetLeftMicros()), MayHaveStarted: r.GetBegun(),
 		Waited: clock.Micros(r.GetWaitedMicros()), Turn: r.GetTurn(), Urgency: int(r.GetUrgency()), Avoid: r.GetAvoid(),
@@ -313,12 +313,12 @@
 	// The reply is sent even if there is no endpoint to advise: it lists the ejected ones.
 	reply := &advicepb.ChooseReply{Ejected: f.Ejected(), Limits: limitsToWire(f.LimitUpdates(maxLimits), clock.Now())}
 	if r.GetWeigh() {
-		if expected, ok := f.Expect(ask); ok {
+		if expected, ok := f.Expect(req); ok {
 			reply.Expected = expectationToWire(expected)
 		}
 		return reply, nil
 	}
-	if advised, ok := f.Advise(ask); ok {
+	if advised, ok := f.Advise(req); ok {
 		reply.Endpoint, reply.Ticket, reply.Expected = advised.Endpoint, advised.Ticket, expectationToWire(advised.Expected)
 		reply.Limited = advised.LimitCounted
 		decisionToWire(advised.Decision, reply)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -69,15 +69,15 @@
 	prices        map[string]price                  // of a second of prefill, by service
 	remoteLoads   map[string]*remoteLoad            // by service
 	overruns      map[string]Overrun                // by service
-	turns         map[string]*admission.WaitingList // waiting requests, by service
+	waitingLists  map[string]*admission.WaitingList // waiting requests, by service
 	slotTimes     map[string]time.Duration          // how long a response holds a slot from its head on, by service
 	prefixes      prefixIndex
-	adviserTenure tenure             // of choosing endpoints for prompts with knowledge of other hosts' choices
-	limits        map[string]*member // by ID, endpoints that state a limit or recently did
+	advisorTenure tenure             // of choosing endpoints for prompts with knowledge of other hosts' choices
+	limits        map[string]*member // by ID, endpoints that announce a limit or recently did
 	needLoans     map[string]*member // subset of limits: loans are to be requested
-	changedLimits map[string]*member // subset of limits: to be announced to all hosts
+	changedLimits map[string]*member // subset of limits: to be published to all hosts
 	withLoans     []*member          // subset of limits: loans are available, or recently were
-	lastTicket    int64              // starts at a random number, so that tickets of another adviser match nothing here
+	lastTicket    int64              // starts at a random number, so that tickets of another advisor match nothing here
 }
 
 // member is an endpoint with this host's knowledge of it.
@@ -104,7 +104,7 @@
 	match            prefixMatch   // its cached parts of the prompt that is being placed
 	region           string        // of its data hall
 	warmUp           warmUpState
-	limit            *limitState // nil if it states no limit
+	limit            *limitState // nil if it announces no limit
 }
 
 // maxFirstTicket bounds the first ticket; as many tickets again remain to be issued.
@@ -123,7 +123,7 @@
 	}
 	return &Fleet{
 		options: options, populated: make(chan struct{}), members: map[string]*member{}, instances: map[string]*member{}, interned: map[string]string{}, evacuated: map[string]clock.Instant{}, limits: map[string]*member{}, needLoans: map[string]*member{}, changedLimits: map[string]*member{}, byService: map[string]*pool{}, ejected: map[string]*member{}, prefillModels: map[modelKey]*prefillModel{},
-		prices: map[string]price{}, overruns: map[string]Overrun{}, remoteLoads: map[string]*remoteLoad{}, slotTimes: map[string]time.Duration{}, turns: map[string]*admission.WaitingList{}, prefixes: prefixIndex{holders: map[uint64][]*member{}}, lastTicket: rand.Int64N(maxFirstTicket),
+		prices: map[string]price{}, overruns: map[string]Overrun{}, remoteLoads: map[string]*remoteLoad{}, slotTimes: map[string]time.Duration{}, waitingLists: map[string]*admission.WaitingList{}, prefixes: prefixIndex{holders: map[uint64][]*member{}}, lastTicket: rand.Int64N(maxFirstTicket),
 	}
 }
 
--- a/internal/gateway/cascade.go
+++ b/internal/gateway/cascade.go
@@ -55,17 +55,17 @@
 // compareWith compares a response of the given confidence with the expected response of a larger
 // model.
 func (x *exchange) compareWith(model string, confidence float64) modelComparison {
-	ask := x.fleetAsk(model)
-	ask.Avoid = nil // the endpoint that ran the small model may also run the larger one
+	req := x.fleetRequest(model)
+	req.Avoid = nil // the endpoint that ran the small model may also run the larger one
 	c := modelComparison{model: model, confidence: confidence, elapsed: clock.Since(x.start)}
-	c.expected, c.available = x.expect(ask)
-	c.kept.Right = cascade.CorrectProbability(confidence)
+	c.expected, c.available = x.expect(req)
+	c.kept.Correct = cascade.CorrectProbability(confidence)
 	if c.elapsed <= x.route.Objective {
 		c.kept.InTime = 1
 	}
 	c.larger = cascade.Option{
-		Answer: cascade.Answer{Right: cascade.LargestCorrect, InTime: c.expected.InTime(x.route.Objective - c.elapsed)},
-		Use:    x.useCost(model), Size: x.relativeSize, Delay: x.delayCost(c.expected),
+		Answer: cascade.Answer{Correct: cascade.LargestCorrect, InTime: c.expected.InTime(x.route.Objective - c.elapsed)},
+		Cost:   x.useCost(model), Size: x.relativeSize, Delay: x.delayCost(c.expected),
 	}
 	return c
 }
@@ -82,7 +82,7 @@
 // logComparison logs the comparison of a small model's response with a larger model.
 func (x *exchange) logComparison(c modelComparison, granted bool) {
 	x.g.Logger.Info("larger model weighed", "id", x.header.ID, "model", c.model, "confidence", c.confidence, "kept", c.kept.Value(),
-		"larger", c.larger.Value(), "use", c.larger.Use, "delay", c.larger.Delay, "in_time", c.larger.InTime, "took_ms", c.elapsed.Milliseconds(),
+		"larger", c.larger.Value(), "use", c.larger.Cost, "delay", c.larger.Delay, "in_time", c.larger.InTime, "took_ms", c.elapsed.Milliseconds(),
 		"expected_ms", c.expected.Head.Milliseconds(), "read", c.expected.PrefillTokens, "price", c.expected.Price, "better", c.largerIsBetter(), "asked", granted)
 }
 
@@ -92,7 +92,7 @@
 	if !c.available || x.sends > 1 {
 		return
 	}
-	small := cascade.Option{Use: x.useCost(x.model), Size: x.relativeSize, Delay: x.delayCost(x.expected)}
+	small := cascade.Option{Cost: x.useCost(x.model), Size: x.relativeSize, Delay: x.delayCost(x.expected)}
 	largestFirst := c.larger
 	largestFirst.InTime = c.expected.InTime(x.route.Objective)
 	x.g.firstModels.record(x.route.Name, largestFirst.NetValue()-max(c.kept.Value(), c.larger.NetValue())-small.NetValue())
@@ -100,13 +100,13 @@
 
 // expect returns what an attempt is expected to take, as estimated by the host that advises or else
 // by this host. It returns false if no endpoint takes the request.
-func (x *exchange) expect(ask fleet.Request) (fleet.Expectation, bool) {
+func (x *exchange) expect(req fleet.Request) (fleet.Expectation, bool) {
 	if x.g.Advice != nil {
-		if e, ok := x.g.Advice.Expect(x.ctx, ask, x.versionKey); ok {
+		if e, ok := x.g.Advice.Expect(x.ctx, req, x.versionKey); ok {
 			return e, true
 		}
 	}
-	return x.g.Fleet.Expect(ask)
+	return x.g.Fleet.Expect(req)
 }
 
 // useCost returns the cost of using a model, as a fraction of the answer's value.
@@ -122,8 +122,8 @@
 	return cascade.RelativeCost(cost, largest)
 }
 
-// fleetAsk returns the criteria for choosing an endpoint for a model.
-func (x *exchange) fleetAsk(model string) fleet.Request {
+// fleetRequest returns the criteria for choosing an endpoint for a model.
+func (x *exchange) fleetRequest(model string) fleet.Request {
 	return fleet.Request{
 		Service: x.service, Allowed: x.g.Upgrades.Allowed(x.service, x.versionKey), Avoid: x.tried,
 		Key: x.affinityKey(model), Model: model, Tokens: x.header.TokensIn, SharedTokens: x.header.sharedTokens(),
--- a/internal/gateway/halls_test.go
+++ b/internal/gateway/halls_test.go
@@ -138,7 +138,7 @@
 			f.Put(e)
 			r.gateway.Fleet = f
 			r.gateway.Advice = advice.New(advice.Options{
-				Hall: "ikeja", Fleet: f, Logger: log.New(io.Discard), Before: func() []string { return earlierHosts },
+				Hall: "ikeja", Fleet: f, Logger: log.New(io.Discard), PrecedingHosts: func() []string { return earlierHosts },
 				Conn: func(string) (grpc.ClientConnInterface, error) { return nil, net.ErrClosed },
 			})
 			for range advised / (100 * time.Millisecond) {
@@ -156,7 +156,7 @@
 		return runs
 	}
 
-	It("sends only its own share while it gets no advice, and an adviser's share if it advises others", func() {
+	It("sends only its own share while it gets no advice, and an advisor's share if it advises others", func() {
 		Expect(countRuns([]string{"10.0.0.9:1"}, 0)).To(BeNumerically("<=", 1))
 		Expect(countRuns(nil, 1500*time.Millisecond)).To(Equal(8))
 		Expect(countRuns(nil, 0)).To(Equal(2), "a host that has just started to advise")
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -43,7 +43,7 @@
 ) *duty.Coordinator {
 	o := duty.Options{
 		Host: s.Host, Incarnation: string(incarnationID), Tables: tables, Counter: counter, Querier: duty.NewQuerier(w.Conn),
-		Members: func() []duty.Member { return dutyMembers(w) }, Successors: w.FollowingHosts, Running: g.Running, Stocks: endpointCounts(f, u), EvacuatedHalls: f.Evacuated,
+		Members: func() []duty.Member { return dutyMembers(w) }, Successors: w.FollowingHosts, Running: g.Running, EndpointCounts: endpointCounts(f, u), EvacuatedHalls: f.Evacuated,
 		Services: func() []duty.Service { return scaledServices(h.Table()) }, Logger: l,
 	}
 	if s.Gateway.Duties != "" {
@@ -62,7 +62,7 @@
 func endpointCounts(f *fleet.Fleet, u *upgrade.Tracker) func(service string) (map[string]capacity.EndpointCounts, bool) {
 	return func(service string) (map[string]capacity.EndpointCounts, bool) {
 		from, upgrading := u.InProgress(service)
-		return f.Stocks(service, from), upgrading
+		return f.EndpointCounts(service, from), upgrading
 	}
 }
 
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -170,17 +170,17 @@
 }
 
 func newAdvisor(s settings.Settings, w *spread.Watcher, f *fleet.Fleet, u *upgrade.Tracker, l *log.Logger) *advice.Advisor {
-	a := advice.New(advice.Options{Hall: s.DataHall, Fleet: f, Allowed: u.Allowed, Before: w.PrecedingHosts, Leads: w.Leads, Conn: w.Conn, Logger: l})
-	f.OnOutcome(a.Attempted)
-	f.OnHead(a.Heard)
+	a := advice.New(advice.Options{Hall: s.DataHall, Fleet: f, Allowed: u.Allowed, PrecedingHosts: w.PrecedingHosts, Leads: w.Leads, Conn: w.Conn, Logger: l})
+	f.OnOutcome(a.AddOutcome)
+	f.OnHead(a.ObserveHead)
 	return a
 }
 
 func newLimits(s settings.Settings, w *spread.Watcher, f *fleet.Fleet, t *telemetry.Telemetry, l *log.Logger) *ratelimit.Limiter {
 	return ratelimit.NewLimiter(ratelimit.Options{
-		Host: s.Host, Fleet: f, Caller: ratelimit.NewPeerClient(w.Conn), Telemetry: t, Logger: l,
-		Known:   func() bool { return w.Choosers().Hosts > 0 },
-		Members: func() []ratelimit.Member { return members[ratelimit.Member](w) },
+		Host: s.Host, Fleet: f, Peers: ratelimit.NewPeerClient(w.Conn), Telemetry: t, Logger: l,
+		MembersKnown: func() bool { return w.Choosers().Hosts > 0 },
+		Members:      func() []ratelimit.Member { return members[ratelimit.Member](w) },
 	})
 }
 
@@ -212,7 +212,7 @@
 	q *quarantine.Tracker, limits *ratelimit.Limiter, counter *usage.Counter, w *spread.Watcher, d *clock.Deadlines, t *telemetry.Telemetry, l *log.Logger,
 ) *gateway.Gateway {
 	return gateway.New(gateway.Options{
-		Holder: h, Fleet: f, Pool: p, Upgrades: u, Codec: platform.Heads{}, Advice: a, Quarantine: q, Limits: limits, Deadlines: d, Telemetry: t, Logger: l, Usage: counter, Hosts: w.Hosts,
+		Holder: h, Fleet: f, Pool: p, Upgrades: u, Codec: platform.Heads{}, Advice: a, Quarantine: q, RateLimits: limits, Deadlines: d, Telemetry: t, Logger: l, Usage: counter, HostCount: w.Hosts,
 		RetryRatio: retryFraction * s.Gateway.RetryRatio,
 	})
 }
--- a/internal/pipeline/request.go
+++ b/internal/pipeline/request.go
@@ -172,7 +172,7 @@
 // admit waits for permission to run the request on this host.
 func (p *Pipeline) admit(ctx context.Context, a parsedRequest) (*admission.Permit, error) {
 	permit, err := p.options.Admission.Admit(ctx, admission.Request{
-		Workspace: a.workspace.Name, Share: a.workspace.Concurrency, Priority: a.priority, Deadline: a.deadline,
+		Workspace: a.workspace.Name, WorkspaceLimit: a.workspace.Concurrency, Priority: a.priority, Deadline: a.deadline,
 	})
 	if err == nil {
 		return permit, nil
--- a/internal/quarantine/cluster_test.go
+++ b/internal/quarantine/cluster_test.go
@@ -60,13 +60,13 @@
 	h := c.hosts
 	h.mu.Lock()
 	h.calls++
-	cut, book := h.partitioned[to] || h.partitioned[c.from], h.trackers[to]
+	cut, tracker := h.partitioned[to] || h.partitioned[c.from], h.trackers[to]
 	h.mu.Unlock()
-	if cut || book == nil {
+	if cut || tracker == nil {
 		<-ctx.Done()
 		return quarantine.Update{}, errPartitioned
 	}
-	return book.HandleUpdate(ctx, n)
+	return tracker.HandleUpdate(ctx, n)
 }
 
 // members returns the other hosts, starting with the next one.
@@ -144,16 +144,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	tables := platform.NewStore(storeAddress, h.net.Dial)
 	peers := peerClient{h, i}
-	b := quarantine.NewTracker(quarantine.Options{
+	tracker := quarantine.NewTracker(quarantine.Options{
 		Host: fmt.Sprint("host-", i), Probe: h.probe, CountEndpoints: func(string) int { return 12 }, Tables: tables, Logger: log.New(h.log),
 		Members: peers.members, Peers: peers, IsFirstHost: func() bool { return i == 0 },
 		SharedNow: func() (time.Duration, bool) { return h.clock.Now(), true },
 	})
 	process := &hostProcess{cancel: cancel}
-	process.working.Go(func() { b.Run(ctx) })
+	process.working.Go(func() { tracker.Run(ctx) })
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.trackers[i], h.processes[i] = b, process
+	h.trackers[i], h.processes[i] = tracker, process
 }
 
 // kill stops a host; what it has not sent is lost.
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,9 +1,9 @@
-// Package ratelimit makes all hosts together respect the rate limits that endpoints declare: how many
-// requests a second an endpoint accepts from all hosts in total.
+// Package ratelimit makes all hosts together respect the rate limits that endpoints announce: how
+// many requests a second an endpoint accepts from all hosts in total.
 //
 // # Usage
 //
-//	l := ratelimit.NewLimiter(ratelimit.Options{Host: name, Fleet: f, Members: members, Known: known, Caller: caller})
+//	l := ratelimit.NewLimiter(ratelimit.Options{Host: name, Fleet: f, Members: members, MembersKnown: known, Peers: peers})
 //	ratelimit.Register(server, l)
 //	go l.Run(ctx)
 //
@@ -13,7 +13,7 @@
 // nothing has to be revoked. While the lender does not answer, the next host in the endpoint's order
 // lends, at first only a part of the limit. A host that is asked although another host precedes it in
 // the order forwards the request to that host, so two hosts lend at once only while they cannot reach
-// each other. There is no consensus and no persistent state: a limit is what the endpoint declared
+// each other. There is no consensus and no persistent state: a limit is what the endpoint announced
 // moments ago. A host that learns that a limit begins, ends or changes tells a few random hosts, which
 // tell others in turn (gossip).
 package ratelimit
@@ -77,12 +77,12 @@
 type Options struct {
 	Host  string // this host's name
 	Fleet *fleet.Fleet
-	// Members lists all other hosts; Known reports whether that list has been read.
-	Members   func() []Member
-	Known     func() bool
-	Caller    PeerClient
-	Telemetry *telemetry.Telemetry
-	Logger    *log.Logger
+	// Members lists all other hosts; MembersKnown reports whether that list has been read.
+	Members      func() []Member
+	MembersKnown func() bool
+	Peers        PeerClient
+	Telemetry    *telemetry.Telemetry
+	Logger       *log.Logger
 }
 
 // Limiter borrows for this host and lends to other hosts. It is safe for concurrent use.
@@ -158,7 +158,7 @@
 
 // gossip sends limits that began, ended or changed to random hosts.
 func (l *Limiter) gossip(ctx context.Context, working *sync.WaitGroup) {
-	if !l.options.Known() {
+	if !l.options.MembersKnown() {
 		return // the limits are sent with the next change, or by other hosts
 	}
 	news := l.options.Fleet.TakeLimitUpdates(maxLimitsPerMessage)
@@ -169,7 +169,7 @@
 		working.Go(func() {
 			callCtx, cancel := context.WithTimeout(ctx, askTimeout)
 			defer cancel()
-			if err := l.options.Caller.SendLimits(callCtx, h.Address, news); err != nil && ctx.Err() == nil {
+			if err := l.options.Peers.SendLimits(callCtx, h.Address, news); err != nil && ctx.Err() == nil {
 				l.options.Logger.Debug("cannot send limits to host", "to", h.Name, "count", len(news), "error", err)
 			}
 		})
@@ -198,14 +198,14 @@
 // fetchLimits runs at startup: it asks a few hosts, one after the other, for the limits they know of,
 // until one answers.
 func (l *Limiter) fetchLimits(ctx context.Context) {
-	for !l.options.Known() {
+	for !l.options.MembersKnown() {
 		if !clock.Sleep(ctx, membersPollInterval) {
 			return
 		}
 	}
 	for _, h := range l.randomHosts(maxTries) {
 		callCtx, cancel := context.WithTimeout(ctx, askTimeout)
-		news, err := l.options.Caller.FetchLimits(callCtx, h.Address)
+		news, err := l.options.Peers.FetchLimits(callCtx, h.Address)
 		cancel()
 		if err == nil {
 			l.ApplyLimits(news)
@@ -241,13 +241,13 @@
 	}
 	l.options.Telemetry.Count("limit_requests_borrowed", int64(reply.Requests))
 	l.options.Fleet.MergeLimit(reply.Limit)
-	l.options.Fleet.FinishLoan(w.Update.Endpoint, fleet.Loan{Requests: reply.Requests, Until: sent.Add(reply.Lasts), RetryAt: clock.Now().Add(reply.Again)})
+	l.options.Fleet.FinishLoan(w.Update.Endpoint, fleet.Loan{Requests: reply.Requests, Until: sent.Add(reply.Validity), RetryAt: clock.Now().Add(reply.RetryAfter)})
 }
 
 // borrow requests a loan from the lender, which may be this host. It returns false if it finds
 // no lender.
 func (l *Limiter) borrow(ctx context.Context, r Request) (Reply, bool) {
-	if !l.options.Known() {
+	if !l.options.MembersKnown() {
 		return Reply{}, false
 	}
 	for range maxTries {
@@ -274,14 +274,14 @@
 	if !ok {
 		return noLenderPause, false
 	}
-	return reply.Again, reply.Requests > 0
+	return reply.RetryAfter, reply.Requests > 0
 }
 
 // borrowFrom requests a loan from a host, and records whether the host answers.
 func (l *Limiter) borrowFrom(ctx context.Context, h host, r Request, timeout time.Duration) (Reply, error) {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := l.options.Caller.Borrow(callCtx, h.Address, r)
+	reply, err := l.options.Peers.Borrow(callCtx, h.Address, r)
 	if ctx.Err() != nil {
 		return reply, err
 	}
--- a/internal/ratelimit/simulation_test.go
+++ b/internal/ratelimit/simulation_test.go
@@ -26,8 +26,8 @@
 	errSilent = errors.New("no answer")
 )
 
-// simulation is a set of hosts that send requests to the endpoints of one service, some of which declare
-// limits.
+// simulation is a set of hosts that send requests to the endpoints of one service, some of which
+// announce limits.
 type simulation struct {
 	scenario
 	began    clock.Instant
@@ -53,8 +53,8 @@
 type scenario struct {
 	strategy         strategy
 	hosts            int
-	limitedEndpoints int     // number of endpoints that declare a limit
-	rate             float64 // limit that they declare, in requests a second
+	limitedEndpoints int     // number of endpoints that announce a limit
+	rate             float64 // limit that they announce, in requests a second
 	requestRate      float64 // requests a second, over all hosts
 	hotShare         float64 // share of the requests that all come to host 0
 	// Intervals at which a host is killed, frozen or cut off; 0 for never.
@@ -122,7 +122,7 @@
 	h.fleet, h.cancel, h.down, h.cut = f, cancel, false, false
 	if h.sim.strategy == lending {
 		h.limiter = ratelimit.NewLimiter(ratelimit.Options{
-			Host: h.name(), Fleet: f, Members: h.members, Known: func() bool { return true }, Caller: h,
+			Host: h.name(), Fleet: f, Members: h.members, MembersKnown: func() bool { return true }, Peers: h,
 			Telemetry: telemetry.MetricsOnly(), Logger: log.New(io.Discard),
 		})
 	}
@@ -166,7 +166,7 @@
 			share.Rate /= float64(h.sim.hosts)
 			now := clock.Now()
 			r := lender.Lend(ratelimit.Request{Requests: want.Requests, Limit: share}, true, now)
-			f.FinishLoan(want.Update.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.Lasts), RetryAt: now.Add(r.Again)})
+			f.FinishLoan(want.Update.Endpoint, fleet.Loan{Requests: r.Requests, Until: now.Add(r.Validity), RetryAt: now.Add(r.RetryAfter)})
 		}
 		if !next.IsZero() {
 			timer.Reset(max(clock.Until(next), 0))
