--- a/internal/config/spread.go
+++ b/internal/config/distribute.go
@@ -23,8 +23,8 @@
 	confirmEvery     = 300 * time.Millisecond
 )
 
-// SpreadOptions set up a Spreader.
-type SpreadOptions struct {
+// DistributorOptions set up a Spreader.
+type DistributorOptions struct {
 	Log      *Log
 	Holder   *Holder
 	Link     peer.Link
@@ -33,20 +33,20 @@
 	Backstop time.Duration // of everyone else
 }
 
-// Spreader brings revisions to this host and on to others. A few hosts per
+// Distributor brings revisions to this host and on to others. A few hosts per
 // region poll the store; a new revision is pushed to one host in each data hall
 // and from there to the hall's others; and every ping tells which revision a
 // host has, so that whoever lags fetches from whoever leads.
-type Spreader struct {
-	options SpreadOptions
+type Distributor struct {
+	options DistributorOptions
 	fetch   sync.Mutex // one fetch at a time
 }
 
-// NewSpreader returns a spreader.
-func NewSpreader(options SpreadOptions) *Spreader { return &Spreader{options: options} }
+// NewDistributor returns a spreader.
+func NewDistributor(options DistributorOptions) *Distributor { return &Distributor{options: options} }
 
 // Run polls the store until the context ends.
-func (s *Spreader) Run(ctx context.Context) {
+func (s *Distributor) Run(ctx context.Context) {
 	for {
 		s.PollOnce(ctx)
 		period := s.options.Backstop
@@ -60,7 +60,7 @@
 }
 
 // polls reports whether this host is one of its region's pollers.
-func (s *Spreader) polls() bool {
+func (s *Distributor) polls() bool {
 	view := s.options.View()
 	self, ok := view.Member(view.Self)
 	if !ok {
@@ -82,7 +82,7 @@
 }
 
 // PollOnce reads the head and, if it is higher, the newest revision.
-func (s *Spreader) PollOnce(ctx context.Context) {
+func (s *Distributor) PollOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	asked := clock.Now()
@@ -106,7 +106,7 @@
 
 // Observe takes in what another host says of itself: the age of its knowledge,
 // if it has our revision, or that it has a higher one, which is then fetched.
-func (s *Spreader) Observe(status peer.Status, at clock.Instant) {
+func (s *Distributor) Observe(status peer.Status, at clock.Instant) {
 	mine := s.options.Holder.Number()
 	switch {
 	case status.Revision == mine && status.Confirmed:
@@ -117,7 +117,7 @@
 }
 
 // fetchFrom gets the newest revision from a host that leads.
-func (s *Spreader) fetchFrom(status peer.Status, at clock.Instant) {
+func (s *Distributor) fetchFrom(status peer.Status, at clock.Instant) {
 	if !s.fetch.TryLock() {
 		return
 	}
@@ -139,7 +139,7 @@
 // errEmptyMessage means that a peer had nothing newer.
 var errEmptyMessage = errors.New("no newer revision")
 
-func (s *Spreader) applyMessage(message peer.RevisionMessage) error {
+func (s *Distributor) applyMessage(message peer.RevisionMessage) error {
 	if message.Number == 0 {
 		return errEmptyMessage
 	}
@@ -155,7 +155,7 @@
 }
 
 // Fetch answers a host that lags.
-func (s *Spreader) Fetch(above int64) (peer.RevisionMessage, error) {
+func (s *Distributor) Fetch(above int64) (peer.RevisionMessage, error) {
 	current := s.options.Holder.Current()
 	if current == nil || current.Number() <= above {
 		return peer.RevisionMessage{}, nil
@@ -172,7 +172,7 @@
 }
 
 // Push takes in a pushed revision, passes it on and says who has what in force.
-func (s *Spreader) Push(ctx context.Context, push peer.Push) ([]peer.Confirmation, error) {
+func (s *Distributor) Push(ctx context.Context, push peer.Push) ([]peer.Confirmation, error) {
 	if err := s.applyMessage(push.Revision); err != nil {
 		return nil, err
 	}
@@ -181,12 +181,12 @@
 }
 
 // relay pushes a revision to hosts, all at once, and gathers what they confirm.
-func (s *Spreader) relay(ctx context.Context, message peer.RevisionMessage, targets []peer.Target) []peer.Confirmation {
+func (s *Distributor) relay(ctx context.Context, message peer.RevisionMessage, targets []peer.Target) []peer.Confirmation {
 	return s.pushAll(ctx, message, targets, nil)
 }
 
 // pushAll pushes to targets; rest gives each the hosts that it relays to.
-func (s *Spreader) pushAll(ctx context.Context, message peer.RevisionMessage, targets []peer.Target, rest map[string][]peer.Target) []peer.Confirmation {
+func (s *Distributor) pushAll(ctx context.Context, message peer.RevisionMessage, targets []peer.Target, rest map[string][]peer.Target) []peer.Confirmation {
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
 	var mu sync.Mutex // guards all
@@ -210,7 +210,7 @@
 
 // regionView is the view of this host's own region: what a poller finds is every
 // region's own pollers' to find, so it need not be pushed further.
-func (s *Spreader) regionView() membership.View {
+func (s *Distributor) regionView() membership.View {
 	view := s.options.View()
 	self, _ := view.Member(view.Self)
 	kept := membership.View{Self: view.Self}
@@ -224,11 +224,11 @@
 
 // PushOn pushes a revision to all other hosts: to one in each other data hall,
 // which passes it on there, and directly to those of this host's own.
-func (s *Spreader) PushOn(ctx context.Context, r Revision) []peer.Confirmation {
+func (s *Distributor) PushOn(ctx context.Context, r Revision) []peer.Confirmation {
 	return s.pushTo(ctx, r, s.options.View())
 }
 
-func (s *Spreader) pushTo(ctx context.Context, r Revision, view membership.View) []peer.Confirmation {
+func (s *Distributor) pushTo(ctx context.Context, r Revision, view membership.View) []peer.Confirmation {
 	message, err := messageOf(r)
 	if err != nil {
 		return nil
@@ -273,7 +273,7 @@
 
 // AwaitInForce pushes a revision until every live host has confirmed it or the
 // context ends, and tells who has.
-func (s *Spreader) AwaitInForce(ctx context.Context, r Revision) InForce {
+func (s *Distributor) AwaitInForce(ctx context.Context, r Revision) InForce {
 	confirmed := map[string]bool{}
 	for {
 		for _, c := range s.PushOn(ctx, r) {
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -55,7 +55,7 @@
 	Logger     *log.Logger
 	State      *State
 	Config     *config.Holder
-	Spreader   *config.Spreader
+	Distributor   *config.Distributor
 	Membership *membership.Membership
 	Leases     *lease.Manager
 	Watch      *endpoint.Watch
@@ -155,7 +155,7 @@
 // backgroundTasks returns the functions that run in the background until the host stops.
 func (h *Host) backgroundTasks() []func(context.Context) {
 	return []func(context.Context){
-		h.Membership.Run, h.Spreader.Run, h.Watch.Run, h.Ledger.Run, h.Guard.Run, h.Estimates.Run, h.Rollout.Run,
+		h.Membership.Run, h.Distributor.Run, h.Watch.Run, h.Ledger.Run, h.Guard.Run, h.Estimates.Run, h.Rollout.Run,
 		func(ctx context.Context) { h.Leases.Run(ctx, estimate.LeaseName, h.Estimates.Sum) },
 		func(ctx context.Context) { h.Leases.Run(ctx, sweepLease, h.sweep) },
 		h.runHallOrders, h.housekeeping, h.sweepConns, h.Quarantine.Run,
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -90,7 +90,7 @@
 		fx.Supply(s, ports, identity{host: s.Host, incarnation: uuid.NewString()}),
 		fx.Provide(
 			newLogger, newPlatform, newTelemetry, newTLS, newLink, newTransport, newConns,
-			config.NewHolder, config.NewLog, newKeyrings, newState, newMembership, newSpreader,
+			config.NewHolder, config.NewLog, newKeyrings, newState, newMembership, newDistributor,
 			newWatch, clock.NewDeadlines, newQuarantine, newDispatcher, newAdmission, newLeases, newLedger, newGuard,
 			session.NewNamedSessions, job.NewQueue, newCredits, newTraffic, estimate.NewAggregator,
 			newPipeline, newWorker, operator.NewCommands, newQueries, newRollout, newOrders, newHost,
@@ -170,12 +170,12 @@
 	})
 }
 
-func newSpreader(s settings.Settings, l *config.Log, h *config.Holder, link peer.Link, m *membership.Membership, state *State) *config.Spreader {
-	spreader := config.NewSpreader(config.SpreadOptions{
+func newDistributor(s settings.Settings, l *config.Log, h *config.Holder, link peer.Link, m *membership.Membership, state *State) *config.Distributor {
+	distributor := config.NewDistributor(config.DistributorOptions{
 		Log: l, Holder: h, Link: link, View: m.View, Poll: s.Times.Poll, Backstop: s.Times.Backstop,
 	})
-	state.spreader.Store(spreader)
-	return spreader
+	state.distributor.Store(distributor)
+	return distributor
 }
 
 func newWatch(s settings.Settings, m *membership.Membership, t http.RoundTripper) (*endpoint.Watch, *fleet.Fleet) {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -18,12 +18,12 @@
 
 // Fetch implements peer.Handler.
 func (p *peerHandler) Fetch(_ context.Context, above int64) (peer.RevisionMessage, error) {
-	return p.host.Spreader.Fetch(above)
+	return p.host.Distributor.Fetch(above)
 }
 
 // Push implements peer.Handler.
 func (p *peerHandler) Push(ctx context.Context, push peer.Push) ([]peer.Confirmation, error) {
-	return p.host.Spreader.Push(ctx, push)
+	return p.host.Distributor.Push(ctx, push)
 }
 
 // Hold implements peer.Handler.
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -15,7 +15,7 @@
 	identity identity
 	holder   *config.Holder
 	draining atomic.Bool
-	spreader atomic.Pointer[config.Spreader] // set once, after membership exists
+	distributor atomic.Pointer[config.Distributor] // set once, after membership exists
 }
 
 func newState(s settings.Settings, id identity, h *config.Holder) *State {
@@ -32,9 +32,9 @@
 	}
 }
 
-// observe passes the status of another host to the configuration spreader.
+// observe passes the status of another host to the configuration distributor.
 func (s *State) observe(status peer.Status, at clock.Instant) {
-	if spreader := s.spreader.Load(); spreader != nil {
-		spreader.Observe(status, at)
+	if distributor := s.distributor.Load(); distributor != nil {
+		distributor.Observe(status, at)
 	}
 }
--- a/internal/measure/hosts.go
+++ b/internal/measure/hosts.go
@@ -43,7 +43,7 @@
 	name, hall, region string
 	holder             *config.Holder
 	members            *membership.Membership
-	spreader           *config.Spreader
+	distributor           *config.Distributor
 }
 
 func (h *spreadHost) status() peer.Status {
@@ -61,12 +61,12 @@
 
 // Fetch implements peer.Handler.
 func (h *spreadHost) Fetch(_ context.Context, above int64) (peer.RevisionMessage, error) {
-	return h.spreader.Fetch(above)
+	return h.distributor.Fetch(above)
 }
 
 // Push implements peer.Handler.
 func (h *spreadHost) Push(ctx context.Context, p peer.Push) ([]peer.Confirmation, error) {
-	return h.spreader.Push(ctx, p)
+	return h.distributor.Push(ctx, p)
 }
 
 // Hold implements peer.Handler.
@@ -137,9 +137,9 @@
 		link := countingLink{Link: f.network.Link(h.name), manyHosts: f, from: h.name}
 		h.members = membership.New(membership.Options{
 			Hosts: rows, Link: link, Self: h.status, PingPeriod: time.Second, ListPeriod: time.Second,
-			Observe: func(s peer.Status, at clock.Instant) { h.spreader.Observe(s, at) },
+			Observe: func(s peer.Status, at clock.Instant) { h.distributor.Observe(s, at) },
 		})
-		h.spreader = config.NewSpreader(config.SpreadOptions{
+		h.distributor = config.NewDistributor(config.DistributorOptions{
 			Log: log, Holder: h.holder, Link: link, View: h.members.View, Poll: time.Second, Backstop: 30 * time.Second,
 		})
 		rows.SetHost(store.Host{ID: h.name, Kind: store.HostEntry, DataHall: h.hall, Region: h.region, Address: h.name, State: store.HostLive})
@@ -148,7 +148,7 @@
 	}
 	for _, h := range f.hosts {
 		f.wait.Go(func() { h.members.Run(ctx) })
-		f.wait.Go(func() { h.spreader.Run(ctx) })
+		f.wait.Go(func() { h.distributor.Run(ctx) })
 	}
 	return f
 }
@@ -252,7 +252,7 @@
 			h := f.hosts[i%n]
 			h.holder.Apply(r)
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
-			state := h.spreader.AwaitInForce(ctx, r)
+			state := h.distributor.AwaitInForce(ctx, r)
 			cancel()
 			if !state.Everywhere() {
 				return Table{}, fmt.Errorf("revision %d is not in force on %v", r.Number, state.Lagging)
--- a/internal/measure/inforce.go
+++ b/internal/measure/inforce.go
@@ -86,7 +86,7 @@
 		c.Store.Inject(table.Fault{Kind: table.FaultDown})
 		h.Config.Apply(next)
 		waiting, cancel := context.WithTimeout(ctx, 20*time.Second)
-		state := h.Spreader.AwaitInForce(waiting, next)
+		state := h.Distributor.AwaitInForce(waiting, next)
 		cancel()
 		c.Store.Heal()
 		r.took = append(r.took, time.Since(started))
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -37,7 +37,7 @@
 type Commands struct {
 	log    *config.Log
 	holder *config.Holder
-	spread *config.Spreader
+	distributor *config.Distributor
 	// Unload orders engines to drop a withdrawn version: a second line behind
 	// the hosts' own refusal; nil if there is none.
 	Unload func(ctx context.Context, ref declare.Ref)
@@ -46,8 +46,8 @@
 }
 
 // NewCommands returns the commands of a host.
-func NewCommands(log *config.Log, holder *config.Holder, spread *config.Spreader, q *quarantine.Tracker) *Commands {
-	return &Commands{log: log, holder: holder, spread: spread, quarantine: q}
+func NewCommands(log *config.Log, holder *config.Holder, distributor *config.Distributor, q *quarantine.Tracker) *Commands {
+	return &Commands{log: log, holder: holder, distributor: distributor, quarantine: q}
 }
 
 // Envelope is what every command carries.
@@ -134,7 +134,7 @@
 	c.holder.Confirm(revision.Number, started)
 	waiting, cancel := context.WithTimeout(ctx, e.Wait)
 	defer cancel()
-	state := c.spread.AwaitInForce(waiting, revision)
+	state := c.distributor.AwaitInForce(waiting, revision)
 	o.Revision, o.InForce, o.Everywhere = revision.Number, &state, state.Everywhere()
 	o.TookMS = float64(clock.Since(started).Microseconds()) / 1000
 	return o, nil
