--- a/internal/declare/declare_test.go
+++ b/internal/declare/declare_test.go
@@ -102,7 +102,7 @@
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			draw := rapid.SliceOfN(rapid.SampledFrom(states), 1, 4)
 			before, after := versions(draw.Draw(t, "before")...), versions(draw.Draw(t, "after")...)
-			next, _ := declare.Succeed(before, after)
+			next, _ := declare.CarryOverStates(before, after)
 			for _, v := range before.Models[0].Versions {
 				ref := declare.Ref{Model: "m", Version: v.Name}
 				now, ok := next.Version(ref)
--- a/internal/declare/fuzz_test.go
+++ b/internal/declare/fuzz_test.go
@@ -17,7 +17,7 @@
 			return
 		}
 		_ = d.Validate()
-		_, _ = declare.Succeed(d, d)
+		_, _ = declare.CarryOverStates(d, d)
 		_, _ = declare.Diff(declare.Declarations{}, d)
 	})
 }
--- a/internal/declare/succeed.go
+++ b/internal/declare/states.go
@@ -26,12 +26,12 @@
 // Before reports whether the state comes earlier in a version's life.
 func (s State) Before(other State) bool { return s.order() < other.order() }
 
-// Succeed returns next as the successor of previous. Files say in which state
+// CarryOverStates returns next as the successor of previous. Files say in which state
 // a version starts; commands and plans move it on from there. So a version
 // never goes back to an earlier state by applying an old file, and a withdrawn
 // one stays known as withdrawn even when the files no longer name it. The
 // notes say, in words for the operator, what was kept.
-func Succeed(previous, next Declarations) (Declarations, []string) {
+func CarryOverStates(previous, next Declarations) (Declarations, []string) {
 	var notes []string
 	for _, m := range previous.Models {
 		for _, v := range m.Versions {
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	merged, notes := declare.Succeed(base.Declarations, next)
+	merged, notes := declare.CarryOverStates(base.Declarations, next)
 	changes, err := declare.Diff(base.Declarations, merged)
 	if err != nil {
 		return Outcome{}, err
