--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -52,14 +52,14 @@
 		})
 	})
 
-	losses := map[string][]table.Fault{
+	storeFaults := map[string][]table.Fault{
 		"one lost reply":           {{Kind: table.FaultLoseReply, Count: 1}},
 		"two lost replies":         {{Kind: table.FaultLoseReply, Count: 2}},
 		"a lost reply, then down":  {{Kind: table.FaultLoseReply, Count: 1}, {Kind: table.FaultDown, Count: 2}},
 		"down for a few calls":     {{Kind: table.FaultDown, Count: 3}},
 		"stale reads after a loss": {{Kind: table.FaultLoseReply, Count: 1}, {Kind: table.FaultStale, Count: 2}},
 	}
-	for name, faults := range losses {
+	for name, faults := range storeFaults {
 		It("settles "+name+" by the command's id", func() {
 			suite.Paused(func() {
 				store := table.New(table.Options{})
@@ -116,7 +116,7 @@
 						r, err := log.Accept(ctx, base, change(fmt.Sprintf("%d-%d", operator, i)))
 						if err != nil {
 							r.Number = 0
-							if !conflicted(err) {
+							if !isConflict(err) {
 								continue // nothing was said
 							}
 						}
@@ -141,7 +141,7 @@
 	})
 })
 
-func conflicted(err error) bool {
+func isConflict(err error) bool {
 	var conflict *config.ConflictError
 	return errors.As(err, &conflict)
 }
--- a/internal/config/distribute.go
+++ b/internal/config/distribute.go
@@ -20,7 +20,7 @@
 	storeTimeout     = 2 * time.Second
 	pushTimeout      = 3 * time.Second
 	fetchTimeout     = 2 * time.Second
-	confirmEvery     = 300 * time.Millisecond
+	confirmInterval  = 300 * time.Millisecond
 )
 
 // DistributorOptions set up a Spreader.
@@ -38,8 +38,8 @@
 // and from there to the hall's others; and every ping tells which revision a
 // host has, so that whoever lags fetches from whoever leads.
 type Distributor struct {
-	options DistributorOptions
-	fetch   sync.Mutex // one fetch at a time
+	options  DistributorOptions
+	fetching sync.Mutex // one fetch at a time
 }
 
 // NewDistributor returns a spreader.
@@ -50,7 +50,7 @@
 	for {
 		s.PollOnce(ctx)
 		period := s.options.Backstop
-		if s.polls() || s.options.Holder.Current() == nil {
+		if s.isPoller() || s.options.Holder.Current() == nil {
 			period = s.options.Poll
 		}
 		if !clock.Sleep(ctx, clock.Around(period)) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// polls reports whether this host is one of its region's pollers.
-func (s *Distributor) polls() bool {
+// isPoller reports whether this host is one of its region's pollers.
+func (s *Distributor) isPoller() bool {
 	view := s.options.View()
 	self, ok := view.Member(view.Self)
 	if !ok {
@@ -85,7 +85,7 @@
 func (s *Distributor) PollOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	asked := clock.Now()
+	requested := clock.Now()
 	number, err := s.options.Log.HeadNumber(ctx)
 	if err != nil || number == 0 {
 		return
@@ -96,32 +96,32 @@
 			return
 		}
 		if s.options.Holder.Apply(revision) {
-			s.options.Holder.Confirm(number, asked)
+			s.options.Holder.Confirm(number, requested)
 			go s.pushTo(context.WithoutCancel(ctx), revision, s.regionView())
 			return
 		}
 	}
-	s.options.Holder.Confirm(number, asked)
+	s.options.Holder.Confirm(number, requested)
 }
 
 // Observe takes in what another host says of itself: the age of its knowledge,
 // if it has our revision, or that it has a higher one, which is then fetched.
 func (s *Distributor) Observe(status peer.Status, at clock.Instant) {
-	mine := s.options.Holder.Number()
+	ownRevision := s.options.Holder.Number()
 	switch {
-	case status.Revision == mine && status.Confirmed:
-		s.options.Holder.Confirm(mine, at.Add(-status.Age))
-	case status.Revision > mine:
+	case status.Revision == ownRevision && status.Confirmed:
+		s.options.Holder.Confirm(ownRevision, at.Add(-status.Age))
+	case status.Revision > ownRevision:
 		go s.fetchFrom(status, at)
 	}
 }
 
 // fetchFrom gets the newest revision from a host that leads.
 func (s *Distributor) fetchFrom(status peer.Status, at clock.Instant) {
-	if !s.fetch.TryLock() {
+	if !s.fetching.TryLock() {
 		return
 	}
-	defer s.fetch.Unlock()
+	defer s.fetching.Unlock()
 	if status.Revision <= s.options.Holder.Number() {
 		return
 	}
@@ -136,12 +136,12 @@
 	}
 }
 
-// errEmptyMessage means that a peer had nothing newer.
-var errEmptyMessage = errors.New("no newer revision")
+// errNoNewerRevision means that a peer had nothing newer.
+var errNoNewerRevision = errors.New("no newer revision")
 
 func (s *Distributor) applyMessage(message peer.RevisionMessage) error {
 	if message.Number == 0 {
-		return errEmptyMessage
+		return errNoNewerRevision
 	}
 	revision, err := codec.Decode[Revision](message.Data)
 	if err != nil {
@@ -160,10 +160,10 @@
 	if current == nil || current.Number() <= above {
 		return peer.RevisionMessage{}, nil
 	}
-	return messageOf(current.Revision())
+	return encodeRevision(current.Revision())
 }
 
-func messageOf(r Revision) (peer.RevisionMessage, error) {
+func encodeRevision(r Revision) (peer.RevisionMessage, error) {
 	data, err := codec.Encode(r)
 	if err != nil {
 		return peer.RevisionMessage{}, err
@@ -186,7 +186,7 @@
 }
 
 // pushAll pushes to targets; rest gives each the hosts that it relays to.
-func (s *Distributor) pushAll(ctx context.Context, message peer.RevisionMessage, targets []peer.Target, rest map[string][]peer.Target) []peer.Confirmation {
+func (s *Distributor) pushAll(ctx context.Context, message peer.RevisionMessage, targets []peer.Target, relays map[string][]peer.Target) []peer.Confirmation {
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
 	var mu sync.Mutex // guards all
@@ -194,10 +194,10 @@
 	var wait sync.WaitGroup
 	for _, t := range targets {
 		wait.Go(func() {
-			got, err := s.options.Link.Push(ctx, t.Address, peer.Push{Revision: message, Relay: rest[t.Host]})
+			got, err := s.options.Link.Push(ctx, t.Address, peer.Push{Revision: message, Relay: relays[t.Host]})
 			if err != nil {
 				// The relay is gone: its hosts are told directly.
-				got = s.pushAll(ctx, message, rest[t.Host], nil)
+				got = s.pushAll(ctx, message, relays[t.Host], nil)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -213,53 +213,53 @@
 func (s *Distributor) regionView() membership.View {
 	view := s.options.View()
 	self, _ := view.Member(view.Self)
-	kept := membership.View{Self: view.Self}
+	regional := membership.View{Self: view.Self}
 	for _, m := range view.Members {
 		if m.Region == self.Region {
-			kept.Members = append(kept.Members, m)
+			regional.Members = append(regional.Members, m)
 		}
 	}
-	return kept
+	return regional
 }
 
-// PushOn pushes a revision to all other hosts: to one in each other data hall,
+// PushToAll pushes a revision to all other hosts: to one in each other data hall,
 // which passes it on there, and directly to those of this host's own.
-func (s *Distributor) PushOn(ctx context.Context, r Revision) []peer.Confirmation {
+func (s *Distributor) PushToAll(ctx context.Context, r Revision) []peer.Confirmation {
 	return s.pushTo(ctx, r, s.options.View())
 }
 
 func (s *Distributor) pushTo(ctx context.Context, r Revision, view membership.View) []peer.Confirmation {
-	message, err := messageOf(r)
+	message, err := encodeRevision(r)
 	if err != nil {
 		return nil
 	}
-	targets, rest := pushTree(view)
+	targets, relays := pushTree(view)
 	confirmations := []peer.Confirmation{{Host: view.Self, Revision: s.options.Holder.Number()}}
-	return append(confirmations, s.pushAll(ctx, message, targets, rest)...)
+	return append(confirmations, s.pushAll(ctx, message, targets, relays)...)
 }
 
 // pushTree says whom to push to, and whom each of those relays to.
 func pushTree(view membership.View) ([]peer.Target, map[string][]peer.Target) {
 	self, _ := view.Member(view.Self)
 	var targets []peer.Target
-	rest := map[string][]peer.Target{}
+	relays := map[string][]peer.Target{}
 	for hall, members := range membership.ByDataHall(view.ReachableOthers()) {
 		if hall == self.DataHall {
 			for _, m := range members {
-				targets = append(targets, targetOf(m))
+				targets = append(targets, newTarget(m))
 			}
 			continue
 		}
 		ranked := membership.Rank(members, "relay/"+view.Self)
-		targets = append(targets, targetOf(ranked[0]))
+		targets = append(targets, newTarget(ranked[0]))
 		for _, m := range ranked[1:] {
-			rest[ranked[0].Host] = append(rest[ranked[0].Host], targetOf(m))
+			relays[ranked[0].Host] = append(relays[ranked[0].Host], newTarget(m))
 		}
 	}
-	return targets, rest
+	return targets, relays
 }
 
-func targetOf(m membership.Member) peer.Target { return peer.Target{Host: m.Host, Address: m.Address} }
+func newTarget(m membership.Member) peer.Target { return peer.Target{Host: m.Host, Address: m.Address} }
 
 // InForce tells how far a revision has come.
 type InForce struct {
@@ -276,21 +276,21 @@
 func (s *Distributor) AwaitInForce(ctx context.Context, r Revision) InForce {
 	confirmed := map[string]bool{}
 	for {
-		for _, c := range s.PushOn(ctx, r) {
+		for _, c := range s.PushToAll(ctx, r) {
 			if c.Revision >= r.Number {
 				confirmed[c.Host] = true
 			}
 		}
-		state := inForce(r.Number, s.options.View(), confirmed)
-		if state.Everywhere() || !clock.Sleep(ctx, confirmEvery) {
+		state := newInForce(r.Number, s.options.View(), confirmed)
+		if state.Everywhere() || !clock.Sleep(ctx, confirmInterval) {
 			return state
 		}
 	}
 }
 
-// inForce compares what was confirmed with who is there. A suspected host is
+// newInForce compares what was confirmed with who is there. A suspected host is
 // there until the platform's list says otherwise: it may still serve callers.
-func inForce(number int64, view membership.View, confirmed map[string]bool) InForce {
+func newInForce(number int64, view membership.View, confirmed map[string]bool) InForce {
 	state := InForce{Revision: number}
 	for _, m := range view.Members {
 		if confirmed[m.Host] {
--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -20,8 +20,8 @@
 
 // Limits of settling an uncertain accept.
 const (
-	settleAttempts = 5
-	settlePause    = 200 * time.Millisecond
+	acceptAttempts = 5
+	acceptBackoff  = 200 * time.Millisecond
 )
 
 // Errors of Accept.
@@ -67,11 +67,11 @@
 
 // HeadNumber reads the number of the newest revision; 0 if there is none.
 func (l *Log) HeadNumber(ctx context.Context) (int64, error) {
-	h, _, err := l.head(ctx)
+	h, _, err := l.readHead(ctx)
 	return h.Number, err
 }
 
-func (l *Log) head(ctx context.Context) (head, store.Row, error) {
+func (l *Log) readHead(ctx context.Context) (head, store.Row, error) {
 	row, err := l.tables.Get(ctx, tableConfig, keyHead)
 	if errors.Is(err, store.ErrNotFound) {
 		return head{}, store.Row{Key: keyHead}, nil
@@ -97,7 +97,7 @@
 
 // Newest returns the newest revision, or ErrEmpty.
 func (l *Log) Newest(ctx context.Context) (Revision, error) {
-	h, _, err := l.head(ctx)
+	h, _, err := l.readHead(ctx)
 	if err != nil {
 		return Revision{}, err
 	}
@@ -127,39 +127,39 @@
 // Accept makes a change the newest revision if base still is. The errors are a
 // *ConflictError, ErrUnsettled, or that nothing was accepted.
 func (l *Log) Accept(ctx context.Context, base int64, c Change) (Revision, error) {
-	tried := false // a write was sent and its reply is missing
-	var last error
-	for attempt := range settleAttempts {
-		if attempt > 0 && !clock.Sleep(ctx, settlePause<<attempt) {
+	writeSent := false // a write was sent and its reply is missing
+	var lastErr error
+	for attempt := range acceptAttempts {
+		if attempt > 0 && !clock.Sleep(ctx, acceptBackoff<<attempt) {
 			break
 		}
-		revision, done, err := l.try(ctx, base, c)
+		revision, done, err := l.attemptAccept(ctx, base, c)
 		if done {
 			return revision, err
 		}
-		tried = tried || errors.Is(err, errSent)
-		last = err
+		writeSent = writeSent || errors.Is(err, errWriteSent)
+		lastErr = err
 	}
-	if tried {
+	if writeSent {
 		return Revision{}, ErrUnsettled
 	}
-	return Revision{}, fmt.Errorf("accept configuration: %w: %w", store.ErrUnavailable, last)
+	return Revision{}, fmt.Errorf("accept configuration: %w: %w", store.ErrUnavailable, lastErr)
 }
 
-// errStale means that the store answered with an older head than was seen.
-var errStale = errors.New("the store's head is older than the revision decided on")
+// errStaleHead means that the store answered with an older head than was seen.
+var errStaleHead = errors.New("the store's head is older than the revision decided on")
 
-// errSent marks an error that came after the write was sent.
-var errSent = errors.New("write was sent")
+// errWriteSent marks an error that came after the write was sent.
+var errWriteSent = errors.New("write was sent")
 
-// try makes one attempt. It is done when the outcome is certain.
-func (l *Log) try(ctx context.Context, base int64, c Change) (Revision, bool, error) {
-	h, row, err := l.head(ctx)
+// attemptAccept makes one attempt. It is done when the outcome is certain.
+func (l *Log) attemptAccept(ctx context.Context, base int64, c Change) (Revision, bool, error) {
+	h, row, err := l.readHead(ctx)
 	if err != nil {
 		return Revision{}, false, err
 	}
 	if h.Number != base {
-		return l.settle(ctx, base, h.Number, c.CommandID)
+		return l.resolveAccept(ctx, base, h.Number, c.CommandID)
 	}
 	previous := Revision{}
 	if h.Number > 0 {
@@ -176,7 +176,7 @@
 		return revision, true, nil
 	}
 	if store.Uncertain(err) {
-		return Revision{}, false, fmt.Errorf("%w: %w", errSent, err)
+		return Revision{}, false, fmt.Errorf("%w: %w", errWriteSent, err)
 	}
 	return Revision{}, false, err // the next attempt reads the head again
 }
@@ -202,18 +202,18 @@
 	})
 }
 
-// settle decides an accept whose base is no longer the head: the revision
+// resolveAccept decides an accept whose base is no longer the head: the revision
 // right after the base is either this very change or the one that beat it.
-func (l *Log) settle(ctx context.Context, base, newest int64, commandID string) (Revision, bool, error) {
+func (l *Log) resolveAccept(ctx context.Context, base, newest int64, commandID string) (Revision, bool, error) {
 	if newest < base {
-		return Revision{}, false, errStale // the base was seen, so this head is old
+		return Revision{}, false, errStaleHead // the base was seen, so this head is old
 	}
-	after, err := l.Read(ctx, base+1)
+	successor, err := l.Read(ctx, base+1)
 	if err != nil {
 		return Revision{}, false, err
 	}
-	if after.CommandID == commandID {
-		return after, true, nil
+	if successor.CommandID == commandID {
+		return successor, true, nil
 	}
-	return Revision{}, true, &ConflictError{Base: base, Winner: after}
+	return Revision{}, true, &ConflictError{Base: base, Winner: successor}
 }
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -18,11 +18,11 @@
 
 // Snapshot is a revision with indexes; it never changes.
 type Snapshot struct {
-	revision   Revision
-	keys       map[string]string // key hash to workspace
-	operators  map[string]declare.Operator
-	workspaces map[string]*workspaceIndex
-	states     map[declare.Ref]declare.State
+	revision       Revision
+	workspaceByKey map[string]string // key hash to workspace
+	operators      map[string]declare.Operator
+	workspaces     map[string]*workspaceIndex
+	states         map[declare.Ref]declare.State
 }
 
 // workspaceIndex is a workspace with the versions it may use.
@@ -34,11 +34,11 @@
 // NewSnapshot indexes a revision.
 func NewSnapshot(r Revision) *Snapshot {
 	s := &Snapshot{
-		revision:   r,
-		keys:       map[string]string{},
-		operators:  map[string]declare.Operator{},
-		workspaces: map[string]*workspaceIndex{},
-		states:     map[declare.Ref]declare.State{},
+		revision:       r,
+		workspaceByKey: map[string]string{},
+		operators:      map[string]declare.Operator{},
+		workspaces:     map[string]*workspaceIndex{},
+		states:         map[declare.Ref]declare.State{},
 	}
 	since := make(map[string]time.Time, len(r.Since))
 	for _, v := range r.Since {
@@ -52,7 +52,7 @@
 	for _, w := range r.Declarations.Workspaces {
 		s.workspaces[w.Name] = indexWorkspace(r.Declarations, w, since)
 		for _, k := range w.Keys {
-			s.keys[k.Hash] = w.Name
+			s.workspaceByKey[k.Hash] = w.Name
 		}
 	}
 	for _, o := range r.Declarations.Operators {
@@ -90,7 +90,7 @@
 
 // WorkspaceOfKey finds the workspace that a caller's secret belongs to.
 func (s *Snapshot) WorkspaceOfKey(secret string) (declare.Workspace, bool) {
-	name, ok := s.keys[HashKey(secret)]
+	name, ok := s.workspaceByKey[HashKey(secret)]
 	if !ok {
 		return declare.Workspace{}, false
 	}
--- a/internal/daemon/host.go
+++ b/internal/daemon/host.go
@@ -50,36 +50,36 @@
 // parts are the components of a host.
 type parts struct {
 	fx.In
-	Settings   settings.Settings
-	Ports      Ports
-	Logger     *log.Logger
-	State      *State
-	Config     *config.Holder
-	Distributor   *config.Distributor
-	Membership *membership.Membership
-	Leases     *lease.Manager
-	Watch      *endpoint.Watch
-	Fleet      *fleet.Fleet
-	Conns      *conn.Pool
-	Quarantine *quarantine.Tracker
-	Admission  *admission.Controller
-	Ledger     *billing.Ledger
-	Guard      *once.Guard
-	Keyrings   *keyrings
-	Credits    *rollout.Credits
-	Rollout    *rollout.Controller
-	Estimates  *estimate.Aggregator
-	Orders     *order.Reconciler
-	Jobs       *job.Queue
-	Worker     *job.Worker
-	Pipeline   *pipeline.Pipeline
-	Deadlines  *clock.Deadlines
-	Commands   *operator.Commands
-	Queries    *operator.Queries
-	Traffic    *traffic.Log
-	Telemetry  *telemetry.Telemetry
-	Link       peer.Link
-	TLS        *tlsfiles.Files
+	Settings    settings.Settings
+	Ports       Ports
+	Logger      *log.Logger
+	State       *State
+	Config      *config.Holder
+	Distributor *config.Distributor
+	Membership  *membership.Membership
+	Leases      *lease.Manager
+	Watch       *endpoint.Watch
+	Fleet       *fleet.Fleet
+	Conns       *conn.Pool
+	Quarantine  *quarantine.Tracker
+	Admission   *admission.Controller
+	Ledger      *billing.Ledger
+	Guard       *once.Guard
+	Keyrings    *keyrings
+	Credits     *rollout.Credits
+	Rollout     *rollout.Controller
+	Estimates   *estimate.Aggregator
+	Orders      *order.Reconciler
+	Jobs        *job.Queue
+	Worker      *job.Worker
+	Pipeline    *pipeline.Pipeline
+	Deadlines   *clock.Deadlines
+	Commands    *operator.Commands
+	Queries     *operator.Queries
+	Traffic     *traffic.Log
+	Telemetry   *telemetry.Telemetry
+	Link        peer.Link
+	TLS         *tlsfiles.Files
 }
 
 // Host is a running host of the router.
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -11,10 +11,10 @@
 
 // State provides the status that this host reports to the others, and receives theirs.
 type State struct {
-	settings settings.Settings
-	identity identity
-	holder   *config.Holder
-	draining atomic.Bool
+	settings    settings.Settings
+	identity    identity
+	holder      *config.Holder
+	draining    atomic.Bool
 	distributor atomic.Pointer[config.Distributor] // set once, after membership exists
 }
 
--- a/internal/declare/declare_test.go
+++ b/internal/declare/declare_test.go
@@ -11,11 +11,11 @@
 	"quaybarrow/internal/declare"
 )
 
-// hash is a hashed key as it has to look.
-const hash = "sha256:0000000000000000000000000000000000000000000000000000000000000000"
+// validHash is a hashed key as it has to look.
+const validHash = "sha256:0000000000000000000000000000000000000000000000000000000000000000"
 
-// bad are files with one mistake each, and what the error has to say.
-var bad = map[string]struct {
+// invalidFiles are files with one mistake each, and what the error has to say.
+var invalidFiles = map[string]struct {
 	text string
 	want []string
 }{
@@ -52,7 +52,7 @@
 		[]string{"plans[0].version", "plans[0].window", "plans[0].floor"},
 	},
 	"a role that does not exist": {
-		"operators: [{name: o, hash: \"" + hash + "\", role: root}]\n",
+		"operators: [{name: o, hash: \"" + validHash + "\", role: root}]\n",
 		[]string{"operators[0].role", "viewer or editor"},
 	},
 	"a name twice": {
@@ -62,7 +62,7 @@
 }
 
 var _ = Describe("declarations with a mistake", func() {
-	for name, b := range bad {
+	for name, b := range invalidFiles {
 		It("are refused with file, line and field: "+name, func() {
 			dir := GinkgoT().TempDir()
 			Expect(os.WriteFile(filepath.Join(dir, "a.yaml"), []byte(b.text), 0o600)).To(Succeed())
@@ -85,7 +85,7 @@
 	})
 })
 
-func versions(states ...declare.State) declare.Declarations {
+func declareVersions(states ...declare.State) declare.Declarations {
 	d := declare.Declarations{Models: []declare.Model{{Name: "m"}}}
 	for i, s := range states {
 		d.Models[0].Versions = append(d.Models[0].Versions, declare.Version{Name: string(rune('a' + i)), State: s})
@@ -101,7 +101,7 @@
 	It("never takes a version back, and never forgets a withdrawn one", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			draw := rapid.SliceOfN(rapid.SampledFrom(states), 1, 4)
-			before, after := versions(draw.Draw(t, "before")...), versions(draw.Draw(t, "after")...)
+			before, after := declareVersions(draw.Draw(t, "before")...), declareVersions(draw.Draw(t, "after")...)
 			next, _ := declare.CarryOverStates(before, after)
 			for _, v := range before.Models[0].Versions {
 				ref := declare.Ref{Model: "m", Version: v.Name}
@@ -117,14 +117,14 @@
 	})
 
 	It("leaves the values it came from as they were", func() {
-		before := versions(declare.StateServing)
+		before := declareVersions(declare.StateServing)
 		after := before.WithState(declare.Ref{Model: "m", Version: "a"}, declare.StateRetired)
 		Expect(before.Models[0].Versions[0].State).To(Equal(declare.StateServing))
 		Expect(after.Models[0].Versions[0].State).To(Equal(declare.StateRetired))
 	})
 
 	It("is told by path", func() {
-		differences, err := declare.Diff(versions(declare.StateServing), versions(declare.StateRetired, declare.StateStaged))
+		differences, err := declare.Diff(declareVersions(declare.StateServing), declareVersions(declare.StateRetired, declare.StateStaged))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(differences[0].String()).To(Equal("~ models.m.versions.a.state: serving -> retired"))
 	})
--- a/internal/declare/diff.go
+++ b/internal/declare/diff.go
@@ -28,22 +28,22 @@
 // Diff lists what changes from one set of declarations to another, by path.
 // Entries of lists are matched by their names, so their order does not matter.
 func Diff(before, after Declarations) ([]Difference, error) {
-	old, err := flatten(before)
+	previous, err := flatten(before)
 	if err != nil {
 		return nil, err
 	}
-	now, err := flatten(after)
+	current, err := flatten(after)
 	if err != nil {
 		return nil, err
 	}
 	var differences []Difference
-	for path, value := range old {
-		if now[path] != value {
-			differences = append(differences, Difference{Path: path, Before: value, After: now[path]})
+	for path, value := range previous {
+		if current[path] != value {
+			differences = append(differences, Difference{Path: path, Before: value, After: current[path]})
 		}
 	}
-	for path, value := range now {
-		if _, ok := old[path]; !ok {
+	for path, value := range current {
+		if _, ok := previous[path]; !ok {
 			differences = append(differences, Difference{Path: path, After: value})
 		}
 	}
@@ -62,19 +62,19 @@
 		return nil, fmt.Errorf("compare declarations: %w", err)
 	}
 	leaves := map[string]string{}
-	walk("", tree, leaves)
+	collectLeaves("", tree, leaves)
 	return leaves, nil
 }
 
-func walk(path string, node any, leaves map[string]string) {
+func collectLeaves(path string, node any, leaves map[string]string) {
 	switch n := node.(type) {
 	case map[string]any:
 		for k, v := range n {
-			walk(join(path, k), v, leaves)
+			collectLeaves(joinPath(path, k), v, leaves)
 		}
 	case []any:
 		for i, v := range n {
-			walk(join(path, entryName(i, v)), v, leaves)
+			collectLeaves(joinPath(path, entryName(i, v)), v, leaves)
 		}
 	default:
 		leaves[path] = fmt.Sprint(n)
@@ -94,7 +94,7 @@
 	return fmt.Sprint(index)
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/internal/declare/files.go
+++ b/internal/declare/files.go
@@ -21,13 +21,13 @@
 
 // section ties a part of the merged declarations to the file it came from.
 type section struct {
-	doc    *yamlfile.Document
-	before map[string]int // entries of each top field before this file
-	own    map[string]int // entries of each top field in this file
+	doc     *yamlfile.Document
+	offsets map[string]int // entries of each top field before this file
+	counts  map[string]int // entries of each top field in this file
 }
 
-// topIndex matches the leading field and index of a problem's path.
-var topIndex = regexp.MustCompile(`^\$\.([a-z]+)\[(\d+)\](.*)$`)
+// entryPath matches the leading field and index of a problem's path.
+var entryPath = regexp.MustCompile(`^\$\.([a-z]+)\[(\d+)\](.*)$`)
 
 // ReadDir reads and merges every .yaml file of a directory, in name order.
 // Errors match ErrInvalid or yamlfile.ErrInvalid and name file, line and field.
@@ -41,7 +41,7 @@
 	}
 	var source Source
 	for _, name := range names {
-		if err := source.add(name); err != nil {
+		if err := source.addFile(name); err != nil {
 			return Source{}, err
 		}
 	}
@@ -51,8 +51,8 @@
 	return source, nil
 }
 
-// add reads one more file into the source.
-func (s *Source) add(name string) error {
+// addFile reads one more file into the source.
+func (s *Source) addFile(name string) error {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return fmt.Errorf("read declarations: %w", err)
@@ -62,7 +62,7 @@
 	if err != nil {
 		return fmt.Errorf("read declarations: %w", err)
 	}
-	s.sections = append(s.sections, section{doc: doc, before: sizes(s.Declarations), own: sizes(part)})
+	s.sections = append(s.sections, section{doc: doc, offsets: entryCounts(s.Declarations), counts: entryCounts(part)})
 	s.Declarations = s.Declarations.Merge(part)
 	return nil
 }
@@ -77,7 +77,7 @@
 }
 
 func (s Source) locate(p Problem) error {
-	match := topIndex.FindStringSubmatch(p.Path)
+	match := entryPath.FindStringSubmatch(p.Path)
 	if match == nil {
 		return p
 	}
@@ -86,15 +86,15 @@
 		return p
 	}
 	for _, part := range s.sections {
-		own := index - part.before[match[1]]
-		if own >= 0 && own < part.own[match[1]] {
-			return part.doc.Errorf(fmt.Sprintf("$.%s[%d]%s", match[1], own, match[3]), "%s", p.Text)
+		local := index - part.offsets[match[1]]
+		if local >= 0 && local < part.counts[match[1]] {
+			return part.doc.Errorf(fmt.Sprintf("$.%s[%d]%s", match[1], local, match[3]), "%s", p.Text)
 		}
 	}
 	return p
 }
 
-func sizes(d Declarations) map[string]int {
+func entryCounts(d Declarations) map[string]int {
 	return map[string]int{
 		"workspaces": len(d.Workspaces),
 		"models":     len(d.Models),
--- a/internal/declare/fuzz_test.go
+++ b/internal/declare/fuzz_test.go
@@ -8,7 +8,7 @@
 )
 
 func FuzzDeclarations(f *testing.F) {
-	for _, b := range bad {
+	for _, b := range invalidFiles {
 		f.Add([]byte(b.text))
 	}
 	f.Fuzz(func(_ *testing.T, data []byte) {
--- a/internal/declare/states.go
+++ b/internal/declare/states.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// order ranks the states; a version only ever moves up.
-func (s State) order() int {
+// rank ranks the states; a version only ever moves up.
+func (s State) rank() int {
 	switch s {
 	case StateStaged:
 		return 0
@@ -24,7 +24,7 @@
 }
 
 // Before reports whether the state comes earlier in a version's life.
-func (s State) Before(other State) bool { return s.order() < other.order() }
+func (s State) Before(other State) bool { return s.rank() < other.rank() }
 
 // CarryOverStates returns next as the successor of previous. Files say in which state
 // a version starts; commands and plans move it on from there. So a version
@@ -36,9 +36,9 @@
 	for _, m := range previous.Models {
 		for _, v := range m.Versions {
 			ref := Ref{Model: m.Name, Version: v.Name}
-			now, ok := next.Version(ref)
-			if ok && now.State.Before(v.State) {
-				notes = append(notes, fmt.Sprintf("%s stays %s (the file says %s)", ref, v.State, now.State))
+			declared, ok := next.Version(ref)
+			if ok && declared.State.Before(v.State) {
+				notes = append(notes, fmt.Sprintf("%s stays %s (the file says %s)", ref, v.State, declared.State))
 				next = next.WithState(ref, v.State)
 			}
 			if !ok && v.State == StateWithdrawn {
--- a/internal/declare/validate.go
+++ b/internal/declare/validate.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func (c *checker) share(path string, value float64) {
+func (c *checker) fraction(path string, value float64) {
 	if value < 0 || value > 1 {
 		c.add(path, "must be from 0 to 1, not %v", value)
 	}
@@ -92,7 +92,7 @@
 	if v.OutputCost < 0 {
 		c.add(path+".output_cost", "must not be negative")
 	}
-	c.share(path+".quality", v.Quality)
+	c.fraction(path+".quality", v.Quality)
 }
 
 func (d Declarations) checkServices(c *checker) {
@@ -135,7 +135,7 @@
 
 func (d Declarations) checkReferences(c *checker, path string, w Workspace) {
 	for j, a := range w.Allow {
-		if !d.knows(ParseRef(a)) {
+		if !d.isDeclared(ParseRef(a)) {
 			c.add(fmt.Sprintf("%s.allow[%d]", path, j), "%q is not declared; known: %s", a, d.modelNames())
 		}
 	}
@@ -148,8 +148,8 @@
 	for j, t := range w.Classes {
 		at := fmt.Sprintf("%s.classes[%d]", path, j)
 		c.name(at+".name", t.Name, names)
-		c.share(at+".target", t.Target)
-		c.share(at+".confidence", t.Confidence)
+		c.fraction(at+".target", t.Target)
+		c.fraction(at+".confidence", t.Confidence)
 		if _, ok := d.Model(t.Name); ok {
 			c.add(at+".name", "%q is a model's name already; a request could mean either", t.Name)
 		}
@@ -178,7 +178,7 @@
 		if p.Ratings < 1 {
 			c.add(path+".ratings", "must be 1 or more, not %d", p.Ratings)
 		}
-		c.share(path+".floor", p.Floor)
+		c.fraction(path+".floor", p.Floor)
 		if p.RatingTimeout < 0 {
 			c.add(path+".rating_timeout", "must not be negative")
 		}
@@ -202,8 +202,8 @@
 	}
 }
 
-// knows reports whether the model, and the version if one is named, exists.
-func (d Declarations) knows(ref Ref) bool {
+// isDeclared reports whether the model, and the version if one is named, exists.
+func (d Declarations) isDeclared(ref Ref) bool {
 	if ref.Version == "" {
 		_, ok := d.Model(ref.Model)
 		return ok
--- a/internal/measure/hosts.go
+++ b/internal/measure/hosts.go
@@ -43,7 +43,7 @@
 	name, hall, region string
 	holder             *config.Holder
 	members            *membership.Membership
-	distributor           *config.Distributor
+	distributor        *config.Distributor
 }
 
 func (h *spreadHost) status() peer.Status {
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -35,8 +35,8 @@
 
 // Commands accept changes of the configuration.
 type Commands struct {
-	log    *config.Log
-	holder *config.Holder
+	log         *config.Log
+	holder      *config.Holder
 	distributor *config.Distributor
 	// Unload orders engines to drop a withdrawn version: a second line behind
 	// the hosts' own refusal; nil if there is none.
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -26,12 +26,12 @@
 // ErrCertificate means that the files can't be used.
 var ErrCertificate = errors.New("bad certificate files")
 
-// checkEvery bounds how often the files are looked at.
-const checkEvery = 10 * time.Second
+// checkInterval bounds how often the files are looked at.
+const checkInterval = 10 * time.Second
 
 // Files are a host's certificate, key and authorities.
 type Files struct {
-	names settings.TLS
+	paths settings.TLS
 
 	mu        sync.Mutex // guards all below
 	loaded    material
@@ -48,39 +48,39 @@
 }
 
 // Open reads the files; it returns nil where TLS is not set.
-func Open(names settings.TLS) (*Files, error) {
-	if !names.Enabled() {
+func Open(paths settings.TLS) (*Files, error) {
+	if !paths.Enabled() {
 		return nil, nil
 	}
-	loaded, err := read(names)
+	loaded, err := load(paths)
 	if err != nil {
 		return nil, err
 	}
-	return &Files{names: names, loaded: loaded, checked: clock.Now()}, nil
+	return &Files{paths: paths, loaded: loaded, checked: clock.Now()}, nil
 }
 
-func read(names settings.TLS) (material, error) {
-	certificate, err := tls.LoadX509KeyPair(names.Certificate, names.Key)
+func load(paths settings.TLS) (material, error) {
+	certificate, err := tls.LoadX509KeyPair(paths.Certificate, paths.Key)
 	if err != nil {
-		return material{}, fmt.Errorf("%w: %s with %s: %w", ErrCertificate, names.Certificate, names.Key, err)
+		return material{}, fmt.Errorf("%w: %s with %s: %w", ErrCertificate, paths.Certificate, paths.Key, err)
 	}
-	pem, err := os.ReadFile(names.Authority)
+	pem, err := os.ReadFile(paths.Authority)
 	if err != nil {
 		return material{}, fmt.Errorf("%w: %w", ErrCertificate, err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return material{}, fmt.Errorf("%w: %s holds no certificate", ErrCertificate, names.Authority)
+		return material{}, fmt.Errorf("%w: %s holds no certificate", ErrCertificate, paths.Authority)
 	}
 	return material{
-		certificate: certificate, leaf: certificate.Leaf, authorities: pool, modified: modified(names),
+		certificate: certificate, leaf: certificate.Leaf, authorities: pool, modified: lastModified(paths),
 	}, nil
 }
 
-// modified is the latest change of the files.
-func modified(names settings.TLS) time.Time {
+// lastModified is the latest change of the files.
+func lastModified(paths settings.TLS) time.Time {
 	var latest time.Time
-	for _, name := range []string{names.Certificate, names.Key, names.Authority} {
+	for _, name := range []string{paths.Certificate, paths.Key, paths.Authority} {
 		if info, err := os.Stat(name); err == nil && info.ModTime().After(latest) {
 			latest = info.ModTime()
 		}
@@ -93,14 +93,14 @@
 func (f *Files) current() material {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if clock.Since(f.checked) < checkEvery {
+	if clock.Since(f.checked) < checkInterval {
 		return f.loaded
 	}
 	f.checked = clock.Now()
-	if !modified(f.names).After(f.loaded.modified) {
+	if !lastModified(f.paths).After(f.loaded.modified) {
 		return f.loaded
 	}
-	loaded, err := read(f.names)
+	loaded, err := load(f.paths)
 	f.lastError = err
 	if err == nil {
 		f.loaded = loaded
