--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,8 +23,8 @@
 	return config.Change{CommandID: id, Operator: "op-" + id, Command: "command " + id}
 }
 
-// headModel is the configuration head: a command is accepted exactly when its
-// base is the head.
+// headModel is the sequential model of the configuration head: a command is accepted if and only if
+// its base is the head.
 var headModel = porcupine.Model{
 	Init: func() any { return int64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -36,10 +36,10 @@
 	},
 }
 
-var _ = Describe("the log", func() {
+var _ = Describe("Log", func() {
 	ctx := context.Background()
 
-	It("accepts one of two commands decided on the same revision and names the winner", func() {
+	It("accepts only one of two commands based on the same revision and names the accepted one", func() {
 		suite.Paused(func() {
 			log := config.NewLog(table.New(table.Options{}))
 			_, err := log.Accept(ctx, 0, change("one"))
@@ -60,7 +60,7 @@
 		"stale reads after a loss": {{Kind: table.FaultLoseReply, Count: 1}, {Kind: table.FaultStale, Count: 2}},
 	}
 	for name, faults := range storeFaults {
-		It("settles "+name+" by the command's id", func() {
+		It("determines the outcome by the command id: "+name, func() {
 			suite.Paused(func() {
 				store := table.New(table.Options{})
 				log := config.NewLog(store)
@@ -79,7 +79,7 @@
 		})
 	}
 
-	It("says that it does not know when it does not, and settles on asking again", func() {
+	It("returns ErrUnsettled while the outcome is unknown, and accepts the change on a repeated call", func() {
 		suite.Paused(func() {
 			store := table.New(table.Options{})
 			log := config.NewLog(store)
@@ -97,7 +97,7 @@
 		})
 	})
 
-	It("is linearizable for racing operators under faults", func() {
+	It("is linearizable with concurrent operators and store faults", func() {
 		suite.Paused(func() {
 			store := table.New(table.Options{})
 			var mu sync.Mutex
@@ -117,7 +117,7 @@
 						if err != nil {
 							r.Number = 0
 							if !isConflict(err) {
-								continue // nothing was said
+								continue // the outcome is unknown
 							}
 						}
 						mu.Lock()
@@ -146,8 +146,8 @@
 	return errors.As(err, &conflict)
 }
 
-var _ = Describe("the holder", func() {
-	It("never goes back, whatever order revisions come in", func() {
+var _ = Describe("Holder", func() {
+	It("never reverts, in whatever order revisions arrive", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			h := config.NewHolder()
 			highest := int64(0)
@@ -180,8 +180,8 @@
 	})
 })
 
-var _ = Describe("the snapshot", func() {
-	It("finds a workspace by its key and only what it allows", func() {
+var _ = Describe("Snapshot", func() {
+	It("finds a workspace by its key and lists only the versions that it may use", func() {
 		d := declare.Declarations{
 			Models: []declare.Model{
 				{Name: "a", Versions: []declare.Version{{Name: "1", State: declare.StateServing}, {Name: "2", State: declare.StateServing}}},
--- a/internal/config/distribute.go
+++ b/internal/config/distribute.go
@@ -14,7 +14,7 @@
 	"quaybarrow/internal/peer"
 )
 
-// Times and bounds of spreading.
+// Timeouts, intervals and limits of distribution.
 const (
 	pollersPerRegion = 2
 	storeTimeout     = 2 * time.Second
@@ -23,35 +23,35 @@
 	confirmInterval  = 300 * time.Millisecond
 )
 
-// DistributorOptions set up a Spreader.
+// DistributorOptions configure a Distributor.
 type DistributorOptions struct {
 	Log      *Log
 	Holder   *Holder
 	Link     peer.Link
 	View     func() membership.View
-	Poll     time.Duration // of a designated poller
-	Backstop time.Duration // of everyone else
+	Poll     time.Duration // poll interval of a host that is one of its region's pollers
+	Backstop time.Duration // poll interval of all other hosts
 }
 
-// Distributor brings revisions to this host and on to others. A few hosts per
-// region poll the store; a new revision is pushed to one host in each data hall
-// and from there to the hall's others; and every ping tells which revision a
-// host has, so that whoever lags fetches from whoever leads.
+// Distributor obtains revisions for this host and forwards them to others. A few hosts per region
+// poll the store. A new revision is pushed to one host in each data hall, which relays it to the
+// other hosts of the hall. Every ping carries the sender's revision number, so that a host with an
+// older revision fetches the newer one from the sender.
 type Distributor struct {
 	options  DistributorOptions
 	fetching sync.Mutex // one fetch at a time
 }
 
-// NewDistributor returns a spreader.
+// NewDistributor returns a distributor with the given options.
 func NewDistributor(options DistributorOptions) *Distributor { return &Distributor{options: options} }
 
 // Run polls the store until the context ends.
-func (s *Distributor) Run(ctx context.Context) {
+func (d *Distributor) Run(ctx context.Context) {
 	for {
-		s.PollOnce(ctx)
-		period := s.options.Backstop
-		if s.isPoller() || s.options.Holder.Current() == nil {
-			period = s.options.Poll
+		d.PollOnce(ctx)
+		period := d.options.Backstop
+		if d.isPoller() || d.options.Holder.Current() == nil {
+			period = d.options.Poll
 		}
 		if !clock.Sleep(ctx, clock.Around(period)) {
 			return
@@ -60,8 +60,8 @@
 }
 
 // isPoller reports whether this host is one of its region's pollers.
-func (s *Distributor) isPoller() bool {
-	view := s.options.View()
+func (d *Distributor) isPoller() bool {
+	view := d.options.View()
 	self, ok := view.Member(view.Self)
 	if !ok {
 		return true
@@ -81,65 +81,66 @@
 	return len(ranked) < pollersPerRegion
 }
 
-// PollOnce reads the head and, if it is higher, the newest revision.
-func (s *Distributor) PollOnce(ctx context.Context) {
+// PollOnce reads the head of the log and, if its number is higher than that of the revision in
+// force, the newest revision.
+func (d *Distributor) PollOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	requested := clock.Now()
-	number, err := s.options.Log.HeadNumber(ctx)
+	number, err := d.options.Log.HeadNumber(ctx)
 	if err != nil || number == 0 {
 		return
 	}
-	if number > s.options.Holder.Number() {
-		revision, err := s.options.Log.Read(ctx, number)
+	if number > d.options.Holder.Number() {
+		revision, err := d.options.Log.Read(ctx, number)
 		if err != nil {
 			return
 		}
-		if s.options.Holder.Apply(revision) {
-			s.options.Holder.Confirm(number, requested)
-			go s.pushTo(context.WithoutCancel(ctx), revision, s.regionView())
+		if d.options.Holder.Apply(revision) {
+			d.options.Holder.Confirm(number, requested)
+			go d.pushTo(context.WithoutCancel(ctx), revision, d.regionView())
 			return
 		}
 	}
-	s.options.Holder.Confirm(number, requested)
+	d.options.Holder.Confirm(number, requested)
 }
 
-// Observe takes in what another host says of itself: the age of its knowledge,
-// if it has our revision, or that it has a higher one, which is then fetched.
-func (s *Distributor) Observe(status peer.Status, at clock.Instant) {
-	ownRevision := s.options.Holder.Number()
+// Observe processes the status of another host. If that host has the same revision, its
+// confirmation of the head counts here too; if it has a higher one, the revision is fetched.
+func (d *Distributor) Observe(status peer.Status, at clock.Instant) {
+	ownRevision := d.options.Holder.Number()
 	switch {
 	case status.Revision == ownRevision && status.Confirmed:
-		s.options.Holder.Confirm(ownRevision, at.Add(-status.Age))
+		d.options.Holder.Confirm(ownRevision, at.Add(-status.Age))
 	case status.Revision > ownRevision:
-		go s.fetchFrom(status, at)
+		go d.fetchFrom(status, at)
 	}
 }
 
-// fetchFrom gets the newest revision from a host that leads.
-func (s *Distributor) fetchFrom(status peer.Status, at clock.Instant) {
-	if !s.fetching.TryLock() {
+// fetchFrom fetches the newest revision from a host that has a higher one.
+func (d *Distributor) fetchFrom(status peer.Status, at clock.Instant) {
+	if !d.fetching.TryLock() {
 		return
 	}
-	defer s.fetching.Unlock()
-	if status.Revision <= s.options.Holder.Number() {
+	defer d.fetching.Unlock()
+	if status.Revision <= d.options.Holder.Number() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	message, err := s.options.Link.Fetch(ctx, status.Address, s.options.Holder.Number())
+	message, err := d.options.Link.Fetch(ctx, status.Address, d.options.Holder.Number())
 	if err != nil {
 		return
 	}
-	if s.applyMessage(message) == nil && status.Confirmed {
-		s.options.Holder.Confirm(status.Revision, at.Add(-status.Age))
+	if d.applyMessage(message) == nil && status.Confirmed {
+		d.options.Holder.Confirm(status.Revision, at.Add(-status.Age))
 	}
 }
 
-// errNoNewerRevision means that a peer had nothing newer.
+// errNoNewerRevision means that the peer had no newer revision.
 var errNoNewerRevision = errors.New("no newer revision")
 
-func (s *Distributor) applyMessage(message peer.RevisionMessage) error {
+func (d *Distributor) applyMessage(message peer.RevisionMessage) error {
 	if message.Number == 0 {
 		return errNoNewerRevision
 	}
@@ -148,15 +149,15 @@
 		return fmt.Errorf("read pushed revision: %w", err)
 	}
 	if revision.Number != message.Number {
-		return errors.Errorf("read pushed revision: numbered %d, said to be %d", revision.Number, message.Number)
+		return errors.Errorf("read pushed revision: it has number %d, but the message says %d", revision.Number, message.Number)
 	}
-	s.options.Holder.Apply(revision)
+	d.options.Holder.Apply(revision)
 	return nil
 }
 
-// Fetch answers a host that lags.
-func (s *Distributor) Fetch(above int64) (peer.RevisionMessage, error) {
-	current := s.options.Holder.Current()
+// Fetch returns the revision in force if its number is higher than above, or an empty message.
+func (d *Distributor) Fetch(above int64) (peer.RevisionMessage, error) {
+	current := d.options.Holder.Current()
 	if current == nil || current.Number() <= above {
 		return peer.RevisionMessage{}, nil
 	}
@@ -171,22 +172,23 @@
 	return peer.RevisionMessage{Number: r.Number, Data: data}, nil
 }
 
-// Push takes in a pushed revision, passes it on and says who has what in force.
-func (s *Distributor) Push(ctx context.Context, push peer.Push) ([]peer.Confirmation, error) {
-	if err := s.applyMessage(push.Revision); err != nil {
+// Push applies a pushed revision, relays it and returns which hosts have which revision in force.
+func (d *Distributor) Push(ctx context.Context, push peer.Push) ([]peer.Confirmation, error) {
+	if err := d.applyMessage(push.Revision); err != nil {
 		return nil, err
 	}
-	confirmations := []peer.Confirmation{{Host: s.options.View().Self, Revision: s.options.Holder.Number()}}
-	return append(confirmations, s.relay(ctx, push.Revision, push.Relay)...), nil
+	confirmations := []peer.Confirmation{{Host: d.options.View().Self, Revision: d.options.Holder.Number()}}
+	return append(confirmations, d.relay(ctx, push.Revision, push.Relay)...), nil
 }
 
-// relay pushes a revision to hosts, all at once, and gathers what they confirm.
-func (s *Distributor) relay(ctx context.Context, message peer.RevisionMessage, targets []peer.Target) []peer.Confirmation {
-	return s.pushAll(ctx, message, targets, nil)
+// relay pushes a revision to the targets in parallel and collects their confirmations.
+func (d *Distributor) relay(ctx context.Context, message peer.RevisionMessage, targets []peer.Target) []peer.Confirmation {
+	return d.pushAll(ctx, message, targets, nil)
 }
 
-// pushAll pushes to targets; rest gives each the hosts that it relays to.
-func (s *Distributor) pushAll(ctx context.Context, message peer.RevisionMessage, targets []peer.Target, relays map[string][]peer.Target) []peer.Confirmation {
+// pushAll pushes a revision to the targets in parallel and collects the confirmations. The map
+// relays holds, for the host of each target, the targets that it has to relay to.
+func (d *Distributor) pushAll(ctx context.Context, message peer.RevisionMessage, targets []peer.Target, relays map[string][]peer.Target) []peer.Confirmation {
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
 	var mu sync.Mutex // guards all
@@ -194,10 +196,10 @@
 	var wait sync.WaitGroup
 	for _, t := range targets {
 		wait.Go(func() {
-			got, err := s.options.Link.Push(ctx, t.Address, peer.Push{Revision: message, Relay: relays[t.Host]})
+			got, err := d.options.Link.Push(ctx, t.Address, peer.Push{Revision: message, Relay: relays[t.Host]})
 			if err != nil {
-				// The relay is gone: its hosts are told directly.
-				got = s.pushAll(ctx, message, relays[t.Host], nil)
+				// The relaying host can't be reached: push to its targets directly.
+				got = d.pushAll(ctx, message, relays[t.Host], nil)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -208,10 +210,10 @@
 	return all
 }
 
-// regionView is the view of this host's own region: what a poller finds is every
-// region's own pollers' to find, so it need not be pushed further.
-func (s *Distributor) regionView() membership.View {
-	view := s.options.View()
+// regionView returns the view restricted to this host's region. A revision found by polling is
+// pushed only within the region, because each region has pollers of its own that find it.
+func (d *Distributor) regionView() membership.View {
+	view := d.options.View()
 	self, _ := view.Member(view.Self)
 	regional := membership.View{Self: view.Self}
 	for _, m := range view.Members {
@@ -222,23 +224,24 @@
 	return regional
 }
 
-// PushToAll pushes a revision to all other hosts: to one in each other data hall,
-// which passes it on there, and directly to those of this host's own.
-func (s *Distributor) PushToAll(ctx context.Context, r Revision) []peer.Confirmation {
-	return s.pushTo(ctx, r, s.options.View())
+// PushToAll pushes a revision to all other hosts: directly to those in this host's data hall, and
+// to one host in each other data hall, which relays it there.
+func (d *Distributor) PushToAll(ctx context.Context, r Revision) []peer.Confirmation {
+	return d.pushTo(ctx, r, d.options.View())
 }
 
-func (s *Distributor) pushTo(ctx context.Context, r Revision, view membership.View) []peer.Confirmation {
+func (d *Distributor) pushTo(ctx context.Context, r Revision, view membership.View) []peer.Confirmation {
 	message, err := encodeRevision(r)
 	if err != nil {
 		return nil
 	}
 	targets, relays := pushTree(view)
-	confirmations := []peer.Confirmation{{Host: view.Self, Revision: s.options.Holder.Number()}}
-	return append(confirmations, s.pushAll(ctx, message, targets, relays)...)
+	confirmations := []peer.Confirmation{{Host: view.Self, Revision: d.options.Holder.Number()}}
+	return append(confirmations, d.pushAll(ctx, message, targets, relays)...)
 }
 
-// pushTree says whom to push to, and whom each of those relays to.
+// pushTree returns the targets to push to directly and, for the host of each, the targets that it
+// relays to.
 func pushTree(view membership.View) ([]peer.Target, map[string][]peer.Target) {
 	self, _ := view.Member(view.Self)
 	var targets []peer.Target
@@ -261,35 +264,35 @@
 
 func newTarget(m membership.Member) peer.Target { return peer.Target{Host: m.Host, Address: m.Address} }
 
-// InForce tells how far a revision has come.
+// InForce reports which hosts have a revision in force.
 type InForce struct {
 	Revision  int64    `json:"revision"`
-	Confirmed []string `json:"confirmed"`         // hosts that have it, or a higher one
-	Lagging   []string `json:"lagging,omitempty"` // live hosts that did not say so
+	Confirmed []string `json:"confirmed"`         // hosts that have it or a higher one in force
+	Lagging   []string `json:"lagging,omitempty"` // members that have not confirmed it
 }
 
-// Everywhere reports whether every live host has the revision.
+// Everywhere reports whether every member has confirmed the revision.
 func (f InForce) Everywhere() bool { return len(f.Lagging) == 0 }
 
-// AwaitInForce pushes a revision until every live host has confirmed it or the
-// context ends, and tells who has.
-func (s *Distributor) AwaitInForce(ctx context.Context, r Revision) InForce {
+// AwaitInForce pushes a revision repeatedly until every member has confirmed it or the context
+// ends, and returns which hosts have confirmed it.
+func (d *Distributor) AwaitInForce(ctx context.Context, r Revision) InForce {
 	confirmed := map[string]bool{}
 	for {
-		for _, c := range s.PushToAll(ctx, r) {
+		for _, c := range d.PushToAll(ctx, r) {
 			if c.Revision >= r.Number {
 				confirmed[c.Host] = true
 			}
 		}
-		state := newInForce(r.Number, s.options.View(), confirmed)
+		state := newInForce(r.Number, d.options.View(), confirmed)
 		if state.Everywhere() || !clock.Sleep(ctx, confirmInterval) {
 			return state
 		}
 	}
 }
 
-// newInForce compares what was confirmed with who is there. A suspected host is
-// there until the platform's list says otherwise: it may still serve callers.
+// newInForce sorts the members into those that have confirmed and those that have not. A suspected
+// host counts as a member until the platform's list drops it, because it may still serve callers.
 func newInForce(number int64, view membership.View, confirmed map[string]bool) InForce {
 	state := InForce{Revision: number}
 	for _, m := range view.Members {
--- a/internal/config/holder.go
+++ b/internal/config/holder.go
@@ -8,23 +8,22 @@
 	"quaybarrow/internal/clock"
 )
 
-// Holder keeps the configuration in force on this host. It only moves to
-// higher revisions.
+// Holder holds the configuration in force on this host. The revision number only increases.
 type Holder struct {
 	current atomic.Pointer[Snapshot]
 
 	mu        sync.Mutex    // guards all below and writes of current
-	confirmed clock.Instant // when the head was last known to be current's
+	confirmed clock.Instant // last time at which current was known to be the head
 	changed   chan struct{}
 }
 
 // NewHolder returns a holder without a configuration.
 func NewHolder() *Holder { return &Holder{changed: make(chan struct{})} }
 
-// Current returns the snapshot in force, or nil before the first.
+// Current returns the snapshot in force, or nil if no revision has been applied.
 func (h *Holder) Current() *Snapshot { return h.current.Load() }
 
-// Number returns the number of the revision in force; 0 before the first.
+// Number returns the number of the revision in force, or 0 if no revision has been applied.
 func (h *Holder) Number() int64 {
 	if s := h.Current(); s != nil {
 		return s.Number()
@@ -32,7 +31,8 @@
 	return 0
 }
 
-// Apply puts a revision in force if it is higher than the present one.
+// Apply puts a revision in force if its number is higher than the current one, and reports
+// whether it did.
 func (h *Holder) Apply(r Revision) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -45,15 +45,15 @@
 	return true
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the next revision is applied.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.changed
 }
 
-// Confirm notes that a revision was the head at a moment. It is ignored for
-// another revision than the one in force: that says nothing about ours.
+// Confirm records that a revision was the head at the given time. It ignores every revision other
+// than the one in force, because those do not show whether the one in force is the head.
 func (h *Holder) Confirm(number int64, at clock.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,8 +62,8 @@
 	}
 }
 
-// Age returns the time since the revision in force was known to be the head;
-// false if it never was.
+// Age returns the time since the revision in force was last known to be the head, or false if it
+// never was.
 func (h *Holder) Age() (time.Duration, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -18,7 +18,8 @@
 	keyHead     = "head"
 )
 
-// Limits of settling an uncertain accept.
+// Attempts at accepting a change whose outcome is uncertain, and the base of the exponential
+// backoff between them.
 const (
 	acceptAttempts = 5
 	acceptBackoff  = 200 * time.Millisecond
@@ -28,17 +29,17 @@
 var (
 	// ErrConflict means that another change was accepted first.
 	ErrConflict = errors.New("conflict with another change")
-	// ErrUnsettled means that it could not be learnt whether the change was
-	// accepted. Asking again with the same command id settles it.
-	ErrUnsettled = errors.New("not known whether the change was accepted")
-	// ErrEmpty means that nothing was ever accepted.
-	ErrEmpty = errors.New("no configuration was accepted yet")
+	// ErrUnsettled means that it could not be determined whether the change was accepted. Calling
+	// Accept again with the same command id determines it.
+	ErrUnsettled = errors.New("could not determine whether the change was accepted")
+	// ErrEmpty means that the log holds no revision.
+	ErrEmpty = errors.New("no configuration has been accepted yet")
 )
 
-// ConflictError tells who was faster with what.
+// ConflictError reports the revision that was accepted in place of the refused change.
 type ConflictError struct {
-	Base   int64    // the revision the refused change was made on
-	Winner Revision // the newest revision
+	Base   int64    // the revision that the refused change was based on
+	Winner Revision // the revision accepted directly after Base
 }
 
 // Error formats the conflict.
@@ -62,7 +63,7 @@
 // NewLog returns the log kept in the given tables.
 func NewLog(tables store.Tables) *Log { return &Log{tables: tables} }
 
-// revisionKey sorts in order of numbers.
+// revisionKey returns the row key of a revision. Keys sort in the order of the numbers.
 func revisionKey(number int64) string { return fmt.Sprintf("revision/%012d", number) }
 
 // HeadNumber reads the number of the newest revision; 0 if there is none.
@@ -95,7 +96,7 @@
 	return codec.Decode[Revision](row.Value)
 }
 
-// Newest returns the newest revision, or ErrEmpty.
+// Newest returns the newest revision, or ErrEmpty if there is none.
 func (l *Log) Newest(ctx context.Context) (Revision, error) {
 	h, _, err := l.readHead(ctx)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return l.Read(ctx, h.Number)
 }
 
-// History returns the revisions past a number, oldest first.
+// History returns up to limit revisions with numbers above after, oldest first.
 func (l *Log) History(ctx context.Context, after int64, limit int) ([]Revision, error) {
 	rows, err := l.tables.Scan(ctx, store.Range{
 		Table: tableConfig, Prefix: "revision/", After: revisionKey(after), Limit: limit,
@@ -124,8 +125,9 @@
 	return revisions, nil
 }
 
-// Accept makes a change the newest revision if base still is. The errors are a
-// *ConflictError, ErrUnsettled, or that nothing was accepted.
+// Accept makes a change the newest revision, provided that base is still the newest one. It
+// returns a *ConflictError if another change was accepted first, and ErrUnsettled if the outcome
+// could not be determined; after any other error, nothing was accepted.
 func (l *Log) Accept(ctx context.Context, base int64, c Change) (Revision, error) {
 	writeSent := false // a write was sent and its reply is missing
 	var lastErr error
@@ -146,13 +148,14 @@
 	return Revision{}, fmt.Errorf("accept configuration: %w: %w", store.ErrUnavailable, lastErr)
 }
 
-// errStaleHead means that the store answered with an older head than was seen.
-var errStaleHead = errors.New("the store's head is older than the revision decided on")
+// errStaleHead means that the store returned an older head than the caller has already read.
+var errStaleHead = errors.New("the head read from the store is older than the base revision")
 
-// errWriteSent marks an error that came after the write was sent.
+// errWriteSent marks an error after which the write may have been applied.
 var errWriteSent = errors.New("write was sent")
 
-// attemptAccept makes one attempt. It is done when the outcome is certain.
+// attemptAccept makes one attempt at accepting the change. The second result reports whether the
+// outcome is certain.
 func (l *Log) attemptAccept(ctx context.Context, base int64, c Change) (Revision, bool, error) {
 	h, row, err := l.readHead(ctx)
 	if err != nil {
@@ -202,11 +205,11 @@
 	})
 }
 
-// resolveAccept decides an accept whose base is no longer the head: the revision
-// right after the base is either this very change or the one that beat it.
+// resolveAccept determines the outcome of an accept whose base is not the head: the revision
+// directly after the base is either this change or the one that was accepted in its place.
 func (l *Log) resolveAccept(ctx context.Context, base, newest int64, commandID string) (Revision, bool, error) {
 	if newest < base {
-		return Revision{}, false, errStaleHead // the base was seen, so this head is old
+		return Revision{}, false, errStaleHead // the base has been read before, so this read is stale
 	}
 	successor, err := l.Read(ctx, base+1)
 	if err != nil {
--- a/internal/config/revision.go
+++ b/internal/config/revision.go
@@ -1,5 +1,5 @@
-// Package config accepts configuration revisions, spreads them to all hosts
-// and keeps the one in force on this host.
+// Package config accepts configuration revisions, distributes them to all hosts and holds the
+// revision in force on this host.
 //
 // # Usage
 //
@@ -8,9 +8,10 @@
 //	...
 //	snapshot := holder.Current() // on every request
 //
-// A revision is one row of the table service; the head row names the newest.
-// Accepting is one transaction that moves the head by compare-and-set. A host
-// applies only higher revisions than it has, so none ever reverts.
+// A revision is one row of the table service; the head row names the newest revision. A change is
+// accepted by one transaction that updates the head row by compare-and-set. A host applies a
+// revision only if its number is higher than that of the revision in force, so no host ever
+// reverts.
 package config
 
 import (
@@ -19,25 +20,25 @@
 	"quaybarrow/internal/declare"
 )
 
-// Revision is one accepted configuration, whole.
+// Revision is one accepted configuration. It is complete, not a delta to the previous one.
 type Revision struct {
 	Number    int64     `json:"number"`
-	CommandID string    `json:"command_id"` // settles whether a lost reply was a yes
+	CommandID string    `json:"command_id"` // shows whether the change was accepted when the reply is lost
 	Operator  string    `json:"operator"`
-	Command   string    `json:"command"` // in words, for the audit trail
+	Command   string    `json:"command"` // readable description for the audit trail
 	At        time.Time `json:"at"`
-	// Since says when each version came into its present state.
+	// Since holds the time at which each version entered its current state.
 	Since        []StateSince         `json:"since,omitempty"`
 	Declarations declare.Declarations `json:"declarations"`
 }
 
-// StateSince is when a version came into its present state.
+// StateSince is the time at which a version entered its current state.
 type StateSince struct {
 	Version string    `json:"version"`
 	At      time.Time `json:"at"`
 }
 
-// Change is a revision that an operator or duty wants accepted.
+// Change is a proposed revision, made by an operator or by a periodic duty.
 type Change struct {
 	CommandID    string
 	Operator     string
@@ -45,7 +46,7 @@
 	Declarations declare.Declarations
 }
 
-// next builds the revision that a change makes after the previous one.
+// next returns the revision that follows r when the change is accepted.
 func (r Revision) next(c Change, now time.Time) Revision {
 	return Revision{
 		Number:       r.Number + 1,
@@ -58,7 +59,8 @@
 	}
 }
 
-// sinceAfter keeps the times of versions whose state does not change.
+// sinceAfter returns the state times for the next declarations. A version whose state does not
+// change keeps its time; all others get now.
 func (r Revision) sinceAfter(next declare.Declarations, now time.Time) []StateSince {
 	known := make(map[string]time.Time, len(r.Since))
 	for _, s := range r.Since {
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -8,30 +8,30 @@
 	"quaybarrow/internal/declare"
 )
 
-// Candidate is a version that a workspace may use, as decisions read it.
+// Candidate is a version that a workspace may use, in the form that routing decisions read.
 type Candidate struct {
 	Ref     declare.Ref
-	Name    string // Ref as text, made once
+	Name    string // Ref as text, formatted once
 	Version declare.Version
-	Since   time.Time // when it came into its state
+	Since   time.Time // when the version entered its state
 }
 
-// Snapshot is a revision with indexes; it never changes.
+// Snapshot is an immutable revision with indexes.
 type Snapshot struct {
 	revision       Revision
-	workspaceByKey map[string]string // key hash to workspace
-	operators      map[string]declare.Operator
+	workspaceByKey map[string]string           // by key hash
+	operators      map[string]declare.Operator // by key hash
 	workspaces     map[string]*workspaceIndex
 	states         map[declare.Ref]declare.State
 }
 
-// workspaceIndex is a workspace with the versions it may use.
+// workspaceIndex is a workspace with the versions that it may use.
 type workspaceIndex struct {
 	workspace declare.Workspace
 	byModel   map[string][]Candidate // all states, in declared order
 }
 
-// NewSnapshot indexes a revision.
+// NewSnapshot returns a revision with its indexes.
 func NewSnapshot(r Revision) *Snapshot {
 	s := &Snapshot{
 		revision:       r,
@@ -76,13 +76,13 @@
 	return index
 }
 
-// HashKey hashes a secret as declarations keep it.
+// HashKey hashes a secret in the form that declarations store.
 func HashKey(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
-// Revision returns the revision behind the snapshot.
+// Revision returns the revision that the snapshot was built from.
 func (s *Snapshot) Revision() Revision { return s.revision }
 
 // Number returns the revision's number.
