--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,5 +1,4 @@
-// Package codec turns typed values into bytes and back, for table rows and
-// peer messages.
+// Package codec encodes typed values as bytes and decodes them, for table rows and peer messages.
 //
 // # Usage
 //
@@ -23,7 +22,7 @@
 	return data, nil
 }
 
-// Decode reads a value from JSON.
+// Decode returns the value that is encoded as JSON in data.
 func Decode[T any](data []byte) (T, error) {
 	var value T
 	if err := json.Unmarshal(data, &value); err != nil {
@@ -32,7 +31,7 @@
 	return value, nil
 }
 
-// Pack returns the value as compressed JSON, for large rows that are read often.
+// Pack returns the value as gzip-compressed JSON, for large rows that are read often.
 func Pack[T any](value T) ([]byte, error) {
 	data, err := Encode(value)
 	if err != nil {
@@ -49,7 +48,7 @@
 	return packed.Bytes(), nil
 }
 
-// Unpack reads a value that Pack wrote.
+// Unpack returns the value that Pack encoded in data.
 func Unpack[T any](data []byte) (T, error) {
 	var value T
 	r, err := gzip.NewReader(bytes.NewReader(data))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -60,7 +60,7 @@
 		"stale reads after a loss": {{Kind: table.FaultLoseReply, Count: 1}, {Kind: table.FaultStale, Count: 2}},
 	}
 	for name, faults := range storeFaults {
-		It("determines the outcome by the command id: "+name, func() {
+		It("determines the outcome of "+name+" by the command id", func() {
 			suite.Paused(func() {
 				store := table.New(table.Options{})
 				log := config.NewLog(store)
--- a/internal/declare/declare.go
+++ b/internal/declare/declare.go
@@ -1,5 +1,5 @@
-// Package declare holds what operators declare: workspaces, models, versions,
-// task classes, quality targets, roll-out plans and plain services.
+// Package declare defines the declarations that operators make: workspaces, models, versions, task
+// classes, quality targets, roll-out plans and plain services.
 //
 // # Usage
 //
@@ -7,8 +7,8 @@
 //	...
 //	v, ok := d.Version(declare.Ref{Model: "support", Version: "7"})
 //
-// Declarations are immutable values. A change is made with a With method,
-// which returns a new value and leaves the old one as it was.
+// Declarations are immutable values. A With method returns a changed copy and leaves the original
+// unchanged.
 package declare
 
 import (
@@ -18,15 +18,15 @@
 	"github.com/pkg/errors"
 )
 
-// ErrInvalid is matched by every error about what was declared.
+// ErrInvalid is matched by every error about the contents of declarations.
 var ErrInvalid = errors.New("invalid declaration")
 
-// State is the life stage of a version.
+// State is the lifecycle state of a version.
 type State string
 
-// The life stages of a version. Only serving and canary versions take new
-// sessions; a retired one still answers sessions pinned to it; a withdrawn one
-// answers nothing, ever again.
+// The lifecycle states of a version, in order. Only canary and serving versions accept new
+// sessions; a retired version still answers the sessions pinned to it; a withdrawn version never
+// answers again.
 const (
 	StateStaged    State = "staged"
 	StateCanary    State = "canary"
@@ -35,7 +35,7 @@
 	StateWithdrawn State = "withdrawn"
 )
 
-// Priority orders requests when capacity is short.
+// Priority determines which requests are served first when capacity is short.
 type Priority string
 
 // Priorities, most urgent first.
@@ -44,7 +44,7 @@
 	PriorityBatch       Priority = "batch"
 )
 
-// Role says what an operator may do.
+// Role is the set of commands that an operator may run.
 type Role string
 
 // Roles of operators.
@@ -53,13 +53,13 @@
 	RoleEditor Role = "editor"
 )
 
-// Ref names a version of a model, written model@version.
+// Ref refers to a version of a model, written as model@version.
 type Ref struct {
 	Model   string `json:"model" yaml:"model"`
 	Version string `json:"version" yaml:"version"`
 }
 
-// ParseRef splits model@version. A text without @ names a model only.
+// ParseRef splits model@version. A text without @ refers to a model only.
 func ParseRef(text string) Ref {
 	model, version, _ := strings.Cut(text, "@")
 	return Ref{Model: model, Version: version}
@@ -73,25 +73,26 @@
 	return r.Model + "@" + r.Version
 }
 
-// Key is a caller's or operator's secret, kept only as a hash.
+// Key is a named secret of a caller, stored only as a hash.
 type Key struct {
 	Name string `json:"name" yaml:"name"` // for logs and rotation
 	Hash string `json:"hash" yaml:"hash"` // sha256:<64 hex digits> of the secret
 }
 
-// TaskClass is a kind of work with a quality target of its own.
+// TaskClass is a kind of task with its own quality target.
 type TaskClass struct {
 	Name   string   `json:"name" yaml:"name"`
-	Models []string `json:"models" yaml:"models"` // candidates, any order
-	Target float64  `json:"target" yaml:"target"` // least mean rating, 0 to 1
-	// Cascade lets a cheap answer be checked before a dearer model is asked.
+	Models []string `json:"models" yaml:"models"` // candidates, in any order
+	Target float64  `json:"target" yaml:"target"` // lowest acceptable mean rating, 0 to 1
+	// Cascade asks a cheap model first and a more expensive one only if the cheap answer fails a check.
 	Cascade bool `json:"cascade,omitempty" yaml:"cascade,omitempty"`
-	// Confidence is the least confidence, 0 to 1, with which the cheap answer
-	// of a cascade is given to the caller.
+	// Confidence is the minimum confidence, 0 to 1, at which the cheap answer of a cascade is returned
+	// to the caller.
 	Confidence float64 `json:"confidence,omitempty" yaml:"confidence,omitempty"`
 }
 
-// Workspace is a tenant: who may call, what they may use, how much.
+// Workspace is a tenant: its callers' keys, the models and services that they may use, and their
+// concurrency limit.
 type Workspace struct {
 	Name        string      `json:"name" yaml:"name"`
 	Keys        []Key       `json:"keys" yaml:"keys"`
@@ -127,14 +128,14 @@
 type Version struct {
 	Name  string `json:"name" yaml:"name"`
 	State State  `json:"state" yaml:"state"`
-	// InputCost and OutputCost are in micro-units of money per token.
+	// InputCost and OutputCost are in millionths of a currency unit per token.
 	InputCost  int64 `json:"input_cost" yaml:"input_cost"`
 	OutputCost int64 `json:"output_cost" yaml:"output_cost"`
-	// Quality is the operators' prior for the mean rating, 0 to 1.
+	// Quality is the operators' prior estimate of the mean rating, 0 to 1.
 	Quality float64 `json:"quality,omitempty" yaml:"quality,omitempty"`
 }
 
-// Model is a family of versions.
+// Model is a named model with its versions.
 type Model struct {
 	Name     string    `json:"name" yaml:"name"`
 	Versions []Version `json:"versions" yaml:"versions"`
@@ -144,11 +145,11 @@
 type Call struct {
 	Name       string `json:"name" yaml:"name"`
 	Repeatable bool   `json:"repeatable" yaml:"repeatable"`
-	// RequireKey refuses calls without an Idempotency-Key.
+	// RequireKey rejects calls without an Idempotency-Key header.
 	RequireKey bool `json:"require_key,omitempty" yaml:"require_key,omitempty"`
 }
 
-// Service is a plain service beside the model engines.
+// Service is a plain service, as opposed to a model engine.
 type Service struct {
 	Name  string `json:"name" yaml:"name"`
 	Calls []Call `json:"calls" yaml:"calls"`
@@ -164,28 +165,29 @@
 	return Call{}, false
 }
 
-// Plan is a roll-out: how a canary version earns its traffic.
+// Plan is a roll-out plan: the conditions under which a canary version receives traffic and is
+// accepted.
 type Plan struct {
 	Name    string `json:"name" yaml:"name"`
 	Version string `json:"version" yaml:"version"` // model@version
-	// Window is the largest count of answers that may be out without a rating
-	// when the plan starts, over all hosts.
+	// Window is the maximum number of answers, over all hosts, that may await a rating when the plan
+	// starts.
 	Window int `json:"window" yaml:"window"`
-	// Floor is the mean rating below which the version is bad, 0 to 1.
+	// Floor is the mean rating, 0 to 1, below which the version counts as bad.
 	Floor float64 `json:"floor" yaml:"floor"`
-	// Ratings is how many ratings in its favour accept the version.
+	// Ratings is the number of ratings in the version's favor at which it is accepted.
 	Ratings int `json:"ratings" yaml:"ratings"`
-	// RatingTimeout is how many seconds an answer's rating is waited for; an
-	// answer not rated by then no longer fills the window. 0 means 600.
+	// RatingTimeout is the time in seconds to wait for the rating of an answer; an answer that is not
+	// rated by then no longer counts toward the window. 0 means 600.
 	RatingTimeout int `json:"rating_timeout,omitempty" yaml:"rating_timeout,omitempty"`
-	// Held stops new credits until it is resumed.
+	// Held stops the granting of new credits until the plan is resumed.
 	Held bool `json:"held,omitempty" yaml:"held,omitempty"`
 }
 
-// defaultRatingTimeout holds where a plan sets none.
+// defaultRatingTimeout applies to plans that set no timeout.
 const defaultRatingTimeout = 10 * time.Minute
 
-// Timeout is how long an answer's rating is waited for.
+// Timeout returns the time to wait for the rating of an answer.
 func (p Plan) Timeout() time.Duration {
 	if p.RatingTimeout == 0 {
 		return defaultRatingTimeout
@@ -196,12 +198,12 @@
 // Operator is a person or program that runs commands.
 type Operator struct {
 	Name       string   `json:"name" yaml:"name"`
-	Hash       string   `json:"hash" yaml:"hash"` // as Key.Hash
+	Hash       string   `json:"hash" yaml:"hash"` // sha256:<64 hex digits> of the secret
 	Role       Role     `json:"role" yaml:"role"`
-	Workspaces []string `json:"workspaces,omitempty" yaml:"workspaces,omitempty"` // none means all
+	Workspaces []string `json:"workspaces,omitempty" yaml:"workspaces,omitempty"` // empty means all
 }
 
-// Declarations is everything declared, as one immutable value.
+// Declarations is the complete set of declarations, as one immutable value.
 type Declarations struct {
 	Workspaces []Workspace `json:"workspaces,omitempty" yaml:"workspaces,omitempty"`
 	Models     []Model     `json:"models,omitempty" yaml:"models,omitempty"`
@@ -254,7 +256,7 @@
 	return Service{}, false
 }
 
-// PlanFor finds the plan that rolls out the version.
+// PlanFor finds the roll-out plan of the version.
 func (d Declarations) PlanFor(ref Ref) (Plan, bool) {
 	for _, p := range d.Plans {
 		if p.Version == ref.String() {
@@ -307,7 +309,7 @@
 	return Plan{}, false
 }
 
-// Merge joins two sets of declarations into one.
+// Merge returns the entries of d followed by those of other. It does not look for duplicates.
 func (d Declarations) Merge(other Declarations) Declarations {
 	d.Workspaces = append(d.Workspaces[:len(d.Workspaces):len(d.Workspaces)], other.Workspaces...)
 	d.Models = append(d.Models[:len(d.Models):len(d.Models)], other.Models...)
--- a/internal/declare/declare_test.go
+++ b/internal/declare/declare_test.go
@@ -11,10 +11,10 @@
 	"quaybarrow/internal/declare"
 )
 
-// validHash is a hashed key as it has to look.
+// validHash is a well-formed key hash.
 const validHash = "sha256:0000000000000000000000000000000000000000000000000000000000000000"
 
-// invalidFiles are files with one mistake each, and what the error has to say.
+// invalidFiles are files with mistakes, and the texts that the error has to contain.
 var invalidFiles = map[string]struct {
 	text string
 	want []string
@@ -31,7 +31,7 @@
 		"workspaces:\n  - name: w\n    allow: [ghost]\n    concurrency: 1\n",
 		[]string{"a.yaml:3", "$.workspaces[0].allow[0]", "ghost"},
 	},
-	"a key that is no hash": {
+	"a key that is not a hash": {
 		"workspaces:\n  - name: w\n    concurrency: 1\n    keys:\n      - {name: k, hash: secret}\n",
 		[]string{"a.yaml:5", "$.workspaces[0].keys[0].hash", "sha256:"},
 	},
@@ -47,7 +47,7 @@
 		"models: [{name: m, versions: [{name: \"1\", state: serving}]}]\nworkspaces:\n  - name: w\n    concurrency: 1\n    classes: [{name: m, models: [m], target: 0.9}]\n",
 		[]string{"classes[0].name", "model's name"},
 	},
-	"a plan for nothing": {
+	"a plan for an undeclared version": {
 		"plans: [{name: p, version: m@1, window: 0, ratings: 1, floor: 2}]\n",
 		[]string{"plans[0].version", "plans[0].window", "plans[0].floor"},
 	},
@@ -55,15 +55,15 @@
 		"operators: [{name: o, hash: \"" + validHash + "\", role: root}]\n",
 		[]string{"operators[0].role", "viewer or editor"},
 	},
-	"a name twice": {
+	"a name declared twice": {
 		"models: [{name: m, versions: [{name: \"1\", state: serving}]}, {name: m, versions: [{name: \"1\", state: serving}]}]\n",
 		[]string{"models[1].name", "twice"},
 	},
 }
 
-var _ = Describe("declarations with a mistake", func() {
+var _ = Describe("invalid declarations", func() {
 	for name, b := range invalidFiles {
-		It("are refused with file, line and field: "+name, func() {
+		It("are rejected with file, line and field: "+name, func() {
 			dir := GinkgoT().TempDir()
 			Expect(os.WriteFile(filepath.Join(dir, "a.yaml"), []byte(b.text), 0o600)).To(Succeed())
 			_, err := declare.ReadDir(dir)
@@ -74,7 +74,7 @@
 		})
 	}
 
-	It("are located in the right one of several files", func() {
+	It("are located in the file that contains them", func() {
 		dir := GinkgoT().TempDir()
 		good := "models: [{name: a, versions: [{name: \"1\", state: serving}]}]\n"
 		wrong := "# a comment\nmodels:\n  - name: b\n    versions: [{name: \"1\", state: nope}]\n"
@@ -93,12 +93,12 @@
 	return d
 }
 
-var _ = Describe("a successor", func() {
+var _ = Describe("a change of declarations", func() {
 	states := []declare.State{
 		declare.StateStaged, declare.StateCanary, declare.StateServing, declare.StateRetired, declare.StateWithdrawn,
 	}
 
-	It("never takes a version back, and never forgets a withdrawn one", func() {
+	It("never returns a version to an earlier state and never drops a withdrawn version", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			draw := rapid.SliceOfN(rapid.SampledFrom(states), 1, 4)
 			before, after := declareVersions(draw.Draw(t, "before")...), declareVersions(draw.Draw(t, "after")...)
@@ -110,20 +110,20 @@
 					t.Fatalf("%s went from %s to %s", ref, v.State, now.State)
 				}
 				if !ok && v.State == declare.StateWithdrawn {
-					t.Fatalf("%s was forgotten", ref)
+					t.Fatalf("withdrawn version %s was dropped", ref)
 				}
 			}
 		})
 	})
 
-	It("leaves the values it came from as they were", func() {
+	It("leaves the original declarations unchanged", func() {
 		before := declareVersions(declare.StateServing)
 		after := before.WithState(declare.Ref{Model: "m", Version: "a"}, declare.StateRetired)
 		Expect(before.Models[0].Versions[0].State).To(Equal(declare.StateServing))
 		Expect(after.Models[0].Versions[0].State).To(Equal(declare.StateRetired))
 	})
 
-	It("is told by path", func() {
+	It("is reported by path", func() {
 		differences, err := declare.Diff(declareVersions(declare.StateServing), declareVersions(declare.StateRetired, declare.StateStaged))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(differences[0].String()).To(Equal("~ models.m.versions.a.state: serving -> retired"))
--- a/internal/declare/diff.go
+++ b/internal/declare/diff.go
@@ -6,14 +6,14 @@
 	"sort"
 )
 
-// Difference is one field that differs between two sets of declarations.
+// Difference is a field whose value differs between two sets of declarations.
 type Difference struct {
 	Path   string `json:"path"` // such as workspaces.clerks.concurrency
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
 
-// String formats the difference for people.
+// String formats the difference as a line of text that begins with +, - or ~.
 func (d Difference) String() string {
 	switch {
 	case d.Before == "":
@@ -25,7 +25,7 @@
 	}
 }
 
-// Diff lists what changes from one set of declarations to another, by path.
+// Diff returns the differences between two sets of declarations, sorted by path.
 // Entries of lists are matched by their names, so their order does not matter.
 func Diff(before, after Declarations) ([]Difference, error) {
 	previous, err := flatten(before)
@@ -51,7 +51,7 @@
 	return differences, nil
 }
 
-// flatten lists every leaf of the declarations by its path.
+// flatten returns the value of every leaf of the declarations by its path.
 func flatten(d Declarations) (map[string]string, error) {
 	data, err := json.Marshal(d)
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// entryName is the name of a list's entry, or its place if it has none.
+// entryName returns the name of a list entry, or its index if it has none.
 func entryName(index int, entry any) string {
 	switch e := entry.(type) {
 	case map[string]any:
--- a/internal/declare/files.go
+++ b/internal/declare/files.go
@@ -13,24 +13,24 @@
 	"quaybarrow/internal/yamlfile"
 )
 
-// Source is a directory of declarations that can tell where each stands.
+// Source holds the declarations of a directory and locates each in its file.
 type Source struct {
 	Declarations Declarations
 	sections     []section
 }
 
-// section ties a part of the merged declarations to the file it came from.
+// section maps the entries that one file contributes to the merged declarations to that file.
 type section struct {
 	doc     *yamlfile.Document
-	offsets map[string]int // entries of each top field before this file
-	counts  map[string]int // entries of each top field in this file
+	offsets map[string]int // entries of each top-level field in the files before this one
+	counts  map[string]int // entries of each top-level field in this file
 }
 
-// entryPath matches the leading field and index of a problem's path.
+// entryPath matches the path of a problem and captures its top-level field, the index and the rest.
 var entryPath = regexp.MustCompile(`^\$\.([a-z]+)\[(\d+)\](.*)$`)
 
 // ReadDir reads and merges every .yaml file of a directory, in name order.
-// Errors match ErrInvalid or yamlfile.ErrInvalid and name file, line and field.
+// Errors about the contents match ErrInvalid or yamlfile.ErrInvalid and give file, line and field.
 func ReadDir(dir string) (Source, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.yaml"))
 	if err != nil {
@@ -51,7 +51,7 @@
 	return source, nil
 }
 
-// addFile reads one more file into the source.
+// addFile reads a file and merges its declarations into the source.
 func (s *Source) addFile(name string) error {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Locate turns problems into one error that names file, line and field of each.
+// Locate returns one error that gives the file, line and field of each problem.
 func (s Source) Locate(problems []Problem) error {
 	lines := make([]string, len(problems))
 	for i, p := range problems {
--- a/internal/declare/source.go
+++ b/internal/declare/source.go
@@ -2,8 +2,8 @@
 
 import _ "embed" // for SourceText
 
-// SourceText is the text in which Declarations is declared; the reference page is
-// made from its comments.
+// SourceText is the Go source file that declares Declarations. The reference page is generated from
+// its comments.
 //
 //go:embed declare.go
 var SourceText []byte
--- a/internal/declare/states.go
+++ b/internal/declare/states.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// rank ranks the states; a version only ever moves up.
+// rank returns the position of the state in the lifecycle, or -1 for an unknown state. A version
+// only moves to higher ranks.
 func (s State) rank() int {
 	switch s {
 	case StateStaged:
@@ -23,14 +24,13 @@
 	}
 }
 
-// Before reports whether the state comes earlier in a version's life.
+// Before reports whether the state comes before other in the lifecycle.
 func (s State) Before(other State) bool { return s.rank() < other.rank() }
 
-// CarryOverStates returns next as the successor of previous. Files say in which state
-// a version starts; commands and plans move it on from there. So a version
-// never goes back to an earlier state by applying an old file, and a withdrawn
-// one stays known as withdrawn even when the files no longer name it. The
-// notes say, in words for the operator, what was kept.
+// CarryOverStates returns next with the states that it has to keep from previous. Files give the
+// state in which a version starts; commands and plans change it from there. Therefore applying an
+// old file never returns a version to an earlier state, and a withdrawn version stays declared as
+// withdrawn even when the files no longer contain it. The notes tell the operator what was kept.
 func CarryOverStates(previous, next Declarations) (Declarations, []string) {
 	var notes []string
 	for _, m := range previous.Models {
@@ -50,7 +50,7 @@
 	return next, notes
 }
 
-// withVersion returns the declarations with one more version.
+// withVersion returns the declarations with the version added, and its model if it is missing.
 func (d Declarations) withVersion(ref Ref, v Version) Declarations {
 	models := slices.Clone(d.Models)
 	for i, m := range models {
--- a/internal/declare/validate.go
+++ b/internal/declare/validate.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// namePattern keeps names usable in URLs, table keys and the query language.
+// namePattern restricts names to those usable in URLs, table keys and the query language.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 // hashPattern is the form of a hashed secret.
 var hashPattern = regexp.MustCompile(`^sha256:[0-9a-f]{64}$`)
 
-// Problem is one fault of a set of declarations.
+// Problem is one error in a set of declarations.
 type Problem struct {
 	Path string // YAML path, such as $.models[0].name
-	Text string // what is wrong and what is allowed
+	Text string // describes the error and the allowed values
 }
 
 // Error formats the problem as path: text.
@@ -53,7 +53,7 @@
 	}
 }
 
-// Validate checks names, references and ranges, and returns every problem.
+// Validate checks names, references and ranges, and returns all problems.
 func (d Declarations) Validate() []Problem {
 	c := &checker{}
 	d.checkModels(c)
@@ -202,7 +202,7 @@
 	}
 }
 
-// isDeclared reports whether the model, and the version if one is named, exists.
+// isDeclared reports whether the model, and the version if ref has one, is declared.
 func (d Declarations) isDeclared(ref Ref) bool {
 	if ref.Version == "" {
 		_, ok := d.Model(ref.Model)
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -1,5 +1,5 @@
-// Package tlsfiles gives hosts mutual TLS from files that are read again when
-// they change, so that certificates rotate without a restart.
+// Package tlsfiles configures mutual TLS between hosts from files that are reloaded when they
+// change, so that certificates rotate without a restart.
 //
 // # Usage
 //
@@ -23,13 +23,13 @@
 	"quaybarrow/internal/settings"
 )
 
-// ErrCertificate means that the files can't be used.
+// ErrCertificate means that the certificate files, or the certificate of a peer, are not valid.
 var ErrCertificate = errors.New("bad certificate files")
 
-// checkInterval bounds how often the files are looked at.
+// checkInterval is the minimum time between checks of the files for changes.
 const checkInterval = 10 * time.Second
 
-// Files are a host's certificate, key and authorities.
+// Files are the certificate, private key and certificate authorities of a host.
 type Files struct {
 	paths settings.TLS
 
@@ -39,7 +39,7 @@
 	lastError error
 }
 
-// material is what was read from the files.
+// material is the parsed contents of the files.
 type material struct {
 	certificate tls.Certificate
 	leaf        *x509.Certificate
@@ -47,7 +47,7 @@
 	modified    time.Time
 }
 
-// Open reads the files; it returns nil where TLS is not set.
+// Open reads the files. It returns nil if TLS is not configured.
 func Open(paths settings.TLS) (*Files, error) {
 	if !paths.Enabled() {
 		return nil, nil
@@ -70,14 +70,14 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return material{}, fmt.Errorf("%w: %s holds no certificate", ErrCertificate, paths.Authority)
+		return material{}, fmt.Errorf("%w: %s contains no certificate", ErrCertificate, paths.Authority)
 	}
 	return material{
 		certificate: certificate, leaf: certificate.Leaf, authorities: pool, modified: lastModified(paths),
 	}, nil
 }
 
-// lastModified is the latest change of the files.
+// lastModified returns the latest modification time of the files.
 func lastModified(paths settings.TLS) time.Time {
 	var latest time.Time
 	for _, name := range []string{paths.Certificate, paths.Key, paths.Authority} {
@@ -88,8 +88,8 @@
 	return latest
 }
 
-// current returns the material, read again if the files changed. Files that
-// can't be read leave the old material in use.
+// current returns the material, reloaded if the files have changed. If they can't be loaded, the
+// previous material stays in use.
 func (f *Files) current() material {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,7 +108,7 @@
 	return f.loaded
 }
 
-// Expiry returns when the certificate ends, and the error of the last reading.
+// Expiry returns the expiry time of the certificate and the error of the last reload.
 func (f *Files) Expiry() (time.Time, error) {
 	loaded := f.current()
 	f.mu.Lock()
@@ -116,10 +116,10 @@
 	return loaded.leaf.NotAfter, f.lastError
 }
 
-// verify checks the other side's certificate against the present authorities.
+// verify checks the certificate of the peer against the current authorities.
 func (f *Files) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.WithMessage(ErrCertificate, "the peer showed none")
+		return errors.WithMessage(ErrCertificate, "the peer presented none")
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
@@ -130,19 +130,19 @@
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	if err != nil {
-		return fmt.Errorf("%w: of the peer: %w", ErrCertificate, err)
+		return fmt.Errorf("%w: certificate of the peer: %w", ErrCertificate, err)
 	}
 	return nil
 }
 
-// ServerCredentials are for answering other hosts.
+// ServerCredentials returns the credentials for connections from other hosts.
 func (f *Files) ServerCredentials() credentials.TransportCredentials {
 	if f == nil {
 		return insecure.NewCredentials()
 	}
 	return credentials.NewTLS(&tls.Config{
 		MinVersion: tls.VersionTLS13,
-		ClientAuth: tls.RequireAnyClientCert, // verified below, with authorities that rotate
+		ClientAuth: tls.RequireAnyClientCert, // VerifyConnection verifies it against authorities that rotate
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			c := f.current().certificate
 			return &c, nil
@@ -151,8 +151,8 @@
 	})
 }
 
-// ClientCredentials are for asking other hosts. Hosts are known by IP numbers
-// that change hands, so a certificate is checked for its authority, not for a
+// ClientCredentials returns the credentials for connections to other hosts. Hosts are addressed by
+// IP addresses that are reassigned, so only the authority of a certificate is checked, not its
 // name.
 func (f *Files) ClientCredentials() credentials.TransportCredentials {
 	if f == nil {
@@ -160,7 +160,7 @@
 	}
 	return credentials.NewTLS(&tls.Config{
 		MinVersion:         tls.VersionTLS13,
-		InsecureSkipVerify: true, // the name only; VerifyConnection checks the chain
+		InsecureSkipVerify: true, // skips the check of the name; VerifyConnection checks the chain
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			c := f.current().certificate
 			return &c, nil
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,4 +1,4 @@
-// Package traffic remembers the last requests of a host, for operators.
+// Package traffic keeps records of the most recent requests of a host, for operators to query.
 //
 // # Usage
 //
@@ -13,31 +13,31 @@
 	"quaybarrow/internal/problem"
 )
 
-// Record is one request as it ended.
+// Record describes a finished request.
 type Record struct {
-	At        time.Time    `json:"at"` // when it came in
+	At        time.Time    `json:"at"` // arrival time
 	RequestID string       `json:"request_id"`
 	TraceID   string       `json:"trace_id"`
 	Host      string       `json:"host"`
 	Workspace string       `json:"workspace"`
-	Asked     string       `json:"asked"` // model, version, class or service/call
+	Asked     string       `json:"asked"` // requested model, version, class or service/call
 	Version   string       `json:"version"`
 	Session   string       `json:"session,omitempty"`
-	Outcome   string       `json:"outcome"` // answered, or a problem's code
+	Outcome   string       `json:"outcome"` // answered, or the code of the problem
 	Run       problem.Run  `json:"run"`
-	Reason    string       `json:"reason,omitempty"` // why the version was picked
+	Reason    string       `json:"reason,omitempty"` // reason for the choice of the version
 	Attempts  int          `json:"attempts"`
 	Tokens    int          `json:"tokens"`
 	Cost      int64        `json:"cost"`
-	FirstMS   float64      `json:"first_ms"` // to the first token
+	FirstMS   float64      `json:"first_ms"` // time to the first token
 	TotalMS   float64      `json:"total_ms"`
 	Code      problem.Code `json:"-"`
 }
 
-// Answered is the outcome of a request that went well.
+// Answered is the outcome of a successful request.
 const Answered = "answered"
 
-// Log is a ring of the last records.
+// Log is a ring buffer of the most recent records.
 type Log struct {
 	mu      sync.Mutex // guards all below
 	records []Record
@@ -45,10 +45,10 @@
 	full    bool
 }
 
-// NewLog returns a log that keeps a count of records.
+// NewLog returns a log that keeps the last size records.
 func NewLog(size int) *Log { return &Log{records: make([]Record, size)} }
 
-// Add keeps a record in place of the oldest.
+// Add stores a record, replacing the oldest one if the log is full.
 func (l *Log) Add(r Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +59,8 @@
 	}
 }
 
-// Since returns the records that came in after a moment, oldest first.
+// Since returns the records of requests that arrived after the given time, in the order in which
+// they were added.
 func (l *Log) Since(at time.Time) []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -1,5 +1,4 @@
-// Package yamlfile reads YAML files strictly and reports problems by file,
-// line and field.
+// Package yamlfile decodes YAML files strictly and reports errors by file, line and field.
 //
 // # Usage
 //
@@ -8,8 +7,8 @@
 //	...
 //	return doc.Errorf("$.listen", "must be an IP address and a port")
 //
-// Decode refuses unknown and repeated fields. A Document keeps the syntax
-// tree, so that checks made after decoding can still name a line.
+// Decode rejects unknown and repeated fields. A Document keeps the syntax tree, so that checks made
+// after decoding can report line numbers.
 package yamlfile
 
 import (
@@ -24,15 +23,15 @@
 // ErrInvalid is matched by every error about the contents of a file.
 var ErrInvalid = errors.New("invalid file")
 
-// FieldError describes one bad field.
+// FieldError describes an invalid field.
 type FieldError struct {
-	File  string // name of the file as the caller gave it
-	Line  int    // line of the field, counted from 1; 0 when unknown
+	File  string // file name, as passed by the caller
+	Line  int    // line of the field, counted from 1; 0 if unknown
 	Field string // YAML path of the field, such as $.models[0].name
-	Text  string // what is wrong and what is allowed
+	Text  string // describes the error and the allowed values
 }
 
-// Error formats the problem as file:line: field: text.
+// Error formats the error as file:line: field: text.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Field, e.Text)
 }
@@ -46,11 +45,10 @@
 	tree *ast.File
 }
 
-// Decode parses data strictly into target. Errors match ErrInvalid and name
-// the line.
+// Decode parses data strictly into target. Errors match ErrInvalid and give the line.
 func Decode(name string, data []byte, target any) (doc *Document, err error) {
-	// The library panics on some malformed texts, which fuzzing found; to whoever
-	// wrote the file that is a mistake in it like others.
+	// Fuzzing found malformed texts on which the YAML library panics. They are reported like any
+	// other error in the file.
 	defer func() {
 		if r := recover(); r != nil {
 			doc, err = nil, fmt.Errorf("decode %s: %w: the text is malformed: %v", name, ErrInvalid, r)
@@ -71,7 +69,7 @@
 	return &FieldError{File: d.name, Line: d.line(path), Field: path, Text: fmt.Sprintf(format, args...)}
 }
 
-// line finds the line of path, or of its nearest parent that exists.
+// line returns the line of path, or of its nearest existing parent; 1 if there is none.
 func (d *Document) line(path string) int {
 	for path != "" && path != "$" {
 		if n := d.exactLine(path); n > 0 {
@@ -94,7 +92,7 @@
 	return node.GetToken().Position.Line
 }
 
-// parent drops the last step of a path: $.a[0].b becomes $.a[0].
+// parent removes the last element of a path: $.a[0].b becomes $.a[0].
 func parent(path string) string {
 	for i := len(path) - 1; i > 0; i-- {
 		if path[i] == '.' || path[i] == '[' {
