--- a/internal/config/distribute.go
+++ b/internal/config/distribute.go
@@ -29,7 +29,7 @@
 	Holder   *Holder
 	Link     peer.Link
 	View     func() membership.View
-	Poll     time.Duration // poll interval of a host that is one of its region's pollers
+	Poll     time.Duration // poll interval of a region's pollers and of a host without a configuration
 	Backstop time.Duration // poll interval of all other hosts
 }
 
--- a/internal/declare/states.go
+++ b/internal/declare/states.go
@@ -42,7 +42,7 @@
 				next = next.WithState(ref, v.State)
 			}
 			if !ok && v.State == StateWithdrawn {
-				notes = append(notes, fmt.Sprintf("%s stays known as withdrawn", ref))
+				notes = append(notes, fmt.Sprintf("%s stays declared as withdrawn", ref))
 				next = next.withVersion(ref, v)
 			}
 		}
--- a/internal/declare/validate.go
+++ b/internal/declare/validate.go
@@ -117,7 +117,7 @@
 			at := fmt.Sprintf("%s.keys[%d].hash", path, j)
 			c.hash(at, k.Hash)
 			if hashes[k.Hash] {
-				c.add(at, "the same key is used twice; a key names one workspace")
+				c.add(at, "the same key is used twice; a key must belong to one workspace only")
 			}
 			hashes[k.Hash] = true
 		}
