--- a/internal/config/log.go
+++ b/internal/config/log.go
@@ -18,27 +18,28 @@
 	keyHead     = "head"
 )
 
-// Limits of settling an uncertain accept.
+// Attempts at accepting a change whose outcome is uncertain, and the base of the exponential
+// backoff between them.
 const (
-	settleAttempts = 5
-	settlePause    = 200 * time.Millisecond
+	acceptAttempts = 5
+	acceptBackoff  = 200 * time.Millisecond
 )
 
 // Errors of Accept.
 var (
 	// ErrConflict means that another change was accepted first.
 	ErrConflict = errors.New("conflict with another change")
-	// ErrUnsettled means that it could not be learnt whether the change was
-	// accepted. Asking again with the same command id settles it.
-	ErrUnsettled = errors.New("not known whether the change was accepted")
-	// ErrEmpty means that nothing was ever accepted.
-	ErrEmpty = errors.New("no configuration was accepted yet")
+	// ErrUnsettled means that it could not be determined whether the change was accepted. Calling
+	// Accept again with the same command id determines it.
+	ErrUnsettled = errors.New("could not determine whether the change was accepted")
+	// ErrEmpty means that the log holds no revision.
+	ErrEmpty = errors.New("no configuration has been accepted yet")
 )
 
-// ConflictError tells who was faster with what.
+// ConflictError reports the revision that was accepted in place of the refused change.
 type ConflictError struct {
-	Base   int64    // the revision the refused change was made on
-	Winner Revision // the newest revision
+	Base   int64    // the revision that the refused change was based on
+	Winner Revision // the revision accepted directly after Base
 }
 
 // Error formats the conflict.
@@ -62,16 +63,16 @@
 // NewLog returns the log kept in the given tables.
 func NewLog(tables store.Tables) *Log { return &Log{tables: tables} }
 
-// revisionKey sorts in order of numbers.
+// revisionKey returns the row key of a revision. Keys sort in the order of the numbers.
 func revisionKey(number int64) string { return fmt.Sprintf("revision/%012d", number) }
 
 // HeadNumber reads the number of the newest revision; 0 if there is none.
 func (l *Log) HeadNumber(ctx context.Context) (int64, error) {
-	h, _, err := l.head(ctx)
+	h, _, err := l.readHead(ctx)
 	return h.Number, err
 }
 
-func (l *Log) head(ctx context.Context) (head, store.Row, error) {
+func (l *Log) readHead(ctx context.Context) (head, store.Row, error) {
 	row, err := l.tables.Get(ctx, tableConfig, keyHead)
 	if errors.Is(err, store.ErrNotFound) {
 		return head{}, store.Row{Key: keyHead}, nil
@@ -95,9 +96,9 @@
 	return codec.Decode[Revision](row.Value)
 }
 
-// Newest returns the newest revision, or ErrEmpty.
+// Newest returns the newest revision, or ErrEmpty if there is none.
 func (l *Log) Newest(ctx context.Context) (Revision, error) {
-	h, _, err := l.head(ctx)
+	h, _, err := l.readHead(ctx)
 	if err != nil {
 		return Revision{}, err
 	}
@@ -107,7 +108,7 @@
 	return l.Read(ctx, h.Number)
 }
 
-// History returns the revisions past a number, oldest first.
+// History returns up to limit revisions with numbers above after, oldest first.
 func (l *Log) History(ctx context.Context, after int64, limit int) ([]Revision, error) {
 	rows, err := l.tables.Scan(ctx, store.Range{
 		Table: tableConfig, Prefix: "revision/", After: revisionKey(after), Limit: limit,
@@ -124,42 +125,44 @@
 	return revisions, nil
 }
 
-// Accept makes a change the newest revision if base still is. The errors are a
-// *ConflictError, ErrUnsettled, or that nothing was accepted.
+// Accept makes a change the newest revision, provided that base is still the newest one. It
+// returns a *ConflictError if another change was accepted first, and ErrUnsettled if the outcome
+// could not be determined; after any other error, nothing was accepted.
 func (l *Log) Accept(ctx context.Context, base int64, c Change) (Revision, error) {
-	tried := false // a write was sent and its reply is missing
-	var last error
-	for attempt := range settleAttempts {
-		if attempt > 0 && !clock.Sleep(ctx, settlePause<<attempt) {
+	writeSent := false // a write was sent and its reply is missing
+	var lastErr error
+	for attempt := range acceptAttempts {
+		if attempt > 0 && !clock.Sleep(ctx, acceptBackoff<<attempt) {
 			break
 		}
-		revision, done, err := l.try(ctx, base, c)
+		revision, done, err := l.attemptAccept(ctx, base, c)
 		if done {
 			return revision, err
 		}
-		tried = tried || errors.Is(err, errSent)
-		last = err
+		writeSent = writeSent || errors.Is(err, errWriteSent)
+		lastErr = err
 	}
-	if tried {
+	if writeSent {
 		return Revision{}, ErrUnsettled
 	}
-	return Revision{}, fmt.Errorf("accept configuration: %w: %w", store.ErrUnavailable, last)
+	return Revision{}, fmt.Errorf("accept configuration: %w: %w", store.ErrUnavailable, lastErr)
 }
 
-// errStale means that the store answered with an older head than was seen.
-var errStale = errors.New("the store's head is older than the revision decided on")
+// errStaleHead means that the store returned an older head than the caller has already read.
+var errStaleHead = errors.New("the head read from the store is older than the base revision")
 
-// errSent marks an error that came after the write was sent.
-var errSent = errors.New("write was sent")
+// errWriteSent marks an error after which the write may have been applied.
+var errWriteSent = errors.New("write was sent")
 
-// try makes one attempt. It is done when the outcome is certain.
-func (l *Log) try(ctx context.Context, base int64, c Change) (Revision, bool, error) {
-	h, row, err := l.head(ctx)
+// attemptAccept makes one attempt at accepting the change. The second result reports whether the
+// outcome is certain.
+func (l *Log) attemptAccept(ctx context.Context, base int64, c Change) (Revision, bool, error) {
+	h, row, err := l.readHead(ctx)
 	if err != nil {
 		return Revision{}, false, err
 	}
 	if h.Number != base {
-		return l.settle(ctx, base, h.Number, c.CommandID)
+		return l.resolveAccept(ctx, base, h.Number, c.CommandID)
 	}
 	previous := Revision{}
 	if h.Number > 0 {
@@ -176,7 +179,7 @@
 		return revision, true, nil
 	}
 	if store.Uncertain(err) {
-		return Revision{}, false, fmt.Errorf("%w: %w", errSent, err)
+		return Revision{}, false, fmt.Errorf("%w: %w", errWriteSent, err)
 	}
 	return Revision{}, false, err // the next attempt reads the head again
 }
@@ -202,18 +205,18 @@
 	})
 }
 
-// settle decides an accept whose base is no longer the head: the revision
-// right after the base is either this very change or the one that beat it.
-func (l *Log) settle(ctx context.Context, base, newest int64, commandID string) (Revision, bool, error) {
+// resolveAccept determines the outcome of an accept whose base is not the head: the revision
+// directly after the base is either this change or the one that was accepted in its place.
+func (l *Log) resolveAccept(ctx context.Context, base, newest int64, commandID string) (Revision, bool, error) {
 	if newest < base {
-		return Revision{}, false, errStale // the base was seen, so this head is old
+		return Revision{}, false, errStaleHead // the base has been read before, so this read is stale
 	}
-	after, err := l.Read(ctx, base+1)
+	successor, err := l.Read(ctx, base+1)
 	if err != nil {
 		return Revision{}, false, err
 	}
-	if after.CommandID == commandID {
-		return after, true, nil
+	if successor.CommandID == commandID {
+		return successor, true, nil
 	}
-	return Revision{}, true, &ConflictError{Base: base, Winner: after}
+	return Revision{}, true, &ConflictError{Base: base, Winner: successor}
 }
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -8,37 +8,37 @@
 	"quaybarrow/internal/declare"
 )
 
-// Candidate is a version that a workspace may use, as decisions read it.
+// Candidate is a version that a workspace may use, in the form that routing decisions read.
 type Candidate struct {
 	Ref     declare.Ref
-	Name    string // Ref as text, made once
+	Name    string // Ref as text, formatted once
 	Version declare.Version
-	Since   time.Time // when it came into its state
+	Since   time.Time // when the version entered its state
 }
 
-// Snapshot is a revision with indexes; it never changes.
+// Snapshot is an immutable revision with indexes.
 type Snapshot struct {
-	revision   Revision
-	keys       map[string]string // key hash to workspace
-	operators  map[string]declare.Operator
-	workspaces map[string]*workspaceIndex
-	states     map[declare.Ref]declare.State
+	revision       Revision
+	workspaceByKey map[string]string           // by key hash
+	operators      map[string]declare.Operator // by key hash
+	workspaces     map[string]*workspaceIndex
+	states         map[declare.Ref]declare.State
 }
 
-// workspaceIndex is a workspace with the versions it may use.
+// workspaceIndex is a workspace with the versions that it may use.
 type workspaceIndex struct {
 	workspace declare.Workspace
 	byModel   map[string][]Candidate // all states, in declared order
 }
 
-// NewSnapshot indexes a revision.
+// NewSnapshot returns a revision with its indexes.
 func NewSnapshot(r Revision) *Snapshot {
 	s := &Snapshot{
-		revision:   r,
-		keys:       map[string]string{},
-		operators:  map[string]declare.Operator{},
-		workspaces: map[string]*workspaceIndex{},
-		states:     map[declare.Ref]declare.State{},
+		revision:       r,
+		workspaceByKey: map[string]string{},
+		operators:      map[string]declare.Operator{},
+		workspaces:     map[string]*workspaceIndex{},
+		states:         map[declare.Ref]declare.State{},
 	}
 	since := make(map[string]time.Time, len(r.Since))
 	for _, v := range r.Since {
@@ -52,7 +52,7 @@
 	for _, w := range r.Declarations.Workspaces {
 		s.workspaces[w.Name] = indexWorkspace(r.Declarations, w, since)
 		for _, k := range w.Keys {
-			s.keys[k.Hash] = w.Name
+			s.workspaceByKey[k.Hash] = w.Name
 		}
 	}
 	for _, o := range r.Declarations.Operators {
@@ -76,13 +76,13 @@
 	return index
 }
 
-// HashKey hashes a secret as declarations keep it.
+// HashKey hashes a secret in the form that declarations store.
 func HashKey(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
-// Revision returns the revision behind the snapshot.
+// Revision returns the revision that the snapshot was built from.
 func (s *Snapshot) Revision() Revision { return s.revision }
 
 // Number returns the revision's number.
@@ -90,7 +90,7 @@
 
 // WorkspaceOfKey finds the workspace that a caller's secret belongs to.
 func (s *Snapshot) WorkspaceOfKey(secret string) (declare.Workspace, bool) {
-	name, ok := s.keys[HashKey(secret)]
+	name, ok := s.workspaceByKey[HashKey(secret)]
 	if !ok {
 		return declare.Workspace{}, false
 	}
--- a/internal/declare/diff.go
+++ b/internal/declare/diff.go
@@ -6,14 +6,14 @@
 	"sort"
 )
 
-// Difference is one field that differs between two sets of declarations.
+// Difference is a field whose value differs between two sets of declarations.
 type Difference struct {
 	Path   string `json:"path"` // such as workspaces.clerks.concurrency
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
 
-// String formats the difference for people.
+// String formats the difference as a line of text that begins with +, - or ~.
 func (d Difference) String() string {
 	switch {
 	case d.Before == "":
@@ -25,25 +25,25 @@
 	}
 }
 
-// Diff lists what changes from one set of declarations to another, by path.
+// Diff returns the differences between two sets of declarations, sorted by path.
 // Entries of lists are matched by their names, so their order does not matter.
 func Diff(before, after Declarations) ([]Difference, error) {
-	old, err := flatten(before)
+	previous, err := flatten(before)
 	if err != nil {
 		return nil, err
 	}
-	now, err := flatten(after)
+	current, err := flatten(after)
 	if err != nil {
 		return nil, err
 	}
 	var differences []Difference
-	for path, value := range old {
-		if now[path] != value {
-			differences = append(differences, Difference{Path: path, Before: value, After: now[path]})
+	for path, value := range previous {
+		if current[path] != value {
+			differences = append(differences, Difference{Path: path, Before: value, After: current[path]})
 		}
 	}
-	for path, value := range now {
-		if _, ok := old[path]; !ok {
+	for path, value := range current {
+		if _, ok := previous[path]; !ok {
 			differences = append(differences, Difference{Path: path, After: value})
 		}
 	}
@@ -51,7 +51,7 @@
 	return differences, nil
 }
 
-// flatten lists every leaf of the declarations by its path.
+// flatten returns the value of every leaf of the declarations by its path.
 func flatten(d Declarations) (map[string]string, error) {
 	data, err := json.Marshal(d)
 	if err != nil {
@@ -62,26 +62,26 @@
 		return nil, fmt.Errorf("compare declarations: %w", err)
 	}
 	leaves := map[string]string{}
-	walk("", tree, leaves)
+	collectLeaves("", tree, leaves)
 	return leaves, nil
 }
 
-func walk(path string, node any, leaves map[string]string) {
+func collectLeaves(path string, node any, leaves map[string]string) {
 	switch n := node.(type) {
 	case map[string]any:
 		for k, v := range n {
-			walk(join(path, k), v, leaves)
+			collectLeaves(joinPath(path, k), v, leaves)
 		}
 	case []any:
 		for i, v := range n {
-			walk(join(path, entryName(i, v)), v, leaves)
+			collectLeaves(joinPath(path, entryName(i, v)), v, leaves)
 		}
 	default:
 		leaves[path] = fmt.Sprint(n)
 	}
 }
 
-// entryName is the name of a list's entry, or its place if it has none.
+// entryName returns the name of a list entry, or its index if it has none.
 func entryName(index int, entry any) string {
 	switch e := entry.(type) {
 	case map[string]any:
@@ -94,7 +94,7 @@
 	return fmt.Sprint(index)
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/internal/declare/fuzz_test.go
+++ b/internal/declare/fuzz_test.go
@@ -8,7 +8,7 @@
 )
 
 func FuzzDeclarations(f *testing.F) {
-	for _, b := range bad {
+	for _, b := range invalidFiles {
 		f.Add([]byte(b.text))
 	}
 	f.Fuzz(func(_ *testing.T, data []byte) {
@@ -17,7 +17,7 @@
 			return
 		}
 		_ = d.Validate()
-		_, _ = declare.Succeed(d, d)
+		_, _ = declare.CarryOverStates(d, d)
 		_, _ = declare.Diff(declare.Declarations{}, d)
 	})
 }
--- a/internal/tlsfiles/tlsfiles.go
+++ b/internal/tlsfiles/tlsfiles.go
@@ -1,5 +1,5 @@
-// Package tlsfiles gives hosts mutual TLS from files that are read again when
-// they change, so that certificates rotate without a restart.
+// Package tlsfiles configures mutual TLS between hosts from files that are reloaded when they
+// change, so that certificates rotate without a restart.
 //
 // # Usage
 //
@@ -23,15 +23,15 @@
 	"quaybarrow/internal/settings"
 )
 
-// ErrCertificate means that the files can't be used.
+// ErrCertificate means that the certificate files, or the certificate of a peer, are not valid.
 var ErrCertificate = errors.New("bad certificate files")
 
-// checkEvery bounds how often the files are looked at.
-const checkEvery = 10 * time.Second
+// checkInterval is the minimum time between checks of the files for changes.
+const checkInterval = 10 * time.Second
 
-// Files are a host's certificate, key and authorities.
+// Files are the certificate, private key and certificate authorities of a host.
 type Files struct {
-	names settings.TLS
+	paths settings.TLS
 
 	mu        sync.Mutex // guards all below
 	loaded    material
@@ -39,7 +39,7 @@
 	lastError error
 }
 
-// material is what was read from the files.
+// material is the parsed contents of the files.
 type material struct {
 	certificate tls.Certificate
 	leaf        *x509.Certificate
@@ -47,40 +47,40 @@
 	modified    time.Time
 }
 
-// Open reads the files; it returns nil where TLS is not set.
-func Open(names settings.TLS) (*Files, error) {
-	if !names.Enabled() {
+// Open reads the files. It returns nil if TLS is not configured.
+func Open(paths settings.TLS) (*Files, error) {
+	if !paths.Enabled() {
 		return nil, nil
 	}
-	loaded, err := read(names)
+	loaded, err := load(paths)
 	if err != nil {
 		return nil, err
 	}
-	return &Files{names: names, loaded: loaded, checked: clock.Now()}, nil
+	return &Files{paths: paths, loaded: loaded, checked: clock.Now()}, nil
 }
 
-func read(names settings.TLS) (material, error) {
-	certificate, err := tls.LoadX509KeyPair(names.Certificate, names.Key)
+func load(paths settings.TLS) (material, error) {
+	certificate, err := tls.LoadX509KeyPair(paths.Certificate, paths.Key)
 	if err != nil {
-		return material{}, fmt.Errorf("%w: %s with %s: %w", ErrCertificate, names.Certificate, names.Key, err)
+		return material{}, fmt.Errorf("%w: %s with %s: %w", ErrCertificate, paths.Certificate, paths.Key, err)
 	}
-	pem, err := os.ReadFile(names.Authority)
+	pem, err := os.ReadFile(paths.Authority)
 	if err != nil {
 		return material{}, fmt.Errorf("%w: %w", ErrCertificate, err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return material{}, fmt.Errorf("%w: %s holds no certificate", ErrCertificate, names.Authority)
+		return material{}, fmt.Errorf("%w: %s contains no certificate", ErrCertificate, paths.Authority)
 	}
 	return material{
-		certificate: certificate, leaf: certificate.Leaf, authorities: pool, modified: modified(names),
+		certificate: certificate, leaf: certificate.Leaf, authorities: pool, modified: lastModified(paths),
 	}, nil
 }
 
-// modified is the latest change of the files.
-func modified(names settings.TLS) time.Time {
+// lastModified returns the latest modification time of the files.
+func lastModified(paths settings.TLS) time.Time {
 	var latest time.Time
-	for _, name := range []string{names.Certificate, names.Key, names.Authority} {
+	for _, name := range []string{paths.Certificate, paths.Key, paths.Authority} {
 		if info, err := os.Stat(name); err == nil && info.ModTime().After(latest) {
 			latest = info.ModTime()
 		}
@@ -88,19 +88,19 @@
 	return latest
 }
 
-// current returns the material, read again if the files changed. Files that
-// can't be read leave the old material in use.
+// current returns the material, reloaded if the files have changed. If they can't be loaded, the
+// previous material stays in use.
 func (f *Files) current() material {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if clock.Since(f.checked) < checkEvery {
+	if clock.Since(f.checked) < checkInterval {
 		return f.loaded
 	}
 	f.checked = clock.Now()
-	if !modified(f.names).After(f.loaded.modified) {
+	if !lastModified(f.paths).After(f.loaded.modified) {
 		return f.loaded
 	}
-	loaded, err := read(f.names)
+	loaded, err := load(f.paths)
 	f.lastError = err
 	if err == nil {
 		f.loaded = loaded
@@ -108,7 +108,7 @@
 	return f.loaded
 }
 
-// Expiry returns when the certificate ends, and the error of the last reading.
+// Expiry returns the expiry time of the certificate and the error of the last reload.
 func (f *Files) Expiry() (time.Time, error) {
 	loaded := f.current()
 	f.mu.Lock()
@@ -116,10 +116,10 @@
 	return loaded.leaf.NotAfter, f.lastError
 }
 
-// verify checks the other side's certificate against the present authorities.
+// verify checks the certificate of the peer against the current authorities.
 func (f *Files) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.WithMessage(ErrCertificate, "the peer showed none")
+		return errors.WithMessage(ErrCertificate, "the peer presented none")
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
@@ -130,19 +130,19 @@
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	if err != nil {
-		return fmt.Errorf("%w: of the peer: %w", ErrCertificate, err)
+		return fmt.Errorf("%w: certificate of the peer: %w", ErrCertificate, err)
 	}
 	return nil
 }
 
-// ServerCredentials are for answering other hosts.
+// ServerCredentials returns the credentials for connections from other hosts.
 func (f *Files) ServerCredentials() credentials.TransportCredentials {
 	if f == nil {
 		return insecure.NewCredentials()
 	}
 	return credentials.NewTLS(&tls.Config{
 		MinVersion: tls.VersionTLS13,
-		ClientAuth: tls.RequireAnyClientCert, // verified below, with authorities that rotate
+		ClientAuth: tls.RequireAnyClientCert, // VerifyConnection verifies it against authorities that rotate
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			c := f.current().certificate
 			return &c, nil
@@ -151,8 +151,8 @@
 	})
 }
 
-// ClientCredentials are for asking other hosts. Hosts are known by IP numbers
-// that change hands, so a certificate is checked for its authority, not for a
+// ClientCredentials returns the credentials for connections to other hosts. Hosts are addressed by
+// IP addresses that are reassigned, so only the authority of a certificate is checked, not its
 // name.
 func (f *Files) ClientCredentials() credentials.TransportCredentials {
 	if f == nil {
@@ -160,7 +160,7 @@
 	}
 	return credentials.NewTLS(&tls.Config{
 		MinVersion:         tls.VersionTLS13,
-		InsecureSkipVerify: true, // the name only; VerifyConnection checks the chain
+		InsecureSkipVerify: true, // skips the check of the name; VerifyConnection checks the chain
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			c := f.current().certificate
 			return &c, nil
