--- a/internal/cli/lost.go
+++ b/internal/cli/lost.go
@@ -46,11 +46,11 @@
 		return err
 	}
 	defer closeLogs()
-	losses, err := explain.Lost(logs...)
+	losses, err := explain.TallyLosses(logs...)
 	if err != nil {
 		return fmt.Errorf("lost: %w", err)
 	}
-	return explain.WriteLost(c.env.Stdout, losses)
+	return explain.WriteLosses(c.env.Stdout, losses)
 }
 
 // openLogs opens the named logs, or takes standard input if none is named.
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -219,7 +219,7 @@
 
 // modelReady returns a function that reports whether an endpoint serves a version and accepts new work.
 func modelReady(f *fleet.Fleet) func(declare.Ref) bool {
-	return func(ref declare.Ref) bool { return f.HasModel(endpoint.Engines, ref.String()) }
+	return func(ref declare.Ref) bool { return f.HasModel(endpoint.EngineService, ref.String()) }
 }
 
 func newAdmission(s settings.Settings) *admission.Controller {
--- a/internal/demo/scene.go
+++ b/internal/demo/scene.go
@@ -217,7 +217,7 @@
 		return err
 	}
 	until(ctx, steady, func() bool {
-		return h.Daemon().Config.Current() != nil && h.Daemon().Fleet.HasModel(endpoint.Engines, supportOne.String())
+		return h.Daemon().Config.Current() != nil && h.Daemon().Fleet.HasModel(endpoint.EngineService, supportOne.String())
 	})
 	s.setStopped(nil)
 	return pause(ctx, time.Second)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -97,7 +97,7 @@
 // fleetRequest returns the criteria by which the fleet picks an engine.
 func (r Request) fleetRequest(avoid []string) fleet.Request {
 	return fleet.Request{
-		Service: endpoint.Engines, Model: r.Version.String(), Avoid: avoid, Key: r.PrefixHash,
+		Service: endpoint.EngineService, Model: r.Version.String(), Avoid: avoid, Key: r.PrefixHash,
 		Tokens: r.PromptTokens, SharedTokens: r.SharedTokens, Objective: defaultObjective,
 	}
 }
@@ -105,7 +105,7 @@
 // Open sends a completion request and returns the response once its first byte has arrived. Errors
 // are problems that say whether the request ran.
 func (d *Dispatcher) Open(ctx context.Context, request Request) (*Stream, error) {
-	d.budgets.RecordFirst(endpoint.Engines)
+	d.budgets.RecordFirst(endpoint.EngineService)
 	run := problem.NotRun
 	var avoid []string
 	var last error
@@ -124,7 +124,7 @@
 		if !status.HostMayRetry(crashes) {
 			break
 		}
-		if attempt > 0 && !d.budgets.TakeRetry(endpoint.Engines, 1) {
+		if attempt > 0 && !d.budgets.TakeRetry(endpoint.EngineService, 1) {
 			break
 		}
 		hold, ok := d.options.Fleet.Pick(request.fleetRequest(avoid))
--- a/internal/endpoint/report.go
+++ b/internal/endpoint/report.go
@@ -96,7 +96,7 @@
 func (w *Watch) engines() []fleet.Endpoint {
 	var engines []fleet.Endpoint
 	for _, s := range w.fleet.View() {
-		if s.Service == Engines {
+		if s.Service == EngineService {
 			engines = append(engines, s.Endpoint)
 		}
 	}
--- a/internal/endpoint/watch.go
+++ b/internal/endpoint/watch.go
@@ -24,9 +24,9 @@
 	"quaybarrow/internal/store"
 )
 
-// Engines is the service of the engines in the fleet; plain services go by their
+// EngineService is the service of the engines in the fleet; plain services go by their
 // own names, and none is empty.
-const Engines = ""
+const EngineService = ""
 
 // DefaultSubset is how many engines a host watches at most.
 const DefaultSubset = 32
@@ -98,7 +98,7 @@
 	if w.options.Hosts == nil {
 		return 1
 	}
-	if service != Engines {
+	if service != EngineService {
 		return w.options.Hosts()
 	}
 	return max(int(math.Round(float64(w.options.Hosts())*math.Float64frombits(w.share.Load()))), 1)
--- a/internal/endpoint/watch_test.go
+++ b/internal/endpoint/watch_test.go
@@ -40,7 +40,7 @@
 		w := watch(&list, nil)
 		w.Sync()
 		Expect(w.Fleet().View()).To(HaveLen(3))
-		Expect(w.Fleet().HasModel(endpoint.Engines, "m@1")).To(BeTrue(), "what they have loaded is not known yet")
+		Expect(w.Fleet().HasModel(endpoint.EngineService, "m@1")).To(BeTrue(), "what they have loaded is not known yet")
 		Expect(w.Fleet().HasModel("payouts", "")).To(BeTrue())
 		list[0].State = store.HostLeaving
 		list = list[:2]
@@ -67,10 +67,10 @@
 		Expect(view[1].Models).To(BeEmpty())
 		Expect(view[1].Models).NotTo(BeNil(), "it says that it has none")
 		Expect(view[2].Models).To(BeNil())
-		Expect(w.Fleet().HasModel(endpoint.Engines, "m@1")).To(BeTrue())
+		Expect(w.Fleet().HasModel(endpoint.EngineService, "m@1")).To(BeTrue())
 		list = list[1:2]
 		w.Sync()
-		Expect(w.Fleet().HasModel(endpoint.Engines, "m@1")).To(BeFalse())
+		Expect(w.Fleet().HasModel(endpoint.EngineService, "m@1")).To(BeFalse())
 	})
 
 	It("watches a bounded part of the engines, half of them near, and all services", func() {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -105,15 +105,15 @@
 	}
 }
 
-// Story is what the logs tell of a request.
-type Story struct {
+// Timeline is what the logs tell of a request.
+type Timeline struct {
 	Request string
 	Own     []Line // lines that name it, in order
 	Beside  []Line // what its hosts believed around it, in order
 }
 
 // Read makes the story of a request of logs.
-func Read(request string, logs ...io.Reader) (Story, error) {
+func Read(request string, logs ...io.Reader) (Timeline, error) {
 	var lines []Line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
@@ -124,16 +124,16 @@
 			}
 		}
 		if err := scanner.Err(); err != nil {
-			return Story{}, fmt.Errorf("read log: %w", err)
+			return Timeline{}, fmt.Errorf("read log: %w", err)
 		}
 	}
 	return storyOf(request, lines)
 }
 
 // storyOf picks the lines that belong to a request's story.
-func storyOf(request string, lines []Line) (Story, error) {
+func storyOf(request string, lines []Line) (Timeline, error) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	s := Story{Request: request}
+	s := Timeline{Request: request}
 	hosts, endpoints := map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
 		if l.Request == request {
@@ -143,7 +143,7 @@
 		}
 	}
 	if len(s.Own) == 0 {
-		return Story{}, errors.WithMessagef(ErrUnknown, "request %s", request)
+		return Timeline{}, errors.WithMessagef(ErrUnknown, "request %s", request)
 	}
 	from, to := s.begun().Add(-around), s.Own[len(s.Own)-1].At.Add(around)
 	for _, l := range lines {
@@ -158,7 +158,7 @@
 }
 
 // begun is when the request arrived, as its last line tells.
-func (s Story) begun() time.Time {
+func (s Timeline) begun() time.Time {
 	last := s.Own[len(s.Own)-1]
 	if took, err := time.ParseDuration(last.field("took_ms") + "ms"); err == nil {
 		return last.At.Add(-took)
@@ -168,7 +168,7 @@
 
 // Write writes a story for a reader: all its lines in order, the request's own ones
 // marked, with the time since it arrived, and its outcome.
-func (s Story) Write(w io.Writer) error {
+func (s Timeline) Write(w io.Writer) error {
 	begun := s.begun()
 	all := slices.Concat(s.Own, s.Beside)
 	slices.SortStableFunc(all, func(a, b Line) int { return a.At.Compare(b.At) })
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -23,7 +23,7 @@
 {"time":"2026-01-01T00:01:00Z","level":"info","msg":"store regained","host":"a","table":"op"}`
 
 var _ = Describe("the story of a request", func() {
-	read := func(id string) (explain.Story, error) {
+	read := func(id string) (explain.Timeline, error) {
 		return explain.Read(id, strings.NewReader(first), strings.NewReader(second))
 	}
 
--- a/internal/explain/lost.go
+++ b/internal/explain/lost.go
@@ -56,8 +56,8 @@
 	latest  float64
 }
 
-// Lost tallies the requests of logs by cause, the most frequent first.
-func Lost(logs ...io.Reader) ([]Loss, error) {
+// TallyLosses tallies the requests of logs by cause, the most frequent first.
+func TallyLosses(logs ...io.Reader) ([]Loss, error) {
 	byCause := map[Cause]*Loss{}
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
@@ -158,8 +158,8 @@
 	}
 }
 
-// WriteLost writes a tally for a reader.
-func WriteLost(w io.Writer, losses []Loss) error {
+// WriteLosses writes a tally for a reader.
+func WriteLosses(w io.Writer, losses []Loss) error {
 	all := 0
 	for _, loss := range losses {
 		all += loss.Count
--- a/internal/explain/lost_test.go
+++ b/internal/explain/lost_test.go
@@ -29,7 +29,7 @@
 var _ = Describe("the tally of what was lost", func() {
 	for cause, fields := range causes {
 		It("knows "+string(cause), func() {
-			losses, err := explain.Lost(strings.NewReader(`{"msg":"request","id":"a","route":"r",` + fields + "}\n"))
+			losses, err := explain.TallyLosses(strings.NewReader(`{"msg":"request","id":"a","route":"r",` + fields + "}\n"))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(losses).To(HaveLen(1))
 			Expect(losses[0].Cause).To(Equal(cause))
@@ -43,14 +43,14 @@
 {"msg":"request","id":"probe","route":"","outcome":"no route"}
 {"msg":"started"}
 no json`
-		losses, err := explain.Lost(strings.NewReader(log))
+		losses, err := explain.TallyLosses(strings.NewReader(log))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(losses).To(HaveLen(2))
 		Expect(losses[0].Count).To(Equal(2))
 		Expect(losses[0].Example).To(Equal("b"))
 		Expect(losses[0].Late).To(Equal(1000.0))
 		var b strings.Builder
-		Expect(explain.WriteLost(&b, losses)).To(Succeed())
+		Expect(explain.WriteLosses(&b, losses)).To(Succeed())
 		Expect(b.String()).To(ContainSubstring("66.7%"))
 	})
 })
--- a/internal/gatewayd/host.go
+++ b/internal/gatewayd/host.go
@@ -51,7 +51,7 @@
 	fx.In
 	Settings   settings.Settings
 	Ports      Ports
-	Lines      *telemetry.Lines
+	Lines      *telemetry.LogWriter
 	Logger     *log.Logger
 	Telemetry  *telemetry.Telemetry
 	Watch      store.Watcher
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -86,14 +86,14 @@
 	debug.SetGCPercent(maxGCPercent)
 }
 
-func newLines(p Ports) *telemetry.Lines {
+func newLines(p Ports) *telemetry.LogWriter {
 	if p.LogTo != nil {
-		return telemetry.NewLines(p.LogTo)
+		return telemetry.NewLogWriter(p.LogTo)
 	}
-	return telemetry.NewLines(os.Stdout)
+	return telemetry.NewLogWriter(os.Stdout)
 }
 
-func newLogger(s settings.Settings, lines *telemetry.Lines) *log.Logger {
+func newLogger(s settings.Settings, lines *telemetry.LogWriter) *log.Logger {
 	logger := log.NewWithOptions(lines, log.Options{ReportTimestamp: true, Formatter: log.JSONFormatter, TimeFormat: time.RFC3339Nano})
 	// The check of the settings has already refused invalid levels.
 	if level, err := log.ParseLevel(s.Telemetry.LogLevel); err == nil {
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -244,7 +244,7 @@
 				{Name: "version", Value: ref.String()}, {Name: "state", Value: string(v.State)},
 				{Name: "since", Value: since[ref.String()].Format(time.RFC3339)},
 				{Name: "plan", Value: plan.Name}, {Name: "credits", Value: q.options.Credits.Left(ref)},
-				{Name: "ready", Value: q.options.Fleet.HasModel(endpoint.Engines, ref.String())},
+				{Name: "ready", Value: q.options.Fleet.HasModel(endpoint.EngineService, ref.String())},
 				{Name: "input_cost", Value: v.InputCost}, {Name: "output_cost", Value: v.OutputCost},
 			})
 		}
--- a/internal/telemetry/lines.go
+++ b/internal/telemetry/lines.go
@@ -19,9 +19,9 @@
 	linesPerSecond = 500
 )
 
-// Lines writes log lines without ever blocking who logs: lines that the reader
+// LogWriter writes log lines without ever blocking who logs: lines that the reader
 // is too slow for, or that come too fast, are dropped and counted.
-type Lines struct {
+type LogWriter struct {
 	out     io.Writer
 	waiting chan []byte
 	dropped atomic.Int64
@@ -34,15 +34,15 @@
 	began  clock.Steady
 }
 
-// NewLines starts a writer of lines.
-func NewLines(out io.Writer) *Lines {
-	l := &Lines{out: out, waiting: make(chan []byte, linesWaiting), ended: make(chan struct{}), began: clock.NewSteady()}
+// NewLogWriter starts a writer of lines.
+func NewLogWriter(out io.Writer) *LogWriter {
+	l := &LogWriter{out: out, waiting: make(chan []byte, linesWaiting), ended: make(chan struct{}), began: clock.NewSteady()}
 	go l.run()
 	return l
 }
 
 // Write implements io.Writer; it takes one line.
-func (l *Lines) Write(p []byte) (int, error) {
+func (l *LogWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed || !l.within(int64(l.began.Now()/time.Second)) {
@@ -58,7 +58,7 @@
 }
 
 // within counts a line against the second's bound.
-func (l *Lines) within(second int64) bool {
+func (l *LogWriter) within(second int64) bool {
 	if second != l.second {
 		l.second, l.lines = second, 0
 	}
@@ -66,7 +66,7 @@
 	return l.lines <= linesPerSecond
 }
 
-func (l *Lines) run() {
+func (l *LogWriter) run() {
 	defer close(l.ended)
 	told := int64(0)
 	for line := range l.waiting {
@@ -80,10 +80,10 @@
 }
 
 // Dropped counts the lines that were dropped.
-func (l *Lines) Dropped() int64 { return l.dropped.Load() }
+func (l *LogWriter) Dropped() int64 { return l.dropped.Load() }
 
 // Close writes what waits, for at most a time.
-func (l *Lines) Close(limit time.Duration) {
+func (l *LogWriter) Close(limit time.Duration) {
 	l.mu.Lock()
 	if !l.closed {
 		l.closed = true
--- a/internal/telemetry/lines_test.go
+++ b/internal/telemetry/lines_test.go
@@ -23,7 +23,7 @@
 func TestLinesNeverBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := stuck{release: make(chan struct{})}
-		lines := telemetry.NewLines(out)
+		lines := telemetry.NewLogWriter(out)
 		start := time.Now()
 		for range 100 {
 			for range 100 {
@@ -57,7 +57,7 @@
 func TestLinesAreBoundedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &safe{}
-		lines := telemetry.NewLines(out)
+		lines := telemetry.NewLogWriter(out)
 		for range 800 {
 			_, _ = fmt.Fprintln(lines, "line")
 		}
