--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -126,20 +126,20 @@
 	details []string
 }
 
-// note keeps an example of a violation.
-func (r *Report) note(format string, args ...any) {
-	const most = 20
-	if len(r.details) < most {
+// addDetail keeps an example of a violation.
+func (r *Report) addDetail(format string, args ...any) {
+	const maxDetails = 20
+	if len(r.details) < maxDetails {
 		r.details = append(r.details, fmt.Sprintf(format, args...))
 	}
 }
 
 // Violations lists the promises that were broken, with examples.
 func (r Report) Violations() []string {
-	var broken []string
-	add := func(count int, promise string) {
+	var violations []string
+	add := func(count int, violation string) {
 		if count > 0 {
-			broken = append(broken, fmt.Sprintf("%s: %d", promise, count))
+			violations = append(violations, fmt.Sprintf("%s: %d", violation, count))
 		}
 	}
 	add(r.DisallowedRuns, "runs on a version its workspace does not allow")
@@ -155,14 +155,14 @@
 	if r.planned {
 		add(r.CutAnswers, "answers cut off by planned stops")
 	}
-	if len(broken) == 0 {
+	if len(violations) == 0 {
 		return nil
 	}
-	return append(broken, r.details...)
+	return append(violations, r.details...)
 }
 
-// Judge checks a history.
-func Judge(h History) Report {
+// Verify checks a history.
+func Verify(h History) Report {
 	r := Report{planned: h.Planned}
 	byPrompt := map[string][]EngineRun{}
 	for _, run := range h.EngineRuns {
@@ -172,16 +172,16 @@
 	for _, run := range h.ServiceRuns {
 		servicePrompts[run.Prompt]++
 	}
-	r.judgeAnswers(h, byPrompt, servicePrompts)
-	r.judgeSessions(h)
-	r.judgeRuns(h)
-	r.judgeBills(h)
-	r.judgeRevisions(h)
+	r.checkAnswers(h, byPrompt, servicePrompts)
+	r.checkSessions(h)
+	r.checkRuns(h)
+	r.checkBills(h)
+	r.checkRevisions(h)
 	return r
 }
 
-// judgeAnswers checks what callers were given and told.
-func (r *Report) judgeAnswers(h History, engines map[string][]EngineRun, services map[string]int) {
+// checkAnswers checks what callers were given and told.
+func (r *Report) checkAnswers(h History, engines map[string][]EngineRun, services map[string]int) {
 	calls := map[string]int{}
 	for _, o := range h.Observations {
 		r.Requests++
@@ -189,12 +189,12 @@
 		switch {
 		case o.Answered:
 			r.Answered++
-			r.judgeAnswer(o)
+			r.checkAnswer(o)
 		case o.Run == problem.NotRun:
 			r.NotRun++
 			if ran > 0 && o.Key == "" {
 				r.NotRunButRan++
-				r.note("told not run, but ran: %s", o.Prompt)
+				r.addDetail("told not run, but ran: %s", o.Prompt)
 			}
 		default:
 			r.Unknown++
@@ -203,18 +203,18 @@
 			calls[o.Prompt] = services[o.Prompt]
 		}
 	}
-	r.judgeRepeated(h)
+	r.checkRepeated(h)
 	for prompt, count := range calls {
 		if count > 1 {
 			r.NonrepeatableRunTwice++
-			r.note("ran %d times: %s", count, prompt)
+			r.addDetail("ran %d times: %s", count, prompt)
 		}
 	}
 }
 
-// judgeRepeated checks requests that were sent several times with one key: if
+// checkRepeated checks requests that were sent several times with one key: if
 // all were told not run, none may have run.
-func (r *Report) judgeRepeated(h History) {
+func (r *Report) checkRepeated(h History) {
 	allNotRun := map[string]bool{}
 	for _, o := range h.Observations {
 		if o.Key == "" {
@@ -226,25 +226,25 @@
 	for _, run := range h.ServiceRuns {
 		if allNotRun[run.Prompt] {
 			r.NotRunButRan++
-			r.note("told not run each time, but ran: %s", run.Prompt)
+			r.addDetail("told not run each time, but ran: %s", run.Prompt)
 		}
 	}
 }
 
-// judgeAnswer checks that an answer is the caller's own, and whole.
-func (r *Report) judgeAnswer(o Observation) {
+// checkAnswer checks that an answer is the caller's own, and whole.
+func (r *Report) checkAnswer(o Observation) {
 	if !strings.Contains(o.Answer, o.Prompt) && o.Answer != "" {
 		r.ForeignAnswers++
-		r.note("answer to %q was %q", o.Prompt, o.Answer)
+		r.addDetail("answer to %q was %q", o.Prompt, o.Answer)
 	}
 	if !o.Ended {
 		r.CutAnswers++
-		r.note("answer to %q was cut: %q", o.Prompt, o.Answer)
+		r.addDetail("answer to %q was cut: %q", o.Prompt, o.Answer)
 	}
 }
 
-// judgeSessions checks that each session had one version.
-func (r *Report) judgeSessions(h History) {
+// checkSessions checks that each session had one version.
+func (r *Report) checkSessions(h History) {
 	versions := map[string]string{}
 	for _, o := range h.Observations {
 		if o.Session == "" || o.Version == "" {
@@ -252,15 +252,15 @@
 		}
 		if first, ok := versions[o.Session]; ok && first != o.Version {
 			r.SessionMoves++
-			r.note("session %s moved from %s to %s", o.Session, first, o.Version)
+			r.addDetail("session %s moved from %s to %s", o.Session, first, o.Version)
 			continue
 		}
 		versions[o.Session] = o.Version
 	}
 }
 
-// judgeRuns checks what engines were given.
-func (r *Report) judgeRuns(h History) {
+// checkRuns checks what engines were given.
+func (r *Report) checkRuns(h History) {
 	workspaces := map[string]string{}
 	for _, o := range h.Observations {
 		workspaces[o.Prompt] = o.Workspace
@@ -269,25 +269,25 @@
 		workspace, known := workspaces[run.Prompt]
 		if known && h.Allowed != nil && !h.Allowed(workspace, run.Version) {
 			r.DisallowedRuns++
-			r.note("%s ran for %s", run.Version, workspace)
+			r.addDetail("%s ran for %s", run.Version, workspace)
 		}
 		for _, w := range h.Withdrawals {
 			if w.Version == run.Version && run.Started.After(w.At) {
 				r.WithdrawnRuns++
-				r.note("%s ran %s after its withdrawal was in force", run.Version, run.Started.Sub(w.At))
+				r.addDetail("%s ran %s after its withdrawal was in force", run.Version, run.Started.Sub(w.At))
 			}
 		}
 		for _, l := range h.Leavings {
 			if l.Engine == run.Engine && run.Started.After(l.At) {
 				r.LeavingRuns++
-				r.note("%s got work %s after it should have been noticed to leave", run.Engine, run.Started.Sub(l.At))
+				r.addDetail("%s got work %s after it should have been noticed to leave", run.Engine, run.Started.Sub(l.At))
 			}
 		}
 	}
 }
 
-// judgeBills checks that what ran is billed exactly once.
-func (r *Report) judgeBills(h History) {
+// checkBills checks that what ran is billed exactly once.
+func (r *Report) checkBills(h History) {
 	bills := map[string]int{}
 	for _, b := range h.Bills {
 		bills[b.RequestID]++
@@ -308,24 +308,24 @@
 		switch bills[id] {
 		case 0:
 			r.BilledNever++
-			r.note("ran and was not billed: %s", id)
+			r.addDetail("ran and was not billed: %s", id)
 		case 1:
 			r.BilledOnce++
 		default:
 			r.BilledMore++
-			r.note("billed %d times: %s", bills[id], id)
+			r.addDetail("billed %d times: %s", bills[id], id)
 		}
 	}
 }
 
-// judgeRevisions checks that no host went back to an older configuration.
-func (r *Report) judgeRevisions(h History) {
+// checkRevisions checks that no host went back to an older configuration.
+func (r *Report) checkRevisions(h History) {
 	last := map[string]int64{}
 	for _, a := range h.Applied {
 		key := a.Host + "/" + a.Incarnation
 		if a.Revision < last[key] {
 			r.Reverts++
-			r.note("%s went back from revision %d to %d", a.Host, last[key], a.Revision)
+			r.addDetail("%s went back from revision %d to %d", a.Host, last[key], a.Revision)
 		}
 		last[key] = max(last[key], a.Revision)
 	}
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -181,7 +181,7 @@
 func newWatch(s settings.Settings, m *membership.Membership, t http.RoundTripper) (*endpoint.Watch, *fleet.Fleet) {
 	w := endpoint.NewWatch(endpoint.Options{
 		Host: s.Host, Hall: s.DataHall, Period: s.Times.Load, List: m.Listed, Fetch: endpoint.HTTPFetcher(t),
-		Hosts: func() int { return len(m.View().Members) },
+		CountHosts: func() int { return len(m.View().Members) },
 	})
 	return w, w.Fleet()
 }
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -57,7 +57,7 @@
 func (s *scene) report() Report {
 	h := s.history()
 	r := Report{
-		Report: check.Judge(h), RolloutState: s.rolloutState(), Jobs: s.accepted(),
+		Report: check.Verify(h), RolloutState: s.rolloutState(), Jobs: s.accepted(),
 		Seconds: time.Since(s.started).Seconds(),
 	}
 	r.JobsDone, _ = s.jobCounts()
--- a/internal/endpoint/report.go
+++ b/internal/endpoint/report.go
@@ -17,8 +17,8 @@
 
 // Limits of reading reports.
 const (
-	maxReportBytes = 64 << 10
-	fetchAtOnce    = 8
+	maxReportBytes       = 64 << 10
+	maxConcurrentFetches = 8
 )
 
 // Report is an engine's report of its load.
@@ -81,7 +81,7 @@
 func (w *Watch) Refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, max(w.options.Period, time.Second))
 	defer cancel()
-	slots := make(chan struct{}, fetchAtOnce)
+	slots := make(chan struct{}, maxConcurrentFetches)
 	var wait sync.WaitGroup
 	for _, e := range w.engines() {
 		slots <- struct{}{}
@@ -106,13 +106,13 @@
 // refresh reads one report. An engine that can't be reached is not ejected for
 // it: attempts decide that.
 func (w *Watch) refresh(ctx context.Context, e fleet.Endpoint) {
-	asked, flying := clock.Now(), w.fleet.InFlight(e.ID)
+	asked, inFlight := clock.Now(), w.fleet.InFlight(e.ID)
 	report, err := w.options.Fetch(ctx, e.Address)
 	if err != nil {
 		return
 	}
 	w.fleet.Report(e.ID, fleet.Report{
 		Load:     fleet.Load{Running: report.Running, Waiting: report.Queued, Slots: report.Slots},
-		Draining: report.Draining, Models: append([]string{}, report.Versions...), Asked: asked, InFlight: flying,
+		Draining: report.Draining, Models: append([]string{}, report.Versions...), Asked: asked, InFlight: inFlight,
 	})
 }
--- a/internal/endpoint/watch.go
+++ b/internal/endpoint/watch.go
@@ -31,9 +31,9 @@
 // DefaultSubset is how many engines a host watches at most.
 const DefaultSubset = 32
 
-// ejectMost is the longest that an engine is left alone that fails: a broken one may
+// maxEjection is the longest that an engine is left alone that fails: a broken one may
 // stay listed for long.
-const ejectMost = time.Minute
+const maxEjection = time.Minute
 
 // Options set up a Watch.
 type Options struct {
@@ -43,17 +43,17 @@
 	Period time.Duration
 	// List returns the platform's list as last read.
 	List func() []store.Host
-	// Hosts counts the live hosts of the router; nil means one.
-	Hosts func() int
+	// CountHosts counts the live hosts of the router; nil means one.
+	CountHosts func() int
 	// Fetch reads an engine's load report.
 	Fetch Fetcher
 }
 
 // Watch brings a host's endpoints to its fleet.
 type Watch struct {
-	options Options
-	fleet   *fleet.Fleet
-	share   atomic.Uint64 // bits of the part of all engines that the host watches
+	options     Options
+	fleet       *fleet.Fleet
+	engineShare atomic.Uint64 // bits of the part of all engines that the host watches
 }
 
 // NewWatch returns a watch with a fleet that is still empty.
@@ -62,7 +62,7 @@
 		options.Subset = DefaultSubset
 	}
 	w := &Watch{options: options}
-	w.fleet = fleet.New(fleet.Options{Hall: options.Hall, SendingHosts: w.sharers, MaxEjection: ejectMost})
+	w.fleet = fleet.New(fleet.Options{Hall: options.Hall, SendingHosts: w.sendingHosts, MaxEjection: maxEjection})
 	return w
 }
 
@@ -73,7 +73,7 @@
 func (w *Watch) Sync() {
 	all := w.options.List()
 	hosts := Subset(all, w.options.Host, w.options.Hall, w.options.Subset)
-	w.share.Store(math.Float64bits(float64(engineCount(hosts)) / float64(max(engineCount(all), 1))))
+	w.engineShare.Store(math.Float64bits(float64(engineCount(hosts)) / float64(max(engineCount(all), 1))))
 	list := make([]fleet.Endpoint, len(hosts))
 	for i, h := range hosts {
 		list[i] = fleet.Endpoint{
@@ -93,15 +93,15 @@
 	return count
 }
 
-// sharers is how many hosts send to an endpoint of a service, this one included.
-func (w *Watch) sharers(service string) int {
-	if w.options.Hosts == nil {
+// sendingHosts is how many hosts send to an endpoint of a service, this one included.
+func (w *Watch) sendingHosts(service string) int {
+	if w.options.CountHosts == nil {
 		return 1
 	}
 	if service != EngineService {
-		return w.options.Hosts()
+		return w.options.CountHosts()
 	}
-	return max(int(math.Round(float64(w.options.Hosts())*math.Float64frombits(w.share.Load()))), 1)
+	return max(int(math.Round(float64(w.options.CountHosts())*math.Float64frombits(w.engineShare.Load()))), 1)
 }
 
 // Subset picks the endpoints that a host watches: every plain service, and of
@@ -123,14 +123,14 @@
 	if len(near)+len(far) <= limit {
 		return append(append(kept, near...), far...)
 	}
-	byWeight(near, self)
-	byWeight(far, self)
-	nearby := min(len(near), max(limit/2, limit-len(far)))
-	kept = append(kept, near[:nearby]...)
-	return append(kept, far[:limit-nearby]...)
+	sortByWeight(near, self)
+	sortByWeight(far, self)
+	nearCount := min(len(near), max(limit/2, limit-len(far)))
+	kept = append(kept, near[:nearCount]...)
+	return append(kept, far[:limit-nearCount]...)
 }
 
-func byWeight(hosts []store.Host, self string) {
+func sortByWeight(hosts []store.Host, self string) {
 	sort.Slice(hosts, func(i, j int) bool {
 		return xxhash.Sum64String(self+"\x00"+hosts[i].ID) > xxhash.Sum64String(self+"\x00"+hosts[j].ID)
 	})
--- a/internal/endpoint/watch_test.go
+++ b/internal/endpoint/watch_test.go
@@ -21,7 +21,7 @@
 func watch(list *[]store.Host, reports map[string]endpoint.Report) *endpoint.Watch {
 	return endpoint.NewWatch(endpoint.Options{
 		Host: "entry-1", Hall: "ikeja", List: func() []store.Host { return *list },
-		Hosts: func() int { return 4 },
+		CountHosts: func() int { return 4 },
 		Fetch: func(_ context.Context, address string) (endpoint.Report, error) {
 			r, ok := reports[address]
 			if !ok {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	// around is how long before and after a request its hosts' other lines count:
+	// contextWindow is how long before and after a request its hosts' other lines count:
 	// somewhat over the age that a configuration or a list of endpoints may have.
-	around = 3 * time.Second
-	// lineMost is the longest log line that is read.
-	lineMost = 1 << 20
+	contextWindow = 3 * time.Second
+	// maxLineBytes is the longest log line that is read.
+	maxLineBytes = 1 << 20
 )
 
 // ErrUnknown means that no line names the request.
@@ -49,8 +49,8 @@
 	Value any
 }
 
-// field returns a value as text; empty if there is none.
-func (l Line) field(name string) string {
+// fieldText returns a value as text; empty if there is none.
+func (l Line) fieldText(name string) string {
 	for _, f := range l.Fields {
 		if f.Name == name {
 			return fmt.Sprint(f.Value)
@@ -80,13 +80,13 @@
 		if err := decoder.Decode(&value); err != nil {
 			return Line{}, false
 		}
-		l.take(fmt.Sprint(name), value)
+		l.setField(fmt.Sprint(name), value)
 	}
 	return l, l.Message != ""
 }
 
-// take notes a field; those that every line has are fields of Line.
-func (l *Line) take(name string, value any) {
+// setField notes a field; those that every line has are fields of Line.
+func (l *Line) setField(name string, value any) {
 	switch name {
 	case "time":
 		// A line without a readable time stays in the story, at its beginning.
@@ -107,9 +107,9 @@
 
 // Timeline is what the logs tell of a request.
 type Timeline struct {
-	Request string
-	Own     []Line // lines that name it, in order
-	Beside  []Line // what its hosts believed around it, in order
+	Request      string
+	RequestLines []Line // lines that name it, in order
+	HostLines    []Line // what its hosts believed around it, in order
 }
 
 // Read makes the story of a request of logs.
@@ -117,7 +117,7 @@
 	var lines []Line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(nil, lineMost)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
 			if l, ok := ParseLine(scanner.Text()); ok && (l.Request == request || l.Request == "") {
 				lines = append(lines, l)
@@ -127,50 +127,50 @@
 			return Timeline{}, fmt.Errorf("read log: %w", err)
 		}
 	}
-	return storyOf(request, lines)
+	return newTimeline(request, lines)
 }
 
-// storyOf picks the lines that belong to a request's story.
-func storyOf(request string, lines []Line) (Timeline, error) {
+// newTimeline picks the lines that belong to a request's story.
+func newTimeline(request string, lines []Line) (Timeline, error) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	s := Timeline{Request: request}
 	hosts, endpoints := map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
 		if l.Request == request {
-			s.Own = append(s.Own, l)
+			s.RequestLines = append(s.RequestLines, l)
 			hosts[l.Host] = true
-			endpoints[l.field("endpoint")] = true
+			endpoints[l.fieldText("endpoint")] = true
 		}
 	}
-	if len(s.Own) == 0 {
+	if len(s.RequestLines) == 0 {
 		return Timeline{}, errors.WithMessagef(ErrUnknown, "request %s", request)
 	}
-	from, to := s.begun().Add(-around), s.Own[len(s.Own)-1].At.Add(around)
+	from, to := s.arrival().Add(-contextWindow), s.RequestLines[len(s.RequestLines)-1].At.Add(contextWindow)
 	for _, l := range lines {
 		if l.Request != "" || !hosts[l.Host] || l.At.Before(from) || l.At.After(to) {
 			continue
 		}
-		if id := l.field("endpoint"); id == "" || endpoints[id] {
-			s.Beside = append(s.Beside, l)
+		if id := l.fieldText("endpoint"); id == "" || endpoints[id] {
+			s.HostLines = append(s.HostLines, l)
 		}
 	}
 	return s, nil
 }
 
-// begun is when the request arrived, as its last line tells.
-func (s Timeline) begun() time.Time {
-	last := s.Own[len(s.Own)-1]
-	if took, err := time.ParseDuration(last.field("took_ms") + "ms"); err == nil {
+// arrival is when the request arrived, as its last line tells.
+func (s Timeline) arrival() time.Time {
+	last := s.RequestLines[len(s.RequestLines)-1]
+	if took, err := time.ParseDuration(last.fieldText("took_ms") + "ms"); err == nil {
 		return last.At.Add(-took)
 	}
-	return s.Own[0].At
+	return s.RequestLines[0].At
 }
 
 // Write writes a story for a reader: all its lines in order, the request's own ones
 // marked, with the time since it arrived, and its outcome.
 func (s Timeline) Write(w io.Writer) error {
-	begun := s.begun()
-	all := slices.Concat(s.Own, s.Beside)
+	arrival := s.arrival()
+	all := slices.Concat(s.RequestLines, s.HostLines)
 	slices.SortStableFunc(all, func(a, b Line) int { return a.At.Compare(b.At) })
 	var b strings.Builder
 	for _, l := range all {
@@ -178,13 +178,13 @@
 		if l.Request == s.Request {
 			mark = "*"
 		}
-		fmt.Fprintf(&b, "%s %+9.3fs %s: %s", mark, l.At.Sub(begun).Seconds(), l.Host, l.Message)
+		fmt.Fprintf(&b, "%s %+9.3fs %s: %s", mark, l.At.Sub(arrival).Seconds(), l.Host, l.Message)
 		for _, f := range l.Fields {
-			fmt.Fprintf(&b, " %s=%s", f.Name, quoted(f.Value))
+			fmt.Fprintf(&b, " %s=%s", f.Name, formatValue(f.Value))
 		}
 		b.WriteByte('\n')
 	}
-	last := s.Own[len(s.Own)-1]
+	last := s.RequestLines[len(s.RequestLines)-1]
 	fmt.Fprintf(&b, "outcome: %s\n", outcomeOf(last))
 	if _, err := io.WriteString(w, b.String()); err != nil {
 		return fmt.Errorf("write story: %w", err)
@@ -194,14 +194,14 @@
 
 // outcomeOf is a request's outcome, if its last line tells it.
 func outcomeOf(last Line) string {
-	if outcome := last.field("outcome"); outcome != "" {
+	if outcome := last.fieldText("outcome"); outcome != "" {
 		return outcome
 	}
 	return "not told; the host ended, or the line was dropped"
 }
 
-// quoted writes a value, in quotes where it holds blanks.
-func quoted(value any) string {
+// formatValue writes a value, in quotes where it holds blanks.
+func formatValue(value any) string {
 	text := fmt.Sprint(value)
 	if text == "" || strings.ContainsAny(text, " \t\"") {
 		return fmt.Sprintf("%q", text)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -10,13 +10,13 @@
 	"quaybarrow/internal/explain"
 )
 
-const first = `{"time":"2026-01-01T00:00:01.2Z","level":"info","msg":"attempt failed","host":"a","id":"r1","endpoint":"e1","error":"it broke off","again":true}
+const log1 = `{"time":"2026-01-01T00:00:01.2Z","level":"info","msg":"attempt failed","host":"a","id":"r1","endpoint":"e1","error":"it broke off","again":true}
 {"time":"2026-01-01T00:00:01.5Z","level":"info","msg":"request","host":"a","id":"r1","endpoint":"e2","took_ms":500,"outcome":"streamed"}
 {"time":"2026-01-01T00:00:01.4Z","level":"info","msg":"request","host":"a","id":"r2","endpoint":"e2","took_ms":5,"outcome":"streamed"}
 no object
 {"broken`
 
-const second = ` 12.3 a {"time":"2026-01-01T00:00:00.9Z","level":"info","msg":"endpoint gone","host":"a","endpoint":"e1","row_version":7}
+const log2 = ` 12.3 a {"time":"2026-01-01T00:00:00.9Z","level":"info","msg":"endpoint gone","host":"a","endpoint":"e1","row_version":7}
 {"time":"2026-01-01T00:00:00.9Z","level":"info","msg":"endpoint gone","host":"a","endpoint":"e9","row_version":7}
 {"time":"2026-01-01T00:00:00.9Z","level":"info","msg":"endpoint gone","host":"b","endpoint":"e1","row_version":7}
 {"time":"2026-01-01T00:00:00.8Z","level":"warn","msg":"store lost","host":"a","table":"op","version":18446744073709551615}
@@ -24,7 +24,7 @@
 
 var _ = Describe("the story of a request", func() {
 	read := func(id string) (explain.Timeline, error) {
-		return explain.Read(id, strings.NewReader(first), strings.NewReader(second))
+		return explain.Read(id, strings.NewReader(log1), strings.NewReader(log2))
 	}
 
 	It("has its own lines and what its hosts believed of its endpoints and the store", func() {
@@ -47,7 +47,7 @@
 	})
 
 	It("says so where the end of a request is missing", func() {
-		s, err := explain.Read("r1", strings.NewReader(strings.SplitN(first, "\n", 2)[0]))
+		s, err := explain.Read("r1", strings.NewReader(strings.SplitN(log1, "\n", 2)[0]))
 		Expect(err).NotTo(HaveOccurred())
 		var out strings.Builder
 		Expect(s.Write(&out)).To(Succeed())
@@ -56,7 +56,7 @@
 })
 
 func FuzzParseLine(f *testing.F) {
-	for line := range strings.SplitSeq(first+"\n"+second, "\n") {
+	for line := range strings.SplitSeq(log1+"\n"+log2, "\n") {
 		f.Add(line)
 	}
 	f.Fuzz(func(t *testing.T, line string) {
--- a/internal/explain/lost.go
+++ b/internal/explain/losses.go
@@ -16,28 +16,28 @@
 // Causes, as far as the logs of hosts tell them. Whether a model's answer was right
 // they do not tell.
 const (
-	CauseNone     Cause = "answered in time"
-	CauseCaller   Cause = "the caller left, or was not let in"
-	CauseRefused  Cause = "refused: no endpoint took it"
-	CauseFull     Cause = "refused: engines were full for longer than its caller waits"
-	CauseLimited  Cause = "refused: all endpoints were at the limits that they name"
-	CauseFailed   Cause = "failed at endpoints, or broke off"
-	CausePause    Cause = "late: a pause between events"
-	CauseStuck    Cause = "late: the endpoint began far later than expected"
-	CauseReading  Cause = "late: the prompt takes most of the objective to read"
-	CauseLarger   Cause = "late: a larger model was asked after a smaller one"
-	CauseRepeated Cause = "late: asked again after a failure"
-	CauseWaiting  Cause = "late: waited for others, as expected"
-	CauseTurn     Cause = "late: waited for its turn while engines were full"
+	CauseNone         Cause = "answered in time"
+	CauseCaller       Cause = "the caller left, or was not let in"
+	CauseRefused      Cause = "refused: no endpoint took it"
+	CauseEnginesFull  Cause = "refused: engines were full for longer than its caller waits"
+	CauseLimited      Cause = "refused: all endpoints were at the limits that they name"
+	CauseFailed       Cause = "failed at endpoints, or broke off"
+	CausePause        Cause = "late: a pause between events"
+	CauseSlowStart    Cause = "late: the endpoint began far later than expected"
+	CauseLongPrompt   Cause = "late: the prompt takes most of the objective to read"
+	CauseLargerModel  Cause = "late: a larger model was asked after a smaller one"
+	CauseRetried      Cause = "late: asked again after a failure"
+	CauseExpectedWait Cause = "late: waited for others, as expected"
+	CauseQueued       Cause = "late: waited for its turn while engines were full"
 )
 
 // Bounds of causes.
 const (
-	// stuckFactor times the expected time is far later: once in seven heads are three
+	// slowStartFactor times the expected time is far later: once in seven heads are three
 	// times as late on full days.
-	stuckFactor = 3
-	// readingPart of the objective is most of it.
-	readingPart = 0.5
+	slowStartFactor = 3
+	// longPromptShare of the objective is most of it.
+	longPromptShare = 0.5
 )
 
 // outcomeFull is what the gateway says of a request that is refused because engines are
@@ -49,11 +49,11 @@
 
 // Loss counts the requests with a cause.
 type Loss struct {
-	Cause   Cause
-	Count   int
-	Late    float64 // mean milliseconds beyond the objective, of late ones
-	Example string  // id of the request that was latest, or of the first one
-	latest  float64
+	Cause          Cause
+	Count          int
+	MeanLateMillis float64 // mean milliseconds beyond the objective, of late ones
+	Example        string  // id of the request that was latest, or of the first one
+	maxLateMillis  float64
 }
 
 // TallyLosses tallies the requests of logs by cause, the most frequent first.
@@ -61,9 +61,9 @@
 	byCause := map[Cause]*Loss{}
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(nil, lineMost)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
-			if l, ok := ParseLine(scanner.Text()); ok && l.Message == "request" && l.field("route") != "" {
+			if l, ok := ParseLine(scanner.Text()); ok && l.Message == "request" && l.fieldText("route") != "" {
 				tally(byCause, l)
 			}
 		}
@@ -73,7 +73,7 @@
 	}
 	losses := make([]Loss, 0, len(byCause))
 	for _, loss := range byCause {
-		loss.Late /= float64(loss.Count)
+		loss.MeanLateMillis /= float64(loss.Count)
 		losses = append(losses, *loss)
 	}
 	slices.SortFunc(losses, func(a, b Loss) int {
@@ -90,25 +90,25 @@
 		byCause[cause] = loss
 	}
 	loss.Count++
-	late := max(l.began()-l.number("objective_ms"), 0)
-	loss.Late += late
-	if late > loss.latest {
-		loss.latest, loss.Example = late, l.Request
+	late := max(l.answerStart()-l.fieldNumber("objective_ms"), 0)
+	loss.MeanLateMillis += late
+	if late > loss.maxLateMillis {
+		loss.maxLateMillis, loss.Example = late, l.Request
 	}
 }
 
-// began is when the answer began, in milliseconds: a stream's first event, or the
+// answerStart is when the answer answerStart, in milliseconds: a stream's first event, or the
 // whole of another answer.
-func (l Line) began() float64 {
-	if first := l.number("first_ms"); first > 0 {
+func (l Line) answerStart() float64 {
+	if first := l.fieldNumber("first_ms"); first > 0 {
 		return first
 	}
-	return l.number("took_ms")
+	return l.fieldNumber("took_ms")
 }
 
-// number returns a field's number; 0 if it has none.
-func (l Line) number(name string) float64 {
-	n, err := strconv.ParseFloat(l.field(name), 64)
+// fieldNumber returns a field's fieldNumber; 0 if it has none.
+func (l Line) fieldNumber(name string) float64 {
+	n, err := strconv.ParseFloat(l.fieldText(name), 64)
 	if err != nil {
 		return 0 // a line of an older host lacks it
 	}
@@ -116,17 +116,17 @@
 }
 
 func causeOf(l Line) Cause {
-	outcome := l.field("outcome")
+	outcome := l.fieldText("outcome")
 	switch {
 	case strings.HasPrefix(outcome, "caller left"), outcome == "unknown key", outcome == "no route":
 		return CauseCaller
 	case outcome == "streamed", strings.HasPrefix(outcome, "answered 2"), strings.HasPrefix(outcome, "answered 4"):
 		return lateCause(l)
 	case outcome == outcomeFull:
-		return CauseFull
+		return CauseEnginesFull
 	case outcome == outcomeLimited:
 		return CauseLimited
-	case l.number("sends") == 0:
+	case l.fieldNumber("sends") == 0:
 		return CauseRefused
 	default:
 		return CauseFailed
@@ -135,26 +135,26 @@
 
 // lateCause is why a request that was answered is late, if it is.
 func lateCause(l Line) Cause {
-	objective, sends := l.number("objective_ms"), l.number("sends")
-	head, expected := l.number("head_ms"), l.number("expected_ms")
+	objective, sends := l.fieldNumber("objective_ms"), l.fieldNumber("sends")
+	head, expected := l.fieldNumber("head_ms"), l.fieldNumber("expected_ms")
 	switch {
-	case objective == 0 || l.began() <= objective:
-		if gap := l.number("gap_ms"); gap > 0 && l.number("pause_ms") > gap {
+	case objective == 0 || l.answerStart() <= objective:
+		if gap := l.fieldNumber("gap_ms"); gap > 0 && l.fieldNumber("pause_ms") > gap {
 			return CausePause
 		}
 		return CauseNone
-	case l.number("waits") > 0:
-		return CauseTurn
-	case expected > 0 && head > stuckFactor*expected:
-		return CauseStuck
-	case l.number("work_ms") > readingPart*objective:
-		return CauseReading
-	case sends > 1 && l.field("larger") == "true":
-		return CauseLarger
+	case l.fieldNumber("waits") > 0:
+		return CauseQueued
+	case expected > 0 && head > slowStartFactor*expected:
+		return CauseSlowStart
+	case l.fieldNumber("work_ms") > longPromptShare*objective:
+		return CauseLongPrompt
+	case sends > 1 && l.fieldText("larger") == "true":
+		return CauseLargerModel
 	case sends > 1:
-		return CauseRepeated
+		return CauseRetried
 	default:
-		return CauseWaiting
+		return CauseExpectedWait
 	}
 }
 
@@ -167,7 +167,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%8s  %6s  %9s  %-18s %s\n", "requests", "share", "late, ms", "for example", "cause")
 	for _, loss := range losses {
-		fmt.Fprintf(&b, "%8d  %5.1f%%  %9.0f  %-18s %s\n", loss.Count, 100*float64(loss.Count)/float64(max(all, 1)), loss.Late, loss.Example, loss.Cause)
+		fmt.Fprintf(&b, "%8d  %5.1f%%  %9.0f  %-18s %s\n", loss.Count, 100*float64(loss.Count)/float64(max(all, 1)), loss.MeanLateMillis, loss.Example, loss.Cause)
 	}
 	if _, err := io.WriteString(w, b.String()); err != nil {
 		return fmt.Errorf("write tally: %w", err)
--- a/internal/faults/mutations_test.go
+++ b/internal/faults/mutations_test.go
@@ -144,7 +144,7 @@
 				w := newWorld(3)
 				defer w.close()
 				b.make(w)
-				report := check.Judge(w.history())
+				report := check.Verify(w.history())
 				Expect(b.seen(report)).To(BeNumerically(">", 0))
 				Expect(report.Violations()).NotTo(BeEmpty())
 			})
--- a/internal/faults/scenarios_test.go
+++ b/internal/faults/scenarios_test.go
@@ -68,7 +68,7 @@
 		}
 		stop()
 		w.planned = true
-		report := check.Judge(w.history())
+		report := check.Verify(w.history())
 		Expect(report.Answered).To(Equal(report.Requests))
 	},
 	"an hour without the tables loses no bill": func(w *world) {
--- a/internal/faults/world_test.go
+++ b/internal/faults/world_test.go
@@ -201,5 +201,5 @@
 // expectPromises judges the history.
 func (w *world) expectPromises() {
 	ginkgo.GinkgoHelper()
-	Expect(check.Judge(w.history()).Violations()).To(BeEmpty())
+	Expect(check.Verify(w.history()).Violations()).To(BeEmpty())
 }
--- a/internal/reference/reference.go
+++ b/internal/reference/reference.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// structs finds the struct types of sources.
-func structs(sources [][]byte) (map[string]*ast.StructType, error) {
+// findStructs finds the struct types of sources.
+func findStructs(sources [][]byte) (map[string]*ast.StructType, error) {
 	types := map[string]*ast.StructType{}
 	for _, source := range sources {
 		file, err := parser.ParseFile(token.NewFileSet(), "source.go", source, parser.ParseComments)
@@ -72,7 +72,7 @@
 
 // Page makes a page in Markdown.
 func Page(s Subject) (string, error) {
-	types, err := structs(s.Sources)
+	types, err := findStructs(s.Sources)
 	if err != nil {
 		return "", err
 	}
@@ -86,19 +86,19 @@
 		header = "| field | type | default | what it is |\n|---|---|---|---|\n"
 	}
 	b.WriteString(header)
-	w := writer{types: types, out: &b, defaults: s.Defaults != nil}
-	w.fields(s.Root, "", reflect.ValueOf(s.Defaults))
+	w := tableWriter{types: types, out: &b, defaults: s.Defaults != nil}
+	w.writeFields(s.Root, "", reflect.ValueOf(s.Defaults))
 	return b.String(), nil
 }
 
-// writer writes the fields of structs, depth first.
-type writer struct {
+// tableWriter writes the fields of structs, depth first.
+type tableWriter struct {
 	types    map[string]*ast.StructType
 	out      *strings.Builder
 	defaults bool
 }
 
-func (w writer) fields(name, prefix string, value reflect.Value) {
+func (w tableWriter) writeFields(name, prefix string, value reflect.Value) {
 	for _, f := range w.types[name].Fields.List {
 		if f.Tag == nil {
 			continue
@@ -112,23 +112,23 @@
 			inner = value.FieldByName(f.Names[0].Name)
 		}
 		if w.types[kind] != nil {
-			w.line(path+suffix(list), "", "", comment(f))
-			w.fields(kind, path+suffix(list)+".", inner)
+			w.writeRow(path+listSuffix(list), "", "", fieldComment(f))
+			w.writeFields(kind, path+listSuffix(list)+".", inner)
 			continue
 		}
-		w.line(path+suffix(list), kind, defaultOf(inner), comment(f))
+		w.writeRow(path+listSuffix(list), kind, formatDefault(inner), fieldComment(f))
 	}
 }
 
-// suffix marks a list.
-func suffix(list bool) string {
+// listSuffix marks a list.
+func listSuffix(list bool) string {
 	if list {
 		return "[]"
 	}
 	return ""
 }
 
-func (w writer) line(path, kind, value, text string) {
+func (w tableWriter) writeRow(path, kind, value, text string) {
 	if w.defaults {
 		fmt.Fprintf(w.out, "| `%s` | %s | %s | %s |\n", path, kind, value, text)
 		return
@@ -155,7 +155,7 @@
 	}
 }
 
-func comment(f *ast.Field) string {
+func fieldComment(f *ast.Field) string {
 	text := f.Doc.Text()
 	if text == "" {
 		text = f.Comment.Text()
@@ -163,8 +163,8 @@
 	return strings.ReplaceAll(strings.Join(strings.Fields(text), " "), "|", "\\|")
 }
 
-// defaultOf formats a default; nothing for an empty one.
-func defaultOf(v reflect.Value) string {
+// formatDefault formats a default; nothing for an empty one.
+func formatDefault(v reflect.Value) string {
 	if !v.IsValid() || v.IsZero() {
 		return ""
 	}
--- a/internal/telemetry/lines.go
+++ b/internal/telemetry/lines.go
@@ -12,31 +12,31 @@
 
 // Bounds of logged lines.
 const (
-	// linesWaiting is how many lines wait for a slow reader.
-	linesWaiting = 1024
-	// linesPerSecond bounds the volume under load; a host serves a few dozen
+	// lineQueueSize is how many lines wait for a slow reader.
+	lineQueueSize = 1024
+	// maxLinesPerSecond bounds the volume under load; a host serves a few dozen
 	// requests a second, and each takes a line or two.
-	linesPerSecond = 500
+	maxLinesPerSecond = 500
 )
 
 // LogWriter writes log lines without ever blocking who logs: lines that the reader
 // is too slow for, or that come too fast, are dropped and counted.
 type LogWriter struct {
 	out     io.Writer
-	waiting chan []byte
+	queue   chan []byte
 	dropped atomic.Int64
-	ended   chan struct{}
+	done    chan struct{}
 
 	mu     sync.Mutex // guards all below
 	second int64
 	lines  int
 	closed bool
-	began  clock.Steady
+	start  clock.Steady
 }
 
 // NewLogWriter starts a writer of lines.
 func NewLogWriter(out io.Writer) *LogWriter {
-	l := &LogWriter{out: out, waiting: make(chan []byte, linesWaiting), ended: make(chan struct{}), began: clock.NewSteady()}
+	l := &LogWriter{out: out, queue: make(chan []byte, lineQueueSize), done: make(chan struct{}), start: clock.NewSteady()}
 	go l.run()
 	return l
 }
@@ -45,34 +45,34 @@
 func (l *LogWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || !l.within(int64(l.began.Now()/time.Second)) {
+	if l.closed || !l.allow(int64(l.start.Now()/time.Second)) {
 		l.dropped.Add(1)
 		return len(p), nil
 	}
 	select {
-	case l.waiting <- append([]byte(nil), p...):
+	case l.queue <- append([]byte(nil), p...):
 	default:
 		l.dropped.Add(1)
 	}
 	return len(p), nil
 }
 
-// within counts a line against the second's bound.
-func (l *LogWriter) within(second int64) bool {
+// allow counts a line against the second's bound.
+func (l *LogWriter) allow(second int64) bool {
 	if second != l.second {
 		l.second, l.lines = second, 0
 	}
 	l.lines++
-	return l.lines <= linesPerSecond
+	return l.lines <= maxLinesPerSecond
 }
 
 func (l *LogWriter) run() {
-	defer close(l.ended)
-	told := int64(0)
-	for line := range l.waiting {
-		if dropped := l.dropped.Load(); dropped > told {
+	defer close(l.done)
+	reported := int64(0)
+	for line := range l.queue {
+		if dropped := l.dropped.Load(); dropped > reported {
 			_, _ = fmt.Fprintf(l.out, "{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"total\":%d}\n", dropped)
-			told = dropped
+			reported = dropped
 		}
 		// Nobody can be told that the log itself can't be written.
 		_, _ = l.out.Write(line)
@@ -87,11 +87,11 @@
 	l.mu.Lock()
 	if !l.closed {
 		l.closed = true
-		close(l.waiting)
+		close(l.queue)
 	}
 	l.mu.Unlock()
 	select {
-	case <-l.ended:
+	case <-l.done:
 	case <-time.After(limit):
 	}
 }
--- a/internal/telemetry/lines_test.go
+++ b/internal/telemetry/lines_test.go
@@ -12,17 +12,17 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// stuck is a writer that nobody reads from.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a writer that nobody reads from.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
 func TestLinesNeverBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := stuck{release: make(chan struct{})}
+		out := blockedWriter{release: make(chan struct{})}
 		lines := telemetry.NewLogWriter(out)
 		start := time.Now()
 		for range 100 {
@@ -42,13 +42,13 @@
 	})
 }
 
-// safe is a buffer for use at once.
-type safe struct {
+// syncBuffer is a buffer for use at once.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (s *safe) Write(p []byte) (int, error) {
+func (s *syncBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.b.Write(p)
@@ -56,7 +56,7 @@
 
 func TestLinesAreBoundedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &safe{}
+		out := &syncBuffer{}
 		lines := telemetry.NewLogWriter(out)
 		for range 800 {
 			_, _ = fmt.Fprintln(lines, "line")
--- a/internal/telemetry/memory.go
+++ b/internal/telemetry/memory.go
@@ -27,54 +27,54 @@
 	Value string `json:"value"`
 }
 
-// Memory keeps the spans of the last traces; it implements SpanProcessor.
-type Memory struct {
+// TraceBuffer keeps the spans of the last traces; it implements SpanProcessor.
+type TraceBuffer struct {
 	limit int
 
-	mu    sync.Mutex // guards all below
-	spans map[string][]sdktrace.ReadOnlySpan
-	order []string // trace ids, oldest first; a ring once full
-	next  int
+	mu       sync.Mutex // guards all below
+	spans    map[string][]sdktrace.ReadOnlySpan
+	traceIDs []string // trace ids, oldest first; a ring once full
+	next     int
 }
 
-// NewMemory returns a memory for a count of traces.
-func NewMemory(limit int) *Memory {
-	return &Memory{limit: max(limit, 1), spans: map[string][]sdktrace.ReadOnlySpan{}}
+// NewTraceBuffer returns a memory for a count of traces.
+func NewTraceBuffer(limit int) *TraceBuffer {
+	return &TraceBuffer{limit: max(limit, 1), spans: map[string][]sdktrace.ReadOnlySpan{}}
 }
 
 // OnStart implements sdktrace.SpanProcessor.
-func (m *Memory) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
+func (m *TraceBuffer) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
 
 // OnEnd implements sdktrace.SpanProcessor.
-func (m *Memory) OnEnd(span sdktrace.ReadOnlySpan) {
+func (m *TraceBuffer) OnEnd(span sdktrace.ReadOnlySpan) {
 	id := span.SpanContext().TraceID().String()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, ok := m.spans[id]; !ok {
-		m.remember(id)
+		m.addTrace(id)
 	}
 	m.spans[id] = append(m.spans[id], span)
 }
 
-// remember makes room for a new trace; the caller holds mu.
-func (m *Memory) remember(id string) {
-	if len(m.order) < m.limit {
-		m.order = append(m.order, id)
+// addTrace makes room for a new trace; the caller holds mu.
+func (m *TraceBuffer) addTrace(id string) {
+	if len(m.traceIDs) < m.limit {
+		m.traceIDs = append(m.traceIDs, id)
 		return
 	}
-	delete(m.spans, m.order[m.next])
-	m.order[m.next] = id
+	delete(m.spans, m.traceIDs[m.next])
+	m.traceIDs[m.next] = id
 	m.next = (m.next + 1) % m.limit
 }
 
 // Shutdown implements sdktrace.SpanProcessor.
-func (m *Memory) Shutdown(context.Context) error { return nil }
+func (m *TraceBuffer) Shutdown(context.Context) error { return nil }
 
 // ForceFlush implements sdktrace.SpanProcessor.
-func (m *Memory) ForceFlush(context.Context) error { return nil }
+func (m *TraceBuffer) ForceFlush(context.Context) error { return nil }
 
 // Trace returns the spans of a trace in order of their end.
-func (m *Memory) Trace(id string) []Span {
+func (m *TraceBuffer) Trace(id string) []Span {
 	m.mu.Lock()
 	kept := append([]sdktrace.ReadOnlySpan(nil), m.spans[id]...)
 	m.mu.Unlock()
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -74,7 +74,7 @@
 func (t *Telemetry) WriteText(w io.Writer) error {
 	var lines []string
 	t.Registry.Each(func(name string, metric any) {
-		lines = append(lines, textOf(name, metric)...)
+		lines = append(lines, formatMetric(name, metric)...)
 	})
 	sort.Strings(lines)
 	for _, line := range lines {
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// textOf formats one metric.
-func textOf(name string, metric any) []string {
+// formatMetric formats one metric.
+func formatMetric(name string, metric any) []string {
 	base, labels, _ := strings.Cut(strings.TrimSuffix(name, "}"), "{")
 	line := func(suffix, extra, value string) string {
 		all := strings.Trim(labels+","+extra, ",")
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -41,7 +41,7 @@
 // Telemetry is a host's traces and metrics.
 type Telemetry struct {
 	Registry metrics.Registry
-	Traces   *Memory
+	Traces   *TraceBuffer
 
 	provider   *sdktrace.TracerProvider
 	tracer     trace.Tracer
@@ -55,8 +55,8 @@
 
 // New sets up telemetry for a host.
 func New(ctx context.Context, options Options) (*Telemetry, error) {
-	memory := NewMemory(options.Traces)
-	configured := []sdktrace.TracerProviderOption{
+	memory := NewTraceBuffer(options.Traces)
+	providerOptions := []sdktrace.TracerProviderOption{
 		sdktrace.WithSpanProcessor(memory),
 		sdktrace.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", tracerName),
@@ -68,9 +68,9 @@
 		if err != nil {
 			return nil, fmt.Errorf("set up trace export: %w", err)
 		}
-		configured = append(configured, sdktrace.WithBatcher(exporter))
+		providerOptions = append(providerOptions, sdktrace.WithBatcher(exporter))
 	}
-	provider := sdktrace.NewTracerProvider(configured...)
+	provider := sdktrace.NewTracerProvider(providerOptions...)
 	return &Telemetry{
 		Registry:   metrics.NewRegistry(),
 		Traces:     memory,
