--- a/internal/endpoint/report.go
+++ b/internal/endpoint/report.go
@@ -15,26 +15,26 @@
 	"quaybarrow/internal/fleet"
 )
 
-// Limits of reading reports.
+// Limits on fetching load reports.
 const (
 	maxReportBytes       = 64 << 10
 	maxConcurrentFetches = 8
 )
 
-// Report is an engine's report of its load.
+// Report is the load report of an engine.
 type Report struct {
 	Running  int       `json:"running"`
 	Queued   int       `json:"queued"`
 	Slots    int       `json:"slots"`
 	Draining bool      `json:"draining"`
-	Versions []string  `json:"versions"` // loaded, as model@version
+	Versions []string  `json:"versions"` // loaded versions, in the form model@version
 	At       time.Time `json:"at"`
 }
 
-// Fetcher reads an engine's report.
+// Fetcher fetches the load report of the engine at an address.
 type Fetcher func(ctx context.Context, address string) (Report, error)
 
-// HTTPFetcher reads reports over HTTP.
+// HTTPFetcher returns a Fetcher that requests load reports over HTTP.
 func HTTPFetcher(transport http.RoundTripper) Fetcher {
 	return func(ctx context.Context, address string) (Report, error) {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/load", nil)
@@ -57,7 +57,7 @@
 	}
 }
 
-// Run follows the list and the reports until the context ends.
+// Run periodically applies the host list and fetches load reports until ctx is done.
 func (w *Watch) Run(ctx context.Context) {
 	for {
 		w.Sync()
@@ -68,16 +68,16 @@
 	}
 }
 
-// reportsPerPeriod is how many reports are read in Options.Period; with more
-// engines to watch, the time between two reports of one grows instead.
+// reportsPerPeriod is the number of reports fetched in each Options.Period. With more engines
+// to watch, the interval between two reports of the same engine grows instead.
 const reportsPerPeriod = 3
 
-// period is the time between two reports of an engine.
+// period returns the interval between two reports of an engine.
 func (w *Watch) period() time.Duration {
 	return w.options.Period * time.Duration(max(len(w.engines()), reportsPerPeriod)) / reportsPerPeriod
 }
 
-// Refresh reads the report of every watched engine, a few at once.
+// Refresh fetches the report of every watched engine, at most maxConcurrentFetches at a time.
 func (w *Watch) Refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, max(w.options.Period, time.Second))
 	defer cancel()
@@ -103,8 +103,8 @@
 	return engines
 }
 
-// refresh reads one report. An engine that can't be reached is not ejected for
-// it: attempts decide that.
+// refresh fetches the report of one engine. A failed fetch doesn't eject the engine; only the
+// outcomes of attempts to send it requests do.
 func (w *Watch) refresh(ctx context.Context, e fleet.Endpoint) {
 	asked, inFlight := clock.Now(), w.fleet.InFlight(e.ID)
 	report, err := w.options.Fetch(ctx, e.Address)
--- a/internal/endpoint/watch.go
+++ b/internal/endpoint/watch.go
@@ -1,15 +1,15 @@
-// Package endpoint follows the endpoints of the OpenAI interface: the platform's
-// list of hosts and the engines' own reports of their load, which it brings to the
-// fleet that requests are sent by.
+// Package endpoint tracks the endpoints of the OpenAI interface. It reads the platform's list
+// of hosts and the load reports of the engines, and applies both to the fleet that requests
+// are dispatched through.
 //
 // # Usage
 //
 //	w := endpoint.NewWatch(options)
 //	go w.Run(ctx)
 //
-// The list says which endpoints there are and which are leaving; an engine's own
-// report says so sooner. A host watches only a bounded subset of the engines, so
-// that its reports do not grow with the fleet.
+// The list shows which endpoints exist and which are leaving; an engine's own report shows
+// sooner that it is leaving. A host watches only a bounded subset of the engines, so that the
+// number of reports it fetches doesn't grow with the fleet.
 package endpoint
 
 import (
@@ -24,39 +24,39 @@
 	"quaybarrow/internal/store"
 )
 
-// EngineService is the service of the engines in the fleet; plain services go by their
-// own names, and none is empty.
+// EngineService is the service name of all engines in the fleet. Plain services have their own
+// names, which are never empty.
 const EngineService = ""
 
-// DefaultSubset is how many engines a host watches at most.
+// DefaultSubset is the default for the maximum number of engines that a host watches.
 const DefaultSubset = 32
 
-// maxEjection is the longest that an engine is left alone that fails: a broken one may
-// stay listed for long.
+// maxEjection is the longest ejection of a failing engine. It is long because a broken engine
+// may stay listed for a long time.
 const maxEjection = time.Minute
 
-// Options set up a Watch.
+// Options configure a Watch.
 type Options struct {
 	Host   string
 	Hall   string
 	Subset int // 0 means DefaultSubset
 	Period time.Duration
-	// List returns the platform's list as last read.
+	// List returns the platform's host list as last read.
 	List func() []store.Host
-	// CountHosts counts the live hosts of the router; nil means one.
+	// CountHosts returns the number of live hosts of the router; nil means one.
 	CountHosts func() int
-	// Fetch reads an engine's load report.
+	// Fetch fetches the load report of an engine.
 	Fetch Fetcher
 }
 
-// Watch brings a host's endpoints to its fleet.
+// Watch keeps the fleet of a host up to date.
 type Watch struct {
 	options     Options
 	fleet       *fleet.Fleet
-	engineShare atomic.Uint64 // bits of the part of all engines that the host watches
+	engineShare atomic.Uint64 // Float64bits of the fraction of all engines that the host watches
 }
 
-// NewWatch returns a watch with a fleet that is still empty.
+// NewWatch returns a Watch with an empty fleet.
 func NewWatch(options Options) *Watch {
 	if options.Subset == 0 {
 		options.Subset = DefaultSubset
@@ -66,10 +66,10 @@
 	return w
 }
 
-// Fleet returns the endpoints that the watch keeps up to date.
+// Fleet returns the fleet that the watch keeps up to date.
 func (w *Watch) Fleet() *fleet.Fleet { return w.fleet }
 
-// Sync takes in the platform's list.
+// Sync applies the platform's host list to the fleet.
 func (w *Watch) Sync() {
 	all := w.options.List()
 	hosts := Subset(all, w.options.Host, w.options.Hall, w.options.Subset)
@@ -93,7 +93,8 @@
 	return count
 }
 
-// sendingHosts is how many hosts send to an endpoint of a service, this one included.
+// sendingHosts returns the number of hosts, including this one, that send to an endpoint of a
+// service. For engines it is an estimate: the live hosts times the fraction that each watches.
 func (w *Watch) sendingHosts(service string) int {
 	if w.options.CountHosts == nil {
 		return 1
@@ -104,9 +105,9 @@
 	return max(int(math.Round(float64(w.options.CountHosts())*math.Float64frombits(w.engineShare.Load()))), 1)
 }
 
-// Subset picks the endpoints that a host watches: every plain service, and of
-// the engines at most limit, half of them in the host's own data hall where
-// there are so many, by rendezvous weight so that hosts spread evenly.
+// Subset selects the endpoints that a host watches: all plain services and at most limit
+// engines. At least half of the engines are in the host's own data hall if it has that many.
+// Engines are ranked by rendezvous hashing, so that the hosts spread evenly over them.
 func Subset(hosts []store.Host, self, hall string, limit int) []store.Host {
 	var kept, near, far []store.Host
 	for _, h := range hosts {
--- a/internal/endpoint/watch_test.go
+++ b/internal/endpoint/watch_test.go
@@ -17,7 +17,8 @@
 	return store.Host{ID: id, Kind: store.HostEngine, DataHall: hall, Address: "10.0.0.1:80", State: store.HostLive}
 }
 
-// watch follows a list that the test may change, and reports by engine address.
+// watch returns a Watch that reads a list, which the test may change, and reports by engine
+// address.
 func watch(list *[]store.Host, reports map[string]endpoint.Report) *endpoint.Watch {
 	return endpoint.NewWatch(endpoint.Options{
 		Host: "entry-1", Hall: "ikeja", List: func() []store.Host { return *list },
@@ -32,15 +33,15 @@
 	})
 }
 
-var _ = Describe("the watch of endpoints", func() {
-	It("brings the list to the fleet, and takes out what is leaving or gone", func() {
+var _ = Describe("Watch", func() {
+	It("applies the list to the fleet, marks leaving endpoints as draining and removes unlisted ones", func() {
 		list := []store.Host{engine("e1", "ikeja"), engine("e2", "lekki"), {
 			ID: "p1", Kind: store.HostService, Service: "payouts", Address: "10.0.0.2:80", State: store.HostLive,
 		}, {ID: "entry-2", Kind: store.HostEntry}}
 		w := watch(&list, nil)
 		w.Sync()
 		Expect(w.Fleet().View()).To(HaveLen(3))
-		Expect(w.Fleet().HasModel(endpoint.EngineService, "m@1")).To(BeTrue(), "what they have loaded is not known yet")
+		Expect(w.Fleet().HasModel(endpoint.EngineService, "m@1")).To(BeTrue(), "the loaded models are not known yet")
 		Expect(w.Fleet().HasModel("payouts", "")).To(BeTrue())
 		list[0].State = store.HostLeaving
 		list = list[:2]
@@ -51,7 +52,7 @@
 		Expect(view[1].Ready).To(BeTrue())
 	})
 
-	It("takes in what engines report, and believes the list where they do not answer", func() {
+	It("applies the reports of engines, and relies on the list for engines that don't answer", func() {
 		list := []store.Host{engine("e1", "ikeja"), engine("e2", "ikeja"), engine("e3", "ikeja")}
 		list[1].Address, list[2].Address = "10.0.0.2:80", "10.0.0.3:80"
 		w := watch(&list, map[string]endpoint.Report{
@@ -65,7 +66,7 @@
 		Expect(view[0].Slots).To(Equal(8))
 		Expect(view[0].Models).To(Equal([]string{"m@1"}))
 		Expect(view[1].Models).To(BeEmpty())
-		Expect(view[1].Models).NotTo(BeNil(), "it says that it has none")
+		Expect(view[1].Models).NotTo(BeNil(), "the engine reported that it has no models")
 		Expect(view[2].Models).To(BeNil())
 		Expect(w.Fleet().HasModel(endpoint.EngineService, "m@1")).To(BeTrue())
 		list = list[1:2]
@@ -73,7 +74,7 @@
 		Expect(w.Fleet().HasModel(endpoint.EngineService, "m@1")).To(BeFalse())
 	})
 
-	It("watches a bounded part of the engines, half of them near, and all services", func() {
+	It("selects a bounded subset of the engines, half of them in its own data hall, and all services", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			near, far := rapid.IntRange(0, 60).Draw(t, "near"), rapid.IntRange(0, 60).Draw(t, "far")
 			services := rapid.IntRange(0, 5).Draw(t, "services")
