--- a/internal/telemetry/lines.go
+++ b/internal/telemetry/lines.go
@@ -10,38 +10,38 @@
 	"quaybarrow/internal/clock"
 )
 
-// Bounds of logged lines.
+// Limits on log lines.
 const (
-	// lineQueueSize is how many lines wait for a slow reader.
+	// lineQueueSize is the number of lines that are queued for a slow output.
 	lineQueueSize = 1024
-	// maxLinesPerSecond bounds the volume under load; a host serves a few dozen
-	// requests a second, and each takes a line or two.
+	// maxLinesPerSecond limits the log volume under load. A host serves a few dozen requests
+	// per second, each of which logs one or two lines.
 	maxLinesPerSecond = 500
 )
 
-// LogWriter writes log lines without ever blocking who logs: lines that the reader
-// is too slow for, or that come too fast, are dropped and counted.
+// LogWriter is an io.Writer for log lines that never blocks the caller. It drops and counts
+// lines that exceed the rate limit or arrive while the queue to the output is full.
 type LogWriter struct {
 	out     io.Writer
 	queue   chan []byte
 	dropped atomic.Int64
 	done    chan struct{}
 
-	mu     sync.Mutex // guards all below
+	mu     sync.Mutex // guards the fields below
 	second int64
 	lines  int
 	closed bool
 	start  clock.Steady
 }
 
-// NewLogWriter starts a writer of lines.
+// NewLogWriter starts a LogWriter that writes to out.
 func NewLogWriter(out io.Writer) *LogWriter {
 	l := &LogWriter{out: out, queue: make(chan []byte, lineQueueSize), done: make(chan struct{}), start: clock.NewSteady()}
 	go l.run()
 	return l
 }
 
-// Write implements io.Writer; it takes one line.
+// Write implements io.Writer. Each call writes one line.
 func (l *LogWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +57,7 @@
 	return len(p), nil
 }
 
-// allow counts a line against the second's bound.
+// allow counts a line and reports whether it is within the limit of this second.
 func (l *LogWriter) allow(second int64) bool {
 	if second != l.second {
 		l.second, l.lines = second, 0
@@ -74,15 +74,15 @@
 			_, _ = fmt.Fprintf(l.out, "{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"total\":%d}\n", dropped)
 			reported = dropped
 		}
-		// Nobody can be told that the log itself can't be written.
+		// The error is ignored: there is no other place to report a failure to write the log.
 		_, _ = l.out.Write(line)
 	}
 }
 
-// Dropped counts the lines that were dropped.
+// Dropped returns the number of dropped lines.
 func (l *LogWriter) Dropped() int64 { return l.dropped.Load() }
 
-// Close writes what waits, for at most a time.
+// Close stops accepting lines and waits up to limit for the queued ones to be written.
 func (l *LogWriter) Close(limit time.Duration) {
 	l.mu.Lock()
 	if !l.closed {
--- a/internal/telemetry/lines_test.go
+++ b/internal/telemetry/lines_test.go
@@ -12,7 +12,7 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// blockedWriter is a writer that nobody reads from.
+// blockedWriter is a writer that blocks until it is released.
 type blockedWriter struct{ release chan struct{} }
 
 func (s blockedWriter) Write(p []byte) (int, error) {
@@ -20,7 +20,7 @@
 	return len(p), nil
 }
 
-func TestLinesNeverBlock(t *testing.T) {
+func TestLogWriterNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := blockedWriter{release: make(chan struct{})}
 		lines := telemetry.NewLogWriter(out)
@@ -35,14 +35,14 @@
 			t.Fatalf("writing took %s", took)
 		}
 		if lines.Dropped() == 0 {
-			t.Fatal("nothing was dropped")
+			t.Fatal("no line was dropped")
 		}
 		close(out.release)
 		lines.Close(time.Second)
 	})
 }
 
-// syncBuffer is a buffer for use at once.
+// syncBuffer is a buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -54,7 +54,7 @@
 	return s.b.Write(p)
 }
 
-func TestLinesAreBoundedAndCounted(t *testing.T) {
+func TestLogWriterLimitsRateAndCountsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &syncBuffer{}
 		lines := telemetry.NewLogWriter(out)
@@ -69,7 +69,7 @@
 			t.Fatalf("%d lines", n)
 		}
 		if !strings.Contains(text, `"total":300`) || !strings.Contains(text, "later") {
-			t.Fatalf("the drop is not told: %s", text[len(text)-200:])
+			t.Fatalf("the log does not report the dropped lines: %s", text[len(text)-200:])
 		}
 	})
 }
--- a/internal/telemetry/memory.go
+++ b/internal/telemetry/memory.go
@@ -8,7 +8,7 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 )
 
-// Span is a finished span as operators see it.
+// Span is a finished span in the form shown to operators.
 type Span struct {
 	TraceID    string      `json:"trace_id"`
 	SpanID     string      `json:"span_id"`
@@ -21,23 +21,24 @@
 	Attributes []Attribute `json:"attributes,omitempty"`
 }
 
-// Attribute is one key and value of a span.
+// Attribute is a key-value attribute of a span.
 type Attribute struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 }
 
-// TraceBuffer keeps the spans of the last traces; it implements SpanProcessor.
+// TraceBuffer keeps the spans of the most recent traces in memory. It implements
+// sdktrace.SpanProcessor.
 type TraceBuffer struct {
 	limit int
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	spans    map[string][]sdktrace.ReadOnlySpan
-	traceIDs []string // trace ids, oldest first; a ring once full
+	traceIDs []string // oldest first; a ring buffer once full, in which next is the oldest
 	next     int
 }
 
-// NewTraceBuffer returns a memory for a count of traces.
+// NewTraceBuffer returns a TraceBuffer for up to limit traces, at least one.
 func NewTraceBuffer(limit int) *TraceBuffer {
 	return &TraceBuffer{limit: max(limit, 1), spans: map[string][]sdktrace.ReadOnlySpan{}}
 }
@@ -56,7 +57,8 @@
 	m.spans[id] = append(m.spans[id], span)
 }
 
-// addTrace makes room for a new trace; the caller holds mu.
+// addTrace records a new trace ID and evicts the oldest trace if the buffer is full. The caller
+// holds mu.
 func (m *TraceBuffer) addTrace(id string) {
 	if len(m.traceIDs) < m.limit {
 		m.traceIDs = append(m.traceIDs, id)
@@ -73,7 +75,7 @@
 // ForceFlush implements sdktrace.SpanProcessor.
 func (m *TraceBuffer) ForceFlush(context.Context) error { return nil }
 
-// Trace returns the spans of a trace in order of their end.
+// Trace returns the spans of a trace in the order in which they ended.
 func (m *TraceBuffer) Trace(id string) []Span {
 	m.mu.Lock()
 	kept := append([]sdktrace.ReadOnlySpan(nil), m.spans[id]...)
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -11,22 +11,23 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// prefix of every metric's name on the scrape page.
+// prefix of all metric names in the Prometheus output.
 const prefix = "quaybarrow_"
 
-// sampleSize and sampleAlpha are go-metrics' usual ones for a recent sample.
+// sampleSize and sampleAlpha are the usual values of go-metrics for a sample biased to recent
+// observations.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// LabelPair is a label of a metric.
+// LabelPair is the key and value of a metric label.
 type LabelPair struct{ Key, Value string }
 
-// Label makes a label.
+// Label returns a LabelPair.
 func Label(key, value string) LabelPair { return LabelPair{Key: key, Value: value} }
 
-// metricName joins a name with its labels, as the scrape page shows them.
+// metricName returns a metric name with its labels in Prometheus notation.
 func metricName(name string, labels []LabelPair) string {
 	if len(labels) == 0 {
 		return name
@@ -47,12 +48,12 @@
 	return b.String()
 }
 
-// Count adds to a counter.
+// Count adds n to a counter.
 func (t *Telemetry) Count(name string, n int64, labels ...LabelPair) {
 	metrics.GetOrRegisterCounter(metricName(name, labels), t.Registry).Inc(n)
 }
 
-// Gauge sets a gauge.
+// Gauge sets the value of a gauge.
 func (t *Telemetry) Gauge(name string, value float64, labels ...LabelPair) {
 	metrics.GetOrRegisterGaugeFloat64(metricName(name, labels), t.Registry).Update(value)
 }
@@ -67,10 +68,10 @@
 	}
 }
 
-// quantiles shown of each histogram.
+// quantiles that are exported for each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// WriteText writes all metrics in Prometheus' text format.
+// WriteText writes all metrics in the Prometheus text format.
 func (t *Telemetry) WriteText(w io.Writer) error {
 	var lines []string
 	t.Registry.Each(func(name string, metric any) {
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// formatMetric formats one metric.
+// formatMetric returns the lines of one metric in the Prometheus text format.
 func formatMetric(name string, metric any) []string {
 	base, labels, _ := strings.Cut(strings.TrimSuffix(name, "}"), "{")
 	line := func(suffix, extra, value string) string {
--- a/internal/telemetry/suspensions.go
+++ b/internal/telemetry/suspensions.go
@@ -9,8 +9,8 @@
 	"quaybarrow/internal/clock"
 )
 
-// WatchSuspensions tells when the machine was suspended, and has deadlines end in time; until
-// ctx ends.
+// WatchSuspensions logs and counts suspensions of the machine until ctx ends. It also makes
+// deadlines that passed during a suspension expire promptly.
 func WatchSuspensions(ctx context.Context, deadlines *clock.Deadlines, t *Telemetry, logger *log.Logger) {
 	deadlines.Watch(ctx, func(lasted time.Duration) {
 		t.Count("suspensions", 1)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry gives the router its traces and metrics.
+// Package telemetry provides the traces and metrics of the router.
 //
 // # Usage
 //
@@ -7,9 +7,9 @@
 //	defer span.End()
 //	t.Count("requests", 1, telemetry.Label("outcome", "answered"))
 //
-// Traces are OpenTelemetry spans, one for each hop. The host remembers the last
-// ones for operators and exports them when a collector is set. Metrics live in
-// a go-metrics registry and are scraped in Prometheus' text format.
+// Traces consist of OpenTelemetry spans, one per hop. The host keeps the most recent traces in
+// memory for operators and exports all traces if a collector is configured. Metrics are kept in
+// a go-metrics registry and scraped in the Prometheus text format.
 package telemetry
 
 import (
@@ -28,17 +28,17 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// tracerName names the instrumentation in spans.
+// tracerName is the name of the tracer and the service name of its spans.
 const tracerName = "quaybarrow"
 
-// Options set up telemetry.
+// Options configure a Telemetry.
 type Options struct {
 	Host   string
-	OTLP   string // URL of a collector; empty exports nothing
-	Traces int    // traces that are remembered
+	OTLP   string // URL of an OTLP collector; empty disables export
+	Traces int    // number of traces kept in memory
 }
 
-// Telemetry is a host's traces and metrics.
+// Telemetry records the traces and metrics of a host.
 type Telemetry struct {
 	Registry metrics.Registry
 	Traces   *TraceBuffer
@@ -48,12 +48,12 @@
 	propagator propagation.TextMapPropagator
 }
 
-// MetricsOnly returns telemetry without traces, for hosts too small for them.
+// MetricsOnly returns a Telemetry without traces, for hosts that are too small for them.
 func MetricsOnly() *Telemetry {
 	return &Telemetry{Registry: metrics.NewRegistry(), tracer: noop.NewTracerProvider().Tracer(tracerName)}
 }
 
-// New sets up telemetry for a host.
+// New returns the Telemetry of a host.
 func New(ctx context.Context, options Options) (*Telemetry, error) {
 	memory := NewTraceBuffer(options.Traces)
 	providerOptions := []sdktrace.TracerProviderOption{
@@ -80,12 +80,12 @@
 	}, nil
 }
 
-// Start opens a span; the caller ends it.
+// Start starts a span, which the caller must end.
 func (t *Telemetry) Start(ctx context.Context, name string, attributes ...attribute.KeyValue) (context.Context, trace.Span) {
 	return t.tracer.Start(ctx, name, trace.WithAttributes(attributes...))
 }
 
-// Fail marks a span as failed.
+// Fail records err on a span and marks the span as failed; it does nothing if err is nil.
 func Fail(span trace.Span, err error) {
 	if err == nil {
 		return
@@ -94,17 +94,17 @@
 	span.SetStatus(codes.Error, err.Error())
 }
 
-// Extract reads W3C trace headers of a request that came in.
+// Extract reads the W3C trace headers of an incoming request.
 func (t *Telemetry) Extract(ctx context.Context, h http.Header) context.Context {
 	return t.propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// Inject writes W3C trace headers for a request that goes out.
+// Inject writes the W3C trace headers of an outgoing request.
 func (t *Telemetry) Inject(ctx context.Context, h http.Header) {
 	t.propagator.Inject(ctx, propagation.HeaderCarrier(h))
 }
 
-// TraceID returns the trace that a context belongs to, as hex; empty if none.
+// TraceID returns the ID of the trace in ctx in hexadecimal, or an empty string if there is none.
 func TraceID(ctx context.Context) string {
 	id := trace.SpanContextFromContext(ctx).TraceID()
 	if !id.IsValid() {
@@ -113,10 +113,10 @@
 	return id.String()
 }
 
-// Shutdown exports what is left.
+// Shutdown exports the remaining spans and stops the trace provider.
 func (t *Telemetry) Shutdown(ctx context.Context) error {
 	if err := t.provider.Shutdown(ctx); err != nil {
-		return fmt.Errorf("shut traces down: %w", err)
+		return fmt.Errorf("shut down tracing: %w", err)
 	}
 	return nil
 }
