--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,10 +1,10 @@
-// Package check judges a recorded history by the promises that must always
-// hold. It knows nothing of the router's insides: its input is what callers saw,
-// what the endpoints' own records say and what the bill table holds.
+// Package check verifies a recorded history against the guarantees that must always hold. It is
+// independent of the router's internals: its input is the responses that callers received, the
+// records of the endpoints and the contents of the bill table.
 //
 // # Usage
 //
-//	report := check.Judge(history)
+//	report := check.Verify(history)
 //	if violations := report.Violations(); len(violations) > 0 { ... }
 package check
 
@@ -32,26 +32,26 @@
 	KindJob     Kind = "job"
 )
 
-// Observation is one request as its caller saw it. Prompts are unique, so they
-// tie a request to the endpoints' records.
+// Observation is a request as observed by its caller. Prompts are unique, so they identify the
+// request in the records of the endpoints.
 type Observation struct {
 	Kind          Kind
 	Workspace     string
 	Prompt        string
-	Session       string // of the caller's naming; empty if none
+	Session       string // name chosen by the caller; empty if none
 	Key           string // Idempotency-Key; empty if none
 	Nonrepeatable bool
 	Sent          time.Time
 	First         time.Time // first token; zero if none
 	Done          time.Time
 	Answered      bool
-	Run           problem.Run // as told, when not answered
-	Answer        string      // text that came
-	Ended         bool        // the answer's end came
-	Version       string      // as told
+	Run           problem.Run // as reported to the caller; set if not answered
+	Answer        string      // text received
+	Ended         bool        // the end of the answer was received
+	Version       string      // as reported to the caller
 }
 
-// EngineRun is one dispatch as an engine recorded it.
+// EngineRun is a dispatched request as recorded by an engine.
 type EngineRun struct {
 	RequestID string
 	AttemptID string
@@ -63,32 +63,33 @@
 	Engine    string
 }
 
-// ServiceRun is one call as a plain service recorded it.
+// ServiceRun is a call as recorded by a plain service.
 type ServiceRun struct {
 	RequestID string
-	Prompt    string // the call's body
+	Prompt    string // body of the call
 }
 
-// Withdrawal is when a version was reported withdrawn everywhere.
+// Withdrawal records the time at which a version was reported as withdrawn on all hosts.
 type Withdrawal struct {
 	Version declare.Ref
 	At      time.Time
 }
 
-// Leaving is when an engine was told to leave, with the time to notice added.
+// Leaving records the time at which an engine was told to leave, plus the time allowed for hosts
+// to notice.
 type Leaving struct {
 	Engine string
 	At     time.Time
 }
 
-// Applied is a revision that a host put in force.
+// Applied records a revision of the configuration that a host put in force.
 type Applied struct {
 	Host        string
 	Incarnation string
 	Revision    int64
 }
 
-// History is everything recorded.
+// History is the recorded data that Verify checks.
 type History struct {
 	Observations []Observation
 	EngineRuns   []EngineRun
@@ -96,14 +97,14 @@
 	Bills        []billing.Bill
 	Withdrawals  []Withdrawal
 	Leavings     []Leaving
-	Applied      []Applied // in order, per host
+	Applied      []Applied // in order of application for each host
 	// Allowed reports whether a workspace may use a version.
 	Allowed func(workspace string, version declare.Ref) bool
-	// Planned is set when all stops were planned: no answer may be cut then.
+	// Planned is set if all stops were planned; no answer may be cut off then.
 	Planned bool
 }
 
-// Report counts what was found, by promise.
+// Report holds the number of requests by outcome and of violations by guarantee.
 type Report struct {
 	Requests              int `json:"requests"`
 	Answered              int `json:"answered"`
@@ -126,7 +127,7 @@
 	details []string
 }
 
-// addDetail keeps an example of a violation.
+// addDetail records an example of a violation, up to maxDetails of them.
 func (r *Report) addDetail(format string, args ...any) {
 	const maxDetails = 20
 	if len(r.details) < maxDetails {
@@ -134,7 +135,7 @@
 	}
 }
 
-// Violations lists the promises that were broken, with examples.
+// Violations lists the violated guarantees with their counts, then examples.
 func (r Report) Violations() []string {
 	var violations []string
 	add := func(count int, violation string) {
@@ -148,10 +149,10 @@
 	add(r.BilledMore, "requests billed more than once")
 	add(r.BilledNever, "requests that ran and were not billed")
 	add(r.ForeignAnswers, "answers of another request")
-	add(r.NotRunButRan, "requests told not run that ran")
-	add(r.NonrepeatableRunTwice, "calls that may not be repeated and ran twice")
-	add(r.LeavingRuns, "new work at a leaving endpoint")
-	add(r.Reverts, "configurations that reverted")
+	add(r.NotRunButRan, "requests reported as not run that ran")
+	add(r.NonrepeatableRunTwice, "non-repeatable calls that ran more than once")
+	add(r.LeavingRuns, "requests dispatched to a leaving endpoint")
+	add(r.Reverts, "reverts to an older configuration")
 	if r.planned {
 		add(r.CutAnswers, "answers cut off by planned stops")
 	}
@@ -161,7 +162,7 @@
 	return append(violations, r.details...)
 }
 
-// Verify checks a history.
+// Verify checks a history against all guarantees.
 func Verify(h History) Report {
 	r := Report{planned: h.Planned}
 	byPrompt := map[string][]EngineRun{}
@@ -180,7 +181,7 @@
 	return r
 }
 
-// checkAnswers checks what callers were given and told.
+// checkAnswers checks the answers and errors that callers received.
 func (r *Report) checkAnswers(h History, engines map[string][]EngineRun, services map[string]int) {
 	calls := map[string]int{}
 	for _, o := range h.Observations {
@@ -194,7 +195,7 @@
 			r.NotRun++
 			if ran > 0 && o.Key == "" {
 				r.NotRunButRan++
-				r.addDetail("told not run, but ran: %s", o.Prompt)
+				r.addDetail("reported as not run, but ran: %s", o.Prompt)
 			}
 		default:
 			r.Unknown++
@@ -212,8 +213,8 @@
 	}
 }
 
-// checkRepeated checks requests that were sent several times with one key: if
-// all were told not run, none may have run.
+// checkRepeated checks requests that were sent several times with one idempotency key: if all
+// attempts were reported as not run, none may have run.
 func (r *Report) checkRepeated(h History) {
 	allNotRun := map[string]bool{}
 	for _, o := range h.Observations {
@@ -226,12 +227,12 @@
 	for _, run := range h.ServiceRuns {
 		if allNotRun[run.Prompt] {
 			r.NotRunButRan++
-			r.addDetail("told not run each time, but ran: %s", run.Prompt)
+			r.addDetail("reported as not run each time, but ran: %s", run.Prompt)
 		}
 	}
 }
 
-// checkAnswer checks that an answer is the caller's own, and whole.
+// checkAnswer checks that an answer belongs to the request and is complete.
 func (r *Report) checkAnswer(o Observation) {
 	if !strings.Contains(o.Answer, o.Prompt) && o.Answer != "" {
 		r.ForeignAnswers++
@@ -239,11 +240,11 @@
 	}
 	if !o.Ended {
 		r.CutAnswers++
-		r.addDetail("answer to %q was cut: %q", o.Prompt, o.Answer)
+		r.addDetail("answer to %q was cut off: %q", o.Prompt, o.Answer)
 	}
 }
 
-// checkSessions checks that each session had one version.
+// checkSessions checks that each session used a single version.
 func (r *Report) checkSessions(h History) {
 	versions := map[string]string{}
 	for _, o := range h.Observations {
@@ -259,7 +260,8 @@
 	}
 }
 
-// checkRuns checks what engines were given.
+// checkRuns checks the requests that engines ran: the version was allowed for the workspace and
+// not withdrawn, and the engine was not leaving.
 func (r *Report) checkRuns(h History) {
 	workspaces := map[string]string{}
 	for _, o := range h.Observations {
@@ -280,13 +282,13 @@
 		for _, l := range h.Leavings {
 			if l.Engine == run.Engine && run.Started.After(l.At) {
 				r.LeavingRuns++
-				r.addDetail("%s got work %s after it should have been noticed to leave", run.Engine, run.Started.Sub(l.At))
+				r.addDetail("%s got a request %s after hosts should have noticed that it was leaving", run.Engine, run.Started.Sub(l.At))
 			}
 		}
 	}
 }
 
-// checkBills checks that what ran is billed exactly once.
+// checkBills checks that each request that ran is billed exactly once.
 func (r *Report) checkBills(h History) {
 	bills := map[string]int{}
 	for _, b := range h.Bills {
@@ -325,7 +327,7 @@
 		key := a.Host + "/" + a.Incarnation
 		if a.Revision < last[key] {
 			r.Reverts++
-			r.addDetail("%s went back from revision %d to %d", a.Host, last[key], a.Revision)
+			r.addDetail("%s reverted from revision %d to %d", a.Host, last[key], a.Revision)
 		}
 		last[key] = max(last[key], a.Revision)
 	}
