--- a/internal/reference/reference.go
+++ b/internal/reference/reference.go
@@ -1,5 +1,5 @@
-// Package reference makes the reference pages of settings and declarations from
-// the structs that declare them.
+// Package reference generates the reference pages of settings and declarations from the source
+// of the Go structs that they are decoded into.
 //
 // # Usage
 //
@@ -21,16 +21,16 @@
 	"quaybarrow/internal/settings"
 )
 
-// Subject is what a page is about.
+// Subject describes a reference page.
 type Subject struct {
 	Title    string
 	Intro    string
-	Sources  [][]byte // Go texts that declare the struct and its parts
-	Root     string   // the struct's name
-	Defaults any      // a value whose fields are the defaults; nil for none
+	Sources  [][]byte // Go source that declares the struct and its nested structs
+	Root     string   // name of the struct
+	Defaults any      // a value of the struct that holds the defaults; nil if there are none
 }
 
-// Settings is the page of a host's settings.
+// Settings describes the page of the settings of a host.
 func Settings() Subject {
 	return Subject{
 		Title: "Settings",
@@ -40,7 +40,7 @@
 	}
 }
 
-// Declarations is the page of what operators declare.
+// Declarations describes the page of the declarations of operators.
 func Declarations() Subject {
 	return Subject{
 		Title: "Declarations",
@@ -50,13 +50,13 @@
 	}
 }
 
-// findStructs finds the struct types of sources.
+// findStructs returns the struct types that sources declare, by name.
 func findStructs(sources [][]byte) (map[string]*ast.StructType, error) {
 	types := map[string]*ast.StructType{}
 	for _, source := range sources {
 		file, err := parser.ParseFile(token.NewFileSet(), "source.go", source, parser.ParseComments)
 		if err != nil {
-			return nil, fmt.Errorf("read declarations of fields: %w", err)
+			return nil, fmt.Errorf("parse struct declarations: %w", err)
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
 			if spec, ok := n.(*ast.TypeSpec); ok {
@@ -70,14 +70,14 @@
 	return types, nil
 }
 
-// Page makes a page in Markdown.
+// Page generates a page in Markdown.
 func Page(s Subject) (string, error) {
 	types, err := findStructs(s.Sources)
 	if err != nil {
 		return "", err
 	}
 	if types[s.Root] == nil {
-		return "", errors.Errorf("no struct %s", s.Root)
+		return "", errors.Errorf("the sources declare no struct %s", s.Root)
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\nMade by `quaybarrow reference` from the struct `%s`; don't edit it by hand.\n\n%s\n\n", s.Title, s.Root, s.Intro)
@@ -91,7 +91,7 @@
 	return b.String(), nil
 }
 
-// tableWriter writes the fields of structs, depth first.
+// tableWriter writes the table rows for the fields of structs, depth first.
 type tableWriter struct {
 	types    map[string]*ast.StructType
 	out      *strings.Builder
@@ -120,7 +120,7 @@
 	}
 }
 
-// listSuffix marks a list.
+// listSuffix returns the path suffix that marks a list.
 func listSuffix(list bool) string {
 	if list {
 		return "[]"
@@ -136,7 +136,8 @@
 	fmt.Fprintf(w.out, "| `%s` | %s | %s |\n", path, kind, text)
 }
 
-// typeName names a field's type, and whether it is a list of them.
+// typeName returns the displayed name of a field's type, or of its elements if the type is a
+// list, and whether it is a list.
 func typeName(e ast.Expr) (string, bool) {
 	switch t := e.(type) {
 	case *ast.ArrayType:
@@ -163,7 +164,7 @@
 	return strings.ReplaceAll(strings.Join(strings.Fields(text), " "), "|", "\\|")
 }
 
-// formatDefault formats a default; nothing for an empty one.
+// formatDefault formats a default value; it returns an empty string for the zero value.
 func formatDefault(v reflect.Value) string {
 	if !v.IsValid() || v.IsZero() {
 		return ""
