--- a/internal/plotfile/plotfile.go
+++ b/internal/plotfile/plotfile.go
@@ -1,8 +1,8 @@
-// Package plotfile draws results as PNG or SVG files.
+// Package plotfile draws line charts as PNG, SVG or PDF files.
 //
 // # Usage
 //
-//	err := plotfile.Write("rollout.png", plotfile.Chart{Title: "...", Series: series})
+//	err := plotfile.Write("rollout.png", plotfile.Chart{Title: "...", Lines: lines})
 package plotfile
 
 import (
@@ -29,14 +29,14 @@
 	Points []Point
 }
 
-// Chart is what is drawn.
+// Chart is a line chart.
 type Chart struct {
 	Title string
-	X, Y  string // names of the axes
+	X, Y  string // labels of the axes
 	Lines []Line
 }
 
-// Write draws a chart; the file's ending, .png, .svg or .pdf, says how.
+// Write draws a chart to a file. The file's extension, .png, .svg or .pdf, selects the format.
 func Write(file string, c Chart) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
