--- a/internal/endpoint/report.go
+++ b/internal/endpoint/report.go
@@ -106,13 +106,13 @@
 // refresh fetches the report of one engine. A failed fetch doesn't eject the engine; only the
 // outcomes of attempts to send it requests do.
 func (w *Watch) refresh(ctx context.Context, e fleet.Endpoint) {
-	asked, inFlight := clock.Now(), w.fleet.InFlight(e.ID)
+	start, inFlight := clock.Now(), w.fleet.InFlight(e.ID)
 	report, err := w.options.Fetch(ctx, e.Address)
 	if err != nil {
 		return
 	}
 	w.fleet.Report(e.ID, fleet.Report{
 		Load:     fleet.Load{Running: report.Running, Waiting: report.Queued, Slots: report.Slots},
-		Draining: report.Draining, Models: append([]string{}, report.Versions...), Asked: asked, InFlight: inFlight,
+		Draining: report.Draining, Models: append([]string{}, report.Versions...), Asked: start, InFlight: inFlight,
 	})
 }
--- a/internal/endpoint/watch.go
+++ b/internal/endpoint/watch.go
@@ -109,11 +109,11 @@
 // engines. At least half of the engines are in the host's own data hall if it has that many.
 // Engines are ranked by rendezvous hashing, so that the hosts spread evenly over them.
 func Subset(hosts []store.Host, self, hall string, limit int) []store.Host {
-	var kept, near, far []store.Host
+	var selected, near, far []store.Host
 	for _, h := range hosts {
 		switch {
 		case h.Kind == store.HostService:
-			kept = append(kept, h)
+			selected = append(selected, h)
 		case h.Kind != store.HostEngine:
 		case h.DataHall == hall:
 			near = append(near, h)
@@ -122,13 +122,13 @@
 		}
 	}
 	if len(near)+len(far) <= limit {
-		return append(append(kept, near...), far...)
+		return append(append(selected, near...), far...)
 	}
 	sortByWeight(near, self)
 	sortByWeight(far, self)
 	nearCount := min(len(near), max(limit/2, limit-len(far)))
-	kept = append(kept, near[:nearCount]...)
-	return append(kept, far[:limit-nearCount]...)
+	selected = append(selected, near[:nearCount]...)
+	return append(selected, far[:limit-nearCount]...)
 }
 
 func sortByWeight(hosts []store.Host, self string) {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -135,50 +135,50 @@
 // newTimeline selects the lines that belong to the timeline of a request.
 func newTimeline(request string, lines []Line) (Timeline, error) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	s := Timeline{Request: request}
+	t := Timeline{Request: request}
 	hosts, endpoints := map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
 		if l.Request == request {
-			s.RequestLines = append(s.RequestLines, l)
+			t.RequestLines = append(t.RequestLines, l)
 			hosts[l.Host] = true
 			endpoints[l.fieldText("endpoint")] = true
 		}
 	}
-	if len(s.RequestLines) == 0 {
+	if len(t.RequestLines) == 0 {
 		return Timeline{}, errors.WithMessagef(ErrUnknown, "request %s", request)
 	}
-	from, to := s.arrival().Add(-contextWindow), s.RequestLines[len(s.RequestLines)-1].At.Add(contextWindow)
+	from, to := t.arrival().Add(-contextWindow), t.RequestLines[len(t.RequestLines)-1].At.Add(contextWindow)
 	for _, l := range lines {
 		if l.Request != "" || !hosts[l.Host] || l.At.Before(from) || l.At.After(to) {
 			continue
 		}
 		if id := l.fieldText("endpoint"); id == "" || endpoints[id] {
-			s.HostLines = append(s.HostLines, l)
+			t.HostLines = append(t.HostLines, l)
 		}
 	}
-	return s, nil
+	return t, nil
 }
 
 // arrival returns the time at which the request arrived: the time of its last line less the
 // duration in it, or else the time of its first line.
-func (s Timeline) arrival() time.Time {
-	last := s.RequestLines[len(s.RequestLines)-1]
+func (t Timeline) arrival() time.Time {
+	last := t.RequestLines[len(t.RequestLines)-1]
 	if took, err := time.ParseDuration(last.fieldText("took_ms") + "ms"); err == nil {
 		return last.At.Add(-took)
 	}
-	return s.RequestLines[0].At
+	return t.RequestLines[0].At
 }
 
 // Write writes the timeline in readable form: all lines by time, each with the time since the
 // request arrived and the request's own lines marked, then the outcome of the request.
-func (s Timeline) Write(w io.Writer) error {
-	arrival := s.arrival()
-	all := slices.Concat(s.RequestLines, s.HostLines)
+func (t Timeline) Write(w io.Writer) error {
+	arrival := t.arrival()
+	all := slices.Concat(t.RequestLines, t.HostLines)
 	slices.SortStableFunc(all, func(a, b Line) int { return a.At.Compare(b.At) })
 	var b strings.Builder
 	for _, l := range all {
 		mark := " "
-		if l.Request == s.Request {
+		if l.Request == t.Request {
 			mark = "*"
 		}
 		fmt.Fprintf(&b, "%s %+9.3fs %s: %s", mark, l.At.Sub(arrival).Seconds(), l.Host, l.Message)
@@ -187,7 +187,7 @@
 		}
 		b.WriteByte('\n')
 	}
-	last := s.RequestLines[len(s.RequestLines)-1]
+	last := t.RequestLines[len(t.RequestLines)-1]
 	fmt.Fprintf(&b, "outcome: %s\n", outcomeOf(last))
 	if _, err := io.WriteString(w, b.String()); err != nil {
 		return fmt.Errorf("write timeline: %w", err)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -28,10 +28,10 @@
 	}
 
 	It("has the lines of the request and the lines of its hosts about its endpoints and the store", func() {
-		s, err := read("r1")
+		timeline, err := read("r1")
 		Expect(err).NotTo(HaveOccurred())
 		var out strings.Builder
-		Expect(s.Write(&out)).To(Succeed())
+		Expect(timeline.Write(&out)).To(Succeed())
 		Expect(out.String()).To(Equal(`     -0.200s a: store lost table=op version=18446744073709551615
      -0.100s a: endpoint gone endpoint=e1 row_version=7
 *    +0.200s a: attempt failed endpoint=e1 error="it broke off" again=true
@@ -47,10 +47,10 @@
 	})
 
 	It("reports that the last line of a request is missing", func() {
-		s, err := explain.Read("r1", strings.NewReader(strings.SplitN(log1, "\n", 2)[0]))
+		timeline, err := explain.Read("r1", strings.NewReader(strings.SplitN(log1, "\n", 2)[0]))
 		Expect(err).NotTo(HaveOccurred())
 		var out strings.Builder
-		Expect(s.Write(&out)).To(Succeed())
+		Expect(timeline.Write(&out)).To(Succeed())
 		Expect(out.String()).To(HaveSuffix("outcome: unknown; the host ended, or the line was dropped\n"))
 	})
 })
