--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,10 +1,10 @@
-// Package check judges a recorded history by the promises that must always
-// hold. It knows nothing of the router's insides: its input is what callers saw,
-// what the endpoints' own records say and what the bill table holds.
+// Package check verifies a recorded history against the guarantees that must always hold. It is
+// independent of the router's internals: its input is the responses that callers received, the
+// records of the endpoints and the contents of the bill table.
 //
 // # Usage
 //
-//	report := check.Judge(history)
+//	report := check.Verify(history)
 //	if violations := report.Violations(); len(violations) > 0 { ... }
 package check
 
@@ -32,26 +32,26 @@
 	KindJob     Kind = "job"
 )
 
-// Observation is one request as its caller saw it. Prompts are unique, so they
-// tie a request to the endpoints' records.
+// Observation is a request as observed by its caller. Prompts are unique, so they identify the
+// request in the records of the endpoints.
 type Observation struct {
 	Kind          Kind
 	Workspace     string
 	Prompt        string
-	Session       string // of the caller's naming; empty if none
+	Session       string // name chosen by the caller; empty if none
 	Key           string // Idempotency-Key; empty if none
 	Nonrepeatable bool
 	Sent          time.Time
 	First         time.Time // first token; zero if none
 	Done          time.Time
 	Answered      bool
-	Run           problem.Run // as told, when not answered
-	Answer        string      // text that came
-	Ended         bool        // the answer's end came
-	Version       string      // as told
+	Run           problem.Run // as reported to the caller; set if not answered
+	Answer        string      // text received
+	Ended         bool        // the end of the answer was received
+	Version       string      // as reported to the caller
 }
 
-// EngineRun is one dispatch as an engine recorded it.
+// EngineRun is a dispatched request as recorded by an engine.
 type EngineRun struct {
 	RequestID string
 	AttemptID string
@@ -63,32 +63,33 @@
 	Engine    string
 }
 
-// ServiceRun is one call as a plain service recorded it.
+// ServiceRun is a call as recorded by a plain service.
 type ServiceRun struct {
 	RequestID string
-	Prompt    string // the call's body
+	Prompt    string // body of the call
 }
 
-// Withdrawal is when a version was reported withdrawn everywhere.
+// Withdrawal records the time at which a version was reported as withdrawn on all hosts.
 type Withdrawal struct {
 	Version declare.Ref
 	At      time.Time
 }
 
-// Leaving is when an engine was told to leave, with the time to notice added.
+// Leaving records the time at which an engine was told to leave, plus the time allowed for hosts
+// to notice.
 type Leaving struct {
 	Engine string
 	At     time.Time
 }
 
-// Applied is a revision that a host put in force.
+// Applied records a revision of the configuration that a host put in force.
 type Applied struct {
 	Host        string
 	Incarnation string
 	Revision    int64
 }
 
-// History is everything recorded.
+// History is the recorded data that Verify checks.
 type History struct {
 	Observations []Observation
 	EngineRuns   []EngineRun
@@ -96,14 +97,14 @@
 	Bills        []billing.Bill
 	Withdrawals  []Withdrawal
 	Leavings     []Leaving
-	Applied      []Applied // in order, per host
+	Applied      []Applied // in order of application for each host
 	// Allowed reports whether a workspace may use a version.
 	Allowed func(workspace string, version declare.Ref) bool
-	// Planned is set when all stops were planned: no answer may be cut then.
+	// Planned is set if all stops were planned; no answer may be cut off then.
 	Planned bool
 }
 
-// Report counts what was found, by promise.
+// Report holds the number of requests by outcome and of violations by guarantee.
 type Report struct {
 	Requests              int `json:"requests"`
 	Answered              int `json:"answered"`
@@ -126,20 +127,20 @@
 	details []string
 }
 
-// note keeps an example of a violation.
-func (r *Report) note(format string, args ...any) {
-	const most = 20
-	if len(r.details) < most {
+// addDetail records an example of a violation, up to maxDetails of them.
+func (r *Report) addDetail(format string, args ...any) {
+	const maxDetails = 20
+	if len(r.details) < maxDetails {
 		r.details = append(r.details, fmt.Sprintf(format, args...))
 	}
 }
 
-// Violations lists the promises that were broken, with examples.
+// Violations lists the violated guarantees with their counts, then examples.
 func (r Report) Violations() []string {
-	var broken []string
-	add := func(count int, promise string) {
+	var violations []string
+	add := func(count int, violation string) {
 		if count > 0 {
-			broken = append(broken, fmt.Sprintf("%s: %d", promise, count))
+			violations = append(violations, fmt.Sprintf("%s: %d", violation, count))
 		}
 	}
 	add(r.DisallowedRuns, "runs on a version its workspace does not allow")
@@ -148,21 +149,21 @@
 	add(r.BilledMore, "requests billed more than once")
 	add(r.BilledNever, "requests that ran and were not billed")
 	add(r.ForeignAnswers, "answers of another request")
-	add(r.NotRunButRan, "requests told not run that ran")
-	add(r.NonrepeatableRunTwice, "calls that may not be repeated and ran twice")
-	add(r.LeavingRuns, "new work at a leaving endpoint")
-	add(r.Reverts, "configurations that reverted")
+	add(r.NotRunButRan, "requests reported as not run that ran")
+	add(r.NonrepeatableRunTwice, "non-repeatable calls that ran more than once")
+	add(r.LeavingRuns, "requests dispatched to a leaving endpoint")
+	add(r.Reverts, "reverts to an older configuration")
 	if r.planned {
 		add(r.CutAnswers, "answers cut off by planned stops")
 	}
-	if len(broken) == 0 {
+	if len(violations) == 0 {
 		return nil
 	}
-	return append(broken, r.details...)
+	return append(violations, r.details...)
 }
 
-// Judge checks a history.
-func Judge(h History) Report {
+// Verify checks a history against all guarantees.
+func Verify(h History) Report {
 	r := Report{planned: h.Planned}
 	byPrompt := map[string][]EngineRun{}
 	for _, run := range h.EngineRuns {
@@ -172,16 +173,16 @@
 	for _, run := range h.ServiceRuns {
 		servicePrompts[run.Prompt]++
 	}
-	r.judgeAnswers(h, byPrompt, servicePrompts)
-	r.judgeSessions(h)
-	r.judgeRuns(h)
-	r.judgeBills(h)
-	r.judgeRevisions(h)
+	r.checkAnswers(h, byPrompt, servicePrompts)
+	r.checkSessions(h)
+	r.checkRuns(h)
+	r.checkBills(h)
+	r.checkRevisions(h)
 	return r
 }
 
-// judgeAnswers checks what callers were given and told.
-func (r *Report) judgeAnswers(h History, engines map[string][]EngineRun, services map[string]int) {
+// checkAnswers checks the answers and errors that callers received.
+func (r *Report) checkAnswers(h History, engines map[string][]EngineRun, services map[string]int) {
 	calls := map[string]int{}
 	for _, o := range h.Observations {
 		r.Requests++
@@ -189,12 +190,12 @@
 		switch {
 		case o.Answered:
 			r.Answered++
-			r.judgeAnswer(o)
+			r.checkAnswer(o)
 		case o.Run == problem.NotRun:
 			r.NotRun++
 			if ran > 0 && o.Key == "" {
 				r.NotRunButRan++
-				r.note("told not run, but ran: %s", o.Prompt)
+				r.addDetail("reported as not run, but ran: %s", o.Prompt)
 			}
 		default:
 			r.Unknown++
@@ -203,18 +204,18 @@
 			calls[o.Prompt] = services[o.Prompt]
 		}
 	}
-	r.judgeRepeated(h)
+	r.checkRepeated(h)
 	for prompt, count := range calls {
 		if count > 1 {
 			r.NonrepeatableRunTwice++
-			r.note("ran %d times: %s", count, prompt)
+			r.addDetail("ran %d times: %s", count, prompt)
 		}
 	}
 }
 
-// judgeRepeated checks requests that were sent several times with one key: if
-// all were told not run, none may have run.
-func (r *Report) judgeRepeated(h History) {
+// checkRepeated checks requests that were sent several times with one idempotency key: if all
+// attempts were reported as not run, none may have run.
+func (r *Report) checkRepeated(h History) {
 	allNotRun := map[string]bool{}
 	for _, o := range h.Observations {
 		if o.Key == "" {
@@ -226,25 +227,25 @@
 	for _, run := range h.ServiceRuns {
 		if allNotRun[run.Prompt] {
 			r.NotRunButRan++
-			r.note("told not run each time, but ran: %s", run.Prompt)
+			r.addDetail("reported as not run each time, but ran: %s", run.Prompt)
 		}
 	}
 }
 
-// judgeAnswer checks that an answer is the caller's own, and whole.
-func (r *Report) judgeAnswer(o Observation) {
+// checkAnswer checks that an answer belongs to the request and is complete.
+func (r *Report) checkAnswer(o Observation) {
 	if !strings.Contains(o.Answer, o.Prompt) && o.Answer != "" {
 		r.ForeignAnswers++
-		r.note("answer to %q was %q", o.Prompt, o.Answer)
+		r.addDetail("answer to %q was %q", o.Prompt, o.Answer)
 	}
 	if !o.Ended {
 		r.CutAnswers++
-		r.note("answer to %q was cut: %q", o.Prompt, o.Answer)
+		r.addDetail("answer to %q was cut off: %q", o.Prompt, o.Answer)
 	}
 }
 
-// judgeSessions checks that each session had one version.
-func (r *Report) judgeSessions(h History) {
+// checkSessions checks that each session used a single version.
+func (r *Report) checkSessions(h History) {
 	versions := map[string]string{}
 	for _, o := range h.Observations {
 		if o.Session == "" || o.Version == "" {
@@ -252,15 +253,16 @@
 		}
 		if first, ok := versions[o.Session]; ok && first != o.Version {
 			r.SessionMoves++
-			r.note("session %s moved from %s to %s", o.Session, first, o.Version)
+			r.addDetail("session %s moved from %s to %s", o.Session, first, o.Version)
 			continue
 		}
 		versions[o.Session] = o.Version
 	}
 }
 
-// judgeRuns checks what engines were given.
-func (r *Report) judgeRuns(h History) {
+// checkRuns checks the requests that engines ran: the version was allowed for the workspace and
+// not withdrawn, and the engine was not leaving.
+func (r *Report) checkRuns(h History) {
 	workspaces := map[string]string{}
 	for _, o := range h.Observations {
 		workspaces[o.Prompt] = o.Workspace
@@ -269,25 +271,25 @@
 		workspace, known := workspaces[run.Prompt]
 		if known && h.Allowed != nil && !h.Allowed(workspace, run.Version) {
 			r.DisallowedRuns++
-			r.note("%s ran for %s", run.Version, workspace)
+			r.addDetail("%s ran for %s", run.Version, workspace)
 		}
 		for _, w := range h.Withdrawals {
 			if w.Version == run.Version && run.Started.After(w.At) {
 				r.WithdrawnRuns++
-				r.note("%s ran %s after its withdrawal was in force", run.Version, run.Started.Sub(w.At))
+				r.addDetail("%s ran %s after its withdrawal was in force", run.Version, run.Started.Sub(w.At))
 			}
 		}
 		for _, l := range h.Leavings {
 			if l.Engine == run.Engine && run.Started.After(l.At) {
 				r.LeavingRuns++
-				r.note("%s got work %s after it should have been noticed to leave", run.Engine, run.Started.Sub(l.At))
+				r.addDetail("%s got a request %s after hosts should have noticed that it was leaving", run.Engine, run.Started.Sub(l.At))
 			}
 		}
 	}
 }
 
-// judgeBills checks that what ran is billed exactly once.
-func (r *Report) judgeBills(h History) {
+// checkBills checks that each request that ran is billed exactly once.
+func (r *Report) checkBills(h History) {
 	bills := map[string]int{}
 	for _, b := range h.Bills {
 		bills[b.RequestID]++
@@ -308,24 +310,24 @@
 		switch bills[id] {
 		case 0:
 			r.BilledNever++
-			r.note("ran and was not billed: %s", id)
+			r.addDetail("ran and was not billed: %s", id)
 		case 1:
 			r.BilledOnce++
 		default:
 			r.BilledMore++
-			r.note("billed %d times: %s", bills[id], id)
+			r.addDetail("billed %d times: %s", bills[id], id)
 		}
 	}
 }
 
-// judgeRevisions checks that no host went back to an older configuration.
-func (r *Report) judgeRevisions(h History) {
+// checkRevisions checks that no host went back to an older configuration.
+func (r *Report) checkRevisions(h History) {
 	last := map[string]int64{}
 	for _, a := range h.Applied {
 		key := a.Host + "/" + a.Incarnation
 		if a.Revision < last[key] {
 			r.Reverts++
-			r.note("%s went back from revision %d to %d", a.Host, last[key], a.Revision)
+			r.addDetail("%s reverted from revision %d to %d", a.Host, last[key], a.Revision)
 		}
 		last[key] = max(last[key], a.Revision)
 	}
--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -181,7 +181,7 @@
 func newWatch(s settings.Settings, m *membership.Membership, t http.RoundTripper) (*endpoint.Watch, *fleet.Fleet) {
 	w := endpoint.NewWatch(endpoint.Options{
 		Host: s.Host, Hall: s.DataHall, Period: s.Times.Load, List: m.Listed, Fetch: endpoint.HTTPFetcher(t),
-		Hosts: func() int { return len(m.View().Members) },
+		CountHosts: func() int { return len(m.View().Members) },
 	})
 	return w, w.Fleet()
 }
@@ -219,7 +219,7 @@
 
 // modelReady returns a function that reports whether an endpoint serves a version and accepts new work.
 func modelReady(f *fleet.Fleet) func(declare.Ref) bool {
-	return func(ref declare.Ref) bool { return f.HasModel(endpoint.Engines, ref.String()) }
+	return func(ref declare.Ref) bool { return f.HasModel(endpoint.EngineService, ref.String()) }
 }
 
 func newAdmission(s settings.Settings) *admission.Controller {
--- a/internal/reference/reference.go
+++ b/internal/reference/reference.go
@@ -1,5 +1,5 @@
-// Package reference makes the reference pages of settings and declarations from
-// the structs that declare them.
+// Package reference generates the reference pages of settings and declarations from the source
+// of the Go structs that they are decoded into.
 //
 // # Usage
 //
@@ -21,16 +21,16 @@
 	"quaybarrow/internal/settings"
 )
 
-// Subject is what a page is about.
+// Subject describes a reference page.
 type Subject struct {
 	Title    string
 	Intro    string
-	Sources  [][]byte // Go texts that declare the struct and its parts
-	Root     string   // the struct's name
-	Defaults any      // a value whose fields are the defaults; nil for none
+	Sources  [][]byte // Go source that declares the struct and its nested structs
+	Root     string   // name of the struct
+	Defaults any      // a value of the struct that holds the defaults; nil if there are none
 }
 
-// Settings is the page of a host's settings.
+// Settings describes the page of the settings of a host.
 func Settings() Subject {
 	return Subject{
 		Title: "Settings",
@@ -40,7 +40,7 @@
 	}
 }
 
-// Declarations is the page of what operators declare.
+// Declarations describes the page of the declarations of operators.
 func Declarations() Subject {
 	return Subject{
 		Title: "Declarations",
@@ -50,13 +50,13 @@
 	}
 }
 
-// structs finds the struct types of sources.
-func structs(sources [][]byte) (map[string]*ast.StructType, error) {
+// findStructs returns the struct types that sources declare, by name.
+func findStructs(sources [][]byte) (map[string]*ast.StructType, error) {
 	types := map[string]*ast.StructType{}
 	for _, source := range sources {
 		file, err := parser.ParseFile(token.NewFileSet(), "source.go", source, parser.ParseComments)
 		if err != nil {
-			return nil, fmt.Errorf("read declarations of fields: %w", err)
+			return nil, fmt.Errorf("parse struct declarations: %w", err)
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
 			if spec, ok := n.(*ast.TypeSpec); ok {
@@ -70,14 +70,14 @@
 	return types, nil
 }
 
-// Page makes a page in Markdown.
+// Page generates a page in Markdown.
 func Page(s Subject) (string, error) {
-	types, err := structs(s.Sources)
+	types, err := findStructs(s.Sources)
 	if err != nil {
 		return "", err
 	}
 	if types[s.Root] == nil {
-		return "", errors.Errorf("no struct %s", s.Root)
+		return "", errors.Errorf("the sources declare no struct %s", s.Root)
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\nMade by `quaybarrow reference` from the struct `%s`; don't edit it by hand.\n\n%s\n\n", s.Title, s.Root, s.Intro)
@@ -86,19 +86,19 @@
 		header = "| field | type | default | what it is |\n|---|---|---|---|\n"
 	}
 	b.WriteString(header)
-	w := writer{types: types, out: &b, defaults: s.Defaults != nil}
-	w.fields(s.Root, "", reflect.ValueOf(s.Defaults))
+	w := tableWriter{types: types, out: &b, defaults: s.Defaults != nil}
+	w.writeFields(s.Root, "", reflect.ValueOf(s.Defaults))
 	return b.String(), nil
 }
 
-// writer writes the fields of structs, depth first.
-type writer struct {
+// tableWriter writes the table rows for the fields of structs, depth first.
+type tableWriter struct {
 	types    map[string]*ast.StructType
 	out      *strings.Builder
 	defaults bool
 }
 
-func (w writer) fields(name, prefix string, value reflect.Value) {
+func (w tableWriter) writeFields(name, prefix string, value reflect.Value) {
 	for _, f := range w.types[name].Fields.List {
 		if f.Tag == nil {
 			continue
@@ -112,23 +112,23 @@
 			inner = value.FieldByName(f.Names[0].Name)
 		}
 		if w.types[kind] != nil {
-			w.line(path+suffix(list), "", "", comment(f))
-			w.fields(kind, path+suffix(list)+".", inner)
+			w.writeRow(path+listSuffix(list), "", "", fieldComment(f))
+			w.writeFields(kind, path+listSuffix(list)+".", inner)
 			continue
 		}
-		w.line(path+suffix(list), kind, defaultOf(inner), comment(f))
+		w.writeRow(path+listSuffix(list), kind, formatDefault(inner), fieldComment(f))
 	}
 }
 
-// suffix marks a list.
-func suffix(list bool) string {
+// listSuffix returns the path suffix that marks a list.
+func listSuffix(list bool) string {
 	if list {
 		return "[]"
 	}
 	return ""
 }
 
-func (w writer) line(path, kind, value, text string) {
+func (w tableWriter) writeRow(path, kind, value, text string) {
 	if w.defaults {
 		fmt.Fprintf(w.out, "| `%s` | %s | %s | %s |\n", path, kind, value, text)
 		return
@@ -136,7 +136,8 @@
 	fmt.Fprintf(w.out, "| `%s` | %s | %s |\n", path, kind, text)
 }
 
-// typeName names a field's type, and whether it is a list of them.
+// typeName returns the displayed name of a field's type, or of its elements if the type is a
+// list, and whether it is a list.
 func typeName(e ast.Expr) (string, bool) {
 	switch t := e.(type) {
 	case *ast.ArrayType:
@@ -155,7 +156,7 @@
 	}
 }
 
-func comment(f *ast.Field) string {
+func fieldComment(f *ast.Field) string {
 	text := f.Doc.Text()
 	if text == "" {
 		text = f.Comment.Text()
@@ -163,8 +164,8 @@
 	return strings.ReplaceAll(strings.Join(strings.Fields(text), " "), "|", "\\|")
 }
 
-// defaultOf formats a default; nothing for an empty one.
-func defaultOf(v reflect.Value) string {
+// formatDefault formats a default value; it returns an empty string for the zero value.
+func formatDefault(v reflect.Value) string {
 	if !v.IsValid() || v.IsZero() {
 		return ""
 	}
--- a/internal/telemetry/lines.go
+++ b/internal/telemetry/lines.go
@@ -10,88 +10,88 @@
 	"quaybarrow/internal/clock"
 )
 
-// Bounds of logged lines.
+// Limits on log lines.
 const (
-	// linesWaiting is how many lines wait for a slow reader.
-	linesWaiting = 1024
-	// linesPerSecond bounds the volume under load; a host serves a few dozen
-	// requests a second, and each takes a line or two.
-	linesPerSecond = 500
+	// lineQueueSize is the number of lines that are queued for a slow output.
+	lineQueueSize = 1024
+	// maxLinesPerSecond limits the log volume under load. A host serves a few dozen requests
+	// per second, each of which logs one or two lines.
+	maxLinesPerSecond = 500
 )
 
-// Lines writes log lines without ever blocking who logs: lines that the reader
-// is too slow for, or that come too fast, are dropped and counted.
-type Lines struct {
+// LogWriter is an io.Writer for log lines that never blocks the caller. It drops and counts
+// lines that exceed the rate limit or arrive while the queue to the output is full.
+type LogWriter struct {
 	out     io.Writer
-	waiting chan []byte
+	queue   chan []byte
 	dropped atomic.Int64
-	ended   chan struct{}
+	done    chan struct{}
 
-	mu     sync.Mutex // guards all below
+	mu     sync.Mutex // guards the fields below
 	second int64
 	lines  int
 	closed bool
-	began  clock.Steady
+	start  clock.Steady
 }
 
-// NewLines starts a writer of lines.
-func NewLines(out io.Writer) *Lines {
-	l := &Lines{out: out, waiting: make(chan []byte, linesWaiting), ended: make(chan struct{}), began: clock.NewSteady()}
+// NewLogWriter starts a LogWriter that writes to out.
+func NewLogWriter(out io.Writer) *LogWriter {
+	l := &LogWriter{out: out, queue: make(chan []byte, lineQueueSize), done: make(chan struct{}), start: clock.NewSteady()}
 	go l.run()
 	return l
 }
 
-// Write implements io.Writer; it takes one line.
-func (l *Lines) Write(p []byte) (int, error) {
+// Write implements io.Writer. Each call writes one line.
+func (l *LogWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed || !l.within(int64(l.began.Now()/time.Second)) {
+	if l.closed || !l.allow(int64(l.start.Now()/time.Second)) {
 		l.dropped.Add(1)
 		return len(p), nil
 	}
 	select {
-	case l.waiting <- append([]byte(nil), p...):
+	case l.queue <- append([]byte(nil), p...):
 	default:
 		l.dropped.Add(1)
 	}
 	return len(p), nil
 }
 
-// within counts a line against the second's bound.
-func (l *Lines) within(second int64) bool {
+// allow counts a line and reports whether it is within the limit of this second.
+func (l *LogWriter) allow(second int64) bool {
 	if second != l.second {
 		l.second, l.lines = second, 0
 	}
 	l.lines++
-	return l.lines <= linesPerSecond
+	return l.lines <= maxLinesPerSecond
 }
 
-func (l *Lines) run() {
-	defer close(l.ended)
-	told := int64(0)
-	for line := range l.waiting {
-		if dropped := l.dropped.Load(); dropped > told {
+func (l *LogWriter) run() {
+	defer close(l.done)
+	reported := int64(0)
+	for line := range l.queue {
+		if dropped := l.dropped.Load(); dropped > reported {
 			_, _ = fmt.Fprintf(l.out, "{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"total\":%d}\n", dropped)
-			told = dropped
+			reported = dropped
 		}
-		// Nobody can be told that the log itself can't be written.
+		// The error is ignored: there is no other place to report a failure to write the log.
 		_, _ = l.out.Write(line)
 	}
 }
 
-// Dropped counts the lines that were dropped.
-func (l *Lines) Dropped() int64 { return l.dropped.Load() }
+// Dropped returns the number of dropped lines.
+func (l *LogWriter) Dropped() int64 { return l.dropped.Load() }
 
-// Close writes what waits, for at most a time.
-func (l *Lines) Close(limit time.Duration) {
+// Close stops accepting lines and waits up to limit for the queued ones to be written.
+func (l *LogWriter) Close(limit time.Duration) {
 	l.mu.Lock()
 	if !l.closed {
 		l.closed = true
-		close(l.waiting)
+		close(l.queue)
 	}
 	l.mu.Unlock()
 	select {
-	case <-l.ended:
+	case <-l.done:
 	case <-time.After(limit):
 	}
 }
--- a/internal/telemetry/lines_test.go
+++ b/internal/telemetry/lines_test.go
@@ -12,18 +12,18 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// stuck is a writer that nobody reads from.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a writer that blocks until it is released.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-func TestLinesNeverBlock(t *testing.T) {
+func TestLogWriterNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := stuck{release: make(chan struct{})}
-		lines := telemetry.NewLines(out)
+		out := blockedWriter{release: make(chan struct{})}
+		lines := telemetry.NewLogWriter(out)
 		start := time.Now()
 		for range 100 {
 			for range 100 {
@@ -35,29 +35,29 @@
 			t.Fatalf("writing took %s", took)
 		}
 		if lines.Dropped() == 0 {
-			t.Fatal("nothing was dropped")
+			t.Fatal("no line was dropped")
 		}
 		close(out.release)
 		lines.Close(time.Second)
 	})
 }
 
-// safe is a buffer for use at once.
-type safe struct {
+// syncBuffer is a buffer that is safe for concurrent use.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (s *safe) Write(p []byte) (int, error) {
+func (s *syncBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.b.Write(p)
 }
 
-func TestLinesAreBoundedAndCounted(t *testing.T) {
+func TestLogWriterLimitsRateAndCountsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &safe{}
-		lines := telemetry.NewLines(out)
+		out := &syncBuffer{}
+		lines := telemetry.NewLogWriter(out)
 		for range 800 {
 			_, _ = fmt.Fprintln(lines, "line")
 		}
@@ -69,7 +69,7 @@
 			t.Fatalf("%d lines", n)
 		}
 		if !strings.Contains(text, `"total":300`) || !strings.Contains(text, "later") {
-			t.Fatalf("the drop is not told: %s", text[len(text)-200:])
+			t.Fatalf("the log does not report the dropped lines: %s", text[len(text)-200:])
 		}
 	})
 }
