--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -29,8 +29,8 @@
 	},
 }
 
-// mistakes are texts with the column that the error has to point at.
-var mistakes = map[string]int{
+// errorColumns maps invalid statements to the column that the error must report.
+var errorColumns = map[string]int{
 	"withdraw":                         9,
 	"withdraw support":                 10,
 	"show everything":                  6,
@@ -42,14 +42,14 @@
 	"withdraw support@7 and all of it": 20,
 }
 
-var _ = Describe("the language", func() {
+var _ = Describe("the console language", func() {
 	for text, want := range statements {
-		It("reads: "+text, func() {
+		It("parses: "+text, func() {
 			Expect(console.Parse(text)).To(Equal(want))
 		})
 	}
-	for text, column := range mistakes {
-		It("points at the mistake of: "+text, func() {
+	for text, column := range errorColumns {
+		It("reports the column of the error in: "+text, func() {
 			_, err := console.Parse(text)
 			Expect(err).To(MatchError(console.ErrSyntax))
 			var syntax *console.SyntaxError
@@ -70,7 +70,7 @@
 		{{Name: "version", Value: "a@1"}, {Name: "tokens", Value: 5}, {Name: "total_ms", Value: 6.0}},
 	}
 
-	It("are filtered as numbers where both are", func() {
+	It("are filtered numerically if both values are numbers", func() {
 		got, err := console.Apply(console.Show{Where: []console.Condition{{Field: "tokens", Operator: console.OperatorGreater, Value: "9"}}}, rows)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got).To(HaveLen(2))
@@ -82,7 +82,7 @@
 		Expect(console.Text(got)).To(Equal("VERSION  COUNT  TOKENS  TOTAL_MS\na@1      2      15      5\na@2      1      30      8\n"))
 	})
 
-	It("without a field that is asked for are an error that lists the fields", func() {
+	It("that lack a requested field cause an error that lists the fields", func() {
 		_, err := console.Apply(console.Show{Subject: console.SubjectRequests, By: "colour"}, rows)
 		Expect(err).To(MatchError(And(ContainSubstring("colour"), ContainSubstring("tokens"))))
 	})
--- a/internal/console/language.go
+++ b/internal/console/language.go
@@ -1,4 +1,5 @@
-// Package console is the operators' query and command language.
+// Package console implements the query and command language of operators: it parses statements,
+// and filters, groups and prints the rows that answer queries.
 //
 // # Usage
 //
@@ -16,7 +17,7 @@
 //	show SUBJECT [where FIELD OP VALUE [and ...]] [since DURATION] [by FIELD] [limit N]
 //
 // Subjects are requests, versions, sessions, hosts, endpoints, bills, jobs, rollouts,
-// commands and quarantine. Errors point at the column.
+// commands and quarantine. Syntax errors give the column of the error.
 package console
 
 import (
@@ -35,27 +36,27 @@
 // Statement is a parsed command or query: a Move, a Hold, a Release or a Show.
 type Statement interface{ statement() }
 
-// Move takes a version to another state.
+// Move changes the state of a version.
 type Move struct {
 	Version declare.Ref
 	To      declare.State
 }
 
-// Hold holds a plan or lets it go on.
+// Hold pauses a rollout plan, or resumes it if Held is false.
 type Hold struct {
 	Plan string
 	Held bool
 }
 
-// Release lets a request out of quarantine.
+// Release removes a request from quarantine.
 type Release struct{ Fingerprint string }
 
-// Show is a query.
+// Show queries the rows of a subject.
 type Show struct {
 	Subject Subject
 	Where   []Condition
-	Since   time.Duration // 0 means all that is known
-	By      string        // group by this field; empty lists rows
+	Since   time.Duration // how far back to look; 0 means the default of the query
+	By      string        // field to group by; empty for no grouping
 	Limit   int           // 0 means no limit
 }
 
@@ -64,10 +65,10 @@
 func (Release) statement() {}
 func (Show) statement()    {}
 
-// Subject is what a query lists.
+// Subject is the kind of object that a query lists.
 type Subject string
 
-// Subjects.
+// The subjects of queries.
 const (
 	SubjectRequests   Subject = "requests"
 	SubjectVersions   Subject = "versions"
@@ -81,16 +82,16 @@
 	SubjectQuarantine Subject = "quarantine"
 )
 
-// Subjects lists all subjects in the order of the help.
+// Subjects lists all subjects in the order of the help text and of error messages.
 var Subjects = []Subject{
 	SubjectRequests, SubjectVersions, SubjectSessions, SubjectHosts, SubjectEndpoints,
 	SubjectBills, SubjectJobs, SubjectRollouts, SubjectCommands, SubjectQuarantine,
 }
 
-// Operator compares a field with a value.
+// Operator is a comparison operator of a Condition.
 type Operator string
 
-// Operators.
+// The comparison operators.
 const (
 	OperatorEqual    Operator = "="
 	OperatorNotEqual Operator = "!="
@@ -98,24 +99,24 @@
 	OperatorGreater  Operator = ">"
 )
 
-// Condition is one part of a where.
+// Condition is one comparison of a where clause.
 type Condition struct {
 	Field    string
 	Operator Operator
 	Value    string
 }
 
-// ErrSyntax is matched by every error of Parse.
+// ErrSyntax matches every error that Parse returns.
 var ErrSyntax = errors.New("syntax error")
 
-// SyntaxError points at the column of a mistake.
+// SyntaxError describes a syntax error and its column.
 type SyntaxError struct {
 	Text   string
-	Column int // counted from 1
+	Column int // 1-based
 	Reason string
 }
 
-// Error shows the text with a mark under the column.
+// Error returns the reason and the text, with a caret under the column.
 func (e *SyntaxError) Error() string {
 	mark := strings.Repeat(" ", max(e.Column-1, 0)) + "^"
 	return fmt.Sprintf("column %d: %s\n  %s\n  %s", e.Column, e.Reason, e.Text, mark)
@@ -124,20 +125,20 @@
 // Unwrap makes a SyntaxError match ErrSyntax.
 func (e *SyntaxError) Unwrap() error { return ErrSyntax }
 
-// definition is the language's tokens.
-var definition = lexer.MustSimple([]lexer.SimpleRule{
+// tokenRules defines the tokens of the language.
+var tokenRules = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "String", Pattern: `"[^"]*"|'[^']*'`},
 	{Name: "Operator", Pattern: `!=|=|<|>`},
 	{Name: "Word", Pattern: `[a-zA-Z0-9_.@:/-]+`},
 	{Name: "space", Pattern: `\s+`},
 })
 
-// line is the grammar.
-type line struct {
-	Move *moveNode `parser:"  @@"`
-	Hold *holdNode `parser:"| @@"`
-	Free *freeNode `parser:"| @@"`
-	Show *showNode `parser:"| @@"`
+// grammar is the root of the grammar: one statement.
+type grammar struct {
+	Move    *moveNode    `parser:"  @@"`
+	Hold    *holdNode    `parser:"| @@"`
+	Release *releaseNode `parser:"| @@"`
+	Show    *showNode    `parser:"| @@"`
 }
 
 type moveNode struct {
@@ -150,7 +151,7 @@
 	Plan string `parser:"@(Word | String)"`
 }
 
-type freeNode struct {
+type releaseNode struct {
 	Fingerprint string `parser:"'release' @(Word | String)"`
 }
 
@@ -170,10 +171,10 @@
 	Value    string `parser:"@(Word | String)"`
 }
 
-var parser = participle.MustBuild[line](participle.Lexer(definition), participle.UseLookahead(2))
+var parser = participle.MustBuild[grammar](participle.Lexer(tokenRules), participle.UseLookahead(2))
 
-// states that the verbs move a version to.
-var states = map[string]declare.State{
+// stateForVerb maps each verb of a Move to the state that it sets.
+var stateForVerb = map[string]declare.State{
 	"stage":    declare.StateStaged,
 	"canary":   declare.StateCanary,
 	"serve":    declare.StateServing,
@@ -181,7 +182,7 @@
 	"withdraw": declare.StateWithdrawn,
 }
 
-// Parse reads one statement.
+// Parse parses one statement. Its errors are SyntaxErrors.
 func Parse(text string) (Statement, error) {
 	parsed, err := parser.ParseString("", text)
 	if err != nil {
@@ -192,8 +193,8 @@
 		return parsed.Move.statement(text)
 	case parsed.Hold != nil:
 		return Hold{Plan: unquote(parsed.Hold.Plan), Held: parsed.Hold.Verb == "hold"}, nil
-	case parsed.Free != nil:
-		return Release{Fingerprint: unquote(parsed.Free.Fingerprint)}, nil
+	case parsed.Release != nil:
+		return Release{Fingerprint: unquote(parsed.Release.Fingerprint)}, nil
 	default:
 		return parsed.Show.statement(text)
 	}
@@ -207,8 +208,8 @@
 	return &SyntaxError{Text: text, Column: 1, Reason: err.Error()}
 }
 
-// at points at a word of the text.
-func at(text, word, format string, args ...any) error {
+// errorAt returns a SyntaxError at the first occurrence of word in text.
+func errorAt(text, word, format string, args ...any) error {
 	return &SyntaxError{Text: text, Column: strings.Index(text, word) + 1, Reason: fmt.Sprintf(format, args...)}
 }
 
@@ -217,15 +218,15 @@
 func (m *moveNode) statement(text string) (Statement, error) {
 	ref := declare.ParseRef(unquote(m.Version))
 	if ref.Model == "" || ref.Version == "" {
-		return nil, at(text, m.Version, "%s needs a version, written model@version", m.Verb)
+		return nil, errorAt(text, m.Version, "%s needs a version, written model@version", m.Verb)
 	}
-	return Move{Version: ref, To: states[m.Verb]}, nil
+	return Move{Version: ref, To: stateForVerb[m.Verb]}, nil
 }
 
 func (s *showNode) statement(text string) (Statement, error) {
 	show := Show{Subject: Subject(s.Subject), By: s.By}
-	if !known(show.Subject) {
-		return nil, at(text, s.Subject, "%q is not something to show: use %s", s.Subject, subjectList())
+	if !isSubject(show.Subject) {
+		return nil, errorAt(text, s.Subject, "%q is not a subject of show: use one of %s", s.Subject, subjectList())
 	}
 	for _, w := range s.Where {
 		show.Where = append(show.Where, Condition{Field: w.Field, Operator: Operator(w.Operator), Value: unquote(w.Value)})
@@ -233,21 +234,21 @@
 	if s.Since != "" {
 		d, err := time.ParseDuration(s.Since)
 		if err != nil || d <= 0 {
-			return nil, at(text, s.Since, "%q is not a duration: write 30s, 5m or 2h", s.Since)
+			return nil, errorAt(text, s.Since, "%q is not a duration: write 30s, 5m or 2h", s.Since)
 		}
 		show.Since = d
 	}
 	if s.Limit != "" {
 		n, err := strconv.Atoi(s.Limit)
 		if err != nil || n < 1 {
-			return nil, at(text, s.Limit, "%q is not a count above 0", s.Limit)
+			return nil, errorAt(text, s.Limit, "%q is not a positive integer", s.Limit)
 		}
 		show.Limit = n
 	}
 	return show, nil
 }
 
-func known(s Subject) bool {
+func isSubject(s Subject) bool {
 	for _, k := range Subjects {
 		if k == s {
 			return true
--- a/internal/console/read.go
+++ b/internal/console/read.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// ReadRow reads a row that MarshalJSON wrote, its cells in order.
+// ReadRow decodes a row that Row.MarshalJSON encoded, and keeps the order of its cells.
 func ReadRow(data []byte) (Row, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	if _, err := decoder.Token(); err != nil {
--- a/internal/console/table.go
+++ b/internal/console/table.go
@@ -10,19 +10,19 @@
 	"github.com/pkg/errors"
 )
 
-// ErrField means that a query names a field that its rows do not have.
+// ErrField reports that a query names a field that its rows do not have.
 var ErrField = errors.New("no such field")
 
-// Cell is a value of a row.
+// Cell is a named value of a row.
 type Cell struct {
 	Name  string
 	Value any // string, float64, int64 or bool
 }
 
-// Row is one line of an answer, its cells in order.
+// Row is one row of a query's result; the order of its cells is significant.
 type Row []Cell
 
-// Get finds a cell's value as text.
+// Get returns the value of the named cell as text, and whether the row has the cell.
 func (r Row) Get(name string) (string, bool) {
 	for _, c := range r {
 		if c.Name == name {
@@ -32,7 +32,7 @@
 	return "", false
 }
 
-// MarshalJSON writes the row as an object in the order of its cells.
+// MarshalJSON encodes the row as an object whose keys are in the order of its cells.
 func (r Row) MarshalJSON() ([]byte, error) {
 	var b strings.Builder
 	b.WriteByte('{')
@@ -56,7 +56,7 @@
 	return []byte(b.String()), nil
 }
 
-// Apply filters, groups and limits rows as a query says.
+// Apply filters, groups and limits rows as show specifies. A limit keeps the last rows.
 func Apply(show Show, rows []Row) ([]Row, error) {
 	if err := checkFields(show, rows); err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 	return kept, nil
 }
 
-// checkFields makes sure that the rows have the fields that the query names.
+// checkFields returns an ErrField if the first row lacks a field that the query names.
 func checkFields(show Show, rows []Row) error {
 	if len(rows) == 0 {
 		return nil
@@ -105,15 +105,16 @@
 func matches(r Row, where []Condition) bool {
 	for _, c := range where {
 		value, _ := r.Get(c.Field)
-		if !c.holds(value) {
+		if !c.matches(value) {
 			return false
 		}
 	}
 	return true
 }
 
-// holds compares numbers as numbers and everything else as text.
-func (c Condition) holds(value string) bool {
+// matches reports whether value meets the condition. It compares two numbers as numbers, and
+// anything else as text.
+func (c Condition) matches(value string) bool {
 	order := strings.Compare(value, c.Value)
 	a, errA := strconv.ParseFloat(value, 64)
 	b, errB := strconv.ParseFloat(c.Value, 64)
@@ -140,26 +141,26 @@
 	}
 }
 
-// group counts rows by a field and sums up their numbers: times as means,
-// everything else as totals.
+// group returns one row for each value of the field by, with the count of its rows and their
+// numeric fields: means of times (names ending in _ms), totals of all others.
 func group(rows []Row, by string) []Row {
 	type total struct {
 		count int
 		sums  map[string]float64
 	}
 	totals := map[string]*total{}
-	var order, fields []string
+	var keys, fields []string
 	for _, r := range rows {
 		key, _ := r.Get(by)
 		t := totals[key]
 		if t == nil {
 			t = &total{sums: map[string]float64{}}
 			totals[key] = t
-			order = append(order, key)
+			keys = append(keys, key)
 		}
 		t.count++
 		for _, c := range r {
-			if v, ok := number(c.Value); ok {
+			if v, ok := toFloat(c.Value); ok {
 				if _, seen := t.sums[c.Name]; !seen && !contains(fields, c.Name) {
 					fields = append(fields, c.Name)
 				}
@@ -167,9 +168,9 @@
 			}
 		}
 	}
-	sort.Strings(order)
-	grouped := make([]Row, 0, len(order))
-	for _, key := range order {
+	sort.Strings(keys)
+	grouped := make([]Row, 0, len(keys))
+	for _, key := range keys {
 		t := totals[key]
 		row := Row{{by, key}, {"count", int64(t.count)}}
 		for _, f := range fields {
@@ -193,7 +194,7 @@
 	return false
 }
 
-func number(v any) (float64, bool) {
+func toFloat(v any) (float64, bool) {
 	switch n := v.(type) {
 	case float64:
 		return n, true
@@ -206,7 +207,7 @@
 	}
 }
 
-// Text lays rows out as a table for people.
+// Text formats rows as an aligned plain-text table.
 func Text(rows []Row) string {
 	if len(rows) == 0 {
 		return "(none)\n"
@@ -243,10 +244,10 @@
 	return b.String()
 }
 
-// cellDigits is how many decimals a table shows.
+// cellDigits is the maximum number of decimals that a table shows.
 const cellDigits = 3
 
-// CellText formats a value for people.
+// CellText formats a value for display in a table.
 func CellText(v any) string {
 	if f, ok := v.(float64); ok {
 		text := strconv.FormatFloat(f, 'f', cellDigits, 64)
