--- a/internal/daemon/module.go
+++ b/internal/daemon/module.go
@@ -275,7 +275,7 @@
 ) *rollout.Controller {
 	return rollout.NewController(rollout.Options{
 		Tables: tables, Ratings: ratings, Config: h, Leases: leases, Link: link, View: m.View,
-		Move: commands.MoveFor, GrantSelf: credits.Grant, Ready: modelReady(f),
+		Move: commands.MoveForPlan, GrantSelf: credits.Grant, Ready: modelReady(f),
 	})
 }
 
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -211,9 +211,9 @@
 	moveWait     = 5 * time.Second
 )
 
-// MoveFor moves a version on behalf of a plan: whatever else changes at the same
+// MoveForPlan moves a version on behalf of a plan: whatever else changes at the same
 // time, the move is made on the newest revision, or found made.
-func (c *Commands) MoveFor(ctx context.Context, ref declare.Ref, to declare.State, commandID, reason string) error {
+func (c *Commands) MoveForPlan(ctx context.Context, ref declare.Ref, to declare.State, commandID, reason string) error {
 	for range moveAttempts {
 		newest, err := c.log.Newest(ctx)
 		if err != nil {
