--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -19,7 +19,7 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// Paths of the API.
+// The URL paths of the API.
 const (
 	PathConfig = "/operator/v1/config"
 	PathApply  = "/operator/v1/apply"
@@ -27,14 +27,15 @@
 	PathTrace  = "/operator/v1/trace/"
 )
 
-// Limits of requests.
+// Limits of requests: the size of a body, and the default and maximum of the wait for a revision
+// to be in force.
 const (
 	maxBodyBytes = 8 << 20
 	defaultWait  = 10 * time.Second
-	longestWait  = 5 * time.Minute
+	maxWait      = 5 * time.Minute
 )
 
-// ConfigReply is the configuration in force on the asked host.
+// ConfigReply is the configuration in force on the host that answers.
 type ConfigReply struct {
 	Revision     int64                `json:"revision"`
 	At           time.Time            `json:"at"`
@@ -43,7 +44,7 @@
 	Declarations declare.Declarations `json:"declarations"`
 }
 
-// ApplyRequest asks for declarations to be accepted.
+// ApplyRequest asks the host to make declarations the newest revision.
 type ApplyRequest struct {
 	Base         int64                `json:"base"`
 	CommandID    string               `json:"command_id"`
@@ -52,33 +53,33 @@
 	Declarations declare.Declarations `json:"declarations"`
 }
 
-// DoRequest is a command or query in the console's language.
+// DoRequest is a command or query in the language of package console.
 type DoRequest struct {
-	Base      int64  `json:"base"` // -1 means whatever is newest
+	Base      int64  `json:"base"` // BaseNewest (-1) means the host's current revision
 	CommandID string `json:"command_id"`
 	WaitMS    int64  `json:"wait_ms,omitempty"`
 	Text      string `json:"text"`
 }
 
-// DoReply answers a DoRequest: with an outcome, or with rows.
+// DoReply is the reply to a DoRequest: an outcome for a command, rows for a query.
 type DoReply struct {
 	Outcome *Outcome      `json:"outcome,omitempty"`
 	Rows    []console.Row `json:"rows,omitempty"`
-	Partial []string      `json:"partial,omitempty"` // hosts that could not be asked
+	Partial []string      `json:"partial,omitempty"` // hosts whose rows are missing because the query to them failed
 }
 
-// BaseNewest stands for whatever revision the asked host has.
+// BaseNewest, as the Base of a request, selects the current revision of the host that serves it.
 const BaseNewest = -1
 
-// ErrorReply is an error of the API.
+// ErrorReply is the body of an error response.
 type ErrorReply struct {
 	Error    string            `json:"error"`
 	Code     string            `json:"code"`
 	Problems []declare.Problem `json:"problems,omitempty"`
-	Winner   int64             `json:"winner,omitempty"` // revision that won a conflict
+	Winner   int64             `json:"winner,omitempty"` // the revision that was accepted instead, for a conflict
 }
 
-// Codes of errors.
+// The values of ErrorReply.Code.
 const (
 	CodeConflict   = "conflict"
 	CodeInvalid    = "invalid"
@@ -89,28 +90,27 @@
 	CodeBadRequest = "bad_request"
 )
 
-// Options set up an API.
+// Options configures an API.
 type Options struct {
 	Commands  *Commands
 	Queries   *Queries
 	Config    *config.Holder
 	Telemetry *telemetry.Telemetry
-	// Bootstrap is the hash of the operator's key that counts while no operator
-	// is declared.
+	// Bootstrap is the hash of the operator key that is accepted while no operator is declared.
 	Bootstrap string
-	// Ready tells why the host takes no work; empty when it does.
+	// Ready returns the reason why the host takes no requests; empty if it takes them.
 	Ready func() string
-	// Status is the status page.
+	// Status serves the status page; nil for none.
 	Status http.Handler
 }
 
-// API serves operators.
+// API is the HTTP API for operators.
 type API struct{ options Options }
 
 // New returns the API.
 func New(options Options) *API { return &API{options: options} }
 
-// Handler routes the API, the probes and the metrics.
+// Handler returns the handler of the API, the probes, the metrics and the status page.
 func (a *API) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprintln(w, "ok") })
@@ -139,8 +139,8 @@
 	_ = a.options.Telemetry.WriteText(w)
 }
 
-// operator authenticates a request.
-func (a *API) operator(r *http.Request) (declare.Operator, error) {
+// authenticate returns the operator whose key the request carries, or an ErrForbidden.
+func (a *API) authenticate(r *http.Request) (declare.Operator, error) {
 	secret := strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 	snapshot := a.options.Config.Current()
 	if snapshot != nil {
@@ -152,16 +152,17 @@
 	if !declared && secret != "" && config.HashKey(secret) == a.options.Bootstrap {
 		return declare.Operator{Name: "bootstrap", Role: declare.RoleEditor}, nil
 	}
-	return declare.Operator{}, errors.WithMessage(ErrForbidden, "the operator key is missing or not known")
+	return declare.Operator{}, errors.WithMessage(ErrForbidden, "the operator key is missing or unknown")
 }
 
-// serve adapts a typed function of an operator to HTTP.
+// serve returns an HTTP handler that authenticates the operator, decodes the JSON body for f and
+// encodes its reply.
 func serve[Req, Reply any](a *API, f func(context.Context, declare.Operator, Req) (Reply, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ctx := a.options.Telemetry.Extract(r.Context(), r.Header)
 		ctx, span := a.options.Telemetry.Start(ctx, "operator "+r.URL.Path)
 		defer span.End()
-		o, err := a.operator(r)
+		o, err := a.authenticate(r)
 		if err != nil {
 			writeError(w, err)
 			return
@@ -170,7 +171,7 @@
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&request); err != nil {
-			writeJSON(w, http.StatusBadRequest, ErrorReply{Error: "the body can't be read: " + err.Error(), Code: CodeBadRequest})
+			writeJSON(w, http.StatusBadRequest, ErrorReply{Error: "invalid request body: " + err.Error(), Code: CodeBadRequest})
 			return
 		}
 		reply, err := f(ctx, o, request)
@@ -189,7 +190,7 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// writeError answers with an error, its code and its details.
+// writeError writes an error response with the code, status and details that belong to err.
 func writeError(w http.ResponseWriter, err error) {
 	reply := ErrorReply{Error: err.Error(), Code: CodeStore}
 	status := http.StatusServiceUnavailable
@@ -213,7 +214,7 @@
 }
 
 func (a *API) serveConfig(w http.ResponseWriter, r *http.Request) {
-	if _, err := a.operator(r); err != nil {
+	if _, err := a.authenticate(r); err != nil {
 		writeError(w, err)
 		return
 	}
@@ -225,18 +226,19 @@
 	writeJSON(w, http.StatusOK, reply)
 }
 
-// editor makes sure that an operator may change the configuration.
-func editor(o declare.Operator) error {
+// requireEditor returns an ErrForbidden unless the operator may change the configuration: an
+// editor that is not limited to workspaces.
+func requireEditor(o declare.Operator) error {
 	if o.Role != declare.RoleEditor {
 		return errors.WithMessage(ErrForbidden, o.Name+" is a viewer")
 	}
 	if len(o.Workspaces) > 0 {
-		return errors.WithMessage(ErrForbidden, o.Name+" is bound to workspaces and can't change what all share")
+		return errors.WithMessage(ErrForbidden, o.Name+" is limited to workspaces and can't change the shared configuration")
 	}
 	return nil
 }
 
-// envelope completes what a command carries.
+// envelope builds the Envelope of a command and fills in defaults for what the request left out.
 func (a *API) envelope(o declare.Operator, base int64, id string, waitMS int64) Envelope {
 	e := Envelope{Operator: o.Name, CommandID: id, Base: base, Wait: time.Duration(waitMS) * time.Millisecond}
 	if e.Base == BaseNewest {
@@ -248,12 +250,12 @@
 	if e.Wait <= 0 {
 		e.Wait = defaultWait
 	}
-	e.Wait = min(e.Wait, longestWait)
+	e.Wait = min(e.Wait, maxWait)
 	return e
 }
 
 func (a *API) apply(ctx context.Context, o declare.Operator, r ApplyRequest) (Outcome, error) {
-	if err := editor(o); err != nil {
+	if err := requireEditor(o); err != nil {
 		return Outcome{}, err
 	}
 	return a.options.Commands.Apply(ctx, a.envelope(o, r.Base, r.CommandID, r.WaitMS), r.Declarations, r.DryRun)
@@ -268,14 +270,14 @@
 		rows, partial, err := a.options.Queries.Show(ctx, o, show)
 		return DoReply{Rows: rows, Partial: partial}, err
 	}
-	if err := editor(o); err != nil {
+	if err := requireEditor(o); err != nil {
 		return DoReply{}, err
 	}
-	outcome, err := a.command(ctx, a.envelope(o, r.Base, r.CommandID, r.WaitMS), statement)
+	outcome, err := a.execute(ctx, a.envelope(o, r.Base, r.CommandID, r.WaitMS), statement)
 	return DoReply{Outcome: &outcome}, err
 }
 
-func (a *API) command(ctx context.Context, e Envelope, statement console.Statement) (Outcome, error) {
+func (a *API) execute(ctx context.Context, e Envelope, statement console.Statement) (Outcome, error) {
 	switch s := statement.(type) {
 	case console.Move:
 		return a.options.Commands.Move(ctx, e, s)
@@ -289,7 +291,7 @@
 }
 
 func (a *API) serveTrace(w http.ResponseWriter, r *http.Request) {
-	if _, err := a.operator(r); err != nil {
+	if _, err := a.authenticate(r); err != nil {
 		writeError(w, err)
 		return
 	}
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -1,4 +1,4 @@
-// Package client speaks the operators' API of a host.
+// Package client is a client of the operator API of a host.
 //
 // # Usage
 //
@@ -18,28 +18,28 @@
 	"quaybarrow/internal/telemetry"
 )
 
-// Client asks one host.
+// Client calls the operator API of one host.
 type Client struct {
 	base string
 	key  string
 	http *http.Client
 }
 
-// New returns a client of the host at a base URL.
+// New returns a client for the host at the URL base.
 func New(base, key string, transport http.RoundTripper) *Client {
 	return &Client{base: strings.TrimSuffix(base, "/"), key: key, http: &http.Client{Transport: transport}}
 }
 
-// Error is an error that the API returned.
+// Error is an error response of the API.
 type Error struct {
 	Status int
 	Reply  operator.ErrorReply
 }
 
-// Error returns the API's words.
+// Error returns the message of the response.
 func (e *Error) Error() string { return e.Reply.Error }
 
-// call makes one request.
+// call sends one request, with a JSON body unless request is nil, and decodes the reply.
 func call[Reply any](ctx context.Context, c *Client, method, path string, request any) (Reply, error) {
 	var reply Reply
 	var body bytes.Buffer
@@ -77,7 +77,7 @@
 	return call[operator.ConfigReply](ctx, c, http.MethodGet, operator.PathConfig, nil)
 }
 
-// Apply asks for declarations to be accepted.
+// Apply asks the host to make declarations the newest revision.
 func (c *Client) Apply(ctx context.Context, r operator.ApplyRequest) (operator.Outcome, error) {
 	return call[operator.Outcome](ctx, c, http.MethodPost, operator.PathApply, r)
 }
@@ -92,7 +92,7 @@
 	return call[[]telemetry.Span](ctx, c, http.MethodGet, operator.PathTrace+id, nil)
 }
 
-// Answer is a DoReply as it is read: its rows keep the order of their cells.
+// Answer is a DoReply as the client decodes it: raw rows, which keep the order of their cells.
 type Answer struct {
 	Outcome *operator.Outcome `json:"outcome,omitempty"`
 	Rows    []json.RawMessage `json:"rows,omitempty"`
--- a/internal/operator/commands.go
+++ b/internal/operator/commands.go
@@ -1,14 +1,13 @@
-// Package operator is the API for operators: declarations, commands, queries,
-// traces, probes, metrics and the status page.
+// Package operator implements the HTTP API for operators: declarations, commands, queries, traces,
+// probes, metrics and the status page.
 //
 // # Usage
 //
 //	api := operator.New(options)
 //	http.Serve(listener, api.Handler())
 //
-// Every command carries the revision it was decided on. Of two commands that
-// were decided on the same one, the first is accepted and the other gets a
-// conflict that names the winner.
+// Every command names the revision that it is based on. Of two commands based on the same revision,
+// the first is accepted and the other fails with a conflict that names the accepted revision.
 package operator
 
 import (
@@ -25,41 +24,41 @@
 	"quaybarrow/internal/quarantine"
 )
 
-// Errors of commands.
+// The errors of commands.
 var (
-	ErrForbidden = errors.New("the operator's role does not allow this")
-	ErrUnknown   = errors.New("no such version or plan")
-	ErrBackward  = errors.New("the version can't go back to that state")
-	ErrNotHeld   = errors.New("no such request is in quarantine")
+	ErrForbidden      = errors.New("the operator's role does not allow this")
+	ErrUnknown        = errors.New("no such version or plan")
+	ErrBackward       = errors.New("the version can't go back to that state")
+	ErrNotQuarantined = errors.New("no such request is in quarantine")
 )
 
-// Commands accept changes of the configuration.
+// Commands runs the commands of operators, most of which change the configuration.
 type Commands struct {
 	log    *config.Log
 	holder *config.Holder
 	spread *config.Spreader
-	// Unload orders engines to drop a withdrawn version: a second line behind
-	// the hosts' own refusal; nil if there is none.
+	// Unload orders engines to unload a withdrawn version, as a second safeguard besides the hosts'
+	// own refusal of the version; nil for none.
 	Unload func(ctx context.Context, ref declare.Ref)
 
 	quarantine *quarantine.Tracker
 }
 
-// NewCommands returns the commands of a host.
+// NewCommands returns a Commands for a host.
 func NewCommands(log *config.Log, holder *config.Holder, spread *config.Spreader, q *quarantine.Tracker) *Commands {
 	return &Commands{log: log, holder: holder, spread: spread, quarantine: q}
 }
 
-// Envelope is what every command carries.
+// Envelope holds the parameters that all commands have in common.
 type Envelope struct {
 	Operator  string
 	CommandID string
-	Base      int64 // the revision that the command was decided on
-	// Wait bounds the wait for the revision to be in force everywhere.
+	Base      int64 // the revision that the command is based on
+	// Wait limits how long the command waits for its revision to be in force on all live hosts.
 	Wait time.Duration
 }
 
-// Outcome is what became of a command.
+// Outcome is the result of a command.
 type Outcome struct {
 	Revision   int64                `json:"revision"`
 	Changes    []declare.Difference `json:"changes,omitempty"`
@@ -69,7 +68,7 @@
 	TookMS     float64              `json:"took_ms"`
 }
 
-// base reads the revision that a command was decided on.
+// base returns the revision that a command is based on; 0 is the empty revision.
 func (c *Commands) base(ctx context.Context, number int64) (config.Revision, error) {
 	if number == 0 {
 		return config.Revision{}, nil
@@ -79,14 +78,13 @@
 	}
 	r, err := c.log.Read(ctx, number)
 	if err != nil {
-		return config.Revision{}, fmt.Errorf("read the revision decided on: %w", err)
+		return config.Revision{}, fmt.Errorf("read the base revision: %w", err)
 	}
 	return r, nil
 }
 
-// Apply makes declarations the newest revision; a dry run only tells what would
-// change.
-func (c *Commands) Apply(ctx context.Context, e Envelope, next declare.Declarations, dry bool) (Outcome, error) {
+// Apply makes declarations the newest revision; a dry run only reports what would change.
+func (c *Commands) Apply(ctx context.Context, e Envelope, next declare.Declarations, dryRun bool) (Outcome, error) {
 	if problems := next.Validate(); len(problems) > 0 {
 		return Outcome{}, &InvalidError{Problems: problems}
 	}
@@ -100,16 +98,16 @@
 		return Outcome{}, err
 	}
 	outcome := Outcome{Revision: e.Base, Changes: changes, Notes: notes}
-	if dry || len(changes) == 0 && e.Base > 0 {
+	if dryRun || len(changes) == 0 && e.Base > 0 {
 		return outcome, nil
 	}
 	return c.accept(ctx, e, "apply", merged, outcome)
 }
 
-// InvalidError lists what is wrong with declarations.
+// InvalidError lists the problems of invalid declarations.
 type InvalidError struct{ Problems []declare.Problem }
 
-// Error lists the problems, a line each.
+// Error lists the problems, one per line.
 func (e *InvalidError) Error() string {
 	text := "declarations refused:"
 	for _, p := range e.Problems {
@@ -121,7 +119,8 @@
 // Unwrap makes an InvalidError match declare.ErrInvalid.
 func (e *InvalidError) Unwrap() error { return declare.ErrInvalid }
 
-// accept has a change accepted, and waits until it is in force.
+// accept appends a change to the configuration log and waits until it is in force on all live hosts
+// or e.Wait has passed.
 func (c *Commands) accept(ctx context.Context, e Envelope, command string, next declare.Declarations, o Outcome) (Outcome, error) {
 	started := clock.Now()
 	revision, err := c.log.Accept(ctx, e.Base, config.Change{
@@ -132,33 +131,33 @@
 	}
 	c.holder.Apply(revision)
 	c.holder.Confirm(revision.Number, started)
-	waiting, cancel := context.WithTimeout(ctx, e.Wait)
+	waitCtx, cancel := context.WithTimeout(ctx, e.Wait)
 	defer cancel()
-	state := c.spread.AwaitInForce(waiting, revision)
+	state := c.spread.AwaitInForce(waitCtx, revision)
 	o.Revision, o.InForce, o.Everywhere = revision.Number, &state, state.Everywhere()
 	o.TookMS = float64(clock.Since(started).Microseconds()) / 1000
 	return o, nil
 }
 
-// Move takes a version to another state.
+// Move changes the state of a version.
 func (c *Commands) Move(ctx context.Context, e Envelope, m console.Move) (Outcome, error) {
 	base, err := c.base(ctx, e.Base)
 	if err != nil {
 		return Outcome{}, err
 	}
-	now, ok := base.Declarations.Version(m.Version)
+	current, ok := base.Declarations.Version(m.Version)
 	if !ok {
 		return Outcome{}, fmt.Errorf("%w: %s", ErrUnknown, m.Version)
 	}
-	if m.To.Before(now.State) && !reversible(now.State, m.To) {
-		return Outcome{}, fmt.Errorf("%w: %s is %s and can't be %s again; declare a new version", ErrBackward, m.Version, now.State, m.To)
+	if m.To.Before(current.State) && !reversible(current.State, m.To) {
+		return Outcome{}, fmt.Errorf("%w: %s is %s and can't be %s again; declare a new version", ErrBackward, m.Version, current.State, m.To)
 	}
-	if now.State == m.To {
+	if current.State == m.To {
 		return Outcome{Revision: e.Base, Everywhere: true, Notes: []string{fmt.Sprintf("%s is %s already", m.Version, m.To)}}, nil
 	}
 	next := base.Declarations.WithState(m.Version, m.To)
 	o := Outcome{Changes: []declare.Difference{{
-		Path: "versions." + m.Version.String() + ".state", Before: string(now.State), After: string(m.To),
+		Path: "versions." + m.Version.String() + ".state", Before: string(current.State), After: string(m.To),
 	}}}
 	o, err = c.accept(ctx, e, fmt.Sprintf("%s -> %s", m.Version, m.To), next, o)
 	if err == nil && m.To == declare.StateWithdrawn && c.Unload != nil {
@@ -167,13 +166,13 @@
 	return o, err
 }
 
-// reversible reports whether a version may go back: only out of a roll-out that
-// was never accepted.
+// reversible reports whether a version may go back from one state to an earlier one: only from
+// canary to staged, out of a rollout that was never accepted.
 func reversible(from, to declare.State) bool {
 	return from == declare.StateCanary && to == declare.StateStaged
 }
 
-// Hold holds a plan or lets it go on.
+// Hold pauses or resumes a rollout plan.
 func (c *Commands) Hold(ctx context.Context, e Envelope, h console.Hold) (Outcome, error) {
 	base, err := c.base(ctx, e.Base)
 	if err != nil {
@@ -193,26 +192,27 @@
 	return c.accept(ctx, e, verb+" "+h.Plan, base.Declarations.WithHeld(h.Plan, h.Held), Outcome{})
 }
 
-// Release lets a request out of quarantine, on all hosts; it changes no declaration.
+// Release removes a request from quarantine on all hosts; it changes no declaration.
 func (c *Commands) Release(e Envelope, r console.Release) (Outcome, error) {
 	var f quarantine.Fingerprint
 	if err := f.UnmarshalText([]byte(r.Fingerprint)); err != nil {
-		return Outcome{}, fmt.Errorf("%w: %s: %w", ErrNotHeld, r.Fingerprint, err)
+		return Outcome{}, fmt.Errorf("%w: %s: %w", ErrNotQuarantined, r.Fingerprint, err)
 	}
 	if !c.quarantine.Release(f) {
-		return Outcome{}, fmt.Errorf("%w: %s", ErrNotHeld, r.Fingerprint)
+		return Outcome{}, fmt.Errorf("%w: %s", ErrNotQuarantined, r.Fingerprint)
 	}
 	return Outcome{Revision: e.Base, Notes: []string{"released; other hosts hear of it within seconds"}}, nil
 }
 
-// Limits of moves that plans ask for.
+// Limits of MoveForPlan: its attempts after conflicts, and the wait for each revision to be in force.
 const (
 	moveAttempts = 5
 	moveWait     = 5 * time.Second
 )
 
-// MoveForPlan moves a version on behalf of a plan: whatever else changes at the same
-// time, the move is made on the newest revision, or found made.
+// MoveForPlan changes the state of a version on behalf of a rollout plan. It bases the change on the
+// newest revision and retries it there after a conflict with a concurrent change. It does nothing
+// if the version is gone, or is in that state or a later one already.
 func (c *Commands) MoveForPlan(ctx context.Context, ref declare.Ref, to declare.State, commandID, reason string) error {
 	for range moveAttempts {
 		newest, err := c.log.Newest(ctx)
@@ -220,9 +220,9 @@
 			return err
 		}
 		c.holder.Apply(newest)
-		now, ok := newest.Declarations.Version(ref)
-		if !ok || !now.State.Before(to) {
-			return nil // gone, or there already
+		current, ok := newest.Declarations.Version(ref)
+		if !ok || !current.State.Before(to) {
+			return nil // the version is gone, or in the state or a later one already
 		}
 		e := Envelope{Operator: "plan: " + reason, CommandID: commandID, Base: newest.Number, Wait: moveWait}
 		_, err = c.Move(ctx, e, console.Move{Version: ref, To: to})
--- a/internal/operator/queries.go
+++ b/internal/operator/queries.go
@@ -23,17 +23,17 @@
 	"quaybarrow/internal/traffic"
 )
 
-// Bounds of queries.
+// Limits of queries.
 const (
-	tableRows    = 2000
-	askTimeout   = 2 * time.Second
+	maxTableRows = 2000
+	peerTimeout  = 2 * time.Second
 	defaultSince = time.Hour
 )
 
-// subjectTrace is a peer query's subject beyond the console's.
+// subjectTrace is a subject of queries between hosts that the console language does not have.
 const subjectTrace = "trace"
 
-// QueryOptions set up Queries.
+// QueryOptions configures Queries.
 type QueryOptions struct {
 	Config    *config.Holder
 	Log       *config.Log
@@ -44,28 +44,30 @@
 	Traffic   *traffic.Log
 	Telemetry *telemetry.Telemetry
 	Credits   *rollout.Credits
-	// Quarantine knows requests under which endpoints crash.
+	// Quarantine tracks requests that crash endpoints.
 	Quarantine *quarantine.Tracker
 }
 
-// Queries answer what operators ask.
+// Queries answers the queries of operators.
 type Queries struct{ options QueryOptions }
 
-// NewQueries returns the queries of a host.
+// NewQueries returns a Queries for a host.
 func NewQueries(options QueryOptions) *Queries { return &Queries{options: options} }
 
-// Show answers a query. Hosts that could not be asked are named.
+// Show runs a query. It returns the rows and the names of the hosts whose rows are missing because
+// the query to them failed.
 func (q *Queries) Show(ctx context.Context, o declare.Operator, show console.Show) ([]console.Row, []string, error) {
 	rows, partial, err := q.rows(ctx, show)
 	if err != nil {
 		return nil, partial, err
 	}
-	rows, err = console.Apply(show, ofWorkspaces(rows, o.Workspaces))
+	rows, err = console.Apply(show, visibleRows(rows, o.Workspaces))
 	return rows, partial, err
 }
 
-// ofWorkspaces keeps the rows that an operator bound to workspaces may see.
-func ofWorkspaces(rows []console.Row, workspaces []string) []console.Row {
+// visibleRows returns the rows that an operator limited to workspaces may see: those of its
+// workspaces and those without a workspace. No workspaces means no limit.
+func visibleRows(rows []console.Row, workspaces []string) []console.Row {
 	if len(workspaces) == 0 {
 		return rows
 	}
@@ -110,7 +112,7 @@
 	return rows, nil, err
 }
 
-// Answer answers another host's query about what this host alone knows.
+// Answer answers another host's query for data that only this host has.
 func (q *Queries) Answer(query peer.Query) (peer.Reply, error) {
 	var data []byte
 	var err error
@@ -125,9 +127,10 @@
 	return peer.Reply{Data: data}, err
 }
 
-// gather asks all other hosts the same and joins the answers.
+// gather sends a query to all other hosts. It returns their combined answers and the names of the
+// hosts for which the query failed.
 func gather[T any](ctx context.Context, q *Queries, query peer.Query) ([]T, []string) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var mu sync.Mutex // guards all and partial
 	var all []T
@@ -166,7 +169,7 @@
 	return rows, partial, nil
 }
 
-// sessions sums up the requests of each session that all hosts remember.
+// sessions returns one row per session, from the requests in the traffic logs of all hosts.
 func (q *Queries) sessions(ctx context.Context, since time.Duration) ([]console.Row, []string, error) {
 	records, partial := q.records(ctx, since)
 	counts := map[string]int{}
@@ -193,7 +196,7 @@
 	return rows, partial, nil
 }
 
-// records gathers the requests that all hosts remember, oldest first.
+// records returns the requests in the traffic logs of all hosts, oldest first.
 func (q *Queries) records(ctx context.Context, since time.Duration) ([]traffic.Record, []string) {
 	if since == 0 {
 		since = defaultSince
@@ -217,7 +220,7 @@
 	}
 }
 
-// Trace gathers a trace's spans from all hosts, in order of their start.
+// Trace returns the spans of a trace from all hosts, ordered by start time.
 func (q *Queries) Trace(ctx context.Context, id string) []telemetry.Span {
 	spans, _ := gather[telemetry.Span](ctx, q, peer.Query{Subject: subjectTrace, ID: id})
 	spans = append(spans, q.options.Telemetry.Traces.Trace(id)...)
--- a/internal/operator/tables.go
+++ b/internal/operator/tables.go
@@ -14,9 +14,9 @@
 	"quaybarrow/internal/store"
 )
 
-// scan reads a table's rows as values and makes lines of them.
-func scan[T any](ctx context.Context, tables store.Tables, table string, line func(T) console.Row) ([]console.Row, error) {
-	found, err := tables.Scan(ctx, store.Range{Table: table, Limit: tableRows})
+// scan reads the rows of a stored table, decodes their values and converts them with toRow.
+func scan[T any](ctx context.Context, tables store.Tables, table string, toRow func(T) console.Row) ([]console.Row, error) {
+	found, err := tables.Scan(ctx, store.Range{Table: table, Limit: maxTableRows})
 	if err != nil {
 		return nil, fmt.Errorf("read table %s: %w", table, err)
 	}
@@ -26,7 +26,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("read table %s: %w", table, err)
 		}
-		rows = append(rows, line(value))
+		rows = append(rows, toRow(value))
 	}
 	return rows, nil
 }
@@ -64,7 +64,7 @@
 }
 
 func (q *Queries) commands(ctx context.Context) ([]console.Row, error) {
-	history, err := q.options.Log.History(ctx, 0, tableRows)
+	history, err := q.options.Log.History(ctx, 0, maxTableRows)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 	return rows, nil
 }
 
-// quarantine lists the requests under which endpoints crash, or may.
+// quarantine lists the requests that crash endpoints or are suspected of it.
 func (q *Queries) quarantine() []console.Row {
 	var rows []console.Row
 	for _, l := range q.options.Quarantine.List() {
