--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -65,7 +65,7 @@
 type DoReply struct {
 	Outcome *Outcome      `json:"outcome,omitempty"`
 	Rows    []console.Row `json:"rows,omitempty"`
-	Partial []string      `json:"partial,omitempty"` // hosts whose rows are missing because the query to them failed
+	Partial []string      `json:"partial,omitempty"` // hosts that the query failed for
 }
 
 // BaseNewest, as the Base of a request, selects the current revision of the host that serves it.
@@ -76,7 +76,7 @@
 	Error    string            `json:"error"`
 	Code     string            `json:"code"`
 	Problems []declare.Problem `json:"problems,omitempty"`
-	Winner   int64             `json:"winner,omitempty"` // the revision that was accepted instead, for a conflict
+	Winner   int64             `json:"winner,omitempty"` // the accepted revision, for a conflict
 }
 
 // The values of ErrorReply.Code.
@@ -171,7 +171,7 @@
 		decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&request); err != nil {
-			writeJSON(w, http.StatusBadRequest, ErrorReply{Error: "invalid request body: " + err.Error(), Code: CodeBadRequest})
+			writeJSON(w, http.StatusBadRequest, ErrorReply{Error: "the body can't be read: " + err.Error(), Code: CodeBadRequest})
 			return
 		}
 		reply, err := f(ctx, o, request)
