--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -68,7 +68,7 @@
 	Partial []string      `json:"partial,omitempty"` // hosts that the query failed for
 }
 
-// BaseNewest, as the Base of a request, selects the current revision of the host that serves it.
+// BaseNewest selects, as the Base of a request, the current revision of the host that serves it.
 const BaseNewest = -1
 
 // ErrorReply is the body of an error response.
