--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -113,7 +113,7 @@
 		return r.net.Dial(ctx, "tcp", address)
 	}})
 	r.gateway = gateway.New(gateway.Options{
-		Holder: r.holder, Fleet: r.fleet, Pool: r.pool, Codec: platform.Heads{}, Deadlines: clock.NewDeadlines(), Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: r.pool.Reach, CountEndpoints: r.fleet.Count, Logger: logger}), Telemetry: telemetry.MetricsOnly(), Logger: logger,
+		Holder: r.holder, Fleet: r.fleet, Pool: r.pool, Codec: platform.HeaderCodec{}, Deadlines: clock.NewDeadlines(), Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: r.pool.Reach, CountEndpoints: r.fleet.Count, Logger: logger}), Telemetry: telemetry.MetricsOnly(), Logger: logger,
 		Upgrades:   upgrade.NewTracker(upgrade.Options{Host: "h", Fleet: r.fleet, Logger: logger, Watch: noClock{}, Hosts: func() int { return 1 }}),
 		RetryRatio: 0.9,
 	})
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -212,7 +212,7 @@
 	q *quarantine.Tracker, limits *ratelimit.Limiter, counter *usage.Counter, w *spread.Watcher, d *clock.Deadlines, t *telemetry.Telemetry, l *log.Logger,
 ) *gateway.Gateway {
 	return gateway.New(gateway.Options{
-		Holder: h, Fleet: f, Pool: p, Upgrades: u, Codec: platform.Heads{}, Advice: a, Quarantine: q, Limits: limits, Deadlines: d, Telemetry: t, Logger: l, Usage: counter, Hosts: w.Hosts,
+		Holder: h, Fleet: f, Pool: p, Upgrades: u, Codec: platform.HeaderCodec{}, Advice: a, Quarantine: q, Limits: limits, Deadlines: d, Telemetry: t, Logger: l, Usage: counter, Hosts: w.Hosts,
 		RetryRatio: retryPart * s.Gateway.RetryRatio,
 	})
 }
