--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -218,7 +218,7 @@
 		return errSilent
 	}
 	n.rig.attempts.add(n.name)
-	return platform.NewDuties(platformAddress, n.rig.net.Dial).Usage(ctx, h, report)
+	return platform.NewDutyClient(platformAddress, n.rig.net.Dial).Usage(ctx, h, report)
 }
 
 // Scale implements duty.Platform.
@@ -227,7 +227,7 @@
 		return errSilent
 	}
 	n.rig.attempts.add(n.name)
-	return platform.NewDuties(platformAddress, n.rig.net.Dial).Scale(ctx, h, service, o)
+	return platform.NewDutyClient(platformAddress, n.rig.net.Dial).Scale(ctx, h, service, o)
 }
 
 // sendRequests starts requests at random live hosts for the given duration.
--- a/internal/gatewayd/duties.go
+++ b/internal/gatewayd/duties.go
@@ -48,7 +48,7 @@
 	}
 	if s.Gateway.Duties != "" {
 		o.Window = s.Gateway.UsageWindow
-		o.Platform = platform.NewDuties(s.Gateway.Duties, p.Dial)
+		o.Platform = platform.NewDutyClient(s.Gateway.Duties, p.Dial)
 		o.Leases = lease.NewManager(lease.Options{
 			Tables: tables, Host: s.Host, Incarnation: string(life), Length: time.Duration(leasePart * float64(s.Gateway.DutyTurns)),
 			Rank: a.Rank, HandoverDelay: s.Gateway.DutyTurns,
