--- a/internal/gatewayd/operators.go
+++ b/internal/gatewayd/operators.go
@@ -71,7 +71,7 @@
 	switch {
 	case row.Key == platform.KeyDeclaration:
 		o.declare(row)
-	case platform.IsOrder(row.Key):
+	case platform.IsUpgradeOrder(row.Key):
 		order, err := platform.DecodeOrder(row)
 		if err != nil {
 			o.logger.Error("order can't be read", "row", row.Key, "row_version", row.Version, "error", err)
