--- a/internal/gatewayd/operators.go
+++ b/internal/gatewayd/operators.go
@@ -72,7 +72,7 @@
 	case row.Key == platform.KeyDeclaration:
 		o.declare(row)
 	case platform.IsUpgradeOrder(row.Key):
-		order, err := platform.DecodeOrder(row)
+		order, err := platform.DecodeUpgradeOrder(row)
 		if err != nil {
 			o.logger.Error("order can't be read", "row", row.Key, "row_version", row.Version, "error", err)
 			return
