--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -164,7 +164,7 @@
 
 func newTracker(s settings.Settings, tables store.Tables, w *spread.Watcher, f *fleet.Fleet, l *log.Logger) *upgrade.Tracker {
 	return upgrade.NewTracker(upgrade.Options{
-		Host: s.Host, Tables: tables, Watch: w, Fleet: f, Logger: l, Status: platform.StatusWrite, Hosts: w.Hosts,
+		Host: s.Host, Tables: tables, Watch: w, Fleet: f, Logger: l, Status: platform.UpgradeStatusWrite, Hosts: w.Hosts,
 		Exposure: s.Gateway.Exposure,
 	})
 }
--- a/internal/upgrade/pace_test.go
+++ b/internal/upgrade/pace_test.go
@@ -41,7 +41,7 @@
 		client := platform.NewStore(storeAddress, network.Dial)
 		t := upgrade.NewTracker(upgrade.Options{
 			Host: "only", Tables: client, Watch: client, Fleet: fleet.New(fleet.Options{}), Logger: log.New(io.Discard),
-			Status: platform.StatusWrite, Hosts: func() int { return 1 },
+			Status: platform.UpgradeStatusWrite, Hosts: func() int { return 1 },
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		go t.Run(ctx)
--- a/internal/upgrade/rig_test.go
+++ b/internal/upgrade/rig_test.go
@@ -66,7 +66,7 @@
 	h.watches = append(h.watches, watch)
 	t := upgrade.NewTracker(upgrade.Options{
 		Host: fmt.Sprint("host-", i), Tables: client, Watch: watch, Fleet: h.fleet, Logger: log.New(io.Discard),
-		Status: platform.StatusWrite, Hosts: func() int { return n },
+		Status: platform.UpgradeStatusWrite, Hosts: func() int { return n },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	_, err := client.State(ctx, "none") // initializes the client's clock, as the host's followers do
@@ -277,7 +277,7 @@
 	go func() { _ = server.Serve(l) }()
 	client := platform.NewStore(storeAddress, network.Dial)
 	t := upgrade.NewTracker(upgrade.Options{
-		Host: "late", Tables: client, Watch: uncertainClock{client, uncertainty}, Fleet: fleet.New(fleet.Options{}), Logger: log.New(io.Discard), Status: platform.StatusWrite,
+		Host: "late", Tables: client, Watch: uncertainClock{client, uncertainty}, Fleet: fleet.New(fleet.Options{}), Logger: log.New(io.Discard), Status: platform.UpgradeStatusWrite,
 		Hosts: func() int { return 3 },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
