--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -117,7 +117,7 @@
 		return p.Store, p.Store
 	}
 	client := platform.NewStore(s.Gateway.Store, nil)
-	client.Observe(func(kind, table string) {
+	client.OnCall(func(kind, table string) {
 		t.Count("store_calls", 1, telemetry.Label("kind", kind), telemetry.Label("table", table))
 	})
 	return client, client
