--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -140,7 +140,7 @@
 	})
 
 	It("ends a wait that is interrupted", func() {
-		withEndpoint(standin.Mute{}, func(p *conn.Pool, _ *standin.Endpoint) {
+		withEndpoint(standin.NoReply{}, func(p *conn.Pool, _ *standin.Endpoint) {
 			c, err := p.Get(ctx, address, 1)
 			Expect(err).NotTo(HaveOccurred())
 			time.AfterFunc(time.Second, c.Interrupt)
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -21,7 +21,7 @@
 	"an endpoint that crashes after the response header":              {"/stream/1", standin.Crash{After: time.Second, Head: true}, true},
 	"a connection that is reset":                                      {"/again/1", standin.Reset{}, false},
 	"a stream that breaks off":                                        {"/stream/1", standin.Stream{Events: 3, BreakAfter: 1, Confidence: 100}, false},
-	"an endpoint that does not respond":                               {"/again/1", standin.Mute{}, false},
+	"an endpoint that does not respond":                               {"/again/1", standin.NoReply{}, false},
 	"a body truncated by an endpoint that keeps running":              {"/again/1", standin.Reply{Status: 200, Body: "whole body", Cut: 4}, false},
 	"a response that the endpoint did not produce":                    {"/again/1", standin.Reply{Status: 200, Body: "x", Bare: true}, false},
 	"an endpoint that does not run the request":                       {"/again/1", standin.Reply{Status: 503, NotRun: true}, false},
--- a/internal/gateway/halfclose_test.go
+++ b/internal/gateway/halfclose_test.go
@@ -34,9 +34,9 @@
 	path   string
 	script standin.Script
 }{
-	"a repeatable request that waits for its response": {"/again/1", standin.Mute{}},
-	"a request that may run only once":                 {"/once/1", standin.Mute{}},
-	"a stream that waits for its first event":          {"/stream/1", standin.Mute{}},
+	"a repeatable request that waits for its response": {"/again/1", standin.NoReply{}},
+	"a request that may run only once":                 {"/once/1", standin.NoReply{}},
+	"a stream that waits for its first event":          {"/stream/1", standin.NoReply{}},
 	"a stream that waits for its second event":         {"/stream/1", standin.Stream{Events: 5, Confidence: 90, StallAfter: 1}},
 }
 
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -70,7 +70,7 @@
 
 	// silences are streams whose caller disconnects while no event arrives.
 	silences := map[string]standin.Script{
-		"before the first event":        standin.Mute{},
+		"before the first event":        standin.NoReply{},
 		"between two events":            standin.Stream{Events: 5, Confidence: 90, Gap: 3 * time.Second},
 		"while no more events arrive":   standin.Stream{Events: 5, Confidence: 90, StallAfter: 1},
 		"while a larger model is asked": standin.Stream{Events: 5, Confidence: 1, Gap: 3 * time.Second},
--- a/internal/gateway/unary_test.go
+++ b/internal/gateway/unary_test.go
@@ -111,7 +111,7 @@
 
 	It("fail at the route's timeout if the endpoint does not respond, and release it", func() {
 		suite.Paused(func() {
-			r := newRig(scripts{"plain-1": standin.Always(standin.Mute{})})
+			r := newRig(scripts{"plain-1": standin.Always(standin.NoReply{})})
 			defer r.stop()
 			start := time.Now()
 			a := r.ask(request("POST", "/once/1", "x"))
@@ -124,7 +124,7 @@
 
 	It("that are repeatable and get no response are sent to another endpoint in time", func() {
 		suite.Paused(func() {
-			both := between(standin.Mute{}, good)
+			both := between(standin.NoReply{}, good)
 			r := newRig(scripts{"plain-1": both, "plain-2": both})
 			defer r.stop()
 			start := time.Now()
@@ -135,7 +135,7 @@
 
 	It("release the endpoint when the caller disconnects", func() {
 		suite.Paused(func() {
-			r := newRig(scripts{"plain-1": standin.Always(standin.Mute{})})
+			r := newRig(scripts{"plain-1": standin.Always(standin.NoReply{})})
 			defer r.stop()
 			start := time.Now()
 			c := r.call()
