--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -134,7 +134,7 @@
 			_, err = exchange(c)
 			Expect(err).To(HaveOccurred())
 			Expect(err).NotTo(MatchError(conn.ErrNotSent))
-			Expect(e.Seen()).To(HaveLen(1))
+			Expect(e.Requests()).To(HaveLen(1))
 			c.Release(false)
 		})
 	})
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -76,7 +76,7 @@
 			q := request("POST", "/once/a%2Fb?q=1;2", "x").With(standin.Forged()...)
 			a := r.ask(q.With("X-Own: kept", "X-Hop: gone", "Connection: keep-alive, X-Hop"))
 			Expect(a.Status).To(Equal(200))
-			seen := r.endpoints["plain-1"].Seen()[0]
+			seen := r.endpoints["plain-1"].Requests()[0]
 			Expect(seen.Method + " " + seen.Target + " " + seen.Body).To(Equal("POST /once/a%2Fb?q=1;2 x"))
 			Expect(seen.Workspace()).To(Equal("weavers"))
 			Expect(seen.EndpointID()).To(Equal("plain-1"))
@@ -105,7 +105,7 @@
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
 			Expect(r.ask(request("POST", "/open/", "x").WithKey("").With(standin.Forged()...)).Status).To(Equal(200))
-			Expect(r.endpoints["plain-1"].Seen()[0].Workspace()).To(BeEmpty())
+			Expect(r.endpoints["plain-1"].Requests()[0].Workspace()).To(BeEmpty())
 		})
 	})
 
--- a/internal/gateway/halls_test.go
+++ b/internal/gateway/halls_test.go
@@ -54,14 +54,14 @@
 			defer func() { _ = c.Close() }()
 			c.send(request("POST", "/stream/1", "body").Text())
 			time.Sleep(20 * time.Millisecond)
-			Expect(r.endpoints["model-1"].Seen()).To(HaveLen(1))
+			Expect(r.endpoints["model-1"].Requests()).To(HaveLen(1))
 			r.fleet.Evacuate([]string{"ikeja"})
 			a := c.read()
 			Expect(a.Status).To(Equal(http.StatusOK))
 			Expect(a.Err).NotTo(HaveOccurred())
 			Expect(a.Body).To(ContainSubstring("id: 6"))
-			Expect(r.endpoints["model-1"].Seen()).To(HaveLen(1), "its data hall is evacuated")
-			Expect(r.endpoints["model-2"].Seen()).To(HaveLen(1))
+			Expect(r.endpoints["model-1"].Requests()).To(HaveLen(1), "its data hall is evacuated")
+			Expect(r.endpoints["model-2"].Requests()).To(HaveLen(1))
 		})
 	})
 })
@@ -110,7 +110,7 @@
 				}
 				var ran []string
 				for id, e := range r.endpoints {
-					if len(e.Seen()) > 0 {
+					if len(e.Requests()) > 0 {
 						ran = append(ran, id)
 					}
 				}
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -182,7 +182,7 @@
 func (r *rig) runs() int {
 	n := 0
 	for _, e := range r.endpoints {
-		n += len(e.Seen())
+		n += len(e.Requests())
 	}
 	return n
 }
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -61,7 +61,7 @@
 func (r *rig) lastTimeLeft() time.Duration {
 	var last standin.Seen
 	for _, e := range r.endpoints {
-		for _, s := range e.Seen() {
+		for _, s := range e.Requests() {
 			if s.At.After(last.At) {
 				last = s
 			}
--- a/internal/gateway/unary_test.go
+++ b/internal/gateway/unary_test.go
@@ -118,7 +118,7 @@
 			Expect(a.Status).To(Equal(http.StatusGatewayTimeout))
 			Expect(time.Since(start)).To(Equal(2 * time.Second))
 			time.Sleep(time.Second)
-			Expect(r.endpoints["plain-1"].Seen()[0].Ended.Sub(start)).To(BeNumerically("~", 2*time.Second, 100*time.Millisecond))
+			Expect(r.endpoints["plain-1"].Requests()[0].Ended.Sub(start)).To(BeNumerically("~", 2*time.Second, 100*time.Millisecond))
 		})
 	})
 
@@ -143,7 +143,7 @@
 			time.Sleep(300 * time.Millisecond)
 			_ = c.Close()
 			time.Sleep(time.Second)
-			Expect(r.endpoints["plain-1"].Seen()[0].Ended.Sub(start)).To(BeNumerically("~", 300*time.Millisecond, 100*time.Millisecond))
+			Expect(r.endpoints["plain-1"].Requests()[0].Ended.Sub(start)).To(BeNumerically("~", 300*time.Millisecond, 100*time.Millisecond))
 		})
 	})
 })
--- a/internal/gatewayd/crashrig_test.go
+++ b/internal/gatewayd/crashrig_test.go
@@ -365,7 +365,7 @@
 	for _, m := range r.machines {
 		for _, e := range m.Starts() {
 			under := false
-			for _, s := range e.Seen() {
+			for _, s := range e.Requests() {
 				if s.Body == crashBody {
 					sends = append(sends, s.At)
 					under = true
--- a/internal/gatewayd/limits_test.go
+++ b/internal/gatewayd/limits_test.go
@@ -92,7 +92,7 @@
 	worst, got := 0, 0
 	for _, e := range limited {
 		worst = max(worst, e.Most(began.Add(limitsAt+standin.LimitKnown), end.Add(-standin.LimitWindow), standin.LimitWindow))
-		for _, s := range e.Seen() {
+		for _, s := range e.Requests() {
 			if s.At.After(began.Add(limitsAt+standin.LimitKnown)) && s.At.Before(end) {
 				got++
 			}
--- a/internal/gatewayd/pictures_test.go
+++ b/internal/gatewayd/pictures_test.go
@@ -85,7 +85,7 @@
 func (s *site) served() map[string]int {
 	before := map[string]int{}
 	for hall, e := range s.endpoints {
-		before[hall] = len(e.Seen())
+		before[hall] = len(e.Requests())
 	}
 	counts := map[string]int{}
 	for range 12 {
@@ -100,7 +100,7 @@
 		_ = c.Close()
 	}
 	for hall, e := range s.endpoints {
-		if n := len(e.Seen()) - before[hall]; n > 0 {
+		if n := len(e.Requests()) - before[hall]; n > 0 {
 			counts[hall] = n
 		}
 	}
@@ -248,7 +248,7 @@
 			at(2000)
 			Expect(s.served()).To(Equal(map[string]int{"ikeja": 12}))
 			Expect(e.Connections()).To(BeNumerically(">", before))
-			for _, seen := range e.Seen() {
+			for _, seen := range e.Requests() {
 				Expect(seen.For()).To(Equal("of-ikeja"))
 			}
 		})
--- a/internal/soak/arrivals.go
+++ b/internal/soak/arrivals.go
@@ -36,7 +36,7 @@
 	defer w.mu.Unlock()
 	var found []arrival
 	for _, e := range w.all {
-		for _, s := range e.Seen() {
+		for _, s := range e.Requests() {
 			if !slices.Contains(ids, s.ID()) {
 				continue
 			}
--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -172,7 +172,7 @@
 	defer r.mu.Unlock()
 	for _, e := range endpoints {
 		under := false
-		for _, s := range e.Seen() {
+		for _, s := range e.Requests() {
 			if s.Target == r.path {
 				sends = append(sends, send{at: s.At, well: r.hosts[s.ID()].wasWell(s.At.Add(-knownWithin), s.At)})
 				under = true
--- a/internal/soak/endpoints.go
+++ b/internal/soak/endpoints.go
@@ -91,12 +91,12 @@
 	defer w.mu.Unlock()
 	var found []string
 	for _, trap := range w.traps {
-		if n := len(trap.Seen()); n > 0 {
+		if n := len(trap.Requests()); n > 0 {
 			found = append(found, fmt.Sprintf("%d requests at %s, which is no endpoint", n, trap.ID))
 		}
 	}
 	for _, e := range w.all {
-		if n := countBetween(e.Seen(), from, time.Now()); e.hall == evacuated && n > 0 {
+		if n := countBetween(e.Requests(), from, time.Now()); e.hall == evacuated && n > 0 {
 			found = append(found, fmt.Sprintf("%d requests at %s, whose data hall is evacuated", n, e.ID))
 		}
 	}
@@ -110,7 +110,7 @@
 	var found []string
 	for _, e := range w.all {
 		if e.service == "model" {
-			found = append(found, e.overCold(e.Seen())...)
+			found = append(found, e.overCold(e.Requests())...)
 		}
 	}
 	return found
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -212,7 +212,7 @@
 	defer w.mu.Unlock()
 	counts := map[string]int{}
 	for _, e := range w.all {
-		for _, s := range e.Seen() {
+		for _, s := range e.Requests() {
 			if !s.Rejected {
 				counts[s.ID()]++
 			}
