--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -59,7 +59,7 @@
 
 // lastTimeLeft returns the time left that the last request to an endpoint stated.
 func (r *rig) lastTimeLeft() time.Duration {
-	var last standin.Seen
+	var last standin.ReceivedRequest
 	for _, e := range r.endpoints {
 		for _, s := range e.Requests() {
 			if s.At.After(last.At) {
--- a/internal/soak/arrivals.go
+++ b/internal/soak/arrivals.go
@@ -10,7 +10,7 @@
 
 // arrival is a request as an endpoint got it.
 type arrival struct {
-	standin.Seen
+	standin.ReceivedRequest
 	endpoint string
 	start    int    // of the endpoint, counted from 1
 	sender   string // the host that a caller of this soak sent the request to; empty if none did
@@ -40,7 +40,7 @@
 			if !slices.Contains(ids, s.ID()) {
 				continue
 			}
-			a := arrival{Seen: s, endpoint: e.ID, start: e.startsBefore(s.At)}
+			a := arrival{ReceivedRequest: s, endpoint: e.ID, start: e.startsBefore(s.At)}
 			if p := w.sentBy(s.ID()); p != nil {
 				a.sender = p.name
 			}
--- a/internal/soak/endpoints.go
+++ b/internal/soak/endpoints.go
@@ -117,7 +117,7 @@
 }
 
 // overCold lists the seconds after a start in which the endpoint got too much.
-func (e *endpoint) overCold(seen []standin.Seen) []string {
+func (e *endpoint) overCold(seen []standin.ReceivedRequest) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var found []string
@@ -136,7 +136,7 @@
 }
 
 // countBetween counts requests that arrived from a moment on and before another.
-func countBetween(seen []standin.Seen, from, until time.Time) int {
+func countBetween(seen []standin.ReceivedRequest, from, until time.Time) int {
 	n := 0
 	for _, s := range seen {
 		if !s.At.Before(from) && s.At.Before(until) {
