--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -148,7 +148,7 @@
 			r := newCrashRig()
 			defer r.stop()
 			slow := standin.Reply{Status: 200, Body: "late", Delay: time.Second}
-			r.endpoints["plain-1"].Script(standin.Always(slow))
+			r.endpoints["plain-1"].SetScript(standin.Always(slow))
 			Expect(r.fleet.Count("plain")).To(Equal(6))
 			for _, n := range []string{"2", "3", "4", "5", "6"} {
 				r.fleet.Remove("plain-" + n)
