--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -20,7 +20,7 @@
 // sealed is the head of an answer that an endpoint made; one is asked for it.
 func sealed() http.Header {
 	e := standin.NewEndpoint("e-1", nil)
-	return e.Head()
+	return e.Header()
 }
 
 // good is a whole answer.
