--- a/internal/gatewayd/limits_test.go
+++ b/internal/gatewayd/limits_test.go
@@ -91,14 +91,14 @@
 	}
 	worst, got := 0, 0
 	for _, e := range limited {
-		worst = max(worst, e.Most(began.Add(limitsAt+standin.LimitKnown), end.Add(-standin.LimitWindow), standin.LimitWindow))
+		worst = max(worst, e.Most(began.Add(limitsAt+standin.LimitNoticeTime), end.Add(-standin.LimitWindow), standin.LimitWindow))
 		for _, s := range e.Requests() {
-			if s.At.After(began.Add(limitsAt+standin.LimitKnown)) && s.At.Before(end) {
+			if s.At.After(began.Add(limitsAt+standin.LimitNoticeTime)) && s.At.Before(end) {
 				got++
 			}
 		}
 	}
-	span := end.Sub(began) - limitsAt - standin.LimitKnown
+	span := end.Sub(began) - limitsAt - standin.LimitNoticeTime
 	used := float64(got) / max(d.rate*float64(len(limited))*span.Seconds(), 1)
 	served := r.servedOf(d.service)
 	t.Logf("worst %d in %s, %d allowed; %.2f of the limits used; %.3f served", worst, standin.LimitWindow, standin.LimitMost(d.rate), used, served)
--- a/internal/ratelimit/callers_test.go
+++ b/internal/ratelimit/callers_test.go
@@ -23,7 +23,7 @@
 func (h *simHost) isHealthy() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.faultyUntil.IsZero() || clock.Since(h.faultyUntil) > standin.LimitKnown
+	return h.faultyUntil.IsZero() || clock.Since(h.faultyUntil) > standin.LimitNoticeTime
 }
 
 // markFaulty records a fault that starts now and lasts for a duration.
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(*testing.T) {
 		s := newSimulation(p)
 		s.run()
-		most, healthy, used = s.worstWindow(standin.LimitKnown, standin.LimitWindow)
+		most, healthy, used = s.worstWindow(standin.LimitNoticeTime, standin.LimitWindow)
 		calls = s.calls
 	})
 	return most, healthy, used, calls
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -92,8 +92,8 @@
 func (n naming) worst(sentBy func(id string) *process) (most int, at time.Time) {
 	var times []time.Time
 	for _, s := range n.endpoint.Requests() {
-		inTime := s.At.After(n.from.Add(standin.LimitKnown)) && s.At.Before(n.until)
-		if p := sentBy(s.ID()); inTime && (p == nil || p.wasWell(s.At.Add(-standin.LimitKnown), s.At)) {
+		inTime := s.At.After(n.from.Add(standin.LimitNoticeTime)) && s.At.Before(n.until)
+		if p := sentBy(s.ID()); inTime && (p == nil || p.wasWell(s.At.Add(-standin.LimitNoticeTime), s.At)) {
 			times = append(times, s.At)
 		}
 	}
