--- a/internal/gatewayd/limits_test.go
+++ b/internal/gatewayd/limits_test.go
@@ -101,8 +101,8 @@
 	span := end.Sub(began) - limitsAt - standin.LimitNoticeTime
 	used := float64(got) / max(d.rate*float64(len(limited))*span.Seconds(), 1)
 	served := r.servedOf(d.service)
-	t.Logf("worst %d in %s, %d allowed; %.2f of the limits used; %.3f served", worst, standin.LimitWindow, standin.LimitMost(d.rate), used, served)
-	Expect(worst).To(BeNumerically("<=", standin.LimitMost(d.rate)))
+	t.Logf("worst %d in %s, %d allowed; %.2f of the limits used; %.3f served", worst, standin.LimitWindow, standin.LimitMaxRequests(d.rate), used, served)
+	Expect(worst).To(BeNumerically("<=", standin.LimitMaxRequests(d.rate)))
 	Expect(served).To(BeNumerically(">=", d.least))
 	if d.backAt > 0 {
 		above, again := standin.LimitPart*d.rate*standin.LimitWindow.Seconds(), 0
--- a/internal/ratelimit/limits_test.go
+++ b/internal/ratelimit/limits_test.go
@@ -52,7 +52,7 @@
 						if least, ok := used[limited]; !ok || share < least {
 							used[limited] = share
 						}
-						if allowed := standin.LimitMost(rate); healthy > allowed {
+						if allowed := standin.LimitMaxRequests(rate); healthy > allowed {
 							t.Errorf("seed %d, %d endpoints with %v a second: %d in %s, %d from hosts without faults, %d allowed", seed, limited, rate, most, standin.LimitWindow, healthy, allowed)
 						} else if most > allowed {
 							t.Logf("seed %d, %d endpoints with %v a second: %d in %s, %d from hosts without faults, %d allowed", seed, limited, rate, most, standin.LimitWindow, healthy, allowed)
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -78,7 +78,7 @@
 	defer w.mu.Unlock()
 	var found []string
 	for _, n := range w.namings {
-		most := standin.LimitMost(n.rate)
+		most := standin.LimitMaxRequests(n.rate)
 		if worst, at := n.worst(w.sentBy); worst > most {
 			found = append(found, fmt.Sprintf("%s named a limit of %.1f a second and got %d requests within %s from %s on, %d allowed",
 				n.endpoint.ID, n.rate, worst, standin.LimitWindow, at.Format(time.StampMilli), most))
