--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -25,7 +25,7 @@
 				r.ask(request("POST", "/once/1", "x"))
 				return r.fleet.LimitedCount()
 			}
-			r.endpoints["plain-1"].Limit(2)
+			r.endpoints["plain-1"].SetLimit(2)
 			Expect(limitedAfter()).To(Equal(1))
 			r.endpoints["plain-1"].LimitText("")
 			bare.Store(true)
--- a/internal/gatewayd/limits_test.go
+++ b/internal/gatewayd/limits_test.go
@@ -68,7 +68,7 @@
 				limited := r.some(d.service, d.limited)
 				time.Sleep(limitsAt)
 				for _, e := range limited {
-					e.Limit(d.rate)
+					e.SetLimit(d.rate)
 				}
 				if d.backAt > 0 {
 					time.Sleep(d.backAt - limitsAt)
