--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -27,7 +27,7 @@
 			}
 			r.endpoints["plain-1"].SetLimit(2)
 			Expect(limitedAfter()).To(Equal(1))
-			r.endpoints["plain-1"].LimitText("")
+			r.endpoints["plain-1"].SetLimitText("")
 			bare.Store(true)
 			Expect(limitedAfter()).To(Equal(1))
 			bare.Store(false)
--- a/internal/gatewayd/limits_test.go
+++ b/internal/gatewayd/limits_test.go
@@ -73,7 +73,7 @@
 				if d.backAt > 0 {
 					time.Sleep(d.backAt - limitsAt)
 					for _, e := range limited {
-						e.LimitText("")
+						e.SetLimitText("")
 					}
 				}
 				r.calling.Wait()
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -63,10 +63,10 @@
 	}
 	defer e.limited.Store(false)
 	n := naming{endpoint: e, rate: rate, from: time.Now()}
-	e.LimitText(strconv.FormatFloat(rate, 'f', -1, 64))
+	e.SetLimitText(strconv.FormatFloat(rate, 'f', -1, 64))
 	sleep(ctx, limitFor)
 	n.until = time.Now()
-	e.LimitText("")
+	e.SetLimitText("")
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.namings = append(w.namings, n)
