--- a/internal/gatewayd/limits_test.go
+++ b/internal/gatewayd/limits_test.go
@@ -91,7 +91,7 @@
 	}
 	worst, got := 0, 0
 	for _, e := range limited {
-		worst = max(worst, e.Most(began.Add(limitsAt+standin.LimitNoticeTime), end.Add(-standin.LimitWindow), standin.LimitWindow))
+		worst = max(worst, e.MaxRequestsInWindow(began.Add(limitsAt+standin.LimitNoticeTime), end.Add(-standin.LimitWindow), standin.LimitWindow))
 		for _, s := range e.Requests() {
 			if s.At.After(began.Add(limitsAt+standin.LimitNoticeTime)) && s.At.Before(end) {
 				got++
@@ -107,7 +107,7 @@
 	if d.backAt > 0 {
 		above, again := standin.LimitPart*d.rate*standin.LimitWindow.Seconds(), 0
 		for _, e := range limited {
-			most := e.Most(end.Add(usedAgain), began.Add(limitsLast), standin.LimitWindow)
+			most := e.MaxRequestsInWindow(end.Add(usedAgain), began.Add(limitsLast), standin.LimitWindow)
 			again += most
 			// Prompts go to as few endpoints as the load asks for, those that keep their beginning.
 			Expect(d.service == "model" || float64(most) > above).To(BeTrue(), "used again: %d in %s", most, standin.LimitWindow)
