--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -73,7 +73,7 @@
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
-			q := request("POST", "/once/a%2Fb?q=1;2", "x").With(standin.Forged()...)
+			q := request("POST", "/once/a%2Fb?q=1;2", "x").With(standin.ForgedHeaders()...)
 			a := r.ask(q.With("X-Own: kept", "X-Hop: gone", "Connection: keep-alive, X-Hop"))
 			Expect(a.Status).To(Equal(200))
 			seen := r.endpoints["plain-1"].Requests()[0]
@@ -104,7 +104,7 @@
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
-			Expect(r.ask(request("POST", "/open/", "x").WithKey("").With(standin.Forged()...)).Status).To(Equal(200))
+			Expect(r.ask(request("POST", "/open/", "x").WithKey("").With(standin.ForgedHeaders()...)).Status).To(Equal(200))
 			Expect(r.endpoints["plain-1"].Requests()[0].Workspace()).To(BeEmpty())
 		})
 	})
