--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -25,7 +25,7 @@
 	"an unknown host": {request("POST", "/once/", "x").WithHost("b.example"), 404, false},
 	"an unknown key":  {request("POST", "/once/", "x").WithKey("key-2"), 401, false},
 	"no key":          {request("POST", "/once/", "x").WithKey(""), 401, false},
-	"two keys":        {request("POST", "/once/", "x").With(standin.KeyLine("key-1")), 401, false},
+	"two keys":        {request("POST", "/once/", "x").With(standin.CredentialLine("key-1")), 401, false},
 	"no id":           {request("POST", "/once/", "x").WithID(""), 400, true},
 	"a body too long": {request("POST", "/once/", strings.Repeat("x", 1001)), 413, true},
 	"a head too long": {request("POST", "/once/", "x").With("X-Long: " + strings.Repeat("y", 5000)), 431, true},
