--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -182,7 +182,7 @@
 			}
 			return s
 		}
-		good := standin.Reply{Status: 200, Body: bodyOf(standin.IDOf(r)), Delay: time.Duration(random.IntN(40)) * time.Millisecond}
+		good := standin.Reply{Status: 200, Body: bodyOf(standin.RequestID(r)), Delay: time.Duration(random.IntN(40)) * time.Millisecond}
 		switch {
 		case dice < 0.02:
 			return standin.Reset{}
