--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -81,7 +81,7 @@
 			Expect(seen.Workspace()).To(Equal("weavers"))
 			Expect(seen.EndpointID()).To(Equal("plain-1"))
 			Expect(seen.ID()).To(Equal("id-1"))
-			Expect(seen.Leaks()).To(BeEmpty())
+			Expect(seen.LeakedHeaders()).To(BeEmpty())
 			Expect(seen.Head.Get("X-Own")).To(Equal("kept"))
 			Expect(seen.Head).NotTo(HaveKey("X-Hop"))
 		})
