--- a/internal/soak/ports_test.go
+++ b/internal/soak/ports_test.go
@@ -87,7 +87,7 @@
 		defer func() { _ = c.Close() }()
 		reader := bufio.NewReader(c)
 		for _, meant := range []string{"plain-1", "plain-18"} {
-			_, err = io.WriteString(c, standin.NewRequest("POST", pathOnce+"same", "body").For(meant).Text())
+			_, err = io.WriteString(c, standin.NewRequest("POST", pathOnce+"same", "body").ForEndpoint(meant).Text())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(standin.ReadAnswer(reader).Err).NotTo(HaveOccurred())
 		}
