--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -38,7 +38,7 @@
 // rig is a test rig of hosts that compete for the duties, a store and the platform.
 type rig struct {
 	store    *table.Store
-	platform *standin.Duties
+	platform *standin.DutyServer
 	net      *memnet.Network
 	server   *http.Server
 	random   *rand.Rand
--- a/internal/gatewayd/crashrig_test.go
+++ b/internal/gatewayd/crashrig_test.go
@@ -46,7 +46,7 @@
 	calling  sync.WaitGroup
 	running  sync.WaitGroup // machines, and hosts that were killed
 	server   *http.Server
-	duties   *standin.Duties // nil where there are none
+	duties   *standin.DutyServer // nil where there are none
 	// dutiesServer serves them.
 	dutiesServer *http.Server
 	log          safeBuffer
