--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -179,7 +179,7 @@
 
 	for name, c := range invalidCalls {
 		It("are found to be violated by "+name, func() {
-			d := standin.NewDuties(handoverDelay)
+			d := standin.NewDutyServer(handoverDelay)
 			for _, call := range c.calls {
 				r := httptest.NewRequest(http.MethodPost, call.path, strings.NewReader(call.body))
 				r.Header.Set("Duty-Holder", call.holder)
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -69,7 +69,7 @@
 
 func newRig(hosts int, seed uint64) *rig {
 	r := &rig{
-		store: table.New(table.Options{}), platform: standin.NewDuties(handoverDelay), net: memnet.New(), random: rand.New(rand.NewPCG(seed, 7)),
+		store: table.New(table.Options{}), platform: standin.NewDutyServer(handoverDelay), net: memnet.New(), random: rand.New(rand.NewPCG(seed, 7)),
 		hosts: map[string]*node{}, started: map[int64]map[string]int64{}, stocks: map[string]capacity.EndpointCounts{},
 	}
 	r.server = &http.Server{Handler: r.platform}
--- a/internal/gatewayd/crashrig_test.go
+++ b/internal/gatewayd/crashrig_test.go
@@ -128,7 +128,7 @@
 	l := r.net.Listen(storeAddress)
 	go func() { _ = r.server.Serve(l) }()
 	if d.duties {
-		r.duties = standin.NewDuties(dutyTurns)
+		r.duties = standin.NewDutyServer(dutyTurns)
 		calls := r.net.Listen(dutiesAddress)
 		r.dutiesServer = &http.Server{Handler: r.duties}
 		go func() { _ = r.dutiesServer.Serve(calls) }()
