--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -95,14 +95,14 @@
 		n.door.Cut(false)
 	},
 	"a platform that loses replies": func(r *rig) {
-		r.platform.Break(standin.LoseTx)
+		r.platform.SetFault(standin.LoseTx)
 		time.Sleep(4 * time.Second)
-		r.platform.Break(standin.Healthy)
+		r.platform.SetFault(standin.Healthy)
 	},
 	"a platform that is busy": func(r *rig) {
-		r.platform.Break(standin.Busy)
+		r.platform.SetFault(standin.Busy)
 		time.Sleep(4 * time.Second)
-		r.platform.Break(standin.Healthy)
+		r.platform.SetFault(standin.Healthy)
 	},
 }
 
--- a/internal/duty/fence_test.go
+++ b/internal/duty/fence_test.go
@@ -35,7 +35,7 @@
 			r := newRig(3, uint64(phase))
 			defer r.close()
 			// The platform is busy, so each round retries what is due and makes a call.
-			r.platform.Break(standin.Busy)
+			r.platform.SetFault(standin.Busy)
 			served := make(chan struct{})
 			go func() {
 				defer close(served)
