--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -195,12 +195,12 @@
 			r := newRig(2, 1)
 			defer r.close()
 			r.setStocks(map[string]capacity.EndpointCounts{"ikeja": {Ordinary: 4}, "lekki": {Ordinary: 4}, "yaba": {Ordinary: 4}})
-			r.platform.AnswerOrders(http.StatusConflict)
+			r.platform.SetOrderStatus(http.StatusConflict)
 			time.Sleep(4 * time.Second)
 			refused := len(r.platform.Calls())
 			Expect(refused).To(BeNumerically(">", 0))
 			Expect(refused).To(BeNumerically("<", 20))
-			r.platform.AnswerOrders(0)
+			r.platform.SetOrderStatus(0)
 			time.Sleep(10 * time.Second)
 			ordered := map[string]int{}
 			for _, c := range r.platform.Calls() {
