--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -88,7 +88,7 @@
 		time.Sleep(100 * time.Millisecond)
 		body(s, p)
 		cancel()
-		s.Break(standin.Healthy)
+		s.SetFault(standin.Healthy)
 		_ = server.Close()
 		time.Sleep(5 * time.Minute)
 	})
@@ -125,10 +125,10 @@
 			It("is current again soon after the store was "+name+" for "+length.String(), func() {
 				withFollower(func(s *standin.Store, p *recordingReplica) {
 					time.Sleep(time.Second)
-					s.Break(fault)
+					s.SetFault(fault)
 					s.Put("t", "a", []byte("2"))
 					time.Sleep(length)
-					s.Break(standin.Healthy)
+					s.SetFault(standin.Healthy)
 					time.Sleep(recoveryBound)
 					Expect(p.get("a")).To(Equal("2"))
 				})
@@ -138,10 +138,10 @@
 
 	It("reports rows that were deleted while the store was unavailable", func() {
 		withFollower(func(s *standin.Store, p *recordingReplica) {
-			s.Break(standin.Busy)
+			s.SetFault(standin.Busy)
 			time.Sleep(4 * time.Second)
 			s.Drop("t", "a")
-			s.Break(standin.Healthy)
+			s.SetFault(standin.Healthy)
 			time.Sleep(recoveryBound)
 			_, deletedInOutage := p.resetsAndDeletions()
 			Expect(deletedInOutage).To(Equal([]string{"a"}))
@@ -150,10 +150,10 @@
 
 	It("reads the whole table when the history is gone", func() {
 		withFollower(func(s *standin.Store, p *recordingReplica) {
-			s.Break(standin.LoseFeed)
+			s.SetFault(standin.LoseFeed)
 			s.Put("t", "a", []byte("2"))
 			s.Forget()
-			s.Break(standin.Healthy)
+			s.SetFault(standin.Healthy)
 			time.Sleep(10 * time.Millisecond)
 			Expect(p.get("a")).To(Equal("2"))
 			resets, _ := p.resetsAndDeletions()
@@ -166,7 +166,7 @@
 			time.Sleep(time.Minute)
 			Expect(s.Feeds()).To(BeNumerically("<=", 21))
 			before := s.Feeds()
-			s.Break(standin.Busy)
+			s.SetFault(standin.Busy)
 			time.Sleep(time.Minute)
 			Expect(s.Feeds() - before).To(BeNumerically("<=", 130))
 		})
--- a/internal/gatewayd/crashrig_test.go
+++ b/internal/gatewayd/crashrig_test.go
@@ -114,10 +114,10 @@
 			r.calling.Go(func() { r.killHolder(ctx, d.killHolderAt) })
 		}
 		if d.away {
-			r.store.Break(standin.Silent)
+			r.store.SetFault(standin.Silent)
 		}
 		r.calling.Wait()
-		r.store.Break(standin.Healthy)
+		r.store.SetFault(standin.Healthy)
 		check(r)
 	})
 }
--- a/internal/gatewayd/pictures_test.go
+++ b/internal/gatewayd/pictures_test.go
@@ -139,11 +139,11 @@
 		"and take it back unheard": {func(s *site) {
 			s.evacuate("ikeja")
 			time.Sleep(seenWithin)
-			s.store.Break(standin.Silent)
+			s.store.SetFault(standin.Silent)
 			time.Sleep(time.Second)
 			s.takeBack("ikeja")
 			s.store.Forget()
-			s.store.Break(standin.Healthy)
+			s.store.SetFault(standin.Healthy)
 			time.Sleep(seenWithin)
 		}, near},
 		"and add an endpoint there": {func(s *site) {
--- a/internal/quarantine/persistence_test.go
+++ b/internal/quarantine/persistence_test.go
@@ -46,7 +46,7 @@
 				}
 				Expect(h.quarantined(crashing)).To(Equal(everyHost))
 				if away {
-					h.store.Break(standin.Silent)
+					h.store.SetFault(standin.Silent)
 				}
 				h.kill(0)
 				h.start(0)
@@ -56,7 +56,7 @@
 					Expect(h.quarantined(crashing)[1:]).To(Equal(everyHost[1:]), "at the other hosts")
 				}
 				Expect(h.quarantined(crashing)).To(Equal(everyHost))
-				h.store.Break(standin.Healthy)
+				h.store.SetFault(standin.Healthy)
 			})
 		})
 	}
@@ -74,10 +74,10 @@
 	for name, fault := range storeFaults {
 		It("is known to all while the store "+name+", and stored once it is back", func() {
 			withHosts(3, func(h *testHosts) {
-				h.store.Break(fault)
+				h.store.SetFault(fault)
 				h.crashThrice(crashing)
 				Expect(h.quarantined(crashing)).To(Equal(everyHost))
-				h.store.Break(standin.Healthy)
+				h.store.SetFault(standin.Healthy)
 				time.Sleep(3 * time.Second)
 				h.restartAll()
 				Expect(h.quarantined(crashing)).To(Equal(everyHost))
@@ -87,13 +87,13 @@
 
 	It("is the newest in the store even if an older write is executed late", func() {
 		withHosts(1, func(h *testHosts) {
-			h.store.Break(standin.Silent)
+			h.store.SetFault(standin.Silent)
 			h.crash(0, "e0", crashing)
 			time.Sleep(crashSpacing)
 			h.crash(0, "e1", crashing)
 			time.Sleep(3 * time.Second)
 			old := []byte(`{"version":1,"row":{}}`)
-			h.store.Break(standin.Healthy)
+			h.store.SetFault(standin.Healthy)
 			time.Sleep(2 * time.Second)
 			h.store.Put(quarantine.Table, "host-0", old)
 			time.Sleep(10 * time.Second)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -70,7 +70,7 @@
 
 // healAll puts right what may still be wrong.
 func (w *world) healAll() {
-	w.store.Break(standin.Healthy)
+	w.store.SetFault(standin.Healthy)
 	for _, p := range w.hosts {
 		p.store.set(Pass)
 		p.signal(syscall.SIGCONT)
@@ -139,9 +139,9 @@
 }
 
 func storeForAll(ctx context.Context, w *world, lasts time.Duration) {
-	w.store.Break(standin.Fault(1 + w.number(int(standin.LoseFeed))))
+	w.store.SetFault(standin.Fault(1 + w.number(int(standin.LoseFeed))))
 	sleep(ctx, lasts)
-	w.store.Break(standin.Healthy)
+	w.store.SetFault(standin.Healthy)
 }
 
 func forgetHistory(_ context.Context, w *world, _ time.Duration) { w.store.Forget() }
--- a/internal/spread/cluster_test.go
+++ b/internal/spread/cluster_test.go
@@ -162,7 +162,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		body(c)
-		c.store.Break(standin.Healthy)
+		c.store.SetFault(standin.Healthy)
 		for _, h := range append(c.hosts, c.cutOff...) {
 			h.stop()
 		}
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -64,11 +64,11 @@
 	It("are up to date soon after an outage of the store, and do not overload it with calls", func() {
 		withCluster(12, func(c *cluster) {
 			before := c.store.Feeds() + c.store.Reads()
-			c.store.Break(standin.Busy)
+			c.store.SetFault(standin.Busy)
 			c.store.Put("t", "k", []byte("1"))
 			time.Sleep(20 * time.Second)
 			Expect(c.store.Feeds() + c.store.Reads() - before).To(BeNumerically("<", 12*20))
-			c.store.Break(standin.Healthy)
+			c.store.SetFault(standin.Healthy)
 			expectOnAll(c.hosts, "1", 2900*time.Millisecond)
 		})
 	})
@@ -184,12 +184,12 @@
 
 	It("continue after the store has dropped its history", func() {
 		withCluster(4, func(c *cluster) {
-			c.store.Break(standin.LoseFeed)
+			c.store.SetFault(standin.LoseFeed)
 			c.store.Put("t", "k", []byte("1"))
 			c.store.Drop("t", "k")
 			c.store.Put("t", "k", []byte("2"))
 			c.store.Forget()
-			c.store.Break(standin.Healthy)
+			c.store.SetFault(standin.Healthy)
 			expectOnAll(c.hosts, "2", 2*time.Second)
 		})
 	})
@@ -198,13 +198,13 @@
 		withCluster(3, func(c *cluster) {
 			c.store.Put("t", "k", []byte("1"))
 			expectOnAll(c.hosts, "1", time.Second)
-			c.store.Break(standin.Silent)
+			c.store.SetFault(standin.Silent)
 			time.Sleep(5 * time.Second)
 			late := c.start(9, false)
 			c.hosts = append(c.hosts, late)
 			time.Sleep(6 * time.Second)
 			Expect(late.value("k")).To(Equal("1"))
-			c.store.Break(standin.Healthy)
+			c.store.SetFault(standin.Healthy)
 			c.store.Put("t", "k", []byte("2"))
 			expectOnAll(c.hosts, "2", 3*time.Second)
 		})
--- a/internal/upgrade/turnsbad_test.go
+++ b/internal/upgrade/turnsbad_test.go
@@ -96,17 +96,17 @@
 	"a store that is overloaded three times": func(h *hosts, second int) {
 		switch second {
 		case 11, 15, 19:
-			h.store.Break(standin.Busy)
+			h.store.SetFault(standin.Busy)
 		case 13, 17, 21:
-			h.store.Break(standin.Healthy)
+			h.store.SetFault(standin.Healthy)
 		}
 	},
 	"a store that loses the answers to writes": func(h *hosts, second int) {
 		switch second {
 		case 2:
-			h.store.Break(standin.LoseTx)
+			h.store.SetFault(standin.LoseTx)
 		case 23:
-			h.store.Break(standin.Healthy)
+			h.store.SetFault(standin.Healthy)
 		}
 	},
 	"a store that answers with a delay": func(h *hosts, second int) {
