--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -112,7 +112,7 @@
 			time.Sleep(10 * time.Millisecond)
 			Expect(p.get("a")).To(Equal("2"))
 			Expect(p.get("b")).To(Equal("3"))
-			s.Drop("t", "a")
+			s.Delete("t", "a")
 			time.Sleep(10 * time.Millisecond)
 			Expect(p.get("a")).To(BeEmpty())
 			_, deletedInOutage := p.resetsAndDeletions()
@@ -140,7 +140,7 @@
 		withFollower(func(s *standin.Store, p *recordingReplica) {
 			s.SetFault(standin.Busy)
 			time.Sleep(4 * time.Second)
-			s.Drop("t", "a")
+			s.Delete("t", "a")
 			s.SetFault(standin.Healthy)
 			time.Sleep(recoveryBound)
 			_, deletedInOutage := p.resetsAndDeletions()
--- a/internal/gatewayd/pictures_test.go
+++ b/internal/gatewayd/pictures_test.go
@@ -108,7 +108,7 @@
 }
 
 func (s *site) evacuate(hall string) { s.store.Put("op", standin.EvacuationKey(hall), []byte("{}")) }
-func (s *site) takeBack(hall string) { s.store.Drop("op", standin.EvacuationKey(hall)) }
+func (s *site) takeBack(hall string) { s.store.Delete("op", standin.EvacuationKey(hall)) }
 
 var _ = Describe("a host whose operators evacuate data halls", func() {
 	elsewhere := map[string]int{"lekki": 12}
@@ -234,7 +234,7 @@
 var _ = Describe("a host whose endpoint starts again under its name", func() {
 	It("sends to the new start on new connections, by the same name", func() {
 		onSite(func(s *site) {
-			s.store.Drop("servers", "of-lekki")
+			s.store.Delete("servers", "of-lekki")
 			at := func(born int64) {
 				s.store.Put("servers", "of-ikeja", standin.Entry{Service: "s", Address: addressIn("ikeja"), Hall: "ikeja", Version: "v1", Born: born}.Value())
 				time.Sleep(seenWithin)
--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -76,7 +76,7 @@
 		w.history.violate("no endpoint could be started: %s", err)
 	}
 	time.Sleep(lapseTime - restartTime)
-	w.store.Drop(standin.TableEndpoints, e.ID)
+	w.store.Delete(standin.TableEndpoints, e.ID)
 }
 
 // dice are drawn for one kind of trouble, apart from all else, so that a seed without it stays what
--- a/internal/soak/endpoints.go
+++ b/internal/soak/endpoints.go
@@ -35,7 +35,7 @@
 	key := standin.EvacuationKey(halls[w.number(len(halls))])
 	w.store.Put(standin.TableOperator, key, []byte("{}"))
 	sleep(ctx, lasts)
-	w.store.Drop(standin.TableOperator, key)
+	w.store.Delete(standin.TableOperator, key)
 }
 
 // evacuable returns a data hall without which each service has endpoints left.
@@ -81,7 +81,7 @@
 	w.mu.Unlock()
 	w.store.Put(standin.TableEndpoints, id, fmt.Appendf(nil, strangeEntries[w.number(len(strangeEntries))], l.Addr().String()))
 	sleep(ctx, lasts)
-	w.store.Drop(standin.TableEndpoints, id)
+	w.store.Delete(standin.TableEndpoints, id)
 }
 
 // misplaced lists requests that reached an endpoint which should not have got them: at an
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -160,7 +160,7 @@
 	if e := w.take(); e != nil {
 		e.end()
 		sleep(ctx, lasts)
-		w.store.Drop(standin.TableEndpoints, e.ID)
+		w.store.Delete(standin.TableEndpoints, e.ID)
 	}
 }
 
@@ -172,7 +172,7 @@
 	}
 	w.store.Put(standin.TableEndpoints, e.ID, e.leaving())
 	sleep(ctx, drainBefore)
-	w.store.Drop(standin.TableEndpoints, e.ID)
+	w.store.Delete(standin.TableEndpoints, e.ID)
 	sleep(ctx, drainBefore)
 	e.end()
 }
--- a/internal/spread/cluster_test.go
+++ b/internal/spread/cluster_test.go
@@ -189,7 +189,7 @@
 		c.store.Put("t", "k", fmt.Append(nil, i))
 		expectOnAll(c.hosts, fmt.Sprint(i), 2500*time.Millisecond)
 	}
-	c.store.Drop("t", "k")
+	c.store.Delete("t", "k")
 	expectOnAll(c.hosts, "", 2500*time.Millisecond)
 	for _, h := range c.hosts[:count] {
 		h.rejected.Store(false)
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -91,7 +91,7 @@
 			reader := c.reader()
 			// The next reader has the table from before or after the removal. In either case its
 			// updates may lack the removal.
-			c.store.Drop("t", "gone")
+			c.store.Delete("t", "gone")
 			c.hosts[reader].stop()
 			c.hosts = append(c.hosts[:reader], c.hosts[reader+1:]...)
 			time.Sleep(2500 * time.Millisecond)
@@ -116,7 +116,7 @@
 			Expect(c.store.Reads() - reads).To(BeNumerically("<=", 3))
 			reads = c.store.Reads()
 			c.store.Put("t", "row-5", []byte("y"))
-			c.store.Drop("t", "row-6")
+			c.store.Delete("t", "row-6")
 			time.Sleep(time.Second)
 			for i, h := range c.hosts {
 				Expect(h.value("row-5")).To(Equal("y"), "host %d", i)
@@ -186,7 +186,7 @@
 		withCluster(4, func(c *cluster) {
 			c.store.SetFault(standin.LoseFeed)
 			c.store.Put("t", "k", []byte("1"))
-			c.store.Drop("t", "k")
+			c.store.Delete("t", "k")
 			c.store.Put("t", "k", []byte("2"))
 			c.store.Forget()
 			c.store.SetFault(standin.Healthy)
