--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -152,7 +152,7 @@
 		withFollower(func(s *standin.Store, p *recordingReplica) {
 			s.SetFault(standin.LoseFeed)
 			s.Put("t", "a", []byte("2"))
-			s.Forget()
+			s.Compact()
 			s.SetFault(standin.Healthy)
 			time.Sleep(10 * time.Millisecond)
 			Expect(p.get("a")).To(Equal("2"))
--- a/internal/gatewayd/pictures_test.go
+++ b/internal/gatewayd/pictures_test.go
@@ -142,7 +142,7 @@
 			s.store.SetFault(standin.Silent)
 			time.Sleep(time.Second)
 			s.takeBack("ikeja")
-			s.store.Forget()
+			s.store.Compact()
 			s.store.SetFault(standin.Healthy)
 			time.Sleep(seenWithin)
 		}, near},
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -144,7 +144,7 @@
 	w.store.SetFault(standin.Healthy)
 }
 
-func forgetHistory(_ context.Context, w *world, _ time.Duration) { w.store.Forget() }
+func forgetHistory(_ context.Context, w *world, _ time.Duration) { w.store.Compact() }
 
 func endpointLink(ctx context.Context, w *world, lasts time.Duration) {
 	if e := w.endpoint(); e != nil {
--- a/internal/spread/cluster_test.go
+++ b/internal/spread/cluster_test.go
@@ -184,7 +184,7 @@
 	for _, h := range c.hosts[:count] {
 		h.rejected.Store(true)
 	}
-	c.store.Forget()
+	c.store.Compact()
 	for i := range 4 {
 		c.store.Put("t", "k", fmt.Append(nil, i))
 		expectOnAll(c.hosts, fmt.Sprint(i), 2500*time.Millisecond)
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -188,7 +188,7 @@
 			c.store.Put("t", "k", []byte("1"))
 			c.store.Delete("t", "k")
 			c.store.Put("t", "k", []byte("2"))
-			c.store.Forget()
+			c.store.Compact()
 			c.store.SetFault(standin.Healthy)
 			expectOnAll(c.hosts, "2", 2*time.Second)
 		})
