--- a/internal/upgrade/rig_test.go
+++ b/internal/upgrade/rig_test.go
@@ -41,7 +41,7 @@
 func newLaggedHosts(n int, lag time.Duration) *hosts {
 	network := memnet.New()
 	h := &hosts{store: standin.NewStore()}
-	h.store.Delay(lag)
+	h.store.DelayReads(lag)
 	h.server = &http.Server{Handler: h.store}
 	l := network.Listen(storeAddress)
 	go func() { _ = h.server.Serve(l) }()
--- a/internal/upgrade/turnsbad_test.go
+++ b/internal/upgrade/turnsbad_test.go
@@ -112,9 +112,9 @@
 	"a store that answers with a delay": func(h *hosts, second int) {
 		switch second {
 		case 11, 18:
-			h.store.Delay(200 * time.Millisecond)
+			h.store.DelayReads(200 * time.Millisecond)
 		case 15, 22:
-			h.store.Delay(0)
+			h.store.DelayReads(0)
 		}
 	},
 }
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -155,7 +155,7 @@
 			defer h.stop()
 			h.order(7)
 			exposed := h.serve(2*time.Second, traffic{})
-			h.store.Delay(0)
+			h.store.DelayReads(0)
 			exposed += h.serve(9900*time.Millisecond, traffic{})
 			Expect(exposed).To(BeZero())
 			Expect(h.serve(12*time.Second, traffic{})).To(BeNumerically(">", 0))
