--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -95,7 +95,7 @@
 		n.door.Cut(false)
 	},
 	"a platform that loses replies": func(r *rig) {
-		r.platform.SetFault(standin.LoseTx)
+		r.platform.SetFault(standin.DropCommitReplies)
 		time.Sleep(4 * time.Second)
 		r.platform.SetFault(standin.Healthy)
 	},
--- a/internal/quarantine/persistence_test.go
+++ b/internal/quarantine/persistence_test.go
@@ -14,7 +14,7 @@
 
 // storeFaults are ways in which the store is unavailable.
 var storeFaults = map[string]standin.Fault{
-	"is silent": standin.Silent, "is busy": standin.Busy, "loses the answers to writes": standin.LoseTx, "limits calls": standin.Limited,
+	"is silent": standin.Silent, "is busy": standin.Busy, "loses the answers to writes": standin.DropCommitReplies, "limits calls": standin.Limited,
 }
 
 var _ = Describe("what hosts have seen of crashes", func() {
--- a/internal/upgrade/turnsbad_test.go
+++ b/internal/upgrade/turnsbad_test.go
@@ -104,7 +104,7 @@
 	"a store that loses the answers to writes": func(h *hosts, second int) {
 		switch second {
 		case 2:
-			h.store.SetFault(standin.LoseTx)
+			h.store.SetFault(standin.DropCommitReplies)
 		case 23:
 			h.store.SetFault(standin.Healthy)
 		}
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -129,7 +129,7 @@
 		suite.Paused(func() {
 			h := newHosts(3)
 			defer h.stop()
-			h.store.SetFault(standin.LoseTx)
+			h.store.SetFault(standin.DropCommitReplies)
 			h.order(7)
 			h.serve(23900*time.Millisecond, traffic{})
 			Expect(h.status()).To(MatchJSON(`{"state":"completed","target_version":"v2"}`))
