--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -150,7 +150,7 @@
 
 	It("reads the whole table when the history is gone", func() {
 		withFollower(func(s *standin.Store, p *recordingReplica) {
-			s.SetFault(standin.LoseFeed)
+			s.SetFault(standin.DropFeedEvents)
 			s.Put("t", "a", []byte("2"))
 			s.Compact()
 			s.SetFault(standin.Healthy)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -139,7 +139,7 @@
 }
 
 func storeForAll(ctx context.Context, w *world, lasts time.Duration) {
-	w.store.SetFault(standin.Fault(1 + w.number(int(standin.LoseFeed))))
+	w.store.SetFault(standin.Fault(1 + w.number(int(standin.DropFeedEvents))))
 	sleep(ctx, lasts)
 	w.store.SetFault(standin.Healthy)
 }
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -184,7 +184,7 @@
 
 	It("continue after the store has dropped its history", func() {
 		withCluster(4, func(c *cluster) {
-			c.store.SetFault(standin.LoseFeed)
+			c.store.SetFault(standin.DropFeedEvents)
 			c.store.Put("t", "k", []byte("1"))
 			c.store.Delete("t", "k")
 			c.store.Put("t", "k", []byte("2"))
