--- a/internal/gatewayd/limits_test.go
+++ b/internal/gatewayd/limits_test.go
@@ -105,7 +105,7 @@
 	Expect(worst).To(BeNumerically("<=", standin.LimitMaxRequests(d.rate)))
 	Expect(served).To(BeNumerically(">=", d.least))
 	if d.backAt > 0 {
-		above, again := standin.LimitPart*d.rate*standin.LimitWindow.Seconds(), 0
+		above, again := standin.LimitFactor*d.rate*standin.LimitWindow.Seconds(), 0
 		for _, e := range limited {
 			most := e.MaxRequestsInWindow(end.Add(usedAgain), began.Add(limitsLast), standin.LimitWindow)
 			again += most
