--- a/internal/ratelimit/callers_test.go
+++ b/internal/ratelimit/callers_test.go
@@ -19,7 +19,7 @@
 	healthy bool // the sending host had no fault for the time that the rule gives hosts to learn of a limit
 }
 
-// isHealthy reports whether the host has had no fault for longer than standin.LimitKnown.
+// isHealthy reports whether the host has had no fault for longer than standin.LimitNoticeTime.
 func (h *simHost) isHealthy() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
