--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -22,7 +22,7 @@
 }
 
 // askWithBody sends a request that carries its body in a header field too, where endpoint scripts can read it.
-func (r *rig) askWithBody(path, body, id string) standin.Answer {
+func (r *rig) askWithBody(path, body, id string) standin.Response {
 	q := request("POST", path, body).WithID(id).With("X-Body: " + body)
 	return r.ask(q)
 }
@@ -103,7 +103,7 @@
 		suite.Paused(func() {
 			r := newCrashRig()
 			defer r.stop()
-			asked := make(chan standin.Answer, 8)
+			asked := make(chan standin.Response, 8)
 			for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 				go func() { asked <- r.askWithBody("/again/1", "bad", id) }()
 				time.Sleep(40 * time.Millisecond)
@@ -130,7 +130,7 @@
 			Expect(r.runs()).To(Equal(2), "both listed endpoints crashed")
 			r.fleet.Remove("plain-1")
 			r.fleet.Remove("plain-2")
-			asked := make(chan standin.Answer, 8)
+			asked := make(chan standin.Response, 8)
 			for _, id := range []string{"b", "c", "d", "e", "f"} {
 				go func() { asked <- r.askWithBody("/again/1", "bad", id) }()
 			}
@@ -153,7 +153,7 @@
 			for _, n := range []string{"2", "3", "4", "5", "6"} {
 				r.fleet.Remove("plain-" + n)
 			}
-			asked := make(chan standin.Answer, 1)
+			asked := make(chan standin.Response, 1)
 			go func() { asked <- r.askWithBody("/once/1", "bad", "slow") }()
 			time.Sleep(time.Millisecond)
 			r.relist("plain-2", "plain-3", "plain-4", "plain-5")
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -203,7 +203,7 @@
 func (c *caller) send(text string) { go func() { _, _ = io.WriteString(c, text) }() }
 
 // read reads a response.
-func (c *caller) read() standin.Answer { return standin.ReadAnswer(c.reader) }
+func (c *caller) read() standin.Response { return standin.ReadAnswer(c.reader) }
 
 // request returns a request of a workspace.
 func request(method, path, body string) standin.Request {
@@ -211,7 +211,7 @@
 }
 
 // ask sends one request on a new connection and returns the response.
-func (r *rig) ask(req standin.Request) standin.Answer {
+func (r *rig) ask(req standin.Request) standin.Response {
 	c := r.call()
 	defer func() { _ = c.Close() }()
 	c.send(req.Text())
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -36,7 +36,7 @@
 				defer r.stop()
 				q := request("POST", "/again/1", "x")
 				q.DeadlineMs = 2000
-				answers := make(chan standin.Answer, 1)
+				answers := make(chan standin.Response, 1)
 				go func() { answers <- r.ask(q) }()
 				time.Sleep(50 * time.Millisecond)
 				clock.SimulateSuspension(s.duration)
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -22,7 +22,7 @@
 // outcome is how a request went, as its caller saw it.
 type outcome struct {
 	id, path string
-	answer   standin.Answer
+	answer   standin.Response
 	crashes  bool // endpoints crash under it
 }
 
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -24,8 +24,8 @@
 }
 
 // good is a whole answer.
-func good(body string) standin.Answer {
-	return standin.Answer{Status: 200, Head: sealed(), Body: body}
+func good(body string) standin.Response {
+	return standin.Response{Status: 200, Head: sealed(), Body: body}
 }
 
 func streamOf(ids ...int) string {
@@ -40,19 +40,19 @@
 // judgement has to say; "" if nothing.
 var histories = map[string]struct {
 	path   string
-	answer standin.Answer
+	answer standin.Response
 	runs   int
 	says   string
 }{
 	"a good answer":                            {pathOnce, good("answer to r1"), 1, ""},
 	"another request's answer":                 {pathOnce, good("answer to r2"), 1, "the body is"},
 	"a part of an answer":                      {pathOnce, good("answer"), 1, "the body is"},
-	"a success that no endpoint made":          {pathOnce, standin.Answer{Status: 200, Body: "answer to r1"}, 1, "without an endpoint's seal"},
+	"a success that no endpoint made":          {pathOnce, standin.Response{Status: 200, Body: "answer to r1"}, 1, "without an endpoint's seal"},
 	"a success of a request that nobody ran":   {pathOnce, good("answer to r1"), 0, "no endpoint ran it"},
 	"a request that ran twice":                 {pathOnce, good("answer to r1"), 2, "ran 2 times"},
 	"a repeatable request that ran twice":      {pathAgain, good("answer to r1"), 2, ""},
-	"a true refusal":                           {pathOnce, standin.Answer{Status: 503}, 0, ""},
-	"a refusal of a request that ran":          {pathOnce, standin.Answer{Status: 503}, 1, "told that it did not run"},
+	"a true refusal":                           {pathOnce, standin.Response{Status: 503}, 0, ""},
+	"a refusal of a request that ran":          {pathOnce, standin.Response{Status: 503}, 1, "told that it did not run"},
 	"a stream with a gap":                      {pathStream, good(streamOf(1, 2, 4, 5, 6, 7, 8, 9)), 1, "event 3 has id 4"},
 	"a stream with an event twice":             {pathStream, good(streamOf(1, 2, 2, 3, 4, 5, 6, 7)), 1, "event 3 has id 2"},
 	"a stream that ends before its last event": {pathStream, good(streamOf(1, 2, 3)), 1, "a whole stream of 3 events"},
@@ -96,7 +96,7 @@
 	It("of a system that does not recover", func() {
 		h := newHistory()
 		for i := range 10 {
-			h.add(outcome{id: fmt.Sprint(i), path: pathAgain, answer: standin.Answer{Status: 504}}, true)
+			h.add(outcome{id: fmt.Sprint(i), path: pathAgain, answer: standin.Response{Status: 504}}, true)
 		}
 		Expect(h.report(nil).Violations).To(ContainElement(ContainSubstring("0 of 10 requests were served")))
 	})
