--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -203,7 +203,7 @@
 func (c *caller) send(text string) { go func() { _, _ = io.WriteString(c, text) }() }
 
 // read reads a response.
-func (c *caller) read() standin.Response { return standin.ReadAnswer(c.reader) }
+func (c *caller) read() standin.Response { return standin.ReadResponse(c.reader) }
 
 // request returns a request of a workspace.
 func request(method, path, body string) standin.Request {
--- a/internal/gatewayd/crashrig_test.go
+++ b/internal/gatewayd/crashrig_test.go
@@ -330,7 +330,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	go func() { _, _ = io.WriteString(c, q.Text()) }()
-	a := standin.ReadAnswer(bufio.NewReader(c))
+	a := standin.ReadResponse(bufio.NewReader(c))
 	if a.Err != nil {
 		return 0
 	}
--- a/internal/gatewayd/suspended_test.go
+++ b/internal/gatewayd/suspended_test.go
@@ -29,7 +29,7 @@
 			time.Sleep(time.Second)
 			began := time.Now()
 			clock.SimulateSuspension(6 * time.Second)
-			a := standin.ReadAnswer(bufio.NewReader(c))
+			a := standin.ReadResponse(bufio.NewReader(c))
 			Expect(a.Err).NotTo(HaveOccurred())
 			Expect(a.Status).To(Equal(http.StatusGatewayTimeout))
 			Expect(time.Since(began)).To(BeNumerically("<", 500*time.Millisecond))
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -74,7 +74,7 @@
 	if _, err := io.WriteString(c, q.Text()); err != nil {
 		return false
 	}
-	a := standin.ReadAnswer(reader)
+	a := standin.ReadResponse(reader)
 	w.history.add(outcome{id: id, path: path, answer: a}, judging)
 	return a.Err == nil && !a.Close
 }
@@ -91,7 +91,7 @@
 	if _, err := io.WriteString(c, standin.NewRequest("POST", standin.VersionPath(version), "x").WithID(id).Text()); err != nil {
 		return false
 	}
-	a := standin.ReadAnswer(reader)
+	a := standin.ReadResponse(reader)
 	if a.Err == nil && a.Status == 200 && p.life() == life {
 		w.history.showVersion(life, version, sent, time.Now())
 	}
--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -147,7 +147,7 @@
 		return
 	}
 	path, _, _ := strings.Cut(r.path, crashMark)
-	w.history.add(outcome{id: id, path: path, answer: standin.ReadAnswer(bufio.NewReader(c)), crashes: true}, false)
+	w.history.add(outcome{id: id, path: path, answer: standin.ReadResponse(bufio.NewReader(c)), crashes: true}, false)
 }
 
 // lateSends lists requests under which endpoints crash that hosts went on sending.
--- a/internal/soak/ports_test.go
+++ b/internal/soak/ports_test.go
@@ -89,7 +89,7 @@
 		for _, meant := range []string{"plain-1", "plain-18"} {
 			_, err = io.WriteString(c, standin.NewRequest("POST", pathOnce+"same", "body").ForEndpoint(meant).Text())
 			Expect(err).NotTo(HaveOccurred())
-			Expect(standin.ReadAnswer(reader).Err).NotTo(HaveOccurred())
+			Expect(standin.ReadResponse(reader).Err).NotTo(HaveOccurred())
 		}
 		Expect(w.runs()).To(HaveKeyWithValue("id-1", 1))
 		arrivals := w.arrivals([]string{"id-1"})
