--- a/internal/conn/conn_test.go
+++ b/internal/conn/conn_test.go
@@ -134,13 +134,13 @@
 			_, err = exchange(c)
 			Expect(err).To(HaveOccurred())
 			Expect(err).NotTo(MatchError(conn.ErrNotSent))
-			Expect(e.Seen()).To(HaveLen(1))
+			Expect(e.Requests()).To(HaveLen(1))
 			c.Release(false)
 		})
 	})
 
 	It("stops waiting for a response when interrupted", func() {
-		withEndpoint(standin.Mute{}, func(p *conn.Pool, _ *standin.Endpoint) {
+		withEndpoint(standin.NoReply{}, func(p *conn.Pool, _ *standin.Endpoint) {
 			c, err := p.Get(ctx, address, 1)
 			Expect(err).NotTo(HaveOccurred())
 			time.AfterFunc(time.Second, c.Interrupt)
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -95,14 +95,14 @@
 		n.door.Cut(false)
 	},
 	"a platform that loses replies": func(r *rig) {
-		r.platform.Break(standin.LoseTx)
+		r.platform.SetFault(standin.DropCommitReplies)
 		time.Sleep(4 * time.Second)
-		r.platform.Break(standin.Healthy)
+		r.platform.SetFault(standin.Healthy)
 	},
 	"a platform that is busy": func(r *rig) {
-		r.platform.Break(standin.Busy)
+		r.platform.SetFault(standin.Busy)
 		time.Sleep(4 * time.Second)
-		r.platform.Break(standin.Healthy)
+		r.platform.SetFault(standin.Healthy)
 	},
 }
 
@@ -179,7 +179,7 @@
 
 	for name, c := range invalidCalls {
 		It("are found to be violated by "+name, func() {
-			d := standin.NewDuties(handoverDelay)
+			d := standin.NewDutyServer(handoverDelay)
 			for _, call := range c.calls {
 				r := httptest.NewRequest(http.MethodPost, call.path, strings.NewReader(call.body))
 				r.Header.Set("Duty-Holder", call.holder)
@@ -195,12 +195,12 @@
 			r := newRig(2, 1)
 			defer r.close()
 			r.setEndpointCounts(map[string]capacity.EndpointCounts{"ikeja": {Ordinary: 4}, "lekki": {Ordinary: 4}, "yaba": {Ordinary: 4}})
-			r.platform.AnswerOrders(http.StatusConflict)
+			r.platform.SetOrderStatus(http.StatusConflict)
 			time.Sleep(4 * time.Second)
 			refused := len(r.platform.Calls())
 			Expect(refused).To(BeNumerically(">", 0))
 			Expect(refused).To(BeNumerically("<", 20))
-			r.platform.AnswerOrders(0)
+			r.platform.SetOrderStatus(0)
 			time.Sleep(10 * time.Second)
 			ordered := map[string]int{}
 			for _, c := range r.platform.Calls() {
--- a/internal/duty/rig_test.go
+++ b/internal/duty/rig_test.go
@@ -38,7 +38,7 @@
 // rig is a test rig of hosts that compete for the duties, a store and the platform.
 type rig struct {
 	store    *table.Store
-	platform *standin.Duties
+	platform *standin.DutyServer
 	net      *memnet.Network
 	server   *http.Server
 	random   *rand.Rand
@@ -69,7 +69,7 @@
 
 func newRig(hosts int, seed uint64) *rig {
 	r := &rig{
-		store: table.New(table.Options{}), platform: standin.NewDuties(handoverDelay), net: memnet.New(), random: rand.New(rand.NewPCG(seed, 7)),
+		store: table.New(table.Options{}), platform: standin.NewDutyServer(handoverDelay), net: memnet.New(), random: rand.New(rand.NewPCG(seed, 7)),
 		hosts: map[string]*node{}, started: map[int64]map[string]int64{}, endpointCounts: map[string]capacity.EndpointCounts{},
 	}
 	r.server = &http.Server{Handler: r.platform}
@@ -218,7 +218,7 @@
 		return errSilent
 	}
 	n.rig.attempts.add(n.name)
-	return platform.NewDuties(platformAddress, n.rig.net.Dial).Usage(ctx, h, report)
+	return platform.NewDutyClient(platformAddress, n.rig.net.Dial).Usage(ctx, h, report)
 }
 
 // Scale implements duty.Platform.
@@ -227,7 +227,7 @@
 		return errSilent
 	}
 	n.rig.attempts.add(n.name)
-	return platform.NewDuties(platformAddress, n.rig.net.Dial).Scale(ctx, h, service, o)
+	return platform.NewDutyClient(platformAddress, n.rig.net.Dial).Scale(ctx, h, service, o)
 }
 
 // sendRequests starts requests at random live hosts for the given duration.
--- a/internal/gateway/admit_test.go
+++ b/internal/gateway/admit_test.go
@@ -25,7 +25,7 @@
 	"an unknown host": {request("POST", "/once/", "x").WithHost("b.example"), 404, false},
 	"an unknown key":  {request("POST", "/once/", "x").WithKey("key-2"), 401, false},
 	"no key":          {request("POST", "/once/", "x").WithKey(""), 401, false},
-	"two keys":        {request("POST", "/once/", "x").With(standin.KeyLine("key-1")), 401, false},
+	"two keys":        {request("POST", "/once/", "x").With(standin.CredentialLine("key-1")), 401, false},
 	"no id":           {request("POST", "/once/", "x").WithID(""), 400, true},
 	"a body too long": {request("POST", "/once/", strings.Repeat("x", 1001)), 413, true},
 	"a head too long": {request("POST", "/once/", "x").With("X-Long: " + strings.Repeat("y", 5000)), 431, true},
@@ -73,15 +73,15 @@
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
-			q := request("POST", "/once/a%2Fb?q=1;2", "x").With(standin.Forged()...)
+			q := request("POST", "/once/a%2Fb?q=1;2", "x").With(standin.ForgedHeaders()...)
 			a := r.ask(q.With("X-Own: kept", "X-Hop: gone", "Connection: keep-alive, X-Hop"))
 			Expect(a.Status).To(Equal(200))
-			seen := r.endpoints["plain-1"].Seen()[0]
+			seen := r.endpoints["plain-1"].Requests()[0]
 			Expect(seen.Method + " " + seen.Target + " " + seen.Body).To(Equal("POST /once/a%2Fb?q=1;2 x"))
 			Expect(seen.Workspace()).To(Equal("weavers"))
 			Expect(seen.EndpointID()).To(Equal("plain-1"))
 			Expect(seen.ID()).To(Equal("id-1"))
-			Expect(seen.Leaks()).To(BeEmpty())
+			Expect(seen.LeakedHeaders()).To(BeEmpty())
 			Expect(seen.Head.Get("X-Own")).To(Equal("kept"))
 			Expect(seen.Head).NotTo(HaveKey("X-Hop"))
 		})
@@ -104,8 +104,8 @@
 		suite.Paused(func() {
 			r := newRig(scripts{"plain-1": standin.Always(good)})
 			defer r.stop()
-			Expect(r.ask(request("POST", "/open/", "x").WithKey("").With(standin.Forged()...)).Status).To(Equal(200))
-			Expect(r.endpoints["plain-1"].Seen()[0].Workspace()).To(BeEmpty())
+			Expect(r.ask(request("POST", "/open/", "x").WithKey("").With(standin.ForgedHeaders()...)).Status).To(Equal(200))
+			Expect(r.endpoints["plain-1"].Requests()[0].Workspace()).To(BeEmpty())
 		})
 	})
 
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -113,7 +113,7 @@
 		return r.net.Dial(ctx, "tcp", address)
 	}})
 	r.gateway = gateway.New(gateway.Options{
-		Holder: r.holder, Fleet: r.fleet, Pool: r.pool, Codec: platform.Heads{}, Deadlines: clock.NewDeadlines(), Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: r.pool.Probe, CountEndpoints: r.fleet.Count, Logger: logger}), Telemetry: telemetry.MetricsOnly(), Logger: logger,
+		Holder: r.holder, Fleet: r.fleet, Pool: r.pool, Codec: platform.HeaderCodec{}, Deadlines: clock.NewDeadlines(), Quarantine: quarantine.NewTracker(quarantine.Options{Host: "h", Probe: r.pool.Probe, CountEndpoints: r.fleet.Count, Logger: logger}), Telemetry: telemetry.MetricsOnly(), Logger: logger,
 		Upgrades:   upgrade.NewTracker(upgrade.Options{Host: "h", Fleet: r.fleet, Logger: logger, Watch: noClock{}, Hosts: func() int { return 1 }}),
 		RetryRatio: 0.9,
 	})
@@ -182,7 +182,7 @@
 func (r *rig) runs() int {
 	n := 0
 	for _, e := range r.endpoints {
-		n += len(e.Seen())
+		n += len(e.Requests())
 	}
 	return n
 }
@@ -203,7 +203,7 @@
 func (c *caller) send(text string) { go func() { _, _ = io.WriteString(c, text) }() }
 
 // read reads a response.
-func (c *caller) read() standin.Answer { return standin.ReadAnswer(c.reader) }
+func (c *caller) read() standin.Response { return standin.ReadResponse(c.reader) }
 
 // request returns a request of a workspace.
 func request(method, path, body string) standin.Request {
@@ -211,7 +211,7 @@
 }
 
 // ask sends one request on a new connection and returns the response.
-func (r *rig) ask(req standin.Request) standin.Answer {
+func (r *rig) ask(req standin.Request) standin.Response {
 	c := r.call()
 	defer func() { _ = c.Close() }()
 	c.send(req.Text())
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -36,7 +36,7 @@
 				defer r.stop()
 				q := request("POST", "/again/1", "x")
 				q.DeadlineMs = 2000
-				answers := make(chan standin.Answer, 1)
+				answers := make(chan standin.Response, 1)
 				go func() { answers <- r.ask(q) }()
 				time.Sleep(50 * time.Millisecond)
 				clock.SimulateSuspension(s.duration)
@@ -59,9 +59,9 @@
 
 // lastTimeLeft returns the time left that the last request to an endpoint stated.
 func (r *rig) lastTimeLeft() time.Duration {
-	var last standin.Seen
+	var last standin.ReceivedRequest
 	for _, e := range r.endpoints {
-		for _, s := range e.Seen() {
+		for _, s := range e.Requests() {
 			if s.At.After(last.At) {
 				last = s
 			}
--- a/internal/gateway/unary_test.go
+++ b/internal/gateway/unary_test.go
@@ -111,20 +111,20 @@
 
 	It("fail at the route's timeout if the endpoint does not respond, and release it", func() {
 		suite.Paused(func() {
-			r := newRig(scripts{"plain-1": standin.Always(standin.Mute{})})
+			r := newRig(scripts{"plain-1": standin.Always(standin.NoReply{})})
 			defer r.stop()
 			start := time.Now()
 			a := r.ask(request("POST", "/once/1", "x"))
 			Expect(a.Status).To(Equal(http.StatusGatewayTimeout))
 			Expect(time.Since(start)).To(Equal(2 * time.Second))
 			time.Sleep(time.Second)
-			Expect(r.endpoints["plain-1"].Seen()[0].Ended.Sub(start)).To(BeNumerically("~", 2*time.Second, 100*time.Millisecond))
+			Expect(r.endpoints["plain-1"].Requests()[0].Ended.Sub(start)).To(BeNumerically("~", 2*time.Second, 100*time.Millisecond))
 		})
 	})
 
 	It("that are repeatable and get no response are sent to another endpoint in time", func() {
 		suite.Paused(func() {
-			both := between(standin.Mute{}, good)
+			both := between(standin.NoReply{}, good)
 			r := newRig(scripts{"plain-1": both, "plain-2": both})
 			defer r.stop()
 			start := time.Now()
@@ -135,7 +135,7 @@
 
 	It("release the endpoint when the caller disconnects", func() {
 		suite.Paused(func() {
-			r := newRig(scripts{"plain-1": standin.Always(standin.Mute{})})
+			r := newRig(scripts{"plain-1": standin.Always(standin.NoReply{})})
 			defer r.stop()
 			start := time.Now()
 			c := r.call()
@@ -143,7 +143,7 @@
 			time.Sleep(300 * time.Millisecond)
 			_ = c.Close()
 			time.Sleep(time.Second)
-			Expect(r.endpoints["plain-1"].Seen()[0].Ended.Sub(start)).To(BeNumerically("~", 300*time.Millisecond, 100*time.Millisecond))
+			Expect(r.endpoints["plain-1"].Requests()[0].Ended.Sub(start)).To(BeNumerically("~", 300*time.Millisecond, 100*time.Millisecond))
 		})
 	})
 })
--- a/internal/gatewayd/crashrig_test.go
+++ b/internal/gatewayd/crashrig_test.go
@@ -47,7 +47,7 @@
 	calling  sync.WaitGroup
 	running  sync.WaitGroup // machines, and hosts that were killed
 	server   *http.Server
-	duties   *standin.Duties // nil if the scenario has none
+	duties   *standin.DutyServer // nil if the scenario has none
 	// dutiesServer serves duties.
 	dutiesServer *http.Server
 	log          safeBuffer
@@ -115,10 +115,10 @@
 			r.calling.Go(func() { r.killHolder(ctx, d.killHolderAt) })
 		}
 		if d.storeSilent {
-			r.store.Break(standin.Silent)
+			r.store.SetFault(standin.Silent)
 		}
 		r.calling.Wait()
-		r.store.Break(standin.Healthy)
+		r.store.SetFault(standin.Healthy)
 		check(r)
 	})
 }
@@ -129,7 +129,7 @@
 	l := r.net.Listen(storeAddress)
 	go func() { _ = r.server.Serve(l) }()
 	if d.duties {
-		r.duties = standin.NewDuties(dutyTurns)
+		r.duties = standin.NewDutyServer(dutyTurns)
 		calls := r.net.Listen(dutiesAddress)
 		r.dutiesServer = &http.Server{Handler: r.duties}
 		go func() { _ = r.dutiesServer.Serve(calls) }()
@@ -330,7 +330,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	go func() { _, _ = io.WriteString(c, q.Text()) }()
-	a := standin.ReadAnswer(bufio.NewReader(c))
+	a := standin.ReadResponse(bufio.NewReader(c))
 	if a.Err != nil {
 		return 0
 	}
@@ -365,7 +365,7 @@
 	for _, m := range r.machines {
 		for _, e := range m.Starts() {
 			under := false
-			for _, s := range e.Seen() {
+			for _, s := range e.Requests() {
 				if s.Body == crashBody {
 					sends = append(sends, s.At)
 					under = true
--- a/internal/gatewayd/limits_test.go
+++ b/internal/gatewayd/limits_test.go
@@ -69,12 +69,12 @@
 				limited := r.endpointsOf(d.service, d.limited)
 				time.Sleep(limitsStart)
 				for _, e := range limited {
-					e.Limit(d.rate)
+					e.SetLimit(d.rate)
 				}
 				if d.withdrawnAt > 0 {
 					time.Sleep(d.withdrawnAt - limitsStart)
 					for _, e := range limited {
-						e.LimitText("")
+						e.SetLimitText("")
 					}
 				}
 				r.calling.Wait()
@@ -92,23 +92,23 @@
 	}
 	worst, got := 0, 0
 	for _, e := range limited {
-		worst = max(worst, e.Most(began.Add(limitsStart+standin.LimitKnown), end.Add(-standin.LimitWindow), standin.LimitWindow))
-		for _, s := range e.Seen() {
-			if s.At.After(began.Add(limitsStart+standin.LimitKnown)) && s.At.Before(end) {
+		worst = max(worst, e.MaxRequestsInWindow(began.Add(limitsStart+standin.LimitNoticeTime), end.Add(-standin.LimitWindow), standin.LimitWindow))
+		for _, s := range e.Requests() {
+			if s.At.After(began.Add(limitsStart+standin.LimitNoticeTime)) && s.At.Before(end) {
 				got++
 			}
 		}
 	}
-	span := end.Sub(began) - limitsStart - standin.LimitKnown
+	span := end.Sub(began) - limitsStart - standin.LimitNoticeTime
 	used := float64(got) / max(d.rate*float64(len(limited))*span.Seconds(), 1)
 	served := r.servedByService(d.service)
-	t.Logf("worst %d in %s, %d allowed; %.2f of the limits used; %.3f served", worst, standin.LimitWindow, standin.LimitMost(d.rate), used, served)
-	Expect(worst).To(BeNumerically("<=", standin.LimitMost(d.rate)))
+	t.Logf("worst %d in %s, %d allowed; %.2f of the limits used; %.3f served", worst, standin.LimitWindow, standin.LimitMaxRequests(d.rate), used, served)
+	Expect(worst).To(BeNumerically("<=", standin.LimitMaxRequests(d.rate)))
 	Expect(served).To(BeNumerically(">=", d.minServed))
 	if d.withdrawnAt > 0 {
-		above, again := standin.LimitPart*d.rate*standin.LimitWindow.Seconds(), 0
+		above, again := standin.LimitFactor*d.rate*standin.LimitWindow.Seconds(), 0
 		for _, e := range limited {
-			most := e.Most(end.Add(fullShareWithin), began.Add(limitsDuration), standin.LimitWindow)
+			most := e.MaxRequestsInWindow(end.Add(fullShareWithin), began.Add(limitsDuration), standin.LimitWindow)
 			again += most
 			// Prompts go to as few endpoints as the load requires, to those that cache their prefix.
 			Expect(d.service == "model" || float64(most) > above).To(BeTrue(), "used again: %d in %s", most, standin.LimitWindow)
--- a/internal/gatewayd/module.go
+++ b/internal/gatewayd/module.go
@@ -117,7 +117,7 @@
 		return p.Store, p.Store
 	}
 	client := platform.NewStore(s.Gateway.Store, nil)
-	client.Observe(func(kind, table string) {
+	client.OnCall(func(kind, table string) {
 		t.Count("store_calls", 1, telemetry.Label("kind", kind), telemetry.Label("table", table))
 	})
 	return client, client
@@ -164,7 +164,7 @@
 
 func newUpgradeTracker(s settings.Settings, tables store.Tables, w *spread.Watcher, f *fleet.Fleet, l *log.Logger) *upgrade.Tracker {
 	return upgrade.NewTracker(upgrade.Options{
-		Host: s.Host, Tables: tables, Watch: w, Fleet: f, Logger: l, Status: platform.StatusWrite, Hosts: w.Hosts,
+		Host: s.Host, Tables: tables, Watch: w, Fleet: f, Logger: l, Status: platform.UpgradeStatusWrite, Hosts: w.Hosts,
 		Exposure: s.Gateway.Exposure,
 	})
 }
@@ -212,7 +212,7 @@
 	q *quarantine.Tracker, limits *ratelimit.Limiter, counter *usage.Counter, w *spread.Watcher, d *clock.Deadlines, t *telemetry.Telemetry, l *log.Logger,
 ) *gateway.Gateway {
 	return gateway.New(gateway.Options{
-		Holder: h, Fleet: f, Pool: p, Upgrades: u, Codec: platform.Heads{}, Advice: a, Quarantine: q, RateLimits: limits, Deadlines: d, Telemetry: t, Logger: l, Usage: counter, HostCount: w.Hosts,
+		Holder: h, Fleet: f, Pool: p, Upgrades: u, Codec: platform.HeaderCodec{}, Advice: a, Quarantine: q, RateLimits: limits, Deadlines: d, Telemetry: t, Logger: l, Usage: counter, HostCount: w.Hosts,
 		RetryRatio: retryFraction * s.Gateway.RetryRatio,
 	})
 }
--- a/internal/gatewayd/operators.go
+++ b/internal/gatewayd/operators.go
@@ -71,8 +71,8 @@
 	switch {
 	case row.Key == platform.KeyDeclaration:
 		o.applyDeclaration(row)
-	case platform.IsOrder(row.Key):
-		order, err := platform.DecodeOrder(row)
+	case platform.IsUpgradeOrder(row.Key):
+		order, err := platform.DecodeUpgradeOrder(row)
 		if err != nil {
 			o.logger.Error("order can't be read", "row", row.Key, "row_version", row.Version, "error", err)
 			return
--- a/internal/gatewayd/tables_test.go
+++ b/internal/gatewayd/tables_test.go
@@ -85,7 +85,7 @@
 func (s *twoHallSystem) served() map[string]int {
 	before := map[string]int{}
 	for hall, e := range s.endpoints {
-		before[hall] = len(e.Seen())
+		before[hall] = len(e.Requests())
 	}
 	counts := map[string]int{}
 	for range 12 {
@@ -100,7 +100,7 @@
 		_ = c.Close()
 	}
 	for hall, e := range s.endpoints {
-		if n := len(e.Seen()) - before[hall]; n > 0 {
+		if n := len(e.Requests()) - before[hall]; n > 0 {
 			counts[hall] = n
 		}
 	}
@@ -110,7 +110,7 @@
 func (s *twoHallSystem) evacuate(hall string) {
 	s.store.Put("op", standin.EvacuationKey(hall), []byte("{}"))
 }
-func (s *twoHallSystem) endEvacuation(hall string) { s.store.Drop("op", standin.EvacuationKey(hall)) }
+func (s *twoHallSystem) endEvacuation(hall string) { s.store.Delete("op", standin.EvacuationKey(hall)) }
 
 var _ = Describe("a host whose operators evacuate data halls", func() {
 	onlyLekki := map[string]int{"lekki": 12}
@@ -141,11 +141,11 @@
 		"and withdraw it during a store outage": {func(s *twoHallSystem) {
 			s.evacuate("ikeja")
 			time.Sleep(followWithin)
-			s.store.Break(standin.Silent)
+			s.store.SetFault(standin.Silent)
 			time.Sleep(time.Second)
 			s.endEvacuation("ikeja")
-			s.store.Forget()
-			s.store.Break(standin.Healthy)
+			s.store.Compact()
+			s.store.SetFault(standin.Healthy)
 			time.Sleep(followWithin)
 		}, onlyIkeja},
 		"and add an endpoint there": {func(s *twoHallSystem) {
@@ -236,7 +236,7 @@
 var _ = Describe("a host whose endpoint restarts under the same name", func() {
 	It("sends to the restarted endpoint on new connections, under the same name", func() {
 		withTwoHalls(func(s *twoHallSystem) {
-			s.store.Drop("servers", "of-lekki")
+			s.store.Delete("servers", "of-lekki")
 			at := func(born int64) {
 				s.store.Put("servers", "of-ikeja", standin.Entry{Service: "s", Address: addressIn("ikeja"), Hall: "ikeja", Version: "v1", Born: born}.Value())
 				time.Sleep(followWithin)
@@ -250,7 +250,7 @@
 			at(2000)
 			Expect(s.served()).To(Equal(map[string]int{"ikeja": 12}))
 			Expect(e.Connections()).To(BeNumerically(">", before))
-			for _, seen := range e.Seen() {
+			for _, seen := range e.Requests() {
 				Expect(seen.For()).To(Equal("of-ikeja"))
 			}
 		})
--- a/internal/ratelimit/callers_test.go
+++ b/internal/ratelimit/callers_test.go
@@ -19,11 +19,11 @@
 	healthy bool // the sending host had no fault for the time that the rule gives hosts to learn of a limit
 }
 
-// isHealthy reports whether the host has had no fault for longer than standin.LimitKnown.
+// isHealthy reports whether the host has had no fault for longer than standin.LimitNoticeTime.
 func (h *simHost) isHealthy() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.faultyUntil.IsZero() || clock.Since(h.faultyUntil) > standin.LimitKnown
+	return h.faultyUntil.IsZero() || clock.Since(h.faultyUntil) > standin.LimitNoticeTime
 }
 
 // markFaulty records a fault that starts now and lasts for a duration.
--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -76,7 +76,7 @@
 		w.history.violate("no endpoint could be started: %s", err)
 	}
 	time.Sleep(lapseTime - restartTime)
-	w.store.Drop(standin.TableEndpoints, e.ID)
+	w.store.Delete(standin.TableEndpoints, e.ID)
 }
 
 // dice are drawn for one kind of trouble, apart from all else, so that a seed without it stays what
@@ -147,7 +147,7 @@
 		return
 	}
 	path, _, _ := strings.Cut(r.path, crashMark)
-	w.history.add(outcome{id: id, path: path, answer: standin.ReadAnswer(bufio.NewReader(c)), crashes: true}, false)
+	w.history.add(outcome{id: id, path: path, answer: standin.ReadResponse(bufio.NewReader(c)), crashes: true}, false)
 }
 
 // lateSends lists requests under which endpoints crash that hosts went on sending.
@@ -172,7 +172,7 @@
 	defer r.mu.Unlock()
 	for _, e := range endpoints {
 		under := false
-		for _, s := range e.Seen() {
+		for _, s := range e.Requests() {
 			if s.Target == r.path {
 				sends = append(sends, send{at: s.At, well: r.hosts[s.ID()].wasWell(s.At.Add(-knownWithin), s.At)})
 				under = true
--- a/internal/soak/endpoints.go
+++ b/internal/soak/endpoints.go
@@ -35,7 +35,7 @@
 	key := standin.EvacuationKey(halls[w.number(len(halls))])
 	w.store.Put(standin.TableOperator, key, []byte("{}"))
 	sleep(ctx, lasts)
-	w.store.Drop(standin.TableOperator, key)
+	w.store.Delete(standin.TableOperator, key)
 }
 
 // evacuable returns a data hall without which each service has endpoints left.
@@ -81,7 +81,7 @@
 	w.mu.Unlock()
 	w.store.Put(standin.TableEndpoints, id, fmt.Appendf(nil, strangeEntries[w.number(len(strangeEntries))], l.Addr().String()))
 	sleep(ctx, lasts)
-	w.store.Drop(standin.TableEndpoints, id)
+	w.store.Delete(standin.TableEndpoints, id)
 }
 
 // misplaced lists requests that reached an endpoint which should not have got them: at an
@@ -91,12 +91,12 @@
 	defer w.mu.Unlock()
 	var found []string
 	for _, trap := range w.traps {
-		if n := len(trap.Seen()); n > 0 {
+		if n := len(trap.Requests()); n > 0 {
 			found = append(found, fmt.Sprintf("%d requests at %s, which is no endpoint", n, trap.ID))
 		}
 	}
 	for _, e := range w.all {
-		if n := countBetween(e.Seen(), from, time.Now()); e.hall == evacuated && n > 0 {
+		if n := countBetween(e.Requests(), from, time.Now()); e.hall == evacuated && n > 0 {
 			found = append(found, fmt.Sprintf("%d requests at %s, whose data hall is evacuated", n, e.ID))
 		}
 	}
@@ -110,14 +110,14 @@
 	var found []string
 	for _, e := range w.all {
 		if e.service == "model" {
-			found = append(found, e.overCold(e.Seen())...)
+			found = append(found, e.overCold(e.Requests())...)
 		}
 	}
 	return found
 }
 
 // overCold lists the seconds after a start in which the endpoint got too much.
-func (e *endpoint) overCold(seen []standin.Seen) []string {
+func (e *endpoint) overCold(seen []standin.ReceivedRequest) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var found []string
@@ -136,7 +136,7 @@
 }
 
 // countBetween counts requests that arrived from a moment on and before another.
-func countBetween(seen []standin.Seen, from, until time.Time) int {
+func countBetween(seen []standin.ReceivedRequest, from, until time.Time) int {
 	n := 0
 	for _, s := range seen {
 		if !s.At.Before(from) && s.At.Before(until) {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -70,7 +70,7 @@
 
 // healAll puts right what may still be wrong.
 func (w *world) healAll() {
-	w.store.Break(standin.Healthy)
+	w.store.SetFault(standin.Healthy)
 	for _, p := range w.hosts {
 		p.store.set(Pass)
 		p.signal(syscall.SIGCONT)
@@ -139,12 +139,12 @@
 }
 
 func storeForAll(ctx context.Context, w *world, lasts time.Duration) {
-	w.store.Break(standin.Fault(1 + w.number(int(standin.LoseFeed))))
+	w.store.SetFault(standin.Fault(1 + w.number(int(standin.DropFeedEvents))))
 	sleep(ctx, lasts)
-	w.store.Break(standin.Healthy)
+	w.store.SetFault(standin.Healthy)
 }
 
-func forgetHistory(_ context.Context, w *world, _ time.Duration) { w.store.Forget() }
+func forgetHistory(_ context.Context, w *world, _ time.Duration) { w.store.Compact() }
 
 func endpointLink(ctx context.Context, w *world, lasts time.Duration) {
 	if e := w.endpoint(); e != nil {
@@ -160,7 +160,7 @@
 	if e := w.take(); e != nil {
 		e.end()
 		sleep(ctx, lasts)
-		w.store.Drop(standin.TableEndpoints, e.ID)
+		w.store.Delete(standin.TableEndpoints, e.ID)
 	}
 }
 
@@ -172,7 +172,7 @@
 	}
 	w.store.Put(standin.TableEndpoints, e.ID, e.leaving())
 	sleep(ctx, drainBefore)
-	w.store.Drop(standin.TableEndpoints, e.ID)
+	w.store.Delete(standin.TableEndpoints, e.ID)
 	sleep(ctx, drainBefore)
 	e.end()
 }
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -63,10 +63,10 @@
 	}
 	defer e.limited.Store(false)
 	n := naming{endpoint: e, rate: rate, from: time.Now()}
-	e.LimitText(strconv.FormatFloat(rate, 'f', -1, 64))
+	e.SetLimitText(strconv.FormatFloat(rate, 'f', -1, 64))
 	sleep(ctx, limitFor)
 	n.until = time.Now()
-	e.LimitText("")
+	e.SetLimitText("")
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.namings = append(w.namings, n)
@@ -78,7 +78,7 @@
 	defer w.mu.Unlock()
 	var found []string
 	for _, n := range w.namings {
-		most := standin.LimitMost(n.rate)
+		most := standin.LimitMaxRequests(n.rate)
 		if worst, at := n.worst(w.sentBy); worst > most {
 			found = append(found, fmt.Sprintf("%s named a limit of %.1f a second and got %d requests within %s from %s on, %d allowed",
 				n.endpoint.ID, n.rate, worst, standin.LimitWindow, at.Format(time.StampMilli), most))
@@ -91,9 +91,9 @@
 // when that began.
 func (n naming) worst(sentBy func(id string) *process) (most int, at time.Time) {
 	var times []time.Time
-	for _, s := range n.endpoint.Seen() {
-		inTime := s.At.After(n.from.Add(standin.LimitKnown)) && s.At.Before(n.until)
-		if p := sentBy(s.ID()); inTime && (p == nil || p.wasWell(s.At.Add(-standin.LimitKnown), s.At)) {
+	for _, s := range n.endpoint.Requests() {
+		inTime := s.At.After(n.from.Add(standin.LimitNoticeTime)) && s.At.Before(n.until)
+		if p := sentBy(s.ID()); inTime && (p == nil || p.wasWell(s.At.Add(-standin.LimitNoticeTime), s.At)) {
 			times = append(times, s.At)
 		}
 	}
--- a/internal/spread/cluster_test.go
+++ b/internal/spread/cluster_test.go
@@ -162,7 +162,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		body(c)
-		c.store.Break(standin.Healthy)
+		c.store.SetFault(standin.Healthy)
 		for _, h := range append(c.hosts, c.cutOff...) {
 			h.stop()
 		}
@@ -184,12 +184,12 @@
 	for _, h := range c.hosts[:count] {
 		h.rejected.Store(true)
 	}
-	c.store.Forget()
+	c.store.Compact()
 	for i := range 4 {
 		c.store.Put("t", "k", fmt.Append(nil, i))
 		expectOnAll(c.hosts, fmt.Sprint(i), 2500*time.Millisecond)
 	}
-	c.store.Drop("t", "k")
+	c.store.Delete("t", "k")
 	expectOnAll(c.hosts, "", 2500*time.Millisecond)
 	for _, h := range c.hosts[:count] {
 		h.rejected.Store(false)
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -64,11 +64,11 @@
 	It("are up to date soon after an outage of the store, and do not overload it with calls", func() {
 		withCluster(12, func(c *cluster) {
 			before := c.store.Feeds() + c.store.Reads()
-			c.store.Break(standin.Busy)
+			c.store.SetFault(standin.Busy)
 			c.store.Put("t", "k", []byte("1"))
 			time.Sleep(20 * time.Second)
 			Expect(c.store.Feeds() + c.store.Reads() - before).To(BeNumerically("<", 12*20))
-			c.store.Break(standin.Healthy)
+			c.store.SetFault(standin.Healthy)
 			expectOnAll(c.hosts, "1", 2900*time.Millisecond)
 		})
 	})
@@ -91,7 +91,7 @@
 			reader := c.reader()
 			// The next reader has the table from before or after the removal. In either case its
 			// updates may lack the removal.
-			c.store.Drop("t", "gone")
+			c.store.Delete("t", "gone")
 			c.hosts[reader].stop()
 			c.hosts = append(c.hosts[:reader], c.hosts[reader+1:]...)
 			time.Sleep(2500 * time.Millisecond)
@@ -116,7 +116,7 @@
 			Expect(c.store.Reads() - reads).To(BeNumerically("<=", 3))
 			reads = c.store.Reads()
 			c.store.Put("t", "row-5", []byte("y"))
-			c.store.Drop("t", "row-6")
+			c.store.Delete("t", "row-6")
 			time.Sleep(time.Second)
 			for i, h := range c.hosts {
 				Expect(h.value("row-5")).To(Equal("y"), "host %d", i)
@@ -184,12 +184,12 @@
 
 	It("continue after the store has dropped its history", func() {
 		withCluster(4, func(c *cluster) {
-			c.store.Break(standin.LoseFeed)
+			c.store.SetFault(standin.DropFeedEvents)
 			c.store.Put("t", "k", []byte("1"))
-			c.store.Drop("t", "k")
+			c.store.Delete("t", "k")
 			c.store.Put("t", "k", []byte("2"))
-			c.store.Forget()
-			c.store.Break(standin.Healthy)
+			c.store.Compact()
+			c.store.SetFault(standin.Healthy)
 			expectOnAll(c.hosts, "2", 2*time.Second)
 		})
 	})
@@ -198,13 +198,13 @@
 		withCluster(3, func(c *cluster) {
 			c.store.Put("t", "k", []byte("1"))
 			expectOnAll(c.hosts, "1", time.Second)
-			c.store.Break(standin.Silent)
+			c.store.SetFault(standin.Silent)
 			time.Sleep(5 * time.Second)
 			late := c.start(9, false)
 			c.hosts = append(c.hosts, late)
 			time.Sleep(6 * time.Second)
 			Expect(late.value("k")).To(Equal("1"))
-			c.store.Break(standin.Healthy)
+			c.store.SetFault(standin.Healthy)
 			c.store.Put("t", "k", []byte("2"))
 			expectOnAll(c.hosts, "2", 3*time.Second)
 		})
--- a/internal/upgrade/turnsbad_test.go
+++ b/internal/upgrade/turnsbad_test.go
@@ -96,25 +96,25 @@
 	"a store that is overloaded three times": func(h *hosts, second int) {
 		switch second {
 		case 11, 15, 19:
-			h.store.Break(standin.Busy)
+			h.store.SetFault(standin.Busy)
 		case 13, 17, 21:
-			h.store.Break(standin.Healthy)
+			h.store.SetFault(standin.Healthy)
 		}
 	},
 	"a store that loses the answers to writes": func(h *hosts, second int) {
 		switch second {
 		case 2:
-			h.store.Break(standin.LoseTx)
+			h.store.SetFault(standin.DropCommitReplies)
 		case 23:
-			h.store.Break(standin.Healthy)
+			h.store.SetFault(standin.Healthy)
 		}
 	},
 	"a store that answers with a delay": func(h *hosts, second int) {
 		switch second {
 		case 11, 18:
-			h.store.Delay(200 * time.Millisecond)
+			h.store.DelayReads(200 * time.Millisecond)
 		case 15, 22:
-			h.store.Delay(0)
+			h.store.DelayReads(0)
 		}
 	},
 }
