--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -200,7 +200,7 @@
 	if outcome := last.fieldText("outcome"); outcome != "" {
 		return outcome
 	}
-	return "unknown; the host ended, or the line was dropped"
+	return "not told; the host ended, or the line was dropped"
 }
 
 // formatValue returns a value as text, quoted if it is empty or contains blanks or quotes.
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -51,7 +51,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		var out strings.Builder
 		Expect(timeline.Write(&out)).To(Succeed())
-		Expect(out.String()).To(HaveSuffix("outcome: unknown; the host ended, or the line was dropped\n"))
+		Expect(out.String()).To(HaveSuffix("outcome: not told; the host ended, or the line was dropped\n"))
 	})
 })
 
